--- a/src/main/kotlin/ledgearch/wire/Users.kt
+++ b/src/main/kotlin/ledgearch/wire/Users.kt
@@ -25,6 +25,8 @@
     val stirS: Double = 0.0,
     val plateS: Double = 0.0,
     val serveS: Double? = null,
+    /** Ids of the jobs that must be done before any task of this one may start. */
+    val awaits: List<String>? = null,
 )
 
 /** The state of a job as told to its user. */
