--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -189,6 +189,21 @@
     /** Requests. Waiting for the state service at one time; beyond it users are told to come back at once. */
     const val INTAKE_BACKLOG = 512
 
+    /** Reads. Of final records of awaited jobs, under way at one time: a new leader's other reads go on beside them. */
+    const val DEPENDENCY_READS = 6
+
+    /** ms. Until the final record of an awaited job that was not found is read again: its open record is on its way here. */
+    const val DEPENDENCY_READ_MS = 1_000L
+
+    /**
+     * Share of the time in which a cancellation has to take effect. A job that waits for others is told as pending only from
+     * a copy of the state that was complete so lately; what rests on two such copies is still within half of that time.
+     */
+    const val FRESH_SHARE = 0.25
+
+    /** Conditions. What a transaction that accepts one job compares beside the jobs that it awaits: two of its own, the grant. */
+    const val SUBMISSION_CONDITIONS = 3
+
     /** s. What a user who is turned away is told to wait. */
     const val RETRY_AFTER_S = 2
 
--- a/src/main/kotlin/ledgearch/core/Book.kt
+++ b/src/main/kotlin/ledgearch/core/Book.kt
@@ -30,11 +30,18 @@
  * kept by a watch, so changes are seen in the order of their revisions. A copy may be old: what is told to users
  * is confirmed first, and the holder's right is fenced by its token.
  */
-internal class Book(private val state: StateClient, private val now: Now, private val listener: BookListener, finalsKept: Long) {
+internal class Book(
+    private val state: StateClient,
+    private val now: Now,
+    private val listener: BookListener,
+    dependencyListener: DependencyListener,
+    finalsKept: Long,
+) {
     private val log = LoggerFactory.getLogger("ledgearch.state")
     val jobs = LinkedHashMap<String, Job>()
     private val finals: Cache<String, FinalRecord> =
         Caffeine.newBuilder().maximumSize(finalsKept).executor(Runnable::run).build()
+    val dependencies = JobDependencies(state, now, jobs, ::final, ::rememberFinal, dependencyListener)
     var racks: Map<String, Rack> = emptyMap()
         private set
     var grant: GrantRecord? = null
@@ -56,6 +63,10 @@
         private set
     var loaded = false
         private set
+
+    /** Every change made before this steady ms is in the copy. */
+    var completeAt = Long.MIN_VALUE / 2
+        private set
     private var reading = false
     private var retryAt = Long.MIN_VALUE
 
@@ -63,14 +74,22 @@
 
     fun rememberFinal(id: String, record: FinalRecord) {
         finals.put(id, record)
-        jobs.remove(id)?.let { listener.jobClosed(it, id, record.st) }
+        close(id, record.st)
+        dependencies.ended(id, record)
+    }
+
+    private fun close(id: String, finalState: String) {
+        val job = jobs.remove(id) ?: return
+        dependencies.closed(job)
+        listener.jobClosed(job, id, finalState)
     }
 
     /** Reads or watches on whenever neither is under way. */
     fun drive() {
+        dependencies.drive()
         if (reading || now.steady < retryAt) return
         reading = true
-        if (loaded) watch() else load(Listing(), 0, null)
+        if (loaded) watch() else load(Listing().also { it.askedAt = now.steady }, 0, null)
     }
 
     /**
@@ -91,6 +110,7 @@
             known == null -> if (final(id) == null) {
                 val job = Job(record, stamp)
                 jobs[id] = job
+                dependencies.opened(job)
                 listener.jobOpened(job)
             }
             stamp > known.stamp -> {
@@ -107,6 +127,9 @@
         var silence: KeyValue? = null
         var catalog: KeyValue? = null
         var firstEdition = -1L
+
+        /** Steady ms at which the first page was asked for. */
+        var askedAt = 0L
     }
 
     /**
@@ -142,15 +165,13 @@
         val listed = listing.jobs.mapTo(HashSet()) { it.key.removePrefix(Keys.JOBS) }
         // Jobs that are open here and not listed are over, or were accepted after the listing began.
         val gone = jobs.values.filter { it.id !in listed && it.stamp <= listing.firstEdition }
-        for (job in gone) {
-            jobs.remove(job.id)
-            listener.jobClosed(job, job.id, "")
-        }
+        for (job in gone) close(job.id, UNKNOWN_STATE)
         setSilence(listing.silence?.v)
         setGrant(listing.grant?.v, listing.grant?.stamp ?: 0)
         listing.catalog?.v?.let { setCatalog(it) }
         for (pair in listing.jobs) if (!isPast(pair.key.removePrefix(Keys.JOBS), pair.stamp)) putJob(pair.key, pair.v, pair.stamp)
         revision = listing.firstEdition
+        completeAt = listing.askedAt
         loaded = true
         reading = false
         log.info("read {} open jobs at revision {}", jobs.size, revision)
@@ -158,11 +179,13 @@
     }
 
     private fun watch() {
+        val askedAt = now.steady
         state.watch(Keys.WATCHED, revision) { result ->
             when (result) {
                 is ReadResult.Found -> {
                     result.value.news.forEach(::apply)
                     if (result.value.edition > revision) revision = result.value.edition
+                    completeAt = askedAt
                     reading = false
                     drive()
                 }
@@ -198,10 +221,7 @@
                 removed.startsWith(Keys.JOBS) -> {
                     val id = removed.removePrefix(Keys.JOBS)
                     val job = jobs[id]
-                    if (job != null && news.stamp > job.stamp) {
-                        jobs.remove(id)
-                        listener.jobClosed(job, id, "")
-                    }
+                    if (job != null && news.stamp > job.stamp) close(id, UNKNOWN_STATE)
                 }
                 removed == Keys.grant(0) && news.stamp > grantStamp -> setGrant(null, 0)
             }
@@ -239,4 +259,9 @@
         racks = list.associateBy { it.label }
         listener.racksChanged()
     }
+
+    private companion object {
+        /** The final state of a job that is over is not known here. */
+        const val UNKNOWN_STATE = ""
+    }
 }
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -58,7 +58,7 @@
     private val metrics = Metrics(now, nanos)
     private val metered = MeteredTransport(transport, settings.outside, metrics, now)
     private val state = StateClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, now)
-    private val book = Book(state, now, BookEvents(), finalsKept)
+    private val book = Book(state, now, BookEvents(), DependencyEvents(), finalsKept)
     private val election: Election = Election(node, life, state, { book }, now, random, ElectionEvents())
     private val journal = Journal(state, election, book, now, (settings.deployment.state.valueKb * 1024).toInt())
     private val own = OwnTime(now, metrics)
@@ -198,6 +198,14 @@
         override fun racksChanged() = holder.changed()
     }
 
+    private inner class DependencyEvents : DependencyListener {
+        override fun released(job: Job) = holder.jobReleased(job)
+
+        override fun dependencyWithdrawn(job: Job) = holder.jobWithdrawnWithDependency(job)
+
+        override fun urgencyChanged(job: Job, urgency: Int) = holder.urgencyChanged(job, urgency)
+    }
+
     private inner class ElectionEvents : ElectionListener {
         override fun granted(token: Long, fresh: Boolean) {
             if (fresh) holder.begin(token)
--- a/src/main/kotlin/ledgearch/core/Holder.kt
+++ b/src/main/kotlin/ledgearch/core/Holder.kt
@@ -64,7 +64,7 @@
     private var countedAt = 0L
     private var guaranteesDirty = true
 
-    /** Machines whose worker has not confirmed the token, and jobs whose users have cancelled them. */
+    /** Machines whose worker has not confirmed the token, and jobs that are to be withdrawn: cancelled, or after such a one. */
     private val unconfirmed = LinkedHashSet<Machine>()
     private val cancelled = LinkedHashSet<Job>()
 
@@ -74,7 +74,7 @@
         attemptSeq = 0
         for (job in book.jobs.values) {
             job.trusted = job.stamp > tenure && !job.record.cancel
-            if (job.record.cancel) cancelled.add(job)
+            if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
         }
         guaranteesDirty = true
         takeover.begin()
@@ -100,17 +100,40 @@
     }
 
     fun jobOpened(job: Job) {
-        reserve.opened(job)
+        if (!job.waitsForOthers) reserve.opened(job)
         log.debug("{} opened: {} {} tasks of {} processors for {}, estimate {} s, image {} of {} GB", job.id, job.spec.portions, job.spec.menu, job.spec.vcpus, job.spec.crew, job.spec.cookS, job.spec.recipe, job.spec.sizeGb)
         if (tenure == 0L) return
         // Accepted after the grant: no earlier holder can have learnt of it while it still held the block.
         // Of a cancelled one only the mark may be so new.
         job.trusted = if (job.record.cancel) allConfirmedLogged else job.stamp > tenure
-        if (job.record.cancel) cancelled.add(job)
+        if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
         guaranteesDirty = true
         dirty = true
     }
 
+    /** Every job that [job] depends on is done. */
+    fun jobReleased(job: Job) {
+        reserve.opened(job)
+        if (tenure == 0L) return
+        log.debug("{} may start: all that it depends on is done", job.id)
+        guaranteesDirty = true
+        dirty = true
+    }
+
+    /** A job that [job] depends on was withdrawn. */
+    fun jobWithdrawnWithDependency(job: Job) {
+        if (tenure != 0L) cancelled.add(job)
+    }
+
+    /** Attempts are counted by urgency, so those of [job] are taken out of the counts while it changes. */
+    fun urgencyChanged(job: Job, urgency: Int) {
+        val attempts = machines.values.flatMap { m -> m.placements.values.filter { it.job === job } }
+        attempts.forEach { it.machine.count(it, -1) }
+        job.urgency = urgency
+        attempts.forEach { it.machine.count(it, 1) }
+        dirty = true
+    }
+
     fun jobChanged(job: Job) {
         if (tenure == 0L) return
         if (job.record.cancel) cancelled.add(job)
@@ -360,7 +383,7 @@
     }
 
     private fun shelter() = metrics.spend("shelter") {
-        reliability.shelter(book.jobs.values, machines.values, reserve.ordinaryCpus(fleet.bootS()))
+        reliability.shelter(book.jobs.values.filter { !it.waitsForOthers }, machines.values, reserve.ordinaryCpus(fleet.bootS()))
     }
 
     private fun confirm() {
@@ -380,7 +403,9 @@
             placer.forget(job)
             stopAll(job)
             // Once it is over nothing of it is left, so that no later holder need count it for its team.
-            if (job.trusted && job.placements.isEmpty()) journal.close(job, WorkStates.WITHDRAWN)
+            // A job after a withdrawn one was never released, by any leader: nothing of it can be anywhere.
+            val nothingLeft = job.dependencyWithdrawn || (job.trusted && job.placements.isEmpty())
+            if (nothingLeft) journal.close(job, WorkStates.WITHDRAWN)
         }
     }
 
--- a/src/main/kotlin/ledgearch/core/Job.kt
+++ b/src/main/kotlin/ledgearch/core/Job.kt
@@ -13,7 +13,24 @@
     val spec: WorkRequest get() = record.spec
     val id: String get() = spec.ref
     val standing: Boolean = spec.shape == Shapes.STANDING
-    val urgency: Int = Urgencies.ORDER.indexOf(spec.urgency)
+
+    /** Place of the submitted urgency in the order of urgencies, 0 being the most urgent. */
+    val ownUrgency: Int = Urgencies.ORDER.indexOf(spec.urgency)
+
+    /** The urgency that it is served with: that of the most urgent open job that depends on it, if that is higher. */
+    var urgency: Int = ownUrgency
+
+    /** Jobs that have to be done before this one starts and are not known to be. */
+    val unfinishedDependencies = LinkedHashSet<String>()
+
+    /** A job that it depends on, directly or through others, was withdrawn: it never starts and is withdrawn too. */
+    var dependencyWithdrawn = false
+
+    /** Wall ms from which its waiting counts: its submission, or the end of the last job that it depends on. */
+    var readyAt = record.at
+
+    /** It has to wait for other jobs, or was withdrawn with one of them. */
+    val waitsForOthers: Boolean get() = dependencyWithdrawn || unfinishedDependencies.isNotEmpty()
 
     /** Tasks that are finished, durable or not yet. */
     val finished = BitSet()
@@ -66,11 +83,11 @@
     /** What the holder last told of it, on the nodes that are not holder; what was last told, on the holder. */
     var shown: Progress? = null
 
-    /** ms since a task of it was started, or since it came. */
-    fun unservedMs(wallMs: Long) = wallMs - maxOf(servedAt, record.at)
+    /** ms since a task of it was started, or since it could start. */
+    fun unservedMs(wallMs: Long) = wallMs - maxOf(servedAt, readyAt)
 
     /** Waits for room, and nothing else holds it back. */
-    fun startable(nowMs: Long) = trusted && !closing && !record.cancel && pendingCount > 0 && nowMs >= notBefore
+    fun startable(nowMs: Long) = trusted && !waitsForOthers && !closing && !record.cancel && pendingCount > 0 && nowMs >= notBefore
 
     /** Its tasks may run on machines of this type, zone and kind. */
     fun allows(rack: Rack, hall: String, borrowed: Boolean): Boolean {
--- /dev/null
+++ b/src/main/kotlin/ledgearch/core/JobDependencies.kt
@@ -0,0 +1,160 @@
+package ledgearch.core
+
+import ledgearch.Tuning
+import ledgearch.state.Lane
+import ledgearch.state.ReadResult
+import ledgearch.state.StateClient
+import ledgearch.wire.WorkStates
+
+/** Told when the state of a job's dependencies has changed. */
+internal interface DependencyListener {
+    /** Every job that [job] depends on is done: its tasks may start. */
+    fun released(job: Job)
+
+    /** A job that [job] depends on, directly or through others, was withdrawn: no task of [job] ever starts. */
+    fun dependencyWithdrawn(job: Job)
+
+    /** The urgency of [job] has to become [urgency], that of the most urgent job that depends on it. */
+    fun urgencyChanged(job: Job, urgency: Int)
+}
+
+/**
+ * Which open jobs depend on which others, on every node.
+ *
+ * Whether a job may start is derived from the final records of the jobs that it depends on and is not stored anywhere.
+ * Final records are permanent, so a release and a withdrawal are permanent too, and every node and every later leader
+ * derives the same. That a job is absent from the open jobs or from a cache proves nothing: then its final record is read.
+ *
+ * A final record may be learnt by a direct read, ahead of the watch. A leader that was deposed without knowing it may
+ * therefore release a job late; that is safe since the new leader treats such a job as any other accepted before its
+ * grant: it starts none of its tasks before every recorded machine has confirmed the new token.
+ */
+internal class JobDependencies(
+    private val state: StateClient,
+    private val now: Now,
+    private val openJobs: Map<String, Job>,
+    private val finalOf: (String) -> FinalRecord?,
+    private val rememberFinal: (String, FinalRecord) -> Unit,
+    private val listener: DependencyListener,
+) {
+    /** For each job that is not known to be over, the open jobs that name it. */
+    private val dependents = HashMap<String, LinkedHashSet<Job>>()
+
+    /** Steady ms at which the final record of a job that is not among the open ones is read again. */
+    private val readAgainAt = HashMap<String, Long>()
+    private var reading = 0
+    private var driveAt = Long.MIN_VALUE
+
+    /** [job] was accepted and has become known here. */
+    fun opened(job: Job) {
+        val awaited = job.spec.awaits ?: return
+        for (id in awaited) {
+            if (finalOf(id)?.st == WorkStates.DONE) continue
+            job.unfinishedDependencies.add(id)
+            dependents.getOrPut(id) { LinkedHashSet() }.add(job)
+        }
+        if (job.unfinishedDependencies.any(::isWithdrawn)) withdraw(job)
+        // Where copies are filled out of order, jobs that depend on this one may be known already.
+        updateUrgency(job.unfinishedDependencies + job.id)
+    }
+
+    /** The job [id] is over. */
+    fun ended(id: String, record: FinalRecord) {
+        val waiting = dependents[id] ?: return
+        when (record.st) {
+            WorkStates.DONE -> {
+                dependents.remove(id)
+                readAgainAt.remove(id)
+                waiting.forEach { finished(it, id) }
+            }
+            WorkStates.WITHDRAWN -> {
+                readAgainAt.remove(id)
+                waiting.toList().forEach(::withdraw)
+            }
+        }
+    }
+
+    /** [job] is not open any more. */
+    fun closed(job: Job) {
+        for (id in job.unfinishedDependencies) {
+            val waiting = dependents[id] ?: continue
+            waiting.remove(job)
+            if (waiting.isEmpty()) {
+                dependents.remove(id)
+                readAgainAt.remove(id)
+            }
+        }
+        updateUrgency(job.unfinishedDependencies)
+    }
+
+    /** Reads the final records of dependencies that are neither open nor known to be over, a few at a time. */
+    fun drive() {
+        if (dependents.isEmpty() || now.steady < driveAt) return
+        driveAt = now.steady + Tuning.TICK_MS
+        for (id in dependents.keys) {
+            if (reading >= Tuning.DEPENDENCY_READS) return
+            val isDue = now.steady >= (readAgainAt[id] ?: Long.MIN_VALUE)
+            if (isDue && id !in openJobs && finalOf(id) == null) read(id)
+        }
+    }
+
+    /** Each job that [job] waits for, directly or through others, is known to be open: none of them is over unseen. */
+    fun areKnown(job: Job): Boolean {
+        val toLookAt = ArrayDeque(job.unfinishedDependencies)
+        val seen = HashSet<String>()
+        while (toLookAt.isNotEmpty()) {
+            val id = toLookAt.removeFirst()
+            if (!seen.add(id)) continue
+            val dependency = openJobs[id] ?: return false
+            toLookAt.addAll(dependency.unfinishedDependencies)
+        }
+        return true
+    }
+
+    private fun isWithdrawn(id: String) = finalOf(id)?.st == WorkStates.WITHDRAWN || openJobs[id]?.dependencyWithdrawn == true
+
+    private fun finished(job: Job, id: String) {
+        job.unfinishedDependencies.remove(id)
+        if (job.waitsForOthers) return
+        job.readyAt = now.wall
+        listener.released(job)
+    }
+
+    /** [first] and every job that depends on it. */
+    private fun withdraw(first: Job) {
+        val toWithdraw = ArrayDeque(listOf(first))
+        while (toWithdraw.isNotEmpty()) {
+            val job = toWithdraw.removeFirst()
+            if (job.dependencyWithdrawn) continue
+            job.dependencyWithdrawn = true
+            listener.dependencyWithdrawn(job)
+            dependents[job.id]?.let(toWithdraw::addAll)
+        }
+    }
+
+    private fun read(id: String) {
+        reading++
+        readAgainAt[id] = now.steady + Tuning.DEPENDENCY_READ_MS
+        state.get(Keys.final(id), Lane.ORDINARY) { result ->
+            reading--
+            val record = (result as? ReadResult.Found)?.let { decodeRecord(FinalRecord.serializer(), it.value.v) }
+            if (record != null) rememberFinal(id, record)
+        }
+    }
+
+    // --- Urgency ------------------------------------------------------------------------------------------------
+
+    /** Works out anew the urgency of the open jobs among [ids] and, where it changes, of all that they depend on. */
+    private fun updateUrgency(ids: Collection<String>) {
+        val toLookAt = ArrayDeque(ids)
+        while (toLookAt.isNotEmpty()) {
+            val id = toLookAt.removeFirst()
+            val job = openJobs[id] ?: continue
+            val ofDependents = dependents[id]?.minOfOrNull { it.urgency } ?: job.ownUrgency
+            val urgency = minOf(job.ownUrgency, ofDependents)
+            if (urgency == job.urgency) continue
+            listener.urgencyChanged(job, urgency)
+            toLookAt.addAll(job.unfinishedDependencies)
+        }
+    }
+}
--- a/src/main/kotlin/ledgearch/core/Teams.kt
+++ b/src/main/kotlin/ledgearch/core/Teams.kt
@@ -48,7 +48,11 @@
     /** A job is within its team's guarantee if it fits into it along with the team's earlier unfinished jobs. */
     fun countGuarantees(jobs: Collection<Job>) {
         val promised = HashMap<String, DoubleArray>()
-        for (job in jobs.sortedBy { it.record.at }) {
+        for (job in jobs.sortedBy { it.readyAt }) {
+            if (job.waitsForOthers) {
+                job.guaranteed = false
+                continue
+            }
             val team = uses[job.spec.crew]?.team ?: continue
             val sums = promised.getOrPut(job.spec.crew) { DoubleArray(2) }
             sums[0] += job.spec.vcpus * job.spec.portions
--- a/src/main/kotlin/ledgearch/core/placement/Placer.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Placer.kt
@@ -85,7 +85,7 @@
      * no room for one, a machine is held for it until there is: little tasks would take each piece of room that frees.
      */
     private fun serveStarved(open: List<Job>, usable: List<Machine>): Set<Machine> {
-        val starved = open.filter { it.placements.isEmpty() && ranking.starved(it) }.sortedBy { it.record.at }
+        val starved = open.filter { it.placements.isEmpty() && ranking.starved(it) }.sortedBy { it.readyAt }
         val held = HashSet<Machine>()
         for (job in starved) {
             val free = withoutHeld(held, usable)
--- a/src/main/kotlin/ledgearch/core/placement/Ranking.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Ranking.kt
@@ -74,12 +74,14 @@
         return missed(job, end + delay) - missed(job, end)
     }
 
-    private fun age(job: Job) = (now.wall - job.record.at) / 1000.0
+    private fun age(job: Job) = (now.wall - job.readyAt) / 1000.0
 
     private fun missed(job: Job, end: Double): Int {
         var missed = 0
         finishWithin[job.spec.menu]?.forEach { if (end > it) missed++ }
-        job.spec.serveS?.let { due -> (deadlineTimes[job.spec.menu] ?: listOf(1.0)).forEach { if (end > due * it) missed++ } }
+        // A deadline counts from the submission, however long the job waited for others.
+        val endAfterSubmission = end + (job.readyAt - job.record.at) / 1000.0
+        job.spec.serveS?.let { due -> (deadlineTimes[job.spec.menu] ?: listOf(1.0)).forEach { if (endAfterSubmission > due * it) missed++ } }
         return missed
     }
 
--- a/src/main/kotlin/ledgearch/fleet/Demand.kt
+++ b/src/main/kotlin/ledgearch/fleet/Demand.kt
@@ -47,7 +47,7 @@
             val perTeam = HashMap<String, Double>()
             return jobs
                 .filter { it.startable(now.steady) }
-                .sortedWith(compareBy({ it.urgency }, { it.record.at }))
+                .sortedWith(compareBy({ it.urgency }, { it.readyAt }))
                 .mapNotNull { job ->
                     val taken = perTeam[job.spec.crew] ?: 0.0
                     val tasks = minOf(job.pendingCount, holder.teams.roomFor(job, taken))
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -52,6 +52,10 @@
         val late = ArrayList<(Response) -> Unit>()
         var sent = false
 
+        /** Awaited jobs whose final record is being read. */
+        var reading = 0
+        val id: String get() = record.spec.ref
+
         fun answer(response: Response) {
             first.forEach { it(response) }
             late.forEach { it(response) }
@@ -68,6 +72,8 @@
     private class Withdrawal(val since: Long, val respond: (Response) -> Unit)
 
     private val teams: Map<String, Team> = settings.deployment.teams.associateBy { it.name }
+    private val awaitedJobs = AwaitedJobs(book, state)
+    private val freshMs = (settings.deployment.workers.cancelS * 1000 * Tuning.FRESH_SHARE).toLong()
     private val valueLimit = (settings.deployment.state.valueKb * 1024).toInt()
     private val submissions = LinkedHashMap<String, Submission>()
     private var submitting = false
@@ -107,13 +113,47 @@
         }
         val record = JobRecord(spec, now.wall)
         if (bytes(record.copy(cancel = true)) > valueLimit) return refuse(id, 400, "too large", respond)
-        submissions[id]?.let {
-            (if (it.sent) it.late else it.first).add(respond)
-            return
-        }
+        val awaited = spec.awaits.orEmpty()
+        if (awaited.size > mostAwaited) return refuse(id, 400, "awaits: more than $mostAwaited jobs", respond)
+        if (joinedSubmission(id, respond)) return
         if (book.racks.isEmpty() || submissions.size >= Tuning.INTAKE_BACKLOG) return respond(busy())
         Validation.impossible(spec, teams[spec.crew], book.racks.values)?.let { return refuse(id, 422, it, respond) }
-        submissions[id] = Submission(record, now.steady).apply { first.add(respond) }
+        if (awaited.isEmpty()) accept(record, respond) else checkAwaited(record, awaited, respond)
+    }
+
+    /** How many jobs a submission may await: all of them are compared in the transaction that accepts it. */
+    private val mostAwaited: Int get() = state.maxConditions - Tuning.SUBMISSION_CONDITIONS
+
+    /** The same submission is under way: its answer is this one's too. */
+    private fun joinedSubmission(id: String, respond: (Response) -> Unit): Boolean {
+        val underWay = submissions[id] ?: return false
+        (if (underWay.sent) underWay.late else underWay.first).add(respond)
+        return true
+    }
+
+    private fun checkAwaited(record: JobRecord, awaited: List<String>, respond: (Response) -> Unit) {
+        val id = record.spec.ref
+        if (reading >= Tuning.INTAKE_BACKLOG) return respond(busy())
+        reading++
+        awaitedJobs.check(awaited) { result ->
+            reading--
+            when (result) {
+                AwaitedResult.AllAccepted -> accept(record, respond)
+                is AwaitedResult.NeverAccepted -> refuse(id, 422, "awaits: ${result.job} was never accepted", respond)
+                is AwaitedResult.IsService -> refuse(id, 422, "awaits: ${result.job} is a service and never done", respond)
+                AwaitedResult.Unknown -> respond(busy())
+            }
+        }
+    }
+
+    /** [record] is fit to be accepted; it may have become known since it came. */
+    private fun accept(record: JobRecord, respond: (Response) -> Unit) {
+        val id = record.spec.ref
+        when {
+            book.final(id) != null || book.jobs.containsKey(id) -> poll(id, respond)
+            joinedSubmission(id, respond) -> Unit
+            else -> submissions[id] = Submission(record, now.steady).apply { first.add(respond) }
+        }
     }
 
     /** A job accepted earlier stays accepted, whatever its body or the catalog says now: only one never accepted is refused. */
@@ -189,71 +229,145 @@
         }
     }
 
+    /** One transaction that accepts several jobs. */
+    private class Batch(grantCondition: Condition?) {
+        val submissions = ArrayList<Submission>()
+        val conditions = LinkedHashMap<String, Long>()
+        val changes = ArrayList<Change>()
+
+        /** Those that are withdrawn as they are accepted. */
+        val withdrawn = HashSet<Submission>()
+        var bytes = 0
+
+        init {
+            if (grantCondition != null) conditions[grantCondition.key] = grantCondition.stamp
+        }
+    }
+
     private fun flushSubmissions() {
         if (submitting || submissions.isEmpty() || now.steady < submitRetryAt) return
-        val batch = ArrayList<Submission>()
-        val conditions = ArrayList<Condition>()
-        val changes = ArrayList<Change>()
         val underGrant = grant.holding
         val grantCondition = grant.condition
-        if (underGrant) conditions.add(grantCondition)
-        var bytes = 0
-        for (s in submissions.values) {
-            val value = WireJson.encodeToJsonElement(JobRecord.serializer(), s.record)
-            bytes += value.toString().encodeToByteArray().size * 2
-            if (batch.isNotEmpty() && (batch.size >= state.maxChanges || bytes > Tuning.TXN_BYTES)) break
-            val id = s.record.spec.ref
-            batch.add(s)
-            s.sent = true
-            conditions.add(Condition(Keys.job(id), 0))
-            conditions.add(Condition(Keys.final(id), 0))
-            changes.add(Change(put = Keys.job(id), v = value))
+        val batch = Batch(grantCondition.takeIf { underGrant })
+        for (s in submissions.values.toList()) {
+            if (s.reading == 0 && !add(s, batch)) break
         }
+        if (batch.submissions.isEmpty()) return
         submitting = true
         val sentAt = now.steady
-        state.txn(conditions, changes, Lane.ORDINARY) { result ->
+        state.txn(batch.conditions.map { Condition(it.key, it.value) }, batch.changes, Lane.ORDINARY) { result ->
             submitting = false
             when (result) {
                 is TxnResult.Ok -> {
                     if (underGrant) grant.verified(sentAt, grantCondition.stamp)
-                    for (s in batch) {
-                        val id = s.record.spec.ref
-                        submissions.remove(id, s)
-                        if (underGrant && grant.holding) book.acceptUnderGrant(s.record, result.edition)
-                        s.first.forEach { it(status(201, WorkStatus(id, WorkStates.PENDING))) }
-                        s.late.forEach { poll(id, it) }
-                    }
-                }
-                is TxnResult.Conflict -> for (s in batch) {
-                    val id = s.record.spec.ref
-                    if (Keys.job(id) in result.failed || Keys.final(id) in result.failed) {
-                        submissions.remove(id, s)
-                        for (r in s.first + s.late) resolve(id, r) { r(busy()) }
-                    }
+                    batch.submissions.forEach { accepted(it, it in batch.withdrawn, result.edition.takeIf { underGrant && grant.holding }) }
                 }
+                is TxnResult.Conflict -> batch.submissions.forEach { conflicted(it, result.failed) }
                 // Not taken: the users are told at once, and when to come back.
-                TxnResult.Refused, TxnResult.NoLease -> for (s in batch) {
-                    submissions.remove(s.record.spec.ref, s)
-                    s.answer(busy())
-                }
+                TxnResult.Refused, TxnResult.NoLease -> batch.submissions.forEach(::turnAway)
                 // A repeat is harmless: if the first was executed, the condition fails and the job is found.
                 TxnResult.Unknown -> submitRetryAt = now.steady + Tuning.STATE_RETRY_MS
             }
         }
     }
 
+    /** False when [batch] has no room for [s]. */
+    private fun add(s: Submission, batch: Batch): Boolean {
+        val id = s.id
+        val awaited = s.record.spec.awaits.orEmpty().filter { book.final(it)?.st != WorkStates.DONE }
+        if (awaited.isNotEmpty() && !isFresh()) {
+            turnAway(s)
+            return true
+        }
+        val conditions = HashMap<String, Long>()
+        conditions[Keys.job(id)] = 0
+        conditions[Keys.final(id)] = 0
+        val withdrawn = awaited.any { book.final(it) != null || book.jobs[it]?.dependencyWithdrawn == true }
+        // None of them is over as the job is accepted, so that no answer is older than what was told of them.
+        if (!withdrawn) awaited.forEach { conditions[Keys.final(it)] = 0 }
+        val change = if (withdrawn) {
+            Change(put = Keys.final(id), v = WireJson.encodeToJsonElement(FinalRecord.serializer(), FinalRecord(WorkStates.WITHDRAWN)))
+        } else {
+            Change(put = Keys.job(id), v = WireJson.encodeToJsonElement(JobRecord.serializer(), s.record))
+        }
+        val bytes = change.v.toString().encodeToByteArray().size * 2
+        val isFull = batch.changes.size >= state.maxChanges || batch.bytes + bytes > Tuning.TXN_BYTES ||
+            batch.conditions.size + conditions.size > state.maxConditions
+        if (isFull && batch.submissions.isNotEmpty()) return false
+        batch.bytes += bytes
+        batch.submissions.add(s)
+        batch.conditions += conditions
+        batch.changes.add(change)
+        if (withdrawn) batch.withdrawn.add(s)
+        s.sent = true
+        return true
+    }
+
+    /** [underGrant]: the revision, where the transaction also compared this node's own grant. */
+    private fun accepted(s: Submission, withdrawn: Boolean, underGrant: Long?) {
+        submissions.remove(s.id, s)
+        if (withdrawn) {
+            book.rememberFinal(s.id, FinalRecord(WorkStates.WITHDRAWN))
+        } else if (underGrant != null) {
+            book.acceptUnderGrant(s.record, underGrant)
+        }
+        val state = if (withdrawn) WorkStates.WITHDRAWN else WorkStates.PENDING
+        s.first.forEach { it(status(201, WorkStatus(s.id, state))) }
+        s.late.forEach { poll(s.id, it) }
+    }
+
+    private fun conflicted(s: Submission, failed: List<String>) {
+        if (Keys.job(s.id) in failed || Keys.final(s.id) in failed) {
+            submissions.remove(s.id, s)
+            for (r in s.first + s.late) resolve(s.id, r) { r(busy()) }
+            return
+        }
+        // Jobs that it awaits have ended meanwhile: how, decides what is written for it.
+        val ended = s.record.spec.awaits.orEmpty().filter { Keys.final(it) in failed }
+        s.reading += ended.size
+        for (id in ended) awaitedJobs.readFinal(id) { s.reading-- }
+    }
+
+    private fun turnAway(s: Submission) {
+        submissions.remove(s.id, s)
+        s.answer(busy())
+    }
+
+    /** This node's copy was complete so lately that what it knows of a chain is within the time for a cancellation. */
+    private fun isFresh() = now.steady - book.completeAt < freshMs
+
+    /**
+     * Whether a user may be told that [job] is open. One that waits for others may be withdrawn with them without having been
+     * looked at itself, so all that it waits for has to be known here, and known to be open a short while ago.
+     */
+    private fun mayTellOpen(job: Job) =
+        !job.waitsForOthers || (!job.dependencyWithdrawn && isFresh() && book.dependencies.areKnown(job))
+
     private fun flushPolls() {
         if (confirming || polls.isEmpty() || now.steady < confirmRetryAt) return
         val batch = ArrayList<Poll>()
+        // Withdrawn with another job, and its final record about to be written; or too little is known of what it waits for.
+        val heldBack = ArrayList<Poll>()
         val conditions = LinkedHashMap<String, Long>()
         while (polls.isNotEmpty() && conditions.size + 2 <= state.maxConditions) {
             val p = polls.removeFirst()
-            batch.add(p)
             val job = book.jobs[p.id]
+            val final = book.final(p.id)
+            if (final != null) {
+                p.respond(finalAnswer(p.id, final))
+                continue
+            }
+            if (job != null && !mayTellOpen(job)) {
+                heldBack.add(p)
+                continue
+            }
+            batch.add(p)
             p.asOpen = job != null
             conditions[Keys.job(p.id)] = job?.stamp ?: 0
             if (job == null) conditions[Keys.final(p.id)] = 0
         }
+        heldBack.asReversed().forEach(polls::addFirst)
+        if (batch.isEmpty()) return
         confirming = true
         state.txn(conditions.map { Condition(it.key, it.value) }, emptyList(), Lane.ORDINARY) { result ->
             confirming = false
@@ -281,6 +395,7 @@
         val job = book.jobs[p.id]
         when {
             final != null -> p.respond(finalAnswer(p.id, final))
+            job != null && !mayTellOpen(job) -> polls.addFirst(p)
             job != null -> p.respond(status(200, openStatus(job)))
             // It ended since, and how is not remembered here.
             p.asOpen -> resolve(p.id, p.respond) { p.respond(busy()) }
@@ -289,10 +404,16 @@
     }
 
     /** Reads the job itself and answers with its state. */
-    private fun resolve(id: String, respond: (Response) -> Unit, unknown: () -> Unit) = read(id, respond, unknown) {
+    private fun resolve(id: String, respond: (Response) -> Unit, unknown: () -> Unit) = read(id, respond, unknown) { open ->
         val final = book.final(id)
         val known = book.jobs[id]
-        respond(if (final != null) finalAnswer(id, final) else status(200, if (known != null) openStatus(known) else WorkStatus(id, WorkStates.PENDING)))
+        val isWaiting = decodeRecord(JobRecord.serializer(), open.v)?.spec?.awaits != null
+        when {
+            final != null -> respond(finalAnswer(id, final))
+            known != null -> respond(if (mayTellOpen(known)) status(200, openStatus(known)) else busy())
+            // Accepted since the copy was complete, when none of those that it waits for was over.
+            else -> respond(if (!isWaiting || isFresh()) status(200, WorkStatus(id, WorkStates.PENDING)) else busy())
+        }
     }
 
     /**
--- a/src/main/kotlin/ledgearch/intake/Submitted.kt
+++ b/src/main/kotlin/ledgearch/intake/Submitted.kt
@@ -43,6 +43,7 @@
             stirS = amount("stirS"),
             plateS = amount("plateS"),
             serveS = amountOrNull("serveS"),
+            awaits = awaitedOrNull(),
         )
         if (request.shape !in Shapes.ALL) throw Malformed("shape: must be one of ${Shapes.ALL}")
         if (request.urgency !in Urgencies.ORDER) throw Malformed("urgency: must be one of ${Urgencies.ORDER}")
@@ -63,6 +64,16 @@
         return (array as? JsonArray ?: throw Malformed("$name: must be an array")).map { string(name, it) }
     }
 
+    /** Each awaited job once; null where none is. */
+    private fun awaitedOrNull(): List<String>? {
+        val ids = textsOrNull(AWAITS)?.distinct().orEmpty()
+        for (awaited in ids) {
+            if (!Validation.isJobId(awaited)) throw Malformed("$AWAITS: \"$awaited\" is not a job id")
+            if (awaited == id) throw Malformed("$AWAITS: a job can't wait for itself")
+        }
+        return ids.ifEmpty { null }
+    }
+
     private fun string(name: String, element: JsonElement): String {
         val p = element as? JsonPrimitive
         if (p == null || !p.isString || p.content.isEmpty()) throw Malformed("$name: must be a string")
@@ -95,6 +106,7 @@
     }
 
     companion object {
+        private const val AWAITS = "awaits"
         private const val MAX_TASKS = 100_000
         private const val MAX_AMOUNT = 1e9
 
