--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -417,6 +417,9 @@
     /** Seconds. Beyond any time that jobs are asked to be done in. */
     const val MOST_DELAY_S = 3_600.0
 
+    /** Jobs. So far along a chain deadlines are looked for; what is further off is not pressing yet. */
+    const val DEADLINE_LOOK_AHEAD = 50
+
     /** Jobs after which older ones fade. */
     const val ESTIMATE_JOBS = 20.0
 
--- a/src/main/kotlin/ledgearch/core/Holder.kt
+++ b/src/main/kotlin/ledgearch/core/Holder.kt
@@ -2,6 +2,7 @@
 
 import ledgearch.Tuning
 import ledgearch.config.Settings
+import ledgearch.core.placement.Deadlines
 import ledgearch.core.placement.Estimates
 import ledgearch.core.placement.Placer
 import ledgearch.core.placement.Preemption
@@ -39,7 +40,8 @@
     val teams = Teams(settings.deployment.teams)
     val estimates = Estimates()
     val reserve = Reserve(settings, now)
-    private val ranking = Ranking(settings.deployment.objectives, estimates, now)
+    private val deadlines = Deadlines(settings.deployment.objectives, estimates, now, book.dependencies::dependentsOf)
+    private val ranking = Ranking(settings.deployment.objectives, estimates, now, deadlines)
     val reliability = Reliability(estimates, ranking)
     private val placer = Placer(machines, teams, now, ranking, Preemption(teams, ranking, now, ::preempt), reliability, estimates, metrics, ::start)
     private val courier = Courier(
--- a/src/main/kotlin/ledgearch/core/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/core/JobDependencies.kt
@@ -111,6 +111,9 @@
         return true
     }
 
+    /** The open jobs that name [job] as awaited. */
+    fun dependentsOf(job: Job): Collection<Job> = dependents[job.id].orEmpty()
+
     private fun isWithdrawn(id: String) = finalOf(id)?.st == WorkStates.WITHDRAWN || openJobs[id]?.dependencyWithdrawn == true
 
     private fun finished(job: Job, id: String) {
--- a/src/main/kotlin/ledgearch/core/placement/Ranking.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Ranking.kt
@@ -11,16 +11,16 @@
  * within an urgency a job that can still meet its aim goes before one that can't, and less expected work before
  * more, with waiting counted in a job's favour.
  */
-internal class Ranking(objectives: List<Objective>, private val estimates: Estimates, private val now: Now) {
+internal class Ranking(
+    objectives: List<Objective>,
+    private val estimates: Estimates,
+    private val now: Now,
+    private val deadlines: Deadlines,
+) {
     private val finishWithin: Map<String, List<Double>> = objectives
         .filter { it.kind == "finished" && it.jobClass != null && it.withinS != null }
         .groupBy({ it.jobClass.orEmpty() }, { it.withinS ?: 0.0 })
         .mapValues { it.value.sorted() }
-    private val deadlineTimes: Map<String, List<Double>> = objectives
-        .filter { it.kind == "deadline" && it.jobClass != null }
-        .groupBy({ it.jobClass.orEmpty() }, { it.times })
-        .mapValues { it.value.sorted() }
-
     private val startWithin: Map<String, Double> = objectives.startWithinS()
 
     /** The job's class is to start sooner than an image can be fetched, and it is not too late for that. */
@@ -76,12 +76,12 @@
 
     private fun age(job: Job) = (now.wall - job.readyAt) / 1000.0
 
+    /** [end]: seconds after the job could start. */
     private fun missed(job: Job, end: Double): Int {
         var missed = 0
         finishWithin[job.spec.menu]?.forEach { if (end > it) missed++ }
-        // A deadline counts from the submission, however long the job waited for others.
-        val endAfterSubmission = end + (job.readyAt - job.record.at) / 1000.0
-        job.spec.serveS?.let { due -> (deadlineTimes[job.spec.menu] ?: listOf(1.0)).forEach { if (endAfterSubmission > due * it) missed++ } }
+        val endsAt = job.readyAt / 1000.0 + end
+        deadlines.latestEnds(job).forEach { if (endsAt > it) missed++ }
         return missed
     }
 
--- a/src/test/kotlin/ledgearch/LossesTest.kt
+++ b/src/test/kotlin/ledgearch/LossesTest.kt
@@ -6,6 +6,7 @@
 import ledgearch.core.Machine
 import ledgearch.core.Now
 import ledgearch.core.Teams
+import ledgearch.core.placement.Deadlines
 import ledgearch.core.placement.Estimates
 import ledgearch.core.placement.Ranking
 import ledgearch.core.placement.Reliability
@@ -19,7 +20,9 @@
 internal class LossesTest {
     private val now = Now()
     private val estimates = Estimates()
-    private val reliability = Reliability(estimates, Ranking(listOf(Objective("deadline", "c")), estimates, now))
+    private val objectives = listOf(Objective("deadline", "c"))
+    private val deadlines = Deadlines(objectives, estimates, now) { emptyList() }
+    private val reliability = Reliability(estimates, Ranking(objectives, estimates, now, deadlines))
     private val teams = Teams(emptyList())
     private val spot = List(300) { Machine("host-$it", "h:1", Rack("r", 8.0, memoryGb = 16.0), "a", true, 0, teams) }
     private val job = Job(
