--- /dev/null
+++ b/src/test/kotlin/ledgearch/MixedVersionsTest.kt
@@ -0,0 +1,359 @@
+package ledgearch
+
+import kotlinx.serialization.KSerializer
+import kotlinx.serialization.Serializable
+import kotlinx.serialization.json.Json
+import kotlinx.serialization.serializer
+import ledgearch.config.SettingsLoader
+import ledgearch.config.StateLimits
+import ledgearch.core.CatalogRecord
+import ledgearch.core.FinalRecord
+import ledgearch.core.FinishedRecord
+import ledgearch.core.GrantRecord
+import ledgearch.core.JobRecord
+import ledgearch.core.MachineEntry
+import ledgearch.core.MachinesRecord
+import ledgearch.core.SilenceRecord
+import ledgearch.core.SingleMachineRecord
+import ledgearch.mesh.Frames
+import ledgearch.mesh.HolderNews
+import ledgearch.mesh.Progress
+import ledgearch.wire.Rack
+import ledgearch.wire.Shapes
+import ledgearch.wire.WireJson
+import ledgearch.wire.WorkRequest
+import ledgearch.wire.WorkStates
+import okio.Buffer
+import okio.ByteString.Companion.decodeHex
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.DynamicTest
+import org.junit.jupiter.api.DynamicTest.dynamicTest
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.api.TestFactory
+import java.nio.file.Path
+import kotlin.io.path.listDirectoryEntries
+import kotlin.io.path.name
+import kotlin.io.path.readText
+
+/**
+ * Controllers of two versions run side by side while a new version is rolled out: each reads what the other writes.
+ *
+ * The files in `mixed-versions` were written by the classes of the production version, commit [PRODUCTION], from the
+ * values below. The Production classes are copies of that version's records and stand for its reader. When another
+ * version becomes production, its records are added as further files; those of earlier versions stay.
+ */
+internal class MixedVersionsTest {
+    /** A [value] that production wrote to the file [name], and the class by which production reads such a record. */
+    private class Example<T, P>(
+        val name: String,
+        val value: T,
+        val serializer: KSerializer<T>,
+        val productionSerializer: KSerializer<P>,
+    ) {
+        val written = file("$name.json")
+
+        fun read(): T = WireJson.decodeFromString(serializer, written)
+
+        fun write(): String = WireJson.encodeToJsonElement(serializer, value).toString()
+
+        /** The text as production would write it again after reading [text]. */
+        fun throughProduction(text: String): String {
+            val record = ProductionJson.decodeFromString(productionSerializer, text)
+            return ProductionJson.encodeToJsonElement(productionSerializer, record).toString()
+        }
+    }
+
+    private inline fun <reified T, P> example(
+        name: String,
+        value: T,
+        productionSerializer: KSerializer<P>,
+    ) = Example(name, value, serializer<T>(), productionSerializer)
+
+    /** Every record of the state service with its file: one example of each kind, and each form that it takes. */
+    private val records: List<Example<*, *>> =
+        listOf(
+            example("job-all-fields", JobRecord(FULL_REQUEST, AT, cancel = true), ProductionJobRecord.serializer()),
+            example("job-required-fields", JobRecord(SHORT_REQUEST, AT), ProductionJobRecord.serializer()),
+            example("final-done", FinalRecord(WorkStates.DONE, 12), ProductionFinalRecord.serializer()),
+            example("final-withdrawn", FinalRecord(WorkStates.WITHDRAWN), ProductionFinalRecord.serializer()),
+            example("grant-claim", GrantRecord("stall-0", 7), ProductionGrantRecord.serializer()),
+            example("grant-renewal", GrantRecord("stall-0", 7, over = 41), ProductionGrantRecord.serializer()),
+            example("silence", SilenceRecord("stall-0", AT), ProductionSilenceRecord.serializer()),
+            example(
+                "machines",
+                MachinesRecord(0, listOf(FULL_RACK, SHORT_RACK), MACHINES),
+                ProductionMachinesRecord.serializer(),
+            ),
+            example("single-machine", SINGLE_MACHINE, ProductionSingleMachineRecord.serializer()),
+            example("finished", FinishedRecord("0-3,7"), ProductionFinishedRecord.serializer()),
+            example("catalog", CatalogRecord(listOf(FULL_RACK, SHORT_RACK)), ProductionCatalogRecord.serializer()),
+        )
+
+    /** Every form of a frame with its file. */
+    private val frames: Map<String, HolderNews> =
+        mapOf(
+            "frame-state-answers" to HolderNews(PROGRESS, served = true),
+            "frame-state-does-not-answer" to HolderNews(PROGRESS, served = false),
+            "frame-state-unknown" to HolderNews(PROGRESS, served = null),
+            "frame-no-job" to HolderNews(emptyList(), served = true),
+        )
+
+    @TestFactory
+    fun `records written by production are read`(): List<DynamicTest> =
+        records.map {
+            dynamicTest(it.name) { assertEquals(it.value, it.read()) }
+        }
+
+    @TestFactory
+    fun `records are written byte for byte as production writes them`(): List<DynamicTest> =
+        records.map {
+            dynamicTest(it.name) { assertEquals(it.written, it.write()) }
+        }
+
+    @TestFactory
+    fun `production reads the records that are written now`(): List<DynamicTest> =
+        records.map {
+            dynamicTest(it.name) { assertEquals(it.written, it.throughProduction(it.write())) }
+        }
+
+    @Test
+    fun `every example file is tested`() {
+        val tested = records.map { "${it.name}.json" } + frames.keys.map { "$it.hex" } + SETTINGS
+        assertEquals(tested.sorted(), FOLDER.listDirectoryEntries().map { it.name }.sorted())
+    }
+
+    /** Production ignores the field, as it does any that it does not know, and keeps all others. */
+    @Test
+    fun `production reads a job that awaits others`() {
+        val record = JobRecord(FULL_REQUEST.copy(awaits = listOf("job-7", "job-8")), AT, cancel = true)
+        val written = WireJson.encodeToJsonElement(JobRecord.serializer(), record).toString()
+        assertTrue("\"awaits\":[\"job-7\",\"job-8\"]" in written, written)
+        val read = ProductionJson.decodeFromString(ProductionJobRecord.serializer(), written)
+        val withoutAwaits =
+            ProductionJson.decodeFromString(
+                ProductionJobRecord.serializer(),
+                file("job-all-fields.json"),
+            )
+        assertEquals(withoutAwaits, read)
+        assertEquals(record, WireJson.decodeFromString(JobRecord.serializer(), written))
+    }
+
+    @Test
+    fun `a job that awaits nothing is written byte for byte as production writes it`() {
+        assertNull(SHORT_REQUEST.awaits)
+        val written = WireJson.encodeToJsonElement(JobRecord.serializer(), JobRecord(SHORT_REQUEST, AT)).toString()
+        assertEquals(file("job-required-fields.json"), written)
+    }
+
+    @TestFactory
+    fun `frames written by production are read`(): List<DynamicTest> =
+        frames.map { (name, news) ->
+            dynamicTest(name) {
+                val buffer = Buffer().write(file("$name.hex").decodeHex())
+                val read = checkNotNull(Frames.take(buffer)) { "the frame is not whole" }
+                assertEquals(news.progress, read.progress)
+                assertEquals(news.served, read.served)
+                assertTrue(buffer.exhausted(), "bytes are left after the frame")
+            }
+        }
+
+    @TestFactory
+    fun `frames are written byte for byte as production writes them`(): List<DynamicTest> =
+        frames.map { (name, news) ->
+            dynamicTest(name) { assertEquals(file("$name.hex"), Frames.encode(news).hex()) }
+        }
+
+    /** The platform may tell of a state service that will take the place of the present one. */
+    @Test
+    fun `settings with an object state next are accepted`() {
+        val settings = SettingsLoader.load(FOLDER.resolve(SETTINGS))
+        assertEquals(StateLimits(rps = 200.0, writeRps = 80.0, valueKb = 16.0, txnOps = 24), settings.deployment.state)
+        assertEquals(emptyList<String>(), SettingsLoader.warnings(settings))
+    }
+
+    private companion object {
+        /** The commit whose classes wrote the files. */
+        const val PRODUCTION = "e3f86e2"
+        const val SETTINGS = "settings-with-state-next.json"
+        val FOLDER: Path = Path.of("src/test/resources/mixed-versions")
+
+        fun file(name: String) = FOLDER.resolve(name).readText().trim()
+
+        const val AT = 1_790_000_000_000L
+
+        val FULL_REQUEST =
+            WorkRequest(
+                ref = "job-1",
+                menu = "training",
+                crew = "red",
+                shape = Shapes.STANDING,
+                urgency = "urgent",
+                portions = 12,
+                vcpus = 1.5,
+                accelerators = 2.0,
+                memoryGb = 6.25,
+                racks = listOf("large", "small"),
+                hall = "a",
+                samePlace = true,
+                apart = true,
+                borrowed = true,
+                recipe = "image-1",
+                sizeGb = 3.5,
+                cookS = 600.0,
+                stirS = 30.0,
+                plateS = 5.0,
+                serveS = 90.5,
+            )
+
+        val SHORT_REQUEST =
+            WorkRequest(
+                ref = "job-2",
+                menu = "training",
+                crew = "red",
+                shape = Shapes.SWEEP,
+                urgency = "normal",
+                portions = 1,
+                vcpus = 1.0,
+                memoryGb = 2.0,
+                recipe = "image-1",
+                sizeGb = 1.0,
+                cookS = 20.0,
+            )
+
+        val FULL_RACK =
+            Rack(
+                label = "large",
+                vcpus = 16.0,
+                accelerators = 4.0,
+                memoryGb = 64.0,
+                localGb = 200.0,
+                fetchGbPerS = 0.3,
+                hourly = 1.5,
+                lowPrice = 0.4,
+                startupS = 45.0,
+                halls = listOf("a", "b"),
+            )
+
+        val SHORT_RACK = Rack(label = "small", vcpus = 2.0, memoryGb = 4.0)
+
+        val MACHINES =
+            listOf(
+                MachineEntry("machine-1", "10.0.1.1:9000", 0, "a", borrowed = false),
+                MachineEntry("machine-2", "10.0.1.2:9000", 1, "b", borrowed = true, aside = true),
+            )
+
+        val SINGLE_MACHINE = SingleMachineRecord("10.0.1.2:9000", SHORT_RACK, "b", borrowed = true, aside = true)
+
+        val PROGRESS = listOf(Progress("job-1", 3, 2), Progress("job-ä", 0, 1_000_000))
+    }
+}
+
+/** The JSON settings of the production version. */
+private val ProductionJson =
+    Json {
+        ignoreUnknownKeys = true
+        explicitNulls = false
+        encodeDefaults = false
+    }
+
+@Serializable
+private data class ProductionWorkRequest(
+    val ref: String,
+    val menu: String,
+    val crew: String,
+    val shape: String,
+    val urgency: String,
+    val portions: Int,
+    val vcpus: Double,
+    val accelerators: Double = 0.0,
+    val memoryGb: Double,
+    val racks: List<String>? = null,
+    val hall: String? = null,
+    val samePlace: Boolean = false,
+    val apart: Boolean = false,
+    val borrowed: Boolean = false,
+    val recipe: String,
+    val sizeGb: Double,
+    val cookS: Double,
+    val stirS: Double = 0.0,
+    val plateS: Double = 0.0,
+    val serveS: Double? = null,
+)
+
+@Serializable
+private data class ProductionJobRecord(
+    val spec: ProductionWorkRequest,
+    val at: Long,
+    val cancel: Boolean = false,
+)
+
+@Serializable
+private data class ProductionFinalRecord(
+    val st: String,
+    val n: Int = 0,
+)
+
+@Serializable
+private data class ProductionGrantRecord(
+    val node: String,
+    val life: Long,
+    val over: Long = 0,
+)
+
+@Serializable
+private data class ProductionSilenceRecord(
+    val node: String,
+    val at: Long,
+)
+
+@Serializable
+private data class ProductionRack(
+    val label: String,
+    val vcpus: Double,
+    val accelerators: Double = 0.0,
+    val memoryGb: Double,
+    val localGb: Double = 0.0,
+    val fetchGbPerS: Double = 0.1,
+    val hourly: Double = 0.0,
+    val lowPrice: Double = 0.0,
+    val startupS: Double = 30.0,
+    val halls: List<String> = emptyList(),
+)
+
+@Serializable
+private data class ProductionMachinesRecord(
+    val block: Int,
+    val racks: List<ProductionRack>,
+    val machines: List<ProductionMachineEntry>,
+)
+
+@Serializable
+private data class ProductionMachineEntry(
+    val name: String,
+    val endpoint: String,
+    val rack: Int,
+    val hall: String,
+    val borrowed: Boolean,
+    val aside: Boolean = false,
+)
+
+@Serializable
+private data class ProductionSingleMachineRecord(
+    val endpoint: String,
+    val rack: ProductionRack,
+    val hall: String,
+    val borrowed: Boolean,
+    val aside: Boolean = false,
+)
+
+@Serializable
+private data class ProductionFinishedRecord(
+    val r: String,
+)
+
+@Serializable
+private data class ProductionCatalogRecord(
+    val racks: List<ProductionRack>,
+)
