--- a/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
+++ b/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
@@ -11,8 +11,8 @@
 
 /** What is known of the jobs that a submission names as awaited. */
 internal sealed interface AwaitedResult {
-    /** Every one of them was accepted. */
-    data object AllAccepted : AwaitedResult
+    /** Every one of them was accepted; [ended] are the final records that were read on the way. */
+    class AllAccepted(val ended: Map<String, FinalRecord>) : AwaitedResult
 
     /** [job] was never accepted by any node. */
     class NeverAccepted(val job: String) : AwaitedResult
@@ -31,44 +31,48 @@
  */
 internal class AwaitedJobs(private val book: Book, private val state: StateClient) {
     /** Looks at [ids] one after the other. */
-    fun check(ids: List<String>, done: (AwaitedResult) -> Unit) {
+    fun check(ids: List<String>, done: (AwaitedResult) -> Unit) = check(ids, HashMap(), done)
+
+    private fun check(ids: List<String>, ended: HashMap<String, FinalRecord>, done: (AwaitedResult) -> Unit) {
         for ((index, id) in ids.withIndex()) {
             val job = book.jobs[id]
             if (job?.standing == true) return done(AwaitedResult.IsService(id))
             if (job != null || book.final(id) != null) continue
-            return readOpen(id, done) { check(ids.drop(index + 1), done) }
+            return readOpen(id, done) { final ->
+                if (final != null) ended[id] = final
+                check(ids.drop(index + 1), ended, done)
+            }
         }
-        done(AwaitedResult.AllAccepted)
+        done(AwaitedResult.AllAccepted(ended))
     }
 
-    /** Reads the final record of [id], which was open until a moment ago; [done] once it was read or can't be. */
-    fun readFinal(id: String, done: () -> Unit) = state.get(Keys.final(id), Lane.ORDINARY) { result ->
-        remember(id, result)
-        done()
+    /** Reads the final record of [id], which was open until a moment ago; [done] gets null if it can't be read. */
+    fun readFinal(id: String, done: (FinalRecord?) -> Unit) = state.get(Keys.final(id), Lane.ORDINARY) { result ->
+        done(remember(id, result))
     }
 
-    private fun readOpen(id: String, done: (AwaitedResult) -> Unit, accepted: () -> Unit) =
+    private fun readOpen(id: String, done: (AwaitedResult) -> Unit, accepted: (FinalRecord?) -> Unit) =
         state.get(Keys.job(id), Lane.ORDINARY) { result ->
             when (result) {
-                is ReadResult.Found -> accepted()
+                is ReadResult.Found -> accepted(null)
                 ReadResult.Absent -> readOver(id, done, accepted)
                 ReadResult.Failed -> done(AwaitedResult.Unknown)
             }
         }
 
-    private fun readOver(id: String, done: (AwaitedResult) -> Unit, accepted: () -> Unit) =
+    private fun readOver(id: String, done: (AwaitedResult) -> Unit, accepted: (FinalRecord?) -> Unit) =
         state.get(Keys.final(id), Lane.ORDINARY) { result ->
             when (result) {
-                is ReadResult.Found -> if (remember(id, result)) accepted() else done(AwaitedResult.Unknown)
+                is ReadResult.Found -> remember(id, result)?.let(accepted) ?: done(AwaitedResult.Unknown)
                 ReadResult.Absent -> done(AwaitedResult.NeverAccepted(id))
                 ReadResult.Failed -> done(AwaitedResult.Unknown)
             }
         }
 
-    private fun remember(id: String, result: ReadResult<KeyValue>): Boolean {
-        val stored = result as? ReadResult.Found ?: return false
-        val record = decodeRecord(FinalRecord.serializer(), stored.value.v) ?: return false
+    private fun remember(id: String, result: ReadResult<KeyValue>): FinalRecord? {
+        val stored = result as? ReadResult.Found ?: return null
+        val record = decodeRecord(FinalRecord.serializer(), stored.value.v) ?: return null
         book.rememberFinal(id, record)
-        return true
+        return record
     }
 }
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -54,6 +54,9 @@
 
         /** Awaited jobs whose final record is being read. */
         var reading = 0
+
+        /** Final records of awaited jobs that were read for it: this node need not remember them otherwise. */
+        val ended = HashMap<String, FinalRecord>()
         val id: String get() = record.spec.ref
 
         fun answer(response: Response) {
@@ -138,7 +141,7 @@
         awaitedJobs.check(awaited) { result ->
             reading--
             when (result) {
-                AwaitedResult.AllAccepted -> accept(record, respond)
+                is AwaitedResult.AllAccepted -> accept(record, respond, result.ended)
                 is AwaitedResult.NeverAccepted -> refuse(id, 422, "awaits: ${result.job} was never accepted", respond)
                 is AwaitedResult.IsService -> refuse(id, 422, "awaits: ${result.job} is a service and never done", respond)
                 AwaitedResult.Unknown -> respond(busy())
@@ -147,12 +150,15 @@
     }
 
     /** [record] is fit to be accepted; it may have become known since it came. */
-    private fun accept(record: JobRecord, respond: (Response) -> Unit) {
+    private fun accept(record: JobRecord, respond: (Response) -> Unit, ended: Map<String, FinalRecord> = emptyMap()) {
         val id = record.spec.ref
         when {
             book.final(id) != null || book.jobs.containsKey(id) -> poll(id, respond)
             joinedSubmission(id, respond) -> Unit
-            else -> submissions[id] = Submission(record, now.steady).apply { first.add(respond) }
+            else -> submissions[id] = Submission(record, now.steady).apply {
+                first.add(respond)
+                this.ended += ended
+            }
         }
     }
 
@@ -274,7 +280,7 @@
     /** False when [batch] has no room for [s]. */
     private fun add(s: Submission, batch: Batch): Boolean {
         val id = s.id
-        val awaited = s.record.spec.awaits.orEmpty().filter { book.final(it)?.st != WorkStates.DONE }
+        val awaited = s.record.spec.awaits.orEmpty().filter { finalOf(it, s)?.st != WorkStates.DONE }
         if (awaited.isNotEmpty() && !isFresh()) {
             turnAway(s)
             return true
@@ -282,7 +288,7 @@
         val conditions = HashMap<String, Long>()
         conditions[Keys.job(id)] = 0
         conditions[Keys.final(id)] = 0
-        val withdrawn = awaited.any { book.final(it) != null || book.jobs[it]?.dependencyWithdrawn == true }
+        val withdrawn = awaited.any { finalOf(it, s) != null || book.jobs[it]?.dependencyWithdrawn == true }
         // None of them is over as the job is accepted, so that no answer is older than what was told of them.
         if (!withdrawn) awaited.forEach { conditions[Keys.final(it)] = 0 }
         val change = if (withdrawn) {
@@ -303,6 +309,8 @@
         return true
     }
 
+    private fun finalOf(id: String, s: Submission): FinalRecord? = s.ended[id] ?: book.final(id)
+
     /** [underGrant]: the revision, where the transaction also compared this node's own grant. */
     private fun accepted(s: Submission, withdrawn: Boolean, underGrant: Long?) {
         submissions.remove(s.id, s)
@@ -325,7 +333,12 @@
         // Jobs that it awaits have ended meanwhile: how, decides what is written for it.
         val ended = s.record.spec.awaits.orEmpty().filter { Keys.final(it) in failed }
         s.reading += ended.size
-        for (id in ended) awaitedJobs.readFinal(id) { s.reading-- }
+        for (id in ended) {
+            awaitedJobs.readFinal(id) { final ->
+                s.reading--
+                if (final != null) s.ended[id] = final
+            }
+        }
     }
 
     private fun turnAway(s: Submission) {
