--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -9,6 +9,9 @@
     /** Sockets. With fewer than this a small deployment's users already have to take turns. */
     const val FEW_SOCKETS = 128
 
+    /** Changes. With fewer in one transaction a job can't be closed: its final record goes in with the removal of the open one. */
+    const val FEW_CHANGES = 2
+
     // --- HTTP -------------------------------------------------------------------------------------------------
     /** Bytes. The protocol's bound on a request body. */
     const val MAX_BODY = 64 * 1024
--- a/src/main/kotlin/ledgearch/config/Settings.kt
+++ b/src/main/kotlin/ledgearch/config/Settings.kt
@@ -66,12 +66,33 @@
     @SerialName("cancel_s") val cancelS: Double,
 )
 
+/** The limits of the state service, and [next]: those that it will have from some moment on, without notice. */
 @Serializable
 data class StateLimits(
     val rps: Double,
     @SerialName("write_rps") val writeRps: Double,
     @SerialName("value_kb") val valueKb: Double,
     @SerialName("txn_ops") val txnOps: Int,
+    val next: NextStateLimits? = null,
+) {
+    /** Bytes. A value of this size is within the limit at any time. */
+    val safeValueBytes: Int get() = (minOf(valueKb, next?.valueKb ?: valueKb) * 1024).toInt()
+
+    /** Puts and removals. A transaction of so many is within the limit at any time. */
+    val safeTxnOps: Int get() = minOf(txnOps, next?.txnOps ?: txnOps)
+
+    /** Requests and changes a second once the limits are lowered; a limit that rises is left where it is. */
+    val lowerRps: Double get() = minOf(rps, next?.rps ?: rps)
+    val lowerWriteRps: Double get() = minOf(writeRps, next?.writeRps ?: writeRps)
+}
+
+/** What is left out does not change. */
+@Serializable
+data class NextStateLimits(
+    val rps: Double? = null,
+    @SerialName("write_rps") val writeRps: Double? = null,
+    @SerialName("value_kb") val valueKb: Double? = null,
+    @SerialName("txn_ops") val txnOps: Int? = null,
 )
 
 @Serializable
--- a/src/main/kotlin/ledgearch/config/SettingsLoader.kt
+++ b/src/main/kotlin/ledgearch/config/SettingsLoader.kt
@@ -59,7 +59,8 @@
         if (deployment.teams.isEmpty()) return "deployment.teams: at least one team is needed"
         deployment.teams.groupBy { it.name }.values.firstOrNull { it.size > 1 }
             ?.let { return "deployment.teams: \"${it[0].name}\" is named twice" }
-        val positive = mapOf(
+        val next = deployment.state.next
+        val positive = listOf(
             "deployment.workers.report_s" to deployment.workers.reportS,
             "deployment.workers.lease_s" to deployment.workers.leaseS,
             "deployment.workers.cancel_s" to deployment.workers.cancelS,
@@ -67,11 +68,17 @@
             "deployment.state.write_rps" to deployment.state.writeRps,
             "deployment.state.value_kb" to deployment.state.valueKb,
             "deployment.state.txn_ops" to deployment.state.txnOps.toDouble(),
+            "deployment.state.next.rps" to next?.rps,
+            "deployment.state.next.write_rps" to next?.writeRps,
+            "deployment.state.next.value_kb" to next?.valueKb,
+            "deployment.state.next.txn_ops" to next?.txnOps?.toDouble(),
             "deployment.cloud.rps" to deployment.cloud.rps,
             "deployment.quota.cpu" to deployment.quota.cpu,
             "deployment.quota.fd_limit" to deployment.quota.fdLimit.toDouble(),
         )
-        positive.entries.firstOrNull { !(it.value > 0.0) || it.value.isInfinite() }?.let { return "${it.key}: ${it.value} must be above 0 and finite" }
+        for ((field, value) in positive) {
+            if (value != null && (!(value > 0.0) || value.isInfinite())) return "$field: $value must be above 0 and finite"
+        }
         for (team in deployment.teams) {
             val amounts = mapOf("cpus" to team.cpus, "cpus_max" to team.cpusMax, "gpus" to team.gpus, "gpus_max" to team.gpusMax)
             amounts.entries.firstOrNull { !(it.value >= 0.0) }?.let { return "deployment.teams.${team.name}.${it.key}: ${it.value} must be 0 or more" }
@@ -84,6 +91,8 @@
         val quota = s.deployment.quota
         return listOfNotNull(
             "deployment.quota.memory_mb: ${quota.memoryMb} is little; the service takes up to ${Tuning.MEMORY_MB}".takeIf { quota.memoryMb > 0.0 && quota.memoryMb < Tuning.MEMORY_MB },
+            "deployment.state.txn_ops: ${s.deployment.state.safeTxnOps} is too little; what closes a job takes two changes in one transaction"
+                .takeIf { s.deployment.state.safeTxnOps < Tuning.FEW_CHANGES },
             "deployment.quota.fd_limit: ${quota.fdLimit} is little; every worker and user needs one".takeIf { quota.fdLimit < Tuning.FEW_SOCKETS },
         ) + s.deployment.teams.filter { it.cpusMax < it.cpus || it.gpusMax < it.gpus }
             .map { "deployment.teams.${it.name}: what is guaranteed is more than the limit" }
