--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -111,8 +111,8 @@
     /** Bytes. Planned size of one transaction: the service takes 64 KiB. */
     const val TXN_BYTES = 48 * 1024
 
-    /** Bytes. What one machine takes of a record of several, with the longest names. */
-    const val MACHINE_RECORD_BYTES = 160
+    /** Share of the limit on values that records of machines are planned to fill: the service may count spaces or escapes. */
+    const val VALUE_FILLED = 0.8
 
     /** Machines. In one record; a rental brings up to 50, and each that goes has the rest written again. */
     const val MACHINES_A_RECORD = 40
@@ -123,6 +123,9 @@
     /** ms. Pause after a refused or unanswered state request. */
     const val STATE_RETRY_MS = 250L
 
+    /** ms. An entry of the journal that the service took for too large, sent alone, waits this long: its limits may rise again. */
+    const val TOO_LARGE_RETRY_MS = 30_000L
+
     // --- Election ---------------------------------------------------------------------------------------------
     /** ms. Life of the lease that the grant hangs on: a node short of processor time must still renew in time. */
     const val LEASE_MS = 6_000L
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -60,7 +60,7 @@
     private val state = StateClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, now)
     private val book = Book(state, now, BookEvents(), finalsKept)
     private val election: Election = Election(node, life, state, { book }, now, random, ElectionEvents())
-    private val journal = Journal(state, election, book, now, (settings.deployment.state.valueKb * 1024).toInt())
+    private val journal = Journal(state, election, book, now, settings.deployment.state.safeValueBytes)
     private val own = OwnTime(now, metrics)
     private val fleet: Fleet = Fleet(settings, metered, { election }, { book }, now, { journal })
     private val holder = Holder(settings, state, metered, election, book, now, journal, fleet, metrics, own)
--- a/src/main/kotlin/ledgearch/core/Job.kt
+++ b/src/main/kotlin/ledgearch/core/Job.kt
@@ -23,10 +23,7 @@
     /** Tasks whose completion is durable. */
     val recorded = BitSet()
 
-    /** Chunks of [finished] that are not yet written. */
-    val dirtyChunks = BitSet()
-
-    /** Chunks of [finished] that were written at some time and must be removed in the end. */
+    /** Numbers of the chunks ([Chunks]) that were written at some time and must be removed in the end. */
     val writtenChunks = BitSet()
 
     /** Tasks finished or possibly on a machine, and how many those are. */
@@ -110,7 +107,6 @@
         finished.set(index)
         finishedCount++
         take(index)
-        dirtyChunks.set(index / Ranges.CHUNK)
     }
 
     fun restoreFinished(ranges: String, chunk: Int) {
@@ -127,7 +123,6 @@
         finished.clear()
         finishedCount = 0
         recorded.clear()
-        dirtyChunks.clear()
         writtenChunks.clear()
         taken.clear()
         takenCount = 0
--- a/src/main/kotlin/ledgearch/core/Journal.kt
+++ b/src/main/kotlin/ledgearch/core/Journal.kt
@@ -12,6 +12,7 @@
 import ledgearch.wire.KeyValue
 import ledgearch.wire.WireJson
 import ledgearch.wire.WorkStates
+import org.slf4j.LoggerFactory
 import java.util.BitSet
 
 /**
@@ -19,16 +20,42 @@
  * a transaction that is applied late, after another grant, changes nothing. Applied late under the same grant it changes
  * nothing either that was written since, as every key is compared too ([KeyStamps]; a job that closes, by its own stamp).
  */
-internal class Journal(private val state: StateClient, private val election: Election, private val book: Book, private val now: Now, valueBytes: Int) {
+internal class Journal(private val state: StateClient, private val election: Election, private val book: Book, private val now: Now, private val valueBytes: Int) {
+    private val log = LoggerFactory.getLogger("ledgearch.state")
+
     /** One part of a batch: its changes go in together or not at all. [closes]: the job that they close. */
-    private class Entry(val changes: List<Change>, val closes: Job? = null, val done: () -> Unit)
+    private class Entry(val changes: List<Change>, val closes: Job? = null, val done: () -> Unit) {
+        /** By which it is known from try to try. */
+        val key: String = changes.first().let { it.put ?: it.remove.orEmpty() }
+        val bytes: Int = changes.sumOf { change -> change.v?.let(::bytes) ?: 0 }
+    }
+
+    /** What one transaction holds: entries in order, until one has no room. */
+    private inner class Batch {
+        val entries = ArrayList<Entry>()
+        var room = state.maxChanges
+            private set
+        private var bytes = 0
+
+        /** False when the batch is full. An entry that waits since it was too large is passed over. */
+        fun add(entry: Entry): Boolean {
+            if (now.steady < (tooLarge[entry.key] ?: Long.MIN_VALUE)) return true
+            if (entries.isNotEmpty() && (alone > 0 || bytes + entry.bytes > Tuning.TXN_BYTES)) return false
+            if (entry.changes.size > room) return false
+            room -= entry.changes.size
+            bytes += entry.bytes
+            entries.add(entry)
+            return true
+        }
+    }
 
     /** Changes with every tenure: what an earlier one's transactions made durable is nothing of this one's. */
     private var tenure = 0
     private var stamps = KeyStamps(state)
     private var writing = false
     private var retryAt = Long.MIN_VALUE
-    private val machines = MachineRecords(valueBytes)
+    private val machines = MachineRecords(valueBytes, state.maxChanges)
+    private val chunks = Chunks(valueBytes)
     private val removals = LinkedHashSet<String>()
     private val closings = LinkedHashMap<String, Pair<Job, String>>()
 
@@ -37,6 +64,12 @@
     private val progress = LinkedHashMap<String, Job>()
     private var catalog: CatalogRecord? = null
 
+    /** Entries that the service took for too large when they were sent alone, and until when they wait. */
+    private val tooLarge = HashMap<String, Long>()
+
+    /** Entries to be sent one by one: among as many, one was too large, and must not hold up the others. */
+    private var alone = 0
+
     /** A job's final record is durable. */
     var onClosed: (Job, FinalRecord) -> Unit = { _, _ -> }
 
@@ -50,6 +83,8 @@
         closings.clear()
         progress.clear()
         catalog = null
+        tooLarge.clear()
+        alone = 0
     }
 
     fun bind(machine: Machine) = machines.put(machine)
@@ -76,8 +111,10 @@
         progress[job.id] = job
     }
 
+    /** Not kept when it is too large: nodes that start while the cloud is out then wait for it, or know an older catalog. */
     fun catalog(record: CatalogRecord) {
-        catalog = record
+        catalog = record.takeIf { bytes(encode(CatalogRecord.serializer(), it)) <= valueBytes }
+        if (catalog == null) log.warn("the catalog of {} machine types is too large to be kept", record.racks.size)
     }
 
     fun drive() {
@@ -94,6 +131,7 @@
         state.txn(conditions, entries.flatMap { it.changes }, Lane.ORDINARY) { result ->
             if (tenure != mine) return@txn
             writing = false
+            if (alone > 0) alone--
             when (result) {
                 is TxnResult.Ok -> {
                     election.verified(sentAt, under)
@@ -103,11 +141,23 @@
                     }
                 }
                 is TxnResult.Conflict -> failed(result.failed.toSet(), conditions, under)
+                TxnResult.TooLarge -> separate(entries)
                 else -> retryAt = now.steady + Tuning.STATE_RETRY_MS
             }
         }
     }
 
+    /** Something in the batch is too large: which entry it is shows when each is sent alone. */
+    private fun separate(entries: List<Entry>) {
+        if (entries.size > 1) {
+            alone = entries.size
+            return
+        }
+        val key = entries.first().key
+        log.error("the state service takes the record under {} for too large; it waits", key)
+        tooLarge[key] = now.steady + Tuning.TOO_LARGE_RETRY_MS
+    }
+
     /** Some comparison failed, so that nothing was written: what is to be compared is put right before the next try. */
     private fun failed(keys: Set<String>, conditions: List<Condition>, under: Long) {
         retryAt = now.steady + if (keys.isEmpty() || Keys.grant(0) in keys) Tuning.STATE_RETRY_MS else Tuning.TICK_MS
@@ -123,18 +173,14 @@
     }
 
     private fun collect(): List<Entry> {
-        val entries = ArrayList<Entry>()
-        var room = state.maxChanges
-        fun add(entry: Entry): Boolean {
-            if (entry.changes.size > room) return false
-            room -= entry.changes.size
-            entries.add(entry)
-            return true
-        }
-        var bytes = 0
+        val batch = Batch()
+        fill(batch)
+        return batch.entries
+    }
+
+    private fun fill(batch: Batch) {
         for (w in machines.pending()) {
-            bytes += w.change.v?.toString()?.length ?: 0
-            if (bytes > Tuning.TXN_BYTES || !add(Entry(listOf(w.change), done = w.done))) return entries
+            if (!batch.add(Entry(w.changes, done = w.done))) return
         }
         for ((id, closing) in closings) {
             val (job, finalState) = closing
@@ -142,30 +188,34 @@
             if (book.jobs[id] !== job || outdated[id] == job.stamp) continue
             val record = FinalRecord(finalState, if (finalState == WorkStates.DONE) job.spec.portions else 0)
             val changes = listOf(Change(put = Keys.final(id), v = encode(FinalRecord.serializer(), record)), Change(remove = Keys.job(id)))
-            if (!add(Entry(changes, job) { jobClosed(job, record) })) return entries
+            if (!batch.add(Entry(changes, job) { jobClosed(job, record) })) return
         }
         closings.values.map { it.first }.filter { book.jobs[it.id] !== it }.forEach(::forget)
         for (job in progress.values) {
             // Until then its finished tasks stay on their machines' lists, from where the next holder would learn of them.
             if (job.closing || now.steady - job.progressAt < Tuning.PROGRESS_MS) continue
-            val chunks = chunksOf(job).take(room)
-            if (chunks.isEmpty()) continue
+            if (batch.room == 0) return
+            val written = unwritten(job).take(batch.room).associateWith { job.finished.within(chunks.tasksOfChunk(it)) }
+            if (written.isEmpty()) continue
             // Also one that is never answered may be written, and is to be removed in the end.
-            chunks.forEach(job.writtenChunks::set)
-            val snapshot = job.finished.clone() as BitSet
-            val changes = chunks.map { Change(put = Keys.finished(job.id, it), v = encode(FinishedRecord.serializer(), FinishedRecord(Ranges.encode(job.finished, it)))) }
-            if (!add(Entry(changes) { progressWritten(job, chunks, snapshot) })) return entries
+            written.keys.forEach(job.writtenChunks::set)
+            val changes = written.map { (chunk, tasks) -> Change(put = Keys.finished(job.id, chunk), v = encode(FinishedRecord.serializer(), FinishedRecord(Ranges.encode(tasks)))) }
+            if (!batch.add(Entry(changes) { progressWritten(job, written) })) return
         }
         for (key in removals.toList()) {
-            if (!add(Entry(listOf(Change(remove = key))) { removals.remove(key) })) return entries
+            if (!batch.add(Entry(listOf(Change(remove = key))) { removals.remove(key) })) return
         }
         catalog?.let { record ->
-            add(Entry(listOf(Change(put = Keys.CATALOG, v = encode(CatalogRecord.serializer(), record)))) { if (catalog === record) catalog = null })
+            batch.add(Entry(listOf(Change(put = Keys.CATALOG, v = encode(CatalogRecord.serializer(), record)))) { if (catalog === record) catalog = null })
         }
-        return entries
     }
 
-    private fun chunksOf(job: Job): List<Int> = job.dirtyChunks.stream().toArray().toList()
+    /** Chunks in which more tasks are finished than written. */
+    private fun unwritten(job: Job): List<Int> {
+        val tasks = job.finished.clone() as BitSet
+        tasks.andNot(job.recorded)
+        return tasks.stream().map(chunks::numberOf).distinct().toArray().toList()
+    }
 
     private fun jobClosed(job: Job, record: FinalRecord) {
         forget(job)
@@ -180,15 +230,13 @@
         job.writtenChunks.stream().forEach { removals.add(Keys.finished(job.id, it)) }
     }
 
-    private fun progressWritten(job: Job, chunks: List<Int>, snapshot: BitSet) {
-        for (chunk in chunks) {
-            job.progressAt = now.steady
-            if (Ranges.encode(job.finished, chunk) == Ranges.encode(snapshot, chunk)) job.dirtyChunks.clear(chunk)
-        }
+    /** [written]: by chunk, the tasks that are durable now. */
+    private fun progressWritten(job: Job, written: Map<Int, BitSet>) {
+        job.progressAt = now.steady
+        written.values.forEach(job.recorded::or)
         // A final record written meanwhile would leave this chunk behind.
-        if (book.jobs[job.id] !== job) chunks.forEach { removals.add(Keys.finished(job.id, it)) }
-        job.recorded.or(snapshot)
-        if (job.dirtyChunks.isEmpty) progress.remove(job.id)
+        if (book.jobs[job.id] !== job) written.keys.forEach { removals.add(Keys.finished(job.id, it)) }
+        if (job.finished == job.recorded) progress.remove(job.id)
     }
 
     private fun <T> encode(serializer: KSerializer<T>, value: T): JsonElement = WireJson.encodeToJsonElement(serializer, value)
--- a/src/main/kotlin/ledgearch/core/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/core/MachineRecords.kt
@@ -1,28 +1,40 @@
 package ledgearch.core
 
+import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 import ledgearch.Tuning
 import ledgearch.wire.Change
 import ledgearch.wire.KeyValue
+import ledgearch.wire.Rack
 import ledgearch.wire.WireJson
 
 /**
  * The records that bind machines to the block, several machines in one: a record each would take longer to write than
  * the machines to boot. A machine stays in the record that it came into, and the record goes with its last machine.
+ *
+ * A record read may be larger than may be written by now. Once it changes it is split: its key keeps some of the machines
+ * and the others get keys of their own, all in one transaction. So at no moment is a machine without a record that may have a
+ * task, nor in two, which earlier versions would take for two machines. Until that transaction has gone through, every try
+ * has the same keys: one that was carried out without an answer leaves none behind. Where one transaction can't hold all
+ * the parts, the record is left as it is until fewer machines are left in it. It then names machines that are gone, which the
+ * next holder finds out as it does of any machine that is missing, and never one too few.
  */
-internal class MachineRecords(valueBytes: Int) {
+internal class MachineRecords(valueBytes: Int, private val maxChanges: Int) {
     private class Group(val name: String) {
         val machines = LinkedHashMap<String, Machine>()
 
         /** Changed since it was last written, and written at some time. */
         var dirty = true
         var version = 0
+
+        /** This one and others whose next record must go in with this one's: the parts of a record that was split. */
+        var parts: List<Group> = listOf(this)
     }
 
-    /** A group's change, and what it makes durable once written. */
-    class Writing(val change: Change, val done: () -> Unit)
+    /** Changes of one group, or of all parts of one, that go in together, and what they make durable once written. */
+    class Writing(val changes: List<Change>, val done: () -> Unit)
 
-    private val most = (valueBytes / Tuning.MACHINE_RECORD_BYTES).coerceIn(1, Tuning.MACHINES_A_RECORD)
+    private val mostBytes = (valueBytes * Tuning.VALUE_FILLED).toInt()
     private val groups = LinkedHashMap<String, Group>()
     private val groupOf = HashMap<String, Group>()
     private val arrivals = LinkedHashMap<String, Machine>()
@@ -68,42 +80,111 @@
                 it.inherited = true
                 it.durable = true
                 it.draining = entry.aside
-                group.machines[it.name] = it
-                groupOf[it.name] = group
+                join(it, group)
             }
         }
     }
 
+    private fun join(m: Machine, group: Group) {
+        group.machines[m.name] = m
+        groupOf[m.name] = group
+    }
+
     /** What there is to write: new machines first, since nothing starts on them before. */
     fun pending(): Sequence<Writing> {
-        if (arrivals.isNotEmpty()) {
-            for (members in arrivals.values.chunked(most)) {
-                val group = Group(members.first().name)
-                for (m in members) {
-                    group.machines[m.name] = m
-                    groupOf[m.name] = group
-                }
-                groups[group.name] = group
-            }
-            arrivals.clear()
-        }
-        val changed = groups.values.filter { it.dirty }
+        for (piece in pieces(arrivals.values)) newGroup(piece)
+        arrivals.clear()
+        val changed = groups.values.filter { it.dirty && it.parts.first() === it }
         return (changed.filter { g -> g.machines.values.any { !it.durable } } + changed.filter { g -> g.machines.values.all { it.durable } })
-            .asSequence().map(::writing)
+            .asSequence().mapNotNull(::writing)
     }
 
-    private fun writing(group: Group): Writing {
-        val members = group.machines.values.toList()
-        val version = group.version
-        val key = Keys.machine(group.name)
-        if (members.isEmpty()) {
-            return Writing(Change(remove = key)) { if (group.version == version) groups.remove(group.name) }
+    private fun newGroup(members: List<Machine>): Group {
+        val group = Group(freeName(members.first().name))
+        members.forEach { join(it, group) }
+        groups[group.name] = group
+        return group
+    }
+
+    /** A key that has no record: a machine that is known again may have left its name to one of others. */
+    private fun freeName(name: String) = generateSequence(name) { "$it+" }.first { it !in groups }
+
+    /** Null when the group can't be written: too large, and in too many parts for one transaction. */
+    private fun writing(group: Group): Writing? {
+        if (group.parts.size == 1 && group.machines.isNotEmpty() && bytes(value(group)) > mostBytes && !split(group)) return null
+        val parts = group.parts
+        val members = parts.flatMap { it.machines.values }
+        val versions = parts.map { it.version }
+        return Writing(parts.map(::record)) {
+            members.forEach { it.durable = true }
+            for ((part, version) in parts.zip(versions)) written(part, version)
         }
+    }
+
+    private fun written(group: Group, version: Int) {
+        group.parts = listOf(group)
+        if (group.version != version) group.dirty = true else if (group.machines.isEmpty()) groups.remove(group.name) else group.dirty = false
+    }
+
+    /** Splits a group for its next record; false when one transaction can't hold that. */
+    private fun split(group: Group): Boolean {
+        val pieces = pieces(group.machines.values)
+        // One machine that is too large by itself: as it is, the service tells.
+        if (pieces.size == 1) return true
+        if (pieces.size > maxChanges || pieces.size * mostBytes > Tuning.TXN_BYTES) return false
+        for (m in pieces.drop(1).flatten()) group.machines.remove(m.name)
+        val parts = listOf(group) + pieces.drop(1).map(::newGroup)
+        parts.forEach { it.parts = parts }
+        return true
+    }
+
+    private fun record(group: Group): Change {
+        val key = Keys.machine(group.name)
+        return if (group.machines.isEmpty()) Change(remove = key) else Change(put = key, v = value(group))
+    }
+
+    private fun value(group: Group): JsonElement {
+        val members = group.machines.values
         val racks = members.map { it.rack }.distinct()
-        val record = MachinesRecord(0, racks, members.map { MachineEntry(it.name, it.endpoint, racks.indexOf(it.rack), it.hall, it.borrowed, it.draining) })
-        return Writing(Change(put = key, v = WireJson.encodeToJsonElement(MachinesRecord.serializer(), record))) {
-            members.forEach { it.durable = true }
-            if (group.version == version) group.dirty = false
+        return WireJson.encodeToJsonElement(MachinesRecord.serializer(), MachinesRecord(0, racks, members.map { entry(it, racks.indexOf(it.rack), it.draining) }))
+    }
+
+    private fun entry(m: Machine, rack: Int, aside: Boolean) = MachineEntry(m.name, m.endpoint, rack, m.hall, m.borrowed, aside)
+
+    /** [machines] in order, in as few pieces as records have room for; each has room for every machine to be put aside. */
+    private fun pieces(machines: Collection<Machine>): List<List<Machine>> {
+        val pieces = ArrayList<ArrayList<Machine>>()
+        val racks = HashSet<Rack>()
+        var left = 0
+        for (m in machines) {
+            val own = entryBytes(m)
+            val need = own + if (m.rack in racks) 0 else rackBytes(m.rack)
+            if (pieces.isEmpty() || need > left || pieces.last().size == Tuning.MACHINES_A_RECORD) {
+                pieces.add(ArrayList())
+                racks.clear()
+                left = mostBytes - EMPTY_BYTES - own - rackBytes(m.rack)
+            } else {
+                left -= need
+            }
+            racks.add(m.rack)
+            pieces.last().add(m)
         }
+        return pieces
+    }
+
+    /** With the comma after it. */
+    private fun entryBytes(m: Machine) = bytes(WireJson.encodeToJsonElement(MachineEntry.serializer(), entry(m, ANY_RACK, aside = true))) + 1
+
+    private fun rackBytes(rack: Rack) = bytes(WireJson.encodeToJsonElement(Rack.serializer(), rack)) + 1
+
+    private companion object {
+        /** Of a record without machines. */
+        val EMPTY_BYTES = bytes(WireJson.encodeToJsonElement(MachinesRecord.serializer(), MachinesRecord(0, emptyList(), emptyList())))
+
+        /** As long a number as the place of a machine's type can be. */
+        const val ANY_RACK = 10
     }
 }
+
+/** The size of a value as it is sent. */
+internal fun bytes(value: JsonElement): Int = value.toString().encodeToByteArray().size
--- a/src/main/kotlin/ledgearch/core/Ranges.kt
+++ b/src/main/kotlin/ledgearch/core/Ranges.kt
@@ -4,15 +4,11 @@
 
 /** Ranges of task numbers as text, e.g. `0-3,7`. */
 internal object Ranges {
-    /** Tasks a chunk: at worst 500 ranges of 11 characters, below every site's limit on a value. */
-    const val CHUNK = 500
-
-    fun encode(bits: BitSet, chunk: Int): String {
-        val end = (chunk + 1) * CHUNK
+    fun encode(bits: BitSet): String {
         val out = StringBuilder()
-        var from = bits.nextSetBit(chunk * CHUNK)
-        while (from in 0 until end) {
-            val to = minOf(bits.nextClearBit(from), end) - 1
+        var from = bits.nextSetBit(0)
+        while (from >= 0) {
+            val to = bits.nextClearBit(from) - 1
             if (out.isNotEmpty()) out.append(',')
             out.append(from)
             if (to > from) out.append('-').append(to)
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -68,7 +68,7 @@
     private class Withdrawal(val since: Long, val respond: (Response) -> Unit)
 
     private val teams: Map<String, Team> = settings.deployment.teams.associateBy { it.name }
-    private val valueLimit = (settings.deployment.state.valueKb * 1024).toInt()
+    private val valueLimit = settings.deployment.state.safeValueBytes
     private val submissions = LinkedHashMap<String, Submission>()
     private var submitting = false
     private var submitRetryAt = 0L
@@ -232,7 +232,7 @@
                     }
                 }
                 // Not taken: the users are told at once, and when to come back.
-                TxnResult.Refused, TxnResult.NoLease -> for (s in batch) {
+                TxnResult.Refused, TxnResult.TooLarge, TxnResult.NoLease -> for (s in batch) {
                     submissions.remove(s.record.spec.ref, s)
                     s.answer(busy())
                 }
@@ -266,7 +266,7 @@
                         polls.addFirst(p)
                     }
                 }
-                TxnResult.Refused, TxnResult.NoLease -> batch.forEach { it.respond(busy()) }
+                TxnResult.Refused, TxnResult.TooLarge, TxnResult.NoLease -> batch.forEach { it.respond(busy()) }
                 TxnResult.Unknown -> {
                     confirmRetryAt = now.steady + Tuning.STATE_RETRY_MS
                     batch.asReversed().forEach { polls.addFirst(it) }
@@ -343,7 +343,7 @@
             marking[id] = now.steady + Tuning.STATE_RETRY_MS
             when (result) {
                 // It is tried again when a user asks again.
-                TxnResult.Refused -> {
+                TxnResult.Refused, TxnResult.TooLarge -> {
                     marking.remove(id)
                     withdrawals.remove(id)?.forEach { it.respond(busy()) }
                 }
--- a/src/main/kotlin/ledgearch/leader/Election.kt
+++ b/src/main/kotlin/ledgearch/leader/Election.kt
@@ -183,7 +183,7 @@
                 // An earlier try may have been carried out late: the grant itself tells.
                 is TxnResult.Conflict -> compareGrant()
                 // Perhaps written: the book shows it, now or later.
-                TxnResult.Unknown, TxnResult.NoLease, TxnResult.Refused -> compareBook()
+                TxnResult.Unknown, TxnResult.NoLease, TxnResult.Refused, TxnResult.TooLarge -> compareBook()
             }
         }
     }
--- a/src/main/kotlin/ledgearch/state/StateClient.kt
+++ b/src/main/kotlin/ledgearch/state/StateClient.kt
@@ -26,6 +26,9 @@
     /** Surely not executed, and nothing to be gained by asking again at once: an outage, or no budget left. */
     data object Refused : TxnResult
 
+    /** Surely not executed, and never to be as it is: a value or the transaction is larger than the service takes. */
+    data object TooLarge : TxnResult
+
     /** The lease of a put is gone. */
     data object NoLease : TxnResult
 
@@ -69,6 +72,10 @@
 
     private val requests = TokenBucket(limits.rps)
     private val writes = TokenBucket(limits.writeRps)
+    private var isHolder = false
+
+    /** The service has shown that it keeps to the lower rates of the settings by now. */
+    private var lowered = false
     private val lanes = Lane.entries.associateWith { ArrayDeque<Waiting>() }
     private var pausedUntil = Long.MIN_VALUE
 
@@ -87,17 +94,31 @@
 
     /** The holder of the block writes most and gets the larger part of the budget. */
     fun share(holder: Boolean) {
+        isHolder = holder
         val part = when {
             nodes <= 1 -> 1.0
             holder -> Tuning.HOLDER_SHARE
             else -> (1 - Tuning.HOLDER_SHARE) / (nodes - 1)
         }
-        requests.perSecond = limits.rps * Tuning.BUDGET_USED * part
-        writes.perSecond = limits.writeRps * Tuning.BUDGET_USED * part
+        requests.perSecond = (if (lowered) limits.lowerRps else limits.rps) * Tuning.BUDGET_USED * part
+        writes.perSecond = (if (lowered) limits.lowerWriteRps else limits.writeRps) * Tuning.BUDGET_USED * part
+    }
+
+    /**
+     * A request with so many changes got 429. The limits are lowered without notice, so this is the sign of it where a lower
+     * one can be the reason; the lower rates then hold as long as the process lives. Taken in error, they only cost time.
+     */
+    private fun overRate(changes: Int) {
+        pausedUntil = now.steady + Tuning.STATE_RETRY_MS
+        val byWrites = changes > 0 && limits.lowerWriteRps < limits.writeRps
+        if (lowered || !(byWrites || limits.lowerRps < limits.rps)) return
+        lowered = true
+        log.info("the state service's limits seem to be lowered; {} changes a second are planned for", limits.lowerWriteRps)
+        share(isHolder)
     }
 
-    val maxChanges: Int get() = limits.txnOps
-    val maxConditions: Int get() = limits.txnOps * 4
+    val maxChanges: Int get() = limits.safeTxnOps
+    val maxConditions: Int get() = limits.safeTxnOps * 4
 
     fun txn(conditions: List<Condition>, changes: List<Change>, lane: Lane, done: (TxnResult) -> Unit) {
         val body = WireJson.encodeToString(Txn.serializer(), Txn(conditions, changes))
@@ -107,7 +128,7 @@
                 when (reply.status) {
                     200 -> parse(reply) { WireJson.decodeFromString(TxnReply.serializer(), it) }?.let { TxnResult.Ok(it.edition) } ?: TxnResult.Unknown
                     409 -> parse(reply) { WireJson.decodeFromString(TxnReply.serializer(), it) }?.let { TxnResult.Conflict(it.failed) } ?: TxnResult.Refused
-                    400 -> if ("no such lease" in reply.body) TxnResult.NoLease else TxnResult.Refused
+                    400 -> if ("no such lease" in reply.body) TxnResult.NoLease else TxnResult.TooLarge
                     0 -> TxnResult.Unknown
                     else -> TxnResult.Refused
                 },
@@ -181,7 +202,7 @@
                             refuses = true
                             refusedUntil = now.steady + Tuning.STATE_RETRY_MS
                         }
-                        429 -> pausedUntil = now.steady + Tuning.STATE_RETRY_MS
+                        429 -> overRate(next.writes)
                     }
                     next.done(reply)
                 }
--- a/src/test/kotlin/ledgearch/world/Scenario.kt
+++ b/src/test/kotlin/ledgearch/world/Scenario.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.serialization.json.JsonObject
 import ledgearch.Tuning
+import ledgearch.config.NextStateLimits
 import ledgearch.config.OperatorSettings
 import ledgearch.config.StateLimits
 import ledgearch.wire.WorkRequest
@@ -33,10 +34,12 @@
         val world = World(
             options["nodes"]?.toInt() ?: 1, seed ?: options["seed"]?.toLong() ?: 1, operator(), options["team-max"]?.toDouble() ?: World.TEAM_MAX,
             options["report-ms"]?.toLong() ?: 3000L, options["cpu"]?.toDouble() ?: 1.0,
-            StateLimits(options["rps"]?.toDouble() ?: 200.0, options["write-rps"]?.toDouble() ?: 60.0, 8.0, 16),
+            StateLimits(options["rps"]?.toDouble() ?: RPS, options["write-rps"]?.toDouble() ?: WRITE_RPS, VALUE_KB, TXN_OPS),
             options["lease-ms"]?.toLong() ?: 14_000L,
             // finals-kept COUNT: so many final states a controller remembers.
             options["finals-kept"]?.toLong() ?: Tuning.FINAL_CACHE,
+            // next LIMITS: what the settings announce, as `value-kb=2 txn-ops=5 write-rps=18 rps=100`.
+            options["next"]?.let { nextLimits(it.split(' ')) },
         )
         world.loss = options["loss"]?.toDouble() ?: 0.0
         world.cloud.capacity = options["capacity"]?.toInt() ?: 0
@@ -143,6 +146,10 @@
             }
             // boot MS: so long machines take to come up.
             "boot" -> world.cloud.bootMs = w[1].toLong()
+            // next LIMITS: the settings of controllers that start from now on announce them.
+            "next" -> world.nextLimits = nextLimits(w.drop(1))
+            // state-limits LIMITS: the state service has them from now on.
+            "state-limits" -> world.state.limit(nextLimits(w.drop(1)).let { StateLimits(it.rps ?: RPS, it.writeRps ?: WRITE_RPS, it.valueKb ?: VALUE_KB, it.txnOps ?: TXN_OPS) })
             "state-down" -> world.state.outage(true)
             "state-up" -> world.state.outage(false)
             // state-slow MS: transactions that write are carried out at once and answered so much later.
@@ -175,6 +182,11 @@
         }
     }
 
+    private fun nextLimits(words: List<String>): NextStateLimits {
+        val o = words.associate { it.substringBefore('=') to it.substringAfter('=').toDouble() }
+        return NextStateLimits(o["rps"], o["write-rps"], o["value-kb"], o["txn-ops"]?.toInt())
+    }
+
     private fun operator() = OperatorSettings(
         spot = options["spot"] != "no",
         maxMachines = options["max-machines"]?.toInt() ?: Tuning.MAX_MACHINES,
@@ -211,6 +223,11 @@
             "gone" -> check("gone ${w[2]}", true, w[2] !in world.cloud.names)
             "holder" -> holder(world).let { check("holder ${w[2]}", it, if (w[2] == "any") it != "none" else if (w[2].startsWith("not-")) it != "none" && "not-$it" != w[2] else it == w[2]) }
             "keys" -> world.state.keysUnder(w[2]).size.let { check("keys ${w[2]} ${w[3]}", it, it == w[3].toInt()) }
+            // too-large COUNT, too-many COUNT: transactions refused for their size; requests refused for their rate, at most.
+            "too-large" -> world.state.tooLarge.let { check("too large ${w[2]}", it, it == w[2].toInt()) }
+            "too-many" -> world.state.tooMany.let { check("too many at most ${w[2]}", it, it <= w[2].toInt()) }
+            // values-over PREFIX BYTES COUNT
+            "values-over" -> world.state.keysUnder(w[2]).count { world.state.text(it).length > w[3].toInt() }.let { check("values ${w[2]} over ${w[3]} ${w[4]}", it, it == w[4].toInt()) }
             "keys-at-most" -> world.state.keysUnder(w[2]).size.let { check("keys ${w[2]} at most ${w[3]}", it, it <= w[3].toInt()) }
             "up" -> world.ask("GET", "/up", null, w[2]) { check("up ${w[2]} ${w[3]}", it.status, it.status == w[3].toInt()) }
             // submission NODE STATUS JOB ...: as of `submit`; `without=FIELD` leaves one out, `FIELD:JSON` sets one.
@@ -297,6 +314,12 @@
 
     private companion object {
         const val TRIES = 4
+
+        /** The state service's limits, unless a scenario says otherwise. */
+        const val RPS = 200.0
+        const val WRITE_RPS = 60.0
+        const val VALUE_KB = 8.0
+        const val TXN_OPS = 16
         const val FIRST_OF_MANY = 1000
 
         /** ms. A job with no question answered for so long is forgotten. */
--- a/src/test/kotlin/ledgearch/world/StateStandIn.kt
+++ b/src/test/kotlin/ledgearch/world/StateStandIn.kt
@@ -20,7 +20,7 @@
 import kotlin.random.Random
 
 /** The state service by its published protocol. */
-internal class StateStandIn(private val clock: Clockwork, private val random: Random, limits: StateLimits) {
+internal class StateStandIn(private val clock: Clockwork, private val random: Random, private var limits: StateLimits) {
     private class Entry(val v: JsonElement, val stamp: Long, val permit: Long?)
 
     private class Change(val edition: Long, val key: String, val entry: Entry?)
@@ -56,6 +56,15 @@
     private val requests = TokenBucket(limits.rps)
     private val writes = TokenBucket(limits.writeRps)
 
+    /** Transactions that were refused with 400 for their size, and requests that were refused with 429. */
+    var tooLarge = 0
+        private set
+    var tooMany = 0
+        private set
+
+    /** Called after a transaction that changed such keys. */
+    var onChanged: (keys: List<String>) -> Unit = {}
+
     /** Changes up to this revision are no longer told to watches. */
     private var forgotten = 0L
 
@@ -70,6 +79,13 @@
 
     fun keysUnder(prefix: String): List<String> = keys.tailMap(prefix).keys.takeWhile { it.startsWith(prefix) }
 
+    /** From now on, without notice; what is stored stays readable. */
+    fun limit(to: StateLimits) {
+        limits = to
+        requests.perSecond = to.rps
+        writes.perSecond = to.writeRps
+    }
+
     fun outage(begin: Boolean) {
         down = begin
         if (!begin) for (lease in leases.values) lease.endsAt = clock.now + lease.lifeMs
@@ -108,6 +124,10 @@
         return true
     }
 
+    private fun isTooLarge(txn: Txn, body: String) =
+        txn.then.size > limits.txnOps || txn.`if`.size > limits.txnOps * CONDITIONS_A_CHANGE || body.encodeToByteArray().size > TXN_BYTES ||
+            txn.then.any { it.v.toString().encodeToByteArray().size > limits.valueKb * 1024 }
+
     private fun isRefused(node: String) = (refusedUntil[node] ?: 0) > clock.now
 
     fun handle(from: String, method: String, target: String, body: String?, answer: (Reply) -> Unit) {
@@ -115,7 +135,14 @@
         expireLeases()
         val path = target.substringBefore('?')
         val txn = if (path == "/txn") WireJson.decodeFromString(Txn.serializer(), body.orEmpty()) else null
-        if (!passes(txn?.then?.size ?: 0)) return answer(Reply(429, ""))
+        if (!passes(txn?.then?.size ?: 0)) {
+            tooMany++
+            return answer(Reply(429, ""))
+        }
+        if (txn != null && isTooLarge(txn, body.orEmpty())) {
+            tooLarge++
+            return answer(Reply(400, """{"error":"too large"}"""))
+        }
         val query = target.substringAfter('?', "").split('&').filter { it.isNotEmpty() }.associate { it.substringBefore('=') to it.substringAfter('=') }
         when {
             txn != null -> when {
@@ -175,6 +202,7 @@
                 val remove = c.remove
                 if (put != null) set(put, Entry(c.v ?: JsonPrimitive(0), edition, c.permit)) else if (remove != null) set(remove, null)
             }
+            onChanged(txn.then.map { it.put ?: it.remove.orEmpty() })
             wake()
         }
         return Reply(200, WireJson.encodeToString(TxnReply.serializer(), TxnReply(edition)))
@@ -243,11 +271,15 @@
         wake()
     }
 
+    fun value(key: String): JsonElement? = keys[key]?.v
+
     fun text(key: String) = keys[key]?.v.toString()
 
     fun stamp(key: String): Long = keys[key]?.stamp ?: 0
 
     private companion object {
+        const val TXN_BYTES = 64 * 1024
+        const val CONDITIONS_A_CHANGE = 4
         const val LATE_FROM_MS = 2_000L
         const val LATE_SPREAD_MS = 10_000L
     }
--- a/src/test/kotlin/ledgearch/world/World.kt
+++ b/src/test/kotlin/ledgearch/world/World.kt
@@ -4,6 +4,7 @@
 import ledgearch.config.CloudLimits
 import ledgearch.config.Deployment
 import ledgearch.config.Member
+import ledgearch.config.NextStateLimits
 import ledgearch.config.NodeQuota
 import ledgearch.config.Objective
 import ledgearch.config.OperatorSettings
@@ -34,11 +35,14 @@
     private val limits: StateLimits = StateLimits(200.0, 60.0, 8.0, 16),
     val leaseMs: Long = 14_000L,
     private val finalsKept: Long = Tuning.FINAL_CACHE,
+    /** The limits that the settings of controllers that start from now on announce. */
+    var nextLimits: NextStateLimits? = null,
 ) {
     val clock = Clockwork()
     val random = Random(seed)
     val rules = Rules(this)
     val state = StateStandIn(clock, random, limits)
+    private val machineRecords = MachineRecordsRule(this)
     val cloud = CloudStandIn(this)
     val workers = LinkedHashMap<String, WorkerStandIn>()
     val notes = ArrayList<String>()
@@ -70,8 +74,8 @@
     private val cuts = ArrayList<Cut>()
     private val slowLinks = ArrayList<SlowLink>()
 
-    inner class Node(val name: String, nodeCount: Int) {
-        private val settings = Settings(
+    inner class Node(val name: String, private val nodeCount: Int) {
+        private fun settings() = Settings(
             node = name,
             listen = "$name:8080",
             meshAddress = "$name:8081",
@@ -82,7 +86,7 @@
                 teams = listOf(Team("red", 8.0, teamMax, gpusMax = 2.0), Team("blue", 8.0, teamMax)),
                 objectives = listOf(Objective("wait", "web", 1.0, 0.9)),
                 workers = WorkerTimes(reportMs / 1000.0, leaseMs / 1000.0, CANCEL_MS / 1000.0),
-                state = limits,
+                state = limits.copy(next = nextLimits),
                 cloud = CloudLimits(2.0, 3.0),
                 quota = NodeQuota(cpu = cpu, fdLimit = 3000),
             ),
@@ -95,7 +99,7 @@
 
         fun start() {
             val mine = ++life
-            controller = Controller(settings, NodeTransport(mine), NodeMesh(mine), Random(random.nextLong()), random.nextLong(Long.MAX_VALUE), { clock.now }, finalsKept)
+            controller = Controller(settings(), NodeTransport(mine), NodeMesh(mine), Random(random.nextLong()), random.nextLong(Long.MAX_VALUE), { clock.now }, finalsKept)
             tick(mine)
         }
 
