--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -9,6 +9,9 @@
     /** Sockets. With fewer than this a small deployment's users already have to take turns. */
     const val FEW_SOCKETS = 128
 
+    /** Changes. With fewer in one transaction a job can't be closed: its final record goes in with the removal of the open one. */
+    const val FEW_CHANGES = 2
+
     // --- HTTP -------------------------------------------------------------------------------------------------
     /** Bytes. The protocol's bound on a request body. */
     const val MAX_BODY = 64 * 1024
@@ -108,8 +111,8 @@
     /** Bytes. Planned size of one transaction: the service takes 64 KiB. */
     const val TXN_BYTES = 48 * 1024
 
-    /** Bytes. What one machine takes of a record of several, with the longest names. */
-    const val MACHINE_RECORD_BYTES = 160
+    /** Share of the limit on values that records of machines are planned to fill: the service may count spaces or escapes. */
+    const val VALUE_FILLED = 0.8
 
     /** Machines. In one record; a rental brings up to 50, and each that goes has the rest written again. */
     const val MACHINES_A_RECORD = 40
@@ -120,6 +123,9 @@
     /** ms. Pause after a refused or unanswered state request. */
     const val STATE_RETRY_MS = 250L
 
+    /** ms. An entry of the journal that the service took for too large, sent alone, waits this long: its limits may rise again. */
+    const val TOO_LARGE_RETRY_MS = 30_000L
+
     // --- Election ---------------------------------------------------------------------------------------------
     /** ms. Life of the lease that the grant hangs on: a node short of processor time must still renew in time. */
     const val LEASE_MS = 6_000L
@@ -201,9 +207,6 @@
      */
     const val FRESH_SHARE = 0.25
 
-    /** Conditions. What a transaction that accepts one job compares beside the jobs that it awaits: two of its own, the grant. */
-    const val SUBMISSION_CONDITIONS = 3
-
     /** s. What a user who is turned away is told to wait. */
     const val RETRY_AFTER_S = 2
 
--- a/src/main/kotlin/ledgearch/core/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/core/JobDependencies.kt
@@ -47,8 +47,7 @@
 
     /** [job] was accepted and has become known here. */
     fun opened(job: Job) {
-        val awaited = job.spec.awaits ?: return
-        for (id in awaited) {
+        for (id in job.spec.awaits.orEmpty()) {
             if (finalOf(id)?.st == WorkStates.DONE) continue
             job.unfinishedDependencies.add(id)
             dependents.getOrPut(id) { LinkedHashSet() }.add(job)
--- a/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
+++ b/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
@@ -46,11 +46,6 @@
         done(AwaitedResult.AllAccepted(ended))
     }
 
-    /** Reads the final record of [id], which was open until a moment ago; [done] gets null if it can't be read. */
-    fun readFinal(id: String, done: (FinalRecord?) -> Unit) = state.get(Keys.final(id), Lane.ORDINARY) { result ->
-        done(remember(id, result))
-    }
-
     private fun readOpen(id: String, done: (AwaitedResult) -> Unit, accepted: (FinalRecord?) -> Unit) =
         state.get(Keys.job(id), Lane.ORDINARY) { result ->
             when (result) {
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -52,9 +52,6 @@
         val late = ArrayList<(Response) -> Unit>()
         var sent = false
 
-        /** Awaited jobs whose final record is being read. */
-        var reading = 0
-
         /** Final records of awaited jobs that were read for it: this node need not remember them otherwise. */
         val ended = HashMap<String, FinalRecord>()
         val id: String get() = record.spec.ref
@@ -77,7 +74,7 @@
     private val teams: Map<String, Team> = settings.deployment.teams.associateBy { it.name }
     private val awaitedJobs = AwaitedJobs(book, state)
     private val freshMs = (settings.deployment.workers.cancelS * 1000 * Tuning.FRESH_SHARE).toLong()
-    private val valueLimit = (settings.deployment.state.valueKb * 1024).toInt()
+    private val valueLimit = settings.deployment.state.safeValueBytes
     private val submissions = LinkedHashMap<String, Submission>()
     private var submitting = false
     private var submitRetryAt = 0L
@@ -116,17 +113,12 @@
         }
         val record = JobRecord(spec, now.wall)
         if (bytes(record.copy(cancel = true)) > valueLimit) return refuse(id, 400, "too large", respond)
-        val awaited = spec.awaits.orEmpty()
-        if (awaited.size > mostAwaited) return refuse(id, 400, "awaits: more than $mostAwaited jobs", respond)
         if (joinedSubmission(id, respond)) return
         if (book.racks.isEmpty() || submissions.size >= Tuning.INTAKE_BACKLOG) return respond(busy())
         Validation.impossible(spec, teams[spec.crew], book.racks.values)?.let { return refuse(id, 422, it, respond) }
-        if (awaited.isEmpty()) accept(record, respond) else checkAwaited(record, awaited, respond)
+        if (spec.awaits == null) accept(record, respond) else checkAwaited(record, spec.awaits, respond)
     }
 
-    /** How many jobs a submission may await: all of them are compared in the transaction that accepts it. */
-    private val mostAwaited: Int get() = state.maxConditions - Tuning.SUBMISSION_CONDITIONS
-
     /** The same submission is under way: its answer is this one's too. */
     private fun joinedSubmission(id: String, respond: (Response) -> Unit): Boolean {
         val underWay = submissions[id] ?: return false
@@ -238,16 +230,12 @@
     /** One transaction that accepts several jobs. */
     private class Batch(grantCondition: Condition?) {
         val submissions = ArrayList<Submission>()
-        val conditions = LinkedHashMap<String, Long>()
+        val conditions = ArrayList(listOfNotNull(grantCondition))
         val changes = ArrayList<Change>()
 
         /** Those that are withdrawn as they are accepted. */
         val withdrawn = HashSet<Submission>()
         var bytes = 0
-
-        init {
-            if (grantCondition != null) conditions[grantCondition.key] = grantCondition.stamp
-        }
     }
 
     private fun flushSubmissions() {
@@ -256,12 +244,12 @@
         val grantCondition = grant.condition
         val batch = Batch(grantCondition.takeIf { underGrant })
         for (s in submissions.values.toList()) {
-            if (s.reading == 0 && !add(s, batch)) break
+            if (!add(s, batch)) break
         }
         if (batch.submissions.isEmpty()) return
         submitting = true
         val sentAt = now.steady
-        state.txn(batch.conditions.map { Condition(it.key, it.value) }, batch.changes, Lane.ORDINARY) { result ->
+        state.txn(batch.conditions, batch.changes, Lane.ORDINARY) { result ->
             submitting = false
             when (result) {
                 is TxnResult.Ok -> {
@@ -270,7 +258,7 @@
                 }
                 is TxnResult.Conflict -> batch.submissions.forEach { conflicted(it, result.failed) }
                 // Not taken: the users are told at once, and when to come back.
-                TxnResult.Refused, TxnResult.NoLease -> batch.submissions.forEach(::turnAway)
+                TxnResult.Refused, TxnResult.TooLarge, TxnResult.NoLease -> batch.submissions.forEach(::turnAway)
                 // A repeat is harmless: if the first was executed, the condition fails and the job is found.
                 TxnResult.Unknown -> submitRetryAt = now.steady + Tuning.STATE_RETRY_MS
             }
@@ -285,24 +273,19 @@
             turnAway(s)
             return true
         }
-        val conditions = HashMap<String, Long>()
-        conditions[Keys.job(id)] = 0
-        conditions[Keys.final(id)] = 0
         val withdrawn = awaited.any { finalOf(it, s) != null || book.jobs[it]?.dependencyWithdrawn == true }
-        // None of them is over as the job is accepted, so that no answer is older than what was told of them.
-        if (!withdrawn) awaited.forEach { conditions[Keys.final(it)] = 0 }
         val change = if (withdrawn) {
             Change(put = Keys.final(id), v = WireJson.encodeToJsonElement(FinalRecord.serializer(), FinalRecord(WorkStates.WITHDRAWN)))
         } else {
             Change(put = Keys.job(id), v = WireJson.encodeToJsonElement(JobRecord.serializer(), s.record))
         }
         val bytes = change.v.toString().encodeToByteArray().size * 2
-        val isFull = batch.changes.size >= state.maxChanges || batch.bytes + bytes > Tuning.TXN_BYTES ||
-            batch.conditions.size + conditions.size > state.maxConditions
+        val isFull = batch.changes.size >= state.maxChanges || batch.bytes + bytes > Tuning.TXN_BYTES
         if (isFull && batch.submissions.isNotEmpty()) return false
         batch.bytes += bytes
         batch.submissions.add(s)
-        batch.conditions += conditions
+        batch.conditions.add(Condition(Keys.job(id), 0))
+        batch.conditions.add(Condition(Keys.final(id), 0))
         batch.changes.add(change)
         if (withdrawn) batch.withdrawn.add(s)
         s.sent = true
@@ -328,16 +311,6 @@
         if (Keys.job(s.id) in failed || Keys.final(s.id) in failed) {
             submissions.remove(s.id, s)
             for (r in s.first + s.late) resolve(s.id, r) { r(busy()) }
-            return
-        }
-        // Jobs that it awaits have ended meanwhile: how, decides what is written for it.
-        val ended = s.record.spec.awaits.orEmpty().filter { Keys.final(it) in failed }
-        s.reading += ended.size
-        for (id in ended) {
-            awaitedJobs.readFinal(id) { final ->
-                s.reading--
-                if (final != null) s.ended[id] = final
-            }
         }
     }
 
@@ -393,7 +366,7 @@
                         polls.addFirst(p)
                     }
                 }
-                TxnResult.Refused, TxnResult.NoLease -> batch.forEach { it.respond(busy()) }
+                TxnResult.Refused, TxnResult.TooLarge, TxnResult.NoLease -> batch.forEach { it.respond(busy()) }
                 TxnResult.Unknown -> {
                     confirmRetryAt = now.steady + Tuning.STATE_RETRY_MS
                     batch.asReversed().forEach { polls.addFirst(it) }
@@ -477,7 +450,7 @@
             marking[id] = now.steady + Tuning.STATE_RETRY_MS
             when (result) {
                 // It is tried again when a user asks again.
-                TxnResult.Refused -> {
+                TxnResult.Refused, TxnResult.TooLarge -> {
                     marking.remove(id)
                     withdrawals.remove(id)?.forEach { it.respond(busy()) }
                 }
--- a/src/test/kotlin/ledgearch/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/MixedVersionsTest.kt
@@ -4,6 +4,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.serializer
+import ledgearch.config.NextStateLimits
 import ledgearch.config.SettingsLoader
 import ledgearch.config.StateLimits
 import ledgearch.core.CatalogRecord
@@ -165,11 +166,13 @@
             dynamicTest(name) { assertEquals(file("$name.hex"), Frames.encode(news).hex()) }
         }
 
-    /** The platform may tell of a state service that will take the place of the present one. */
+    /** The settings of an upgrade announce lower limits, and may hold more than is known here. */
     @Test
-    fun `settings with an object state next are accepted`() {
+    fun `settings that announce other limits are accepted`() {
         val settings = SettingsLoader.load(FOLDER.resolve(SETTINGS))
-        assertEquals(StateLimits(rps = 200.0, writeRps = 80.0, valueKb = 16.0, txnOps = 24), settings.deployment.state)
+        val next = NextStateLimits(writeRps = 18.0, valueKb = 2.0, txnOps = 5)
+        val expected = StateLimits(rps = 200.0, writeRps = 80.0, valueKb = 16.0, txnOps = 24, next = next)
+        assertEquals(expected, settings.deployment.state)
         assertEquals(emptyList<String>(), SettingsLoader.warnings(settings))
     }
 
