--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -3,6 +3,7 @@
 /** Every constant of the service, with its unit and the reason for its value. */
 internal object Tuning {
     // --- The machine ---
+
     /** MB. What the process takes at the most, by the heap in deploy/service.toml and what was measured beside it. */
     const val MEMORY_MB = 180.0
 
@@ -13,6 +14,7 @@
     const val FEW_CHANGES = 2
 
     // --- HTTP -------------------------------------------------------------------------------------------------
+
     /** Bytes. The protocol's bound on a request body. */
     const val MAX_BODY = 64 * 1024
 
@@ -59,6 +61,7 @@
     const val POOLED_IDLE_MS = 20_000L
 
     // --- The owner's queue ------------------------------------------------------------------------------------
+
     /** Commands. A full queue makes the connections wait, which holds their senders back. */
     const val QUEUE = 1024
 
@@ -78,6 +81,7 @@
     const val LOG_LOAD_MS = 10_000L
 
     // --- State service ----------------------------------------------------------------------------------------
+
     /** ms. Longest silence of a connection that is being read. */
     const val READ_MS = 20_000L
 
@@ -127,6 +131,7 @@
     const val TOO_LARGE_RETRY_MS = 30_000L
 
     // --- Election ---------------------------------------------------------------------------------------------
+
     /** ms. Life of the lease that the grant hangs on: a node short of processor time must still renew in time. */
     const val LEASE_MS = 6_000L
 
@@ -155,6 +160,7 @@
     const val OUTAGE_HEARD_MS = 3_000L
 
     // --- Mesh -------------------------------------------------------------------------------------------------
+
     /** Connections. Other controllers that may follow this one; a deployment has a handful. */
     const val MAX_FOLLOWERS = 16
 
@@ -177,6 +183,7 @@
     const val PUBLISH_MS = 1_000L
 
     // --- Users ------------------------------------------------------------------------------------------------
+
     /** Jobs. Finished jobs whose answer is kept in memory (a name and one word each); the rest are read when asked. */
     const val FINAL_CACHE = 20_000L
 
@@ -211,6 +218,7 @@
     const val RETRY_AFTER_S = 2
 
     // --- Workers ----------------------------------------------------------------------------------------------
+
     /** ms. A direct command; a healthy worker answers within a few ms. */
     const val PUSH_MS = 2_000L
 
@@ -334,6 +342,7 @@
     const val COUNT_MS = 1_000L
 
     // --- Placement --------------------------------------------------------------------------------------------
+
     /** Bound, unstarted tasks. TH_u: at most this many is underloaded. */
     const val TH_U = 0
 
@@ -373,6 +382,7 @@
     const val HOLD_PAUSE_MS = 5_000L
 
     // --- Placement: what things are worth ---
+
     /** Seconds that a job waits for room to free by itself, at most half the time in which it is to start. */
     const val PATIENCE_S = 2.0
 
@@ -427,6 +437,7 @@
     const val ESTIMATE_JOBS = 20.0
 
     // --- Fleet ------------------------------------------------------------------------------------------------
+
     /** ms. Between two readings of the machine list. */
     const val LIST_MS = 4_000L
 
--- a/src/main/kotlin/ledgearch/core/CutZones.kt
+++ b/src/main/kotlin/ledgearch/core/CutZones.kt
@@ -60,7 +60,7 @@
 
     /** Something of the zone is heard, or too little of it is left to tell for how long it will be cut off. */
     private fun isBack(zone: Heard?, began: Long) = when {
-        zone == null || zone.machines < Tuning.ZONE_MACHINES && zone.heard == 0 -> now.steady - began >= Tuning.CUT_ZONE_MS
+        zone == null || (zone.machines < Tuning.ZONE_MACHINES && zone.heard == 0) -> now.steady - began >= Tuning.CUT_ZONE_MS
         else -> zone.heard >= zone.machines * Tuning.HEARD_SHARE
     }
 
--- a/src/main/kotlin/ledgearch/core/placement/Preemption.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Preemption.kt
@@ -221,7 +221,11 @@
     /** What is stopped must come after [job] in serving order: else it would be started again and stopped again for ever. */
     private fun mayStop(job: Job, guaranteed: Boolean, victim: Job): Boolean =
         victim.urgency > job.urgency ||
-            (guaranteed && victim.urgency == job.urgency && !victim.guaranteed && victim.spec.crew != job.spec.crew && !victim.standing && teams.canSpare(victim))
+            (guaranteed && victim.urgency == job.urgency && isSpareOfOtherTeam(job, victim))
+
+    /** [victim] runs beyond the guarantee of another team than the one of [job], and that team can spare it. */
+    private fun isSpareOfOtherTeam(job: Job, victim: Job): Boolean =
+        !victim.guaranteed && victim.spec.crew != job.spec.crew && !victim.standing && teams.canSpare(victim)
 
     /** Aims that the job of [p] meets only if [p] goes on; none if other tasks of it wait to be started anyway. */
     private fun missed(p: Placement): Int {
--- a/src/main/kotlin/ledgearch/leader/Election.kt
+++ b/src/main/kotlin/ledgearch/leader/Election.kt
@@ -108,8 +108,12 @@
         val old = token
         standBackUntil = now.steady + Tuning.STAND_BACK_MS
         lose(why)
-        val told = if (silent) listOf(Change(put = Keys.silence(0), v = encode(SilenceRecord.serializer(), SilenceRecord(node, now.wall)))) else emptyList()
-        withdrawGrant(old, told)
+        withdrawGrant(old, if (silent) listOf(silenceChange()) else emptyList())
+    }
+
+    private fun silenceChange(): Change {
+        val record = SilenceRecord(node, now.wall)
+        return Change(put = Keys.silence(0), v = encode(SilenceRecord.serializer(), record))
     }
 
     /** A holder before this one has given the block up of late, and the change of holder did not help. */
--- a/src/test/kotlin/ledgearch/world/Pipelines.kt
+++ b/src/test/kotlin/ledgearch/world/Pipelines.kt
@@ -19,8 +19,10 @@
         val begin = first + index * (middle + 2)
         val middles = (1..middle).map { "job-${begin + it}" }
         val bestEffort = words + "urgency=best_effort"
-        return listOf(listOf("job-$begin") + bestEffort) +
-            middles.map { listOf(it) + bestEffort + "awaits=job-$begin" } +
-            listOf(listOf("job-${begin + middle + 1}") + words + "urgency=urgent" + ("awaits=" + middles.joinToString(",")))
+        val first = listOf("job-$begin") + bestEffort
+        val between = middles.map { listOf(it) + bestEffort + "awaits=job-$begin" }
+        val awaitsMiddles = "awaits=" + middles.joinToString(",")
+        val last = listOf("job-${begin + middle + 1}") + words + "urgency=urgent" + awaitsMiddles
+        return listOf(first) + between + listOf(last)
     }
 }
--- a/src/test/kotlin/ledgearch/world/Rules.kt
+++ b/src/test/kotlin/ledgearch/world/Rules.kt
@@ -158,7 +158,9 @@
         if (before(doneAt[job]) && state != "done") broken("went_back", "$job was done, now $state")
         if (before(withdrawnAt[job]) && state != "withdrawn") broken("went_back", "$job was withdrawn, now $state")
         // Final states are final, whatever crossed whatever.
-        if (job in doneAt && state == "withdrawn" || job in withdrawnAt && state == "done") broken("went_back", "$job was done and withdrawn")
+        if ((job in doneAt && state == "withdrawn") || (job in withdrawnAt && state == "done")) {
+            broken("went_back", "$job was done and withdrawn")
+        }
         if (state == "done") {
             if (doneAt.putIfAbsent(job, now) == null) dependencies.toldDone(job)
             val tasks = submitted[job]?.portions ?: 0
