--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -10,7 +10,10 @@
     /** Sockets. With fewer than this a small deployment's users already have to take turns. */
     const val FEW_SOCKETS = 128
 
-    /** Changes. With fewer in one transaction a job can't be closed: its final record goes in with the removal of the open one. */
+    /**
+     * Changes. With fewer in one transaction a job can't be closed: its final record goes in with the removal of the
+     * open one.
+     */
     const val FEW_CHANGES = 2
 
     // --- HTTP -------------------------------------------------------------------------------------------------
@@ -48,7 +51,10 @@
     /** Share of the sockets allowed that connections to others take, before unused ones are closed for new ones. */
     const val OUTGOING_SHARE = 0.18
 
-    /** Share of the sockets allowed that commands to workers under way may take: the dead hold theirs until the time-out. */
+    /**
+     * Share of the sockets allowed that commands to workers under way may take: the dead hold theirs until the
+     * time-out.
+     */
     const val CALLS_SHARE = 0.08
 
     /** Reports. A worker's connection unused for so many intervals is its last, and goes when sockets run out. */
@@ -97,7 +103,10 @@
     /** ms. A page of keys or an answered watch may be large. */
     const val STATE_PAGE_MS = 6_000L
 
-    /** ms. How long one watch waits for changes. Short, since a watch whose answer is lost is blind until it is given up. */
+    /**
+     * ms. How long one watch waits for changes. Short, since a watch whose answer is lost is blind until it is given
+     * up.
+     */
     const val WATCH_MS = 2_000L
 
     /** ms. Beyond its time, how long the answer of a watch is waited for. */
@@ -115,7 +124,10 @@
     /** Bytes. Planned size of one transaction: the service takes 64 KiB. */
     const val TXN_BYTES = 48 * 1024
 
-    /** Share of the limit on values that records of machines are planned to fill: the service may count spaces or escapes. */
+    /**
+     * Share of the limit on values that records of machines are planned to fill: the service may count spaces or
+     * escapes.
+     */
     const val VALUE_FILLED = 0.8
 
     /** Machines. In one record; a rental brings up to 50, and each that goes has the rest written again. */
@@ -127,7 +139,10 @@
     /** ms. Pause after a refused or unanswered state request. */
     const val STATE_RETRY_MS = 250L
 
-    /** ms. An entry of the journal that the service took for too large, sent alone, waits this long: its limits may rise again. */
+    /**
+     * ms. An entry of the journal that the service took for too large, sent alone, waits this long: its limits may rise
+     * again.
+     */
     const val TOO_LARGE_RETRY_MS = 30_000L
 
     // --- Election ---------------------------------------------------------------------------------------------
@@ -196,7 +211,10 @@
     /** ms. A withdrawal waits this long for the holder, then the user is told to come back. */
     const val WITHDRAW_MS = 3_000L
 
-    /** Objects and arrays within one another. A submission needs two; the parser's own calls nest as deep, and its stack must not end. */
+    /**
+     * Objects and arrays within one another. A submission needs two; the parser's own calls nest as deep, and its stack
+     * must not end.
+     */
     const val SUBMISSION_DEPTH = 200
 
     /** Requests. Waiting for the state service at one time; beyond it users are told to come back at once. */
@@ -205,12 +223,16 @@
     /** Reads. Of final records of awaited jobs, under way at one time: a new leader's other reads go on beside them. */
     const val DEPENDENCY_READS = 6
 
-    /** ms. Until the final record of an awaited job that was not found is read again: its open record is on its way here. */
+    /**
+     * ms. Until the final record of an awaited job that was not found is read again: its open record is on its way
+     * here.
+     */
     const val DEPENDENCY_READ_MS = 1_000L
 
     /**
-     * Share of the time in which a cancellation has to take effect. A job that waits for others is told as pending only from
-     * a copy of the state that was complete so lately; what rests on two such copies is still within half of that time.
+     * Share of the time in which a cancellation has to take effect. A job that waits for others is told as pending only
+     * from a copy of the state that was complete so lately; what rests on two such copies is still within half of that
+     * time.
      */
     const val FRESH_SHARE = 0.25
 
@@ -265,14 +287,14 @@
     const val ZONE_MACHINES = 5
 
     /**
-     * ms. So long the machines of a zone that is cut off are not released, where keeping them helps: zones come back after
-     * about a minute, and no job's wait may come near four.
+     * ms. So long the machines of a zone that is cut off are not released, where keeping them helps: zones come back
+     * after about a minute, and no job's wait may come near four.
      */
     const val CUT_ZONE_MS = 120_000L
 
     /**
-     * ms. So long machines of which only reports or only answers to commands are missing are kept where that is so of most:
-     * what is wrong between this node and them mostly ends sooner, and if it does not others must be rented.
+     * ms. So long machines of which only reports or only answers to commands are missing are kept where that is so of
+     * most: what is wrong between this node and them mostly ends sooner, and if it does not others must be rented.
      */
     const val PATH_FAULT_MS = 120_000L
 
@@ -288,7 +310,10 @@
     /** ms. A machine that refused a start, or a job unknown to its worker, gets the next one after this. */
     const val REFUSED_MS = 1_000L
 
-    /** ms. A machine whose task failed gets nothing new for this long: a faulty one fails at once, and would eat a queue. */
+    /**
+     * ms. A machine whose task failed gets nothing new for this long: a faulty one fails at once, and would eat a
+     * queue.
+     */
     const val ERROR_PAUSE_MS = 3_000L
 
     /** Factor on a worker's lease: the steady clocks of two machines drift by 0.05% each, doubled for safety. */
@@ -308,8 +333,8 @@
     const val BAD_JOB_MAX_MS = 60_000L
 
     /**
-     * Probes under way at one time on a whole processor: their answers take a fraction of a probe's time to work off, so
-     * that none times out here and proves nothing. Fewer, and hundreds of dead machines would hold up a new holder.
+     * Probes under way at one time on a whole processor: their answers take a fraction of a probe's time to work off,
+     * so that none times out here and proves nothing. Fewer, and hundreds of dead machines would hold up a new holder.
      */
     private const val PROBES_A_PROCESSOR = 500
 
@@ -377,7 +402,9 @@
     /** Machines. Held at one time for starved jobs that find no room: they stand partly idle meanwhile. */
     const val HELD_AT_ONCE = 3
 
-    /** ms. So long one is held, and for so long then no other for the same job: nobody waits longer beside fitting room. */
+    /**
+     * ms. So long one is held, and for so long then no other for the same job: nobody waits longer beside fitting room.
+     */
     const val HOLD_MS = 75_000L
     const val HOLD_PAUSE_MS = 5_000L
 
--- a/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
@@ -6,8 +6,8 @@
 import ledgearch.core.Command
 
 /**
- * What waits for the owner, in two lines. Workers' reports, answers and time come first and hold their senders back when
- * the line is full; users' requests wait behind them, and one too many is turned away at once.
+ * What waits for the owner, in two lines. Workers' reports, answers and time come first and hold their senders back
+ * when the line is full; users' requests wait behind them, and one too many is turned away at once.
  */
 internal class OwnerQueue {
     private val first = Channel<Command>(Tuning.QUEUE)
@@ -30,7 +30,9 @@
     /** Whether there was room for a user's request. */
     fun offer(command: Command): Boolean = users.trySend(command).isSuccess.also { if (it) waiting++ }
 
-    /** Waits for a command, then adds what else there is to [batch], up to [Tuning.BATCH]; a part is always the users'. */
+    /**
+     * Waits for a command, then adds what else there is to [batch], up to [Tuning.BATCH]; a part is always the users'.
+     */
     suspend fun take(batch: MutableList<Command>) {
         // Never with a time-out: a command handed over at the moment of the time-out would be lost.
         batch.add(
--- a/src/main/kotlin/ledgearch/cli/RehearsalWorld.kt
+++ b/src/main/kotlin/ledgearch/cli/RehearsalWorld.kt
@@ -64,7 +64,8 @@
             "/catalog" -> {
                 Response(
                     200,
-                    """{"racks":[{"label":"r","vcpus":8,"memoryGb":16,"localGb":35,"fetchGbPerS":0.3,"hourly":0.5,"lowPrice":0.2,"startupS":15,"halls":["z"]}]}""",
+                    """{"racks":[{"label":"r","vcpus":8,"memoryGb":16,"localGb":35,
+                        "fetchGbPerS":0.3,"hourly":0.5,"lowPrice":0.2,"startupS":15,"halls":["z"]}]}""",
                 )
             }
 
@@ -74,11 +75,14 @@
         }
 
     private fun job(n: Int) =
-        """{"ref":"job-$n","menu":"m","crew":"t","shape":"sweep","urgency":"urgent","portions":2,"vcpus":1.0,"accelerators":0.0,
-            "memoryGb":1.0,"recipe":"i","sizeGb":1.0,"samePlace":false,"apart":false,"borrowed":true,"cookS":20.0,"stirS":0.0,"plateS":0.0,"serveS":90.0}"""
+        """{"ref":"job-$n","menu":"m","crew":"t","shape":"sweep","urgency":"urgent","portions":2,
+            "vcpus":1.0,"accelerators":0.0,
+            "memoryGb":1.0,"recipe":"i","sizeGb":1.0,"samePlace":false,"apart":false,"borrowed":true,
+            "cookS":20.0,"stirS":0.0,"plateS":0.0,"serveS":90.0}"""
 
     private fun report(n: Int) =
-        """{"stove":"host-1","endpoint":"${settings.outside.cloud}","rack":"r","hall":"z","shift":1,"ticket":$n,"baton":11,
+        """{"stove":"host-1","endpoint":"${settings.outside.cloud}","rack":"r","hall":"z",
+            "shift":1,"ticket":$n,"baton":11,
             "portions":[{"portion":"job-900/0","try":1,"status":"running"}]}"""
 
     private companion object {
--- a/src/main/kotlin/ledgearch/config/SettingsLoader.kt
+++ b/src/main/kotlin/ledgearch/config/SettingsLoader.kt
@@ -112,6 +112,12 @@
         return null
     }
 
+    private fun tooFewChanges(limits: StateLimits): String? {
+        if (limits.safeTxnOps >= Tuning.FEW_CHANGES) return null
+        return "deployment.state.txn_ops: ${limits.safeTxnOps} is too little; " +
+            "what closes a job takes two changes in one transaction"
+    }
+
     /** What lets the service start but will not let it serve well. */
     fun warnings(s: Settings): List<String> {
         val quota = s.deployment.quota
@@ -122,8 +128,7 @@
                         0.0 &&
                         quota.memoryMb < Tuning.MEMORY_MB
                 },
-            "deployment.state.txn_ops: ${s.deployment.state.safeTxnOps} is too little; what closes a job takes two changes in one transaction"
-                .takeIf { s.deployment.state.safeTxnOps < Tuning.FEW_CHANGES },
+            tooFewChanges(s.deployment.state),
             "deployment.quota.fd_limit: ${quota.fdLimit} is little; every worker and user needs one".takeIf {
                 quota.fdLimit <
                     Tuning.FEW_SOCKETS
--- a/src/main/kotlin/ledgearch/core/Book.kt
+++ b/src/main/kotlin/ledgearch/core/Book.kt
@@ -117,7 +117,9 @@
         if (!isPast(record.spec.ref, stamp)) put(record, stamp)
     }
 
-    /** The copy has passed this record and has no such job: it is over, whether or not its final state is remembered. */
+    /**
+     * The copy has passed this record and has no such job: it is over, whether or not its final state is remembered.
+     */
     private fun isPast(
         id: String,
         stamp: Long,
--- a/src/main/kotlin/ledgearch/core/Chunks.kt
+++ b/src/main/kotlin/ledgearch/core/Chunks.kt
@@ -3,13 +3,14 @@
 import java.util.BitSet
 
 /**
- * Which finished tasks of a job go into one record, so that none is larger than a value may be. Chunks have [tasks] tasks:
- * [MOST_TASKS], or that halved as often as the limit asks for.
+ * Which finished tasks of a job go into one record, so that none is larger than a value may be. Chunks have [tasks]
+ * tasks: [MOST_TASKS], or that halved as often as the limit asks for.
  *
- * Every version can read and remove the chunks of every other: a record holds task numbers, whatever its chunk's number,
- * and whoever has read or written a number removes its key when the job is over. Chunks of [MOST_TASKS] have the numbers that
- * versions without smaller ones give them. Each smaller size has numbers of its own above those, so that no record is written
- * over one of other tasks. A task may so be in two records; finished is finished, and both go with the job.
+ * Every version can read and remove the chunks of every other: a record holds task numbers, whatever its chunk's
+ * number, and whoever has read or written a number removes its key when the job is over. Chunks of [MOST_TASKS] have
+ * the numbers that versions without smaller ones give them. Each smaller size has numbers of its own above those, so
+ * that no record is written over one of other tasks. A task may so be in two records; finished is finished, and both go
+ * with the job.
  */
 internal class Chunks(
     valueBytes: Int,
@@ -38,8 +39,8 @@
         private fun tasksOf(halvings: Int): Int = (MOST_TASKS + (1 shl halvings) - 1) shr halvings
 
         /**
-         * At worst two tasks of three are finished: `99996-99997,`, 12 bytes for three tasks, and for the two that may be left
-         * over. Around them is `{"r":""}`.
+         * At worst two tasks of three are finished: `99996-99997,`, 12 bytes for three tasks, and for the two that may
+         * be left over. Around them is `{"r":""}`.
          */
         private fun worstBytes(tasks: Int): Int = (tasks + 2) / 3 * 12 + 8
     }
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -224,9 +224,9 @@
         )
 
     /**
-     * Users are better served elsewhere while the state service refuses this node alone. In an outage nobody serves them
-     * better, and nodes that all stepped aside would be long in coming back: what is known for good is answered, and
-     * everyone else told at once when to come back.
+     * Users are better served elsewhere while the state service refuses this node alone. In an outage nobody serves
+     * them better, and nodes that all stepped aside would be long in coming back: what is known for good is answered,
+     * and everyone else told at once when to come back.
      */
     private fun healthy() =
         book.loaded && book.racks.isNotEmpty() &&
--- a/src/main/kotlin/ledgearch/core/Courier.kt
+++ b/src/main/kotlin/ledgearch/core/Courier.kt
@@ -175,7 +175,8 @@
                 m.answerMs = now.steady - sentAt
                 reached(m)
             }
-            // Numbers only grow, and this answer was made after the request: they have begun anew, and the worker with them.
+            // Numbers only grow, and this answer was made after the request: they have begun anew, and the worker with
+            // them.
             if (answer != null && isHere(m) &&
                 (answer.shift < shift || (answer.shift == shift && answer.ticket <= ticket))
             ) {
--- a/src/main/kotlin/ledgearch/core/CutZones.kt
+++ b/src/main/kotlin/ledgearch/core/CutZones.kt
@@ -4,13 +4,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Zones of which next to no machine is heard while most of another zone's are. Such a zone is cut off and mostly back within
- * a minute or so; nothing is rented there meanwhile, and its machines are not given back where that would lose what goes on.
+ * Zones of which next to no machine is heard while most of another zone's are. Such a zone is cut off and mostly back
+ * within a minute or so; nothing is rented there meanwhile, and its machines are not given back where that would lose
+ * what goes on.
  */
 internal class CutZones(
     private val now: Now,
 ) {
-    private class Heard {
+    private class ZoneCounts {
         var machines = 0
         var heard = 0
     }
@@ -18,7 +19,10 @@
     private val log = LoggerFactory.getLogger("ledgearch.core")
     private val since = HashMap<String, Long>()
 
-    /** Machines that had such replicas: once their leases have run out nothing is on them, but there they can start again. */
+    /**
+     * Machines that had such replicas: once their leases have run out nothing is on them, but there they can start
+     * again.
+     */
     private val kept = HashSet<Machine>()
     private val backAt = HashMap<String, Long>()
 
@@ -28,7 +32,10 @@
         backAt.clear()
     }
 
-    /** Steady ms at which [hall] was last heard again: silence counts from then on, as after any trouble of this node's own. */
+    /**
+     * Steady ms at which [hall] was last heard again: silence counts from then on, as after any trouble of this node's
+     * own.
+     */
     fun backAt(hall: String) = backAt[hall] ?: Long.MIN_VALUE / 2
 
     val isEmpty get() = since.isEmpty()
@@ -40,10 +47,10 @@
         machines: Collection<Machine>,
         isHeard: (Machine) -> Boolean,
     ): Set<String> {
-        val zones = HashMap<String, Heard>()
+        val zones = HashMap<String, ZoneCounts>()
         for (m in machines) {
             if (m.releasing) continue
-            val zone = zones.getOrPut(m.hall) { Heard() }
+            val zone = zones.getOrPut(m.hall) { ZoneCounts() }
             zone.machines++
             if (isHeard(m)) zone.heard++
         }
@@ -73,7 +80,7 @@
 
     /** Something of the zone is heard, or too little of it is left to tell for how long it will be cut off. */
     private fun isBack(
-        zone: Heard?,
+        zone: ZoneCounts?,
         began: Long,
     ) = when {
         zone == null || (zone.machines < Tuning.ZONE_MACHINES && zone.heard == 0) -> {
@@ -90,10 +97,11 @@
     private var others = 0
 
     /**
-     * [m] is silent with its whole zone, it is worth keeping until the zone is back, and not yet given up. That is so where
-     * only one other zone is heard, in which replicas that keep to two can't all be. Unconfirmed, [m] is worth keeping if a
-     * holder before this one may be cut off with it ([servedWithin]) and keep its lease alive; else nobody does, and older
-     * jobs only wait for it. Confirmed, it is if it has such replicas; all else begins anew elsewhere the sooner the better.
+     * [m] is silent with its whole zone, it is worth keeping until the zone is back, and not yet given up. That is so
+     * where only one other zone is heard, in which replicas that keep to two can't all be. Unconfirmed, [m] is worth
+     * keeping if a holder before this one may be cut off with it ([servedWithin]) and keep its lease alive; else nobody
+     * does, and older jobs only wait for it. Confirmed, it is if it has such replicas; all else begins anew elsewhere
+     * the sooner the better.
      */
     fun mayComeBack(
         m: Machine,
--- a/src/main/kotlin/ledgearch/core/Holder.kt
+++ b/src/main/kotlin/ledgearch/core/Holder.kt
@@ -90,7 +90,10 @@
     private var countedAt = 0L
     private var guaranteesDirty = true
 
-    /** Machines whose worker has not confirmed the token, and jobs that are to be withdrawn: cancelled, or after such a one. */
+    /**
+     * Machines whose worker has not confirmed the token, and jobs that are to be withdrawn: cancelled, or after such a
+     * one.
+     */
     private val unconfirmed = LinkedHashSet<Machine>()
     private val cancelled = LinkedHashSet<Job>()
 
@@ -270,8 +273,8 @@
     }
 
     /**
-     * The machine's worker has lost its memory, numbers included: nothing that it tells from now on can be told from late
-     * copies of what it told before, so it is not used any more. What ran there is free once it is given back.
+     * The machine's worker has lost its memory, numbers included: nothing that it tells from now on can be told from
+     * late copies of what it told before, so it is not used any more. What ran there is free once it is given back.
      */
     private fun begunAnew(m: Machine) {
         if (m.releasing) return
@@ -484,7 +487,8 @@
         }
 
     private fun confirm() {
-        // Also those to be released: the cloud may be out, and an earlier holder may keep them until the token is shown.
+        // Also those to be released: the cloud may be out, and an earlier holder may keep them until the token is
+        // shown.
         for (m in unconfirmed) courier.probe(m)
         if (allConfirmedLogged || unconfirmed.any { it.inherited }) return
         allConfirmedLogged = true
--- a/src/main/kotlin/ledgearch/core/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/core/JobDependencies.kt
@@ -26,7 +26,8 @@
  *
  * Whether a job may start is derived from the final records of the jobs that it depends on and is not stored anywhere.
  * Final records are permanent, so a release and a withdrawal are permanent too, and every node and every later leader
- * derives the same. That a job is absent from the open jobs or from a cache proves nothing: then its final record is read.
+ * derives the same. That a job is absent from the open jobs or from a cache proves nothing: then its final record is
+ * read.
  *
  * A final record may be learnt by a direct read, ahead of the watch. A leader that was deposed without knowing it may
  * therefore release a job late; that is safe since the new leader treats such a job as any other accepted before its
--- a/src/main/kotlin/ledgearch/core/Journal.kt
+++ b/src/main/kotlin/ledgearch/core/Journal.kt
@@ -16,9 +16,10 @@
 import java.util.BitSet
 
 /**
- * What the holder makes durable, in batches of one transaction at a time, each comparing the holder's own grant:
- * a transaction that is applied late, after another grant, changes nothing. Applied late under the same grant it changes
- * nothing either that was written since, as every key is compared too ([KeyStamps]; a job that closes, by its own stamp).
+ * What the holder makes durable, in batches of one transaction at a time, each comparing the holder's own grant: a
+ * transaction that is applied late, after another grant, changes nothing. Applied late under the same grant it changes
+ * nothing either that was written since, as every key is compared too ([KeyStamps]; a job that closes, by its own
+ * stamp).
  */
 internal class Journal(
     private val state: StateClient,
@@ -132,7 +133,10 @@
         progress[job.id] = job
     }
 
-    /** Not kept when it is too large: nodes that start while the cloud is out then wait for it, or know an older catalog. */
+    /**
+     * Not kept when it is too large: nodes that start while the cloud is out then wait for it, or know an older
+     * catalog.
+     */
     fun catalog(record: CatalogRecord) {
         catalog = record.takeIf { bytes(encode(CatalogRecord.serializer(), it)) <= valueBytes }
         if (catalog == null) log.warn("the catalog of {} machine types is too large to be kept", record.racks.size)
@@ -236,7 +240,8 @@
             .filter { book.jobs[it.id] !== it }
             .forEach(::forget)
         for (job in progress.values) {
-            // Until then its finished tasks stay on their machines' lists, from where the next holder would learn of them.
+            // Until then its finished tasks stay on their machines' lists, from where the next holder would learn of
+            // them.
             if (job.closing || now.steady - job.progressAt < Tuning.PROGRESS_MS) continue
             if (batch.room == 0) return
             val written = unwritten(job).take(batch.room).associateWith { job.finished.within(chunks.tasksOfChunk(it)) }
--- a/src/main/kotlin/ledgearch/core/Machine.kt
+++ b/src/main/kotlin/ledgearch/core/Machine.kt
@@ -40,7 +40,9 @@
     var heardAt = knownSince
     var answeredAt = 0L
 
-    /** Steady ms of the last report: its answer alone renews the lease, whatever direct commands reach and bring back. */
+    /**
+     * Steady ms of the last report: its answer alone renews the lease, whatever direct commands reach and bring back.
+     */
     var reportedAt = knownSince
 
     /** No report has come for longer than a worker takes for one: what is started here now may end with the lease. */
@@ -125,7 +127,10 @@
         if (p.attached) count(p, 1)
     }
 
-    /** Counts are kept as attempts come, change and go: a recount of the whole block for each report would cost too much. */
+    /**
+     * Counts are kept as attempts come, change and go: a recount of the whole block for each report would cost too
+     * much.
+     */
     fun count(
         p: Placement,
         sign: Int,
--- a/src/main/kotlin/ledgearch/core/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/core/MachineRecords.kt
@@ -12,12 +12,13 @@
  * The records that bind machines to the block, several machines in one: a record each would take longer to write than
  * the machines to boot. A machine stays in the record that it came into, and the record goes with its last machine.
  *
- * A record read may be larger than may be written by now. Once it changes it is split: its key keeps some of the machines
- * and the others get keys of their own, all in one transaction. So at no moment is a machine without a record that may have a
- * task, nor in two, which earlier versions would take for two machines. Until that transaction has gone through, every try
- * has the same keys: one that was carried out without an answer leaves none behind. Where one transaction can't hold all
- * the parts, the record is left as it is until fewer machines are left in it. It then names machines that are gone, which the
- * next holder finds out as it does of any machine that is missing, and never one too few.
+ * A record read may be larger than may be written by now. Once it changes it is split: its key keeps some of the
+ * machines and the others get keys of their own, all in one transaction. So at no moment is a machine without a record
+ * that may have a task, nor in two, which earlier versions would take for two machines. Until that transaction has gone
+ * through, every try has the same keys: one that was carried out without an answer leaves none behind. Where one
+ * transaction can't hold all the parts, the record is left as it is until fewer machines are left in it. It then names
+ * machines that are gone, which the next holder finds out as it does of any machine that is missing, and never one too
+ * few.
  */
 internal class MachineRecords(
     valueBytes: Int,
@@ -198,7 +199,9 @@
         aside: Boolean,
     ) = MachineEntry(m.name, m.endpoint, rack, m.hall, m.borrowed, aside)
 
-    /** [machines] in order, in as few pieces as records have room for; each has room for every machine to be put aside. */
+    /**
+     * [machines] in order, in as few pieces as records have room for; each has room for every machine to be put aside.
+     */
     private fun pieces(machines: Collection<Machine>): List<List<Machine>> {
         val pieces = ArrayList<ArrayList<Machine>>()
         val racks = HashSet<Rack>()
--- a/src/main/kotlin/ledgearch/core/Metrics.kt
+++ b/src/main/kotlin/ledgearch/core/Metrics.kt
@@ -125,7 +125,10 @@
     @SerialName("latency_ms") val latencyMs: Map<String, Summary>,
 )
 
-/** How the owner keeps up: time of a batch, commands left waiting after it, time between two ticks, and what its time went to. */
+/**
+ * How the owner keeps up: time of a batch, commands left waiting after it, time between two ticks, and what its time
+ * went to.
+ */
 @Serializable
 internal data class OwnerLoad(
     @SerialName("batch_us") val batchUs: Summary,
--- a/src/main/kotlin/ledgearch/core/Records.kt
+++ b/src/main/kotlin/ledgearch/core/Records.kt
@@ -68,8 +68,8 @@
 )
 
 /**
- * Who holds a block. The stamp of this record is the block's token. [over]: the token that it renews, 0 for a claim and in
- * records of earlier versions.
+ * Who holds a block. The stamp of this record is the block's token. [over]: the token that it renews, 0 for a claim and
+ * in records of earlier versions.
  */
 @Serializable
 internal data class GrantRecord(
@@ -106,7 +106,9 @@
         MachinesRecord(0, listOf(rack), listOf(MachineEntry(name, endpoint, 0, hall, borrowed, aside)))
 }
 
-/** One of them, with the place of its type among the record's. [aside]: it fails what it starts, and gets nothing new. */
+/**
+ * One of them, with the place of its type among the record's. [aside]: it fails what it starts, and gets nothing new.
+ */
 @Serializable
 internal data class MachineEntry(
     val name: String,
--- a/src/main/kotlin/ledgearch/core/Silence.kt
+++ b/src/main/kotlin/ledgearch/core/Silence.kt
@@ -55,7 +55,9 @@
         watch()
     }
 
-    /** The zone of [m] is heard again: what went unanswered before says nothing, but [m] itself is still to be heard. */
+    /**
+     * The zone of [m] is heard again: what went unanswered before says nothing, but [m] itself is still to be heard.
+     */
     private fun startAnew(m: Machine) {
         m.probesFailed = minOf(m.probesFailed, 1)
         m.probeAt = now.steady
--- a/src/main/kotlin/ledgearch/core/Teams.kt
+++ b/src/main/kotlin/ledgearch/core/Teams.kt
@@ -100,8 +100,8 @@
     }
 
     /**
-     * What of each team may run on machines that have not confirmed: tasks of its older jobs that are neither finished nor
-     * found. A job is over only once all its tasks are gone, and newer jobs were never an earlier holder's.
+     * What of each team may run on machines that have not confirmed: tasks of its older jobs that are neither finished
+     * nor found. A job is over only once all its tasks are gone, and newer jobs were never an earlier holder's.
      */
     fun countUnfound(jobs: Collection<Job>) {
         if (hiddenCpus <= Machine.ROUNDING && hiddenGpus <= Machine.ROUNDING) return
@@ -164,8 +164,8 @@
 
     /**
      * Without a task of [job] its team would still have its whole guarantee. Counted without what is already being
-     * stopped, or as good as [given] up: two teams near their guarantees would otherwise stop each other's tasks in turn
-     * for ever.
+     * stopped, or as good as [given] up: two teams near their guarantees would otherwise stop each other's tasks in
+     * turn for ever.
      */
     fun canSpare(
         job: Job,
--- a/src/main/kotlin/ledgearch/core/placement/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Deadlines.kt
@@ -6,9 +6,9 @@
 import ledgearch.core.Now
 
 /**
- * When jobs have to end so that deadlines are met: their own, and those of the jobs that depend on them. A job's end leaves
- * time for the run times still to come on the longest path to the deadline (the critical path). Results are kept while the
- * clock stands, that is for one placement pass.
+ * When jobs have to end so that deadlines are met: their own, and those of the jobs that depend on them. A job's end
+ * leaves time for the run times still to come on the longest path to the deadline (the critical path). Results are kept
+ * while the clock stands, that is for one placement pass.
  */
 internal class Deadlines(
     objectives: List<Objective>,
@@ -26,7 +26,9 @@
     private val known = HashMap<Job, List<Double>>()
     private var knownAt = Long.MIN_VALUE
 
-    /** The latest times, in wall-clock seconds and ascending, at which [job] may end; one for each deadline to be met. */
+    /**
+     * The latest times, in wall-clock seconds and ascending, at which [job] may end; one for each deadline to be met.
+     */
     fun latestEnds(job: Job): List<Double> {
         if (knownAt != now.steady) {
             knownAt = now.steady
--- a/src/main/kotlin/ledgearch/core/placement/Placer.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Placer.kt
@@ -122,8 +122,9 @@
     ) = if (held.isEmpty()) usable else usable.filter { it !in held }
 
     /**
-     * The machine held for [job]: the same as before while it will do, else the one with most room that could take it. After
-     * a while it is let go for a moment, since what runs there may go on for long and others wait beside its room.
+     * The machine held for [job]: the same as before while it will do, else the one with most room that could take it.
+     * After a while it is let go for a moment, since what runs there may go on for long and others wait beside its
+     * room.
      */
     private fun hold(
         job: Job,
@@ -242,7 +243,8 @@
     ) {
         var open = usable.count { it.queue.band != Band.OVERLOADED }
         val preferred = lists ?: PreferredLists(machines.values.filter { it.inService }).also { lists = it }
-        // Where the homes and buddies of one job's tasks are overloaded, others for the same machines wait for the next pass.
+        // Where the homes and buddies of one job's tasks are overloaded, others for the same machines wait for the next
+        // pass.
         val full = HashSet<List<Any?>>()
         for (job in waiting) {
             if (open == 0) return
--- a/src/main/kotlin/ledgearch/core/placement/Preemption.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Preemption.kt
@@ -68,9 +68,9 @@
     )
 
     /**
-     * [waiting]: jobs in serving order that found no room; [usable]: machines that may serve them; [running]: jobs with tasks
-     * on machines, of which it is asked whether anything may be stopped before each machine is; [freesASecond]: processors
-     * that running tasks free. Where that much frees soon, nothing is stopped for a job that has just come.
+     * [waiting]: jobs in serving order that found no room; [usable]: machines that may serve them; [running]: jobs with
+     * tasks on machines, of which it is asked whether anything may be stopped before each machine is; [freesASecond]:
+     * processors that running tasks free. Where that much frees soon, nothing is stopped for a job that has just come.
      */
     fun pass(
         waiting: List<Job>,
@@ -296,7 +296,10 @@
         return if (enough) all else null
     }
 
-    /** What is stopped must come after [job] in serving order: else it would be started again and stopped again for ever. */
+    /**
+     * What is stopped must come after [job] in serving order: else it would be started again and stopped again for
+     * ever.
+     */
     private fun mayStop(
         job: Job,
         guaranteed: Boolean,
--- a/src/main/kotlin/ledgearch/core/placement/Ranking.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Ranking.kt
@@ -38,8 +38,9 @@
             .minOrNull()
 
     /**
-     * Work within a guarantee claims room from other teams' surplus only once half the time in which it is to start, less
-     * what its image takes, is over: it is served before all else of its urgency, and mostly enough frees by itself.
+     * Work within a guarantee claims room from other teams' surplus only once half the time in which it is to start,
+     * less what its image takes, is over: it is served before all else of its urgency, and mostly enough frees by
+     * itself.
      */
     fun claims(job: Job): Boolean {
         val within = guaranteeWithin ?: return true
--- a/src/main/kotlin/ledgearch/core/placement/Reliability.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Reliability.kt
@@ -61,10 +61,10 @@
     private val exposed = HashSet<Job>()
 
     /**
-     * Chooses the risky jobs that are to keep to ordinary machines, of which [reserved] processors are left to work that
-     * may go nowhere else. A job that is half on spot machines loses tasks nearly as often as one that is there as a
-     * whole, so a share of each would help none: jobs are taken whole, first those that gain most by what they take up.
-     * One that would meet its aims all the same gains nothing.
+     * Chooses the risky jobs that are to keep to ordinary machines, of which [reserved] processors are left to work
+     * that may go nowhere else. A job that is half on spot machines loses tasks nearly as often as one that is there as
+     * a whole, so a share of each would help none: jobs are taken whole, first those that gain most by what they take
+     * up. One that would meet its aims all the same gains nothing.
      */
     fun shelter(
         jobs: Collection<Job>,
--- a/src/main/kotlin/ledgearch/fleet/Fleet.kt
+++ b/src/main/kotlin/ledgearch/fleet/Fleet.kt
@@ -132,8 +132,8 @@
 
     fun drive(holder: Holder) {
         driveList(holder)
-        // A holder that is cut off with its zone misses all other machines. What it asks for then may be carried out when
-        // the cut is over: hundreds of machines given back that serve the next holder, and hundreds rented.
+        // A holder that is cut off with its zone misses all other machines. What it asks for then may be carried out
+        // when the cut is over: hundreds of machines given back that serve the next holder, and hundreds rented.
         if (!election().sure) return
         driveRelease(holder)
         if (now.steady < planAt) return
@@ -222,7 +222,10 @@
         }
     }
 
-    /** A machine that is up but whose worker reaches no controller is of no use, and nobody waits for it as for one that boots. */
+    /**
+     * A machine that is up but whose worker reaches no controller is of no use, and nobody waits for it as for one that
+     * boots.
+     */
     private fun unheard(
         holder: Holder,
         stove: ListedStove,
@@ -342,8 +345,8 @@
     ) = holder.isCutOff(b.pool.hall) && unheard[name].let { it != null && now.steady - it < Tuning.CUT_ZONE_MS }
 
     /**
-     * No machine is left in the zone that would tell when it is heard again: one is rented, for work that can go nowhere
-     * else.
+     * No machine is left in the zone that would tell when it is heard again: one is rented, for work that can go
+     * nowhere else.
      */
     private fun mayScout(
         holder: Holder,
--- a/src/main/kotlin/ledgearch/http/Connections.kt
+++ b/src/main/kotlin/ledgearch/http/Connections.kt
@@ -11,8 +11,8 @@
 }
 
 /**
- * The connections open at one time. When they are as many as there may be, one that is not in use makes room: sockets run
- * out as hundreds of workers come at once, while users and the dead still hold theirs.
+ * The connections open at one time. When they are as many as there may be, one that is not in use makes room: sockets
+ * run out as hundreds of workers come at once, while users and the dead still hold theirs.
  */
 internal class Connections(
     private val most: Int,
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -96,7 +96,9 @@
         makeRoom()
     }
 
-    /** Hundreds of workers are called now and then: without a bound their unused connections use up the sockets allowed. */
+    /**
+     * Hundreds of workers are called now and then: without a bound their unused connections use up the sockets allowed.
+     */
     private fun makeRoom() {
         while (open > maxOpen && idleCount > 0) closeOldest()
     }
--- a/src/main/kotlin/ledgearch/http/HttpServer.kt
+++ b/src/main/kotlin/ledgearch/http/HttpServer.kt
@@ -14,9 +14,9 @@
 import java.nio.channels.AsynchronousSocketChannel
 
 /**
- * Serves HTTP/1.1 on one address: one coroutine a connection, at most [maxConnections] of them. With that many open, the
- * one unused longest is closed for the next; those whose last request [isKept] only once unused for [staleMs]. Where none
- * can be closed no further one is accepted, so the kernel's small queue holds callers back.
+ * Serves HTTP/1.1 on one address: one coroutine a connection, at most [maxConnections] of them. With that many open,
+ * the one unused longest is closed for the next; those whose last request [isKept] only once unused for [staleMs].
+ * Where none can be closed no further one is accepted, so the kernel's small queue holds callers back.
  */
 internal class HttpServer(
     private val scope: CoroutineScope,
--- a/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
+++ b/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
@@ -31,9 +31,9 @@
 }
 
 /**
- * Finds out whether awaited jobs were accepted. That a job was accepted never changes, so any evidence of it counts. That it
- * was not needs a reading: a job moves from its open record to its final one in one transaction, so a job whose open record
- * and then whose final record are absent had not been accepted when the first was read.
+ * Finds out whether awaited jobs were accepted. That a job was accepted never changes, so any evidence of it counts.
+ * That it was not needs a reading: a job moves from its open record to its final one in one transaction, so a job whose
+ * open record and then whose final record are absent had not been accepted when the first was read.
  */
 internal class AwaitedJobs(
     private val book: Book,
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -36,9 +36,9 @@
 }
 
 /**
- * The users' side, on every node. One rule holds for every answer: all it rests on was read from the state service after
- * the question came, or is final. Submissions go there in batches; a poll for an unfinished job is answered only after
- * a transaction that compares the stamps of all polled jobs at once has confirmed what this node knows.
+ * The users' side, on every node. One rule holds for every answer: all it rests on was read from the state service
+ * after the question came, or is final. Submissions go there in batches; a poll for an unfinished job is answered only
+ * after a transaction that compares the stamps of all polled jobs at once has confirmed what this node knows.
  */
 internal class Intake(
     private val settings: Settings,
@@ -222,7 +222,10 @@
         }
     }
 
-    /** A job accepted earlier stays accepted, whatever its body or the catalog says now: only one never accepted is refused. */
+    /**
+     * A job accepted earlier stays accepted, whatever its body or the catalog says now: only one never accepted is
+     * refused.
+     */
     private fun refuse(
         id: String,
         status: Int,
@@ -459,8 +462,9 @@
     private fun isFresh() = now.steady - book.completeAt < freshMs
 
     /**
-     * Whether a user may be told that [job] is open. One that waits for others may be withdrawn with them without having been
-     * looked at itself, so all that it waits for has to be known here, and known to be open a short while ago.
+     * Whether a user may be told that [job] is open. One that waits for others may be withdrawn with them without
+     * having been looked at itself, so all that it waits for has to be known here, and known to be open a short while
+     * ago.
      */
     private fun mayTellOpen(job: Job) =
         !job.waitsForOthers || (!job.dependencyWithdrawn && isFresh() && book.dependencies.areKnown(job))
@@ -468,7 +472,8 @@
     private fun flushPolls() {
         if (confirming || polls.isEmpty() || now.steady < confirmRetryAt) return
         val batch = ArrayList<Poll>()
-        // Withdrawn with another job, and its final record about to be written; or too little is known of what it waits for.
+        // Withdrawn with another job, and its final record about to be written; or too little is known of what it waits
+        // for.
         val heldBack = ArrayList<Poll>()
         val conditions = LinkedHashMap<String, Long>()
         while (polls.isNotEmpty() && conditions.size + 2 <= state.maxConditions) {
@@ -558,8 +563,8 @@
     }
 
     /**
-     * Reads the open record first, then the final one, since a job moves only that way: where both are absent it had not
-     * been accepted at the first reading. A final record is the answer, and so is a state service that gives none.
+     * Reads the open record first, then the final one, since a job moves only that way: where both are absent it had
+     * not been accepted at the first reading. A final record is the answer, and so is a state service that gives none.
      */
     private fun read(
         id: String,
--- a/src/main/kotlin/ledgearch/leader/Election.kt
+++ b/src/main/kotlin/ledgearch/leader/Election.kt
@@ -177,8 +177,8 @@
 
     /**
      * [grant], made at [stamp], is this life's own: a renewed token whose transaction was answered too late. It was
-     * written over the token held till then, so nobody else had the block in between. A claim of this life that is carried
-     * out late says no such thing.
+     * written over the token held till then, so nobody else had the block in between. A claim of this life that is
+     * carried out late says no such thing.
      */
     private fun renewed(
         grant: GrantRecord?,
@@ -221,7 +221,10 @@
         }
     }
 
-    /** The key is at another stamp than the token: this holder's own by a renewal that nobody answered for, or another's. */
+    /**
+     * The key is at another stamp than the token: this holder's own by a renewal that nobody answered for, or
+     * another's.
+     */
     private fun compareGrant() {
         val old = token
         state.get(Keys.grant(0), Lane.VITAL) { read ->
--- a/src/main/kotlin/ledgearch/mesh/Frames.kt
+++ b/src/main/kotlin/ledgearch/mesh/Frames.kt
@@ -18,8 +18,9 @@
 
 /**
  * What the holder tells the other controllers. No rule depends on it, and nothing in it is durable. A frame is a length
- * (4 bytes) and that many bytes: repeatedly a job's id (length, UTF-8) and two counts. An entry with an empty id is no job:
- * its first count tells whether the state service answers the holder. Versions that don't know it find no such job.
+ * (4 bytes) and that many bytes: repeatedly a job's id (length, UTF-8) and two counts. An entry with an empty id is no
+ * job: its first count tells whether the state service answers the holder. Versions that don't know it find no such
+ * job.
  */
 internal object Frames {
     fun encode(news: HolderNews): ByteString {
--- a/src/main/kotlin/ledgearch/state/StateClient.kt
+++ b/src/main/kotlin/ledgearch/state/StateClient.kt
@@ -112,8 +112,9 @@
     }
 
     /**
-     * A request with so many changes got 429. The limits are lowered without notice, so this is the sign of it where a lower
-     * one can be the reason; the lower rates then hold as long as the process lives. Taken in error, they only cost time.
+     * A request with so many changes got 429. The limits are lowered without notice, so this is the sign of it where a
+     * lower one can be the reason; the lower rates then hold as long as the process lives. Taken in error, they only
+     * cost time.
      */
     private fun overRate(changes: Int) {
         pausedUntil = now.steady + Tuning.STATE_RETRY_MS
@@ -269,7 +270,8 @@
                     next.done(Reply(429, ""))
                     continue
                 }
-                // It has just refused: whoever waits on this is told at once, and the budget is left to what finds out its end.
+                // It has just refused: whoever waits on this is told at once, and the budget is left to what finds out
+                // its end.
                 if (lane != Lane.VITAL && refuses && now.steady < refusedUntil) {
                     queue.removeFirst()
                     next.done(Reply(503, ""))
--- a/src/test/kotlin/ledgearch/FramesTest.kt
+++ b/src/test/kotlin/ledgearch/FramesTest.kt
@@ -26,7 +26,9 @@
         }
     }
 
-    /** Written by the version before holders told whether the state service answers them: `job-7`, 3 done, 2 running. */
+    /**
+     * Written by the version before holders told whether the state service answers them: `job-7`, 3 done, 2 running.
+     */
     @Test
     fun `an earlier version's frame is read`() {
         val news = read("0000000e056a6f622d370000000300000002".decodeHex())
--- a/src/test/kotlin/ledgearch/MessageTest.kt
+++ b/src/test/kotlin/ledgearch/MessageTest.kt
@@ -10,8 +10,8 @@
 import kotlin.random.Random
 
 /**
- * The parser against `messages.txt`: each line holds what must come of a message, a bar, and the message, with `\r`
- * and `\n` written out and `*N` after a character for N of it. Every message is read whole and cut in two at every place.
+ * The parser against `messages.txt`: each line holds what must come of a message, a bar, and the message, with `\r` and
+ * `\n` written out and `*N` after a character for N of it. Every message is read whole and cut in two at every place.
  */
 internal class MessageTest {
     @TestFactory
--- a/src/test/kotlin/ledgearch/PlatformSettingsTest.kt
+++ b/src/test/kotlin/ledgearch/PlatformSettingsTest.kt
@@ -75,7 +75,8 @@
                 "members":[{"node":"stall-1","area":"b","addr":"10.0.0.2:8081"}],
                 "outside":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
                 "deployment":{"zones":["a","b"],"teams":[{"name":"red","cpus":7500,"cpus_max":22500}],
-                "workers":{"report_s":5,"lease_s":27,"cancel_s":52},"state":{"rps":200,"write_rps":80,"value_kb":16,"txn_ops":24},
+                "workers":{"report_s":5,"lease_s":27,"cancel_s":52},
+                "state":{"rps":200,"write_rps":80,"value_kb":16,"txn_ops":24},
                 "cloud":{"rps":5,"list_lag_s":3},"quota":{"cpu":0.391,"memory_mb":311,"fd_limit":2726}}}""",
                 ).jsonObject
     }
--- a/src/test/kotlin/ledgearch/world/DependencyRules.kt
+++ b/src/test/kotlin/ledgearch/world/DependencyRules.kt
@@ -105,7 +105,9 @@
         }
     }
 
-    /** For the first time a user was told that [job] is done: that it was asked to be cancelled is no reason any more. */
+    /**
+     * For the first time a user was told that [job] is done: that it was asked to be cancelled is no reason any more.
+     */
     fun toldDone(job: String) {
         if (!rules.isCancelled(job)) return
         for (dependent in dependentsOf(job)) {
@@ -117,7 +119,9 @@
         }
     }
 
-    /** A submission asked at [askedAt] was refused: not for the jobs that it awaits, if all were called accepted before. */
+    /**
+     * A submission asked at [askedAt] was refused: not for the jobs that it awaits, if all were called accepted before.
+     */
     fun refused(
         job: String,
         status: Int,
--- a/src/test/kotlin/ledgearch/world/Pipelines.kt
+++ b/src/test/kotlin/ledgearch/world/Pipelines.kt
@@ -4,7 +4,9 @@
 internal object Pipelines {
     private const val PREVIOUS = "awaits=previous"
 
-    /** The words of the job at [index] of a row numbered from [first]: `awaits=previous` names the one before, if any. */
+    /**
+     * The words of the job at [index] of a row numbered from [first]: `awaits=previous` names the one before, if any.
+     */
     fun ofChain(
         words: List<String>,
         first: Int,
@@ -17,8 +19,8 @@
         }
 
     /**
-     * One job, [middle] jobs that await it, and an urgent one that awaits these; all else is best effort. The pipeline is
-     * the one at [index] of a row numbered from [first].
+     * One job, [middle] jobs that await it, and an urgent one that awaits these; all else is best effort. The pipeline
+     * is the one at [index] of a row numbered from [first].
      */
     fun diamond(
         first: Int,
--- a/src/test/kotlin/ledgearch/world/Rules.kt
+++ b/src/test/kotlin/ledgearch/world/Rules.kt
@@ -199,8 +199,8 @@
     }
 
     /**
-     * An answer to a question asked at [askedAt]. Questions at several controllers cross each other on their way, so an answer
-     * is old if another was there before its question was asked.
+     * An answer to a question asked at [askedAt]. Questions at several controllers cross each other on their way, so an
+     * answer is old if another was there before its question was asked.
      */
     fun told(
         job: String,
@@ -253,7 +253,10 @@
     private val waitingSince = HashMap<String, Long>()
     private val starved = HashSet<String>()
 
-    /** From now on no trouble is left: nobody waits long beside a machine that fits and has room, its team under its limit. */
+    /**
+     * From now on no trouble is left: nobody waits long beside a machine that fits and has room, its team under its
+     * limit.
+     */
     fun watchWaiting() {
         val free =
             world.workers.values
--- a/src/test/kotlin/ledgearch/world/Scenario.kt
+++ b/src/test/kotlin/ledgearch/world/Scenario.kt
@@ -114,7 +114,8 @@
                 )
             }
 
-            // submit-many COUNT EVERY-MS ...: jobs numbered from 1000; with awaits=previous, each awaits the one before.
+            // submit-many COUNT EVERY-MS ...: jobs numbered from 1000; with awaits=previous, each awaits the one
+            // before.
             "submit-many" -> {
                 repeat(w[1].toInt()) { i ->
                     world.clock.after(i * w[2].toLong()) {
@@ -248,7 +249,8 @@
                 )
             }
 
-            // slow A B until S MS [oneway]: messages between them, or only from the first to the second, take so much longer.
+            // slow A B until S MS [oneway]: messages between them, or only from the first to the second, take so much
+            // longer.
             "slow" -> {
                 world.slow(
                     pattern(world, w[1]),
@@ -577,7 +579,8 @@
                     .let { check("keys ${w[2]} ${w[3]}", it, it == w[3].toInt()) }
             }
 
-            // too-large COUNT, too-many COUNT: transactions refused for their size; requests refused for their rate, at most.
+            // too-large COUNT, too-many COUNT: transactions refused for their size; requests refused for their rate, at
+            // most.
             "too-large" -> {
                 world.state.tooLarge.let { check("too large ${w[2]}", it, it == w[2].toInt()) }
             }
@@ -633,7 +636,8 @@
                 }
             }
 
-            // Every accepted job is done, or its replicas all run; where a user asked for its end, or for that of a job that it needs, it may be withdrawn.
+            // Every accepted job is done, or its replicas all run; where a user asked for its end, or for that of a job
+            // that it needs, it may be withdrawn.
             "everyone-served" -> {
                 world.rules.everyoneAccepted.forEach { job ->
                     expectState(
@@ -645,7 +649,8 @@
                 }
             }
 
-            // withdrawn-everywhere FIRST COUNT: every controller calls each of so many jobs numbered from there withdrawn.
+            // withdrawn-everywhere FIRST COUNT: every controller calls each of so many jobs numbered from there
+            // withdrawn.
             "withdrawn-everywhere" -> {
                 repeat(w[3].toInt()) { i ->
                     val job = "job-${w[2].toInt() + i}"
--- a/src/test/kotlin/ledgearch/world/StateStandIn.kt
+++ b/src/test/kotlin/ledgearch/world/StateStandIn.kt
@@ -63,7 +63,10 @@
     /** Share of the transactions that write which are carried out at once and get no answer. */
     var unansweredShare = 0.0
 
-    /** Transactions that change a key with this prefix get no answer until [lateUntil], and are carried out [lateMs] later. */
+    /**
+     * Transactions that change a key with this prefix get no answer until [lateUntil], and are carried out [lateMs]
+     * later.
+     */
     private var latePrefix = ""
     private var lateMs = 0L
     private var lateUntil = 0L
--- a/src/test/kotlin/ledgearch/world/Troubles.kt
+++ b/src/test/kotlin/ledgearch/world/Troubles.kt
@@ -1,6 +1,9 @@
 package ledgearch.world
 
-/** Troubles drawn two or three together, so that those meet which no list has side by side. All are over a while after the last draw. */
+/**
+ * Troubles drawn two or three together, so that those meet which no list has side by side. All are over a while after
+ * the last draw.
+ */
 internal class Troubles(
     private val world: World,
     private val withChains: Boolean = false,
--- a/src/test/kotlin/ledgearch/world/Users.kt
+++ b/src/test/kotlin/ledgearch/world/Users.kt
@@ -13,7 +13,9 @@
     private val clock get() = world.clock
     private val rules get() = world.rules
 
-    /** Share of the accepted, ended and cancelled jobs about which all controllers are asked at once, again and again. */
+    /**
+     * Share of the accepted, ended and cancelled jobs about which all controllers are asked at once, again and again.
+     */
     var closeLooks = 0.0
 
     /** Share of the jobs that end which are cancelled at that moment. */
@@ -115,7 +117,10 @@
         if (closeLooks > 0 && world.random.nextDouble() < closeLooks) look(job, LOOK_MS)
     }
 
-    /** For so long all controllers are asked about [job] every few ms, and some of the questions are repeated submissions. */
+    /**
+     * For so long all controllers are asked about [job] every few ms, and some of the questions are repeated
+     * submissions.
+     */
     fun look(
         job: String,
         forMs: Long,
@@ -169,7 +174,10 @@
         }
     }
 
-    /** [count] jobs that run are cancelled within a fifth of a second; with [hangMs], some of their machines hang so long. */
+    /**
+     * [count] jobs that run are cancelled within a fifth of a second; with [hangMs], some of their machines hang so
+     * long.
+     */
     fun cancelNow(
         count: Int,
         hangMs: Long,
--- a/src/test/kotlin/ledgearch/world/World.kt
+++ b/src/test/kotlin/ledgearch/world/World.kt
@@ -232,7 +232,10 @@
                 if (address != null) look(address)
             }
 
-            /** A dead process refuses connections, as does one without free sockets; one that can't be reached is silent. */
+            /**
+             * A dead process refuses connections, as does one without free sockets; one that can't be reached is
+             * silent.
+             */
             private fun look(address: String) {
                 if (mine != life || followed != address) return
                 val peer = nodes.first { it.name == address.substringBefore(':') }
@@ -348,7 +351,9 @@
         clock.at(until) { unreporting.removeAll(names.toSet()) }
     }
 
-    /** Share of the workers' reports of which a copy is kept, and reaches every controller when the next grant is made. */
+    /**
+     * Share of the workers' reports of which a copy is kept, and reaches every controller when the next grant is made.
+     */
     var keptShare = 0.0
     private val keptReports = ArrayDeque<String>()
 
@@ -381,7 +386,9 @@
         look()
     }
 
-    /** Machines whose reports arrive though the answers to them are lost; direct commands reach them and are answered. */
+    /**
+     * Machines whose reports arrive though the answers to them are lost; direct commands reach them and are answered.
+     */
     val unanswered = HashSet<String>()
 
     /** A report; a copy of it may come late, whose answer reaches nobody. */
