--- a/src/test/kotlin/ledgearch/world/Scenario.kt
+++ b/src/test/kotlin/ledgearch/world/Scenario.kt
@@ -1,12 +1,17 @@
 package ledgearch.world
 
-import kotlinx.serialization.json.JsonObject
 import ledgearch.Tuning
 import ledgearch.config.NextStateLimits
 import ledgearch.config.OperatorSettings
 import ledgearch.config.StateLimits
 import ledgearch.wire.WorkRequest
-import ledgearch.wire.WorkStates
+
+/** One line of a scenario: at [at] ms, the step that its [words] name. */
+internal class Step(
+    val line: Int,
+    val at: Long,
+    val words: List<String>,
+)
 
 /**
  * A scenario in a text file. A line is a time in seconds, a step and its words; `#` begins a comment. Steps of the
@@ -16,12 +21,6 @@
     text: String,
     private val seed: Long? = null,
 ) {
-    private class Step(
-        val line: Int,
-        val at: Long,
-        val words: List<String>,
-    )
-
     private val steps = ArrayList<Step>()
     private val options = HashMap<String, String>()
     private val failures = ArrayList<String>()
@@ -84,24 +83,29 @@
         return failures + world.rules.violations
     }
 
-    private fun act(
+    private fun Step.seconds(i: Int) = (words[i].toDouble() * 1000).toLong()
+
+    /** A controller's name: as it is written, or that of the holder. */
+    private fun Step.node(
         world: World,
-        step: Step,
-    ) = act(world, step, step.words)
+        i: Int,
+    ) = if (words[i] == "holder") holder(world) else words[i]
 
+    /** Carries out a step: here expectations, submissions and withdrawals; each further kind has its own function. */
     private fun act(
         world: World,
         step: Step,
-        w: List<String>,
     ) {
-        fun seconds(i: Int) = (w[i].toDouble() * 1000).toLong()
-
-        fun named(i: Int) = if (w[i] == "holder") holder(world) else w[i]
+        val w = step.words
         when (w[0]) {
+            "expect" -> {
+                Expectations(world, step, failures).check()
+            }
+
             // submit JOB WORDS: with at=NODE, at that controller.
             "submit" -> {
                 world.users.submit(
-                    spec(w.drop(1)),
+                    requestOf(w.drop(1)),
                     w.firstOrNull { it.startsWith("at=") }?.substringAfter('=')?.let {
                         if (it ==
                             "holder"
@@ -120,12 +124,48 @@
                 repeat(w[1].toInt()) { i ->
                     world.clock.after(i * w[2].toLong()) {
                         world.submit(
-                            spec(listOf("job-${FIRST_OF_MANY + i}") + Pipelines.ofChain(w.drop(3), FIRST_OF_MANY, i)),
+                            requestOf(
+                                listOf("job-${FIRST_OF_MANY + i}") + Pipelines.ofChain(w.drop(3), FIRST_OF_MANY, i),
+                            ),
                         )
                     }
                 }
             }
 
+            // submit-odd JOB JSON: a job that can't run or lacks a field, with no spaces; it must never be accepted.
+            "submit-odd" -> {
+                world.rules.submittedOdd(w[1])
+                val askedAt = world.clock.now
+                world.ask("POST", "/work", w[2]) { world.rules.submitAnswered(w[1], it.status, null, askedAt) }
+            }
+
+            // withdraw JOB [at NODE]
+            "withdraw" -> {
+                world.users.withdraw(w[1], w.getOrNull(3)?.let { step.node(world, 3) })
+            }
+
+            // withdraw-many COUNT EVERY-MS STEP: every so manieth of the jobs numbered from 1000.
+            "withdraw-many" -> {
+                repeat(w[1].toInt()) { i ->
+                    world.clock.after(i * w[2].toLong()) {
+                        world.withdraw("job-${FIRST_OF_MANY + i * w[3].toInt()}")
+                    }
+                }
+            }
+
+            else -> {
+                actOnLoad(world, step)
+            }
+        }
+    }
+
+    /** Questions, cancellations and troubles in numbers. */
+    private fun actOnLoad(
+        world: World,
+        step: Step,
+    ) {
+        val w = step.words
+        when (w[0]) {
             // pipelines COUNT EVERY-MS MIDDLE ...: numbered from 5000, each of MIDDLE + 2 jobs.
             "pipelines" -> {
                 repeat(w[1].toInt()) { i ->
@@ -136,7 +176,7 @@
                                 i,
                                 w[3].toInt(),
                                 w.drop(4),
-                            ).forEach { world.submit(spec(it)) }
+                            ).forEach { world.submit(requestOf(it)) }
                     }
                 }
             }
@@ -144,7 +184,7 @@
             // when JOB accepted|ended|withdrawn after S STEP ...: so long after that was first so.
             "when" -> {
                 world.rules.moments.await(w[1], Moments.Kind.valueOf(w[2].uppercase())) {
-                    world.clock.after(seconds(4)) { act(world, step, w.drop(5)) }
+                    world.clock.after(step.seconds(4)) { act(world, Step(step.line, step.at, w.drop(5))) }
                 }
             }
 
@@ -157,30 +197,9 @@
                 }
             }
 
-            // submit-odd JOB JSON: a job that can't run or lacks a field, with no spaces; it must never be accepted.
-            "submit-odd" -> {
-                world.rules.submittedOdd(w[1])
-                val askedAt = world.clock.now
-                world.ask("POST", "/work", w[2]) { world.rules.submitAnswered(w[1], it.status, null, askedAt) }
-            }
-
-            // withdraw JOB [at NODE]
-            "withdraw" -> {
-                world.users.withdraw(w[1], w.getOrNull(3)?.let { named(3) })
-            }
-
-            // withdraw-many COUNT EVERY-MS STEP: every so manieth of the jobs numbered from 1000.
-            "withdraw-many" -> {
-                repeat(w[1].toInt()) { i ->
-                    world.clock.after(i * w[2].toLong()) {
-                        world.withdraw("job-${FIRST_OF_MANY + i * w[3].toInt()}")
-                    }
-                }
-            }
-
             // look JOB for S: all controllers are asked again and again within milliseconds, submissions repeated.
             "look" -> {
-                world.users.look(w[1], seconds(3))
+                world.users.look(w[1], step.seconds(3))
             }
 
             "close-looks" -> {
@@ -193,7 +212,7 @@
 
             // cancel-now COUNT [hang S]: of those that run; some of their machines hang so long.
             "cancel-now" -> {
-                world.users.cancelNow(w[1].toInt(), w.getOrNull(3)?.let { seconds(3) } ?: 0L)
+                world.users.cancelNow(w[1].toInt(), w.getOrNull(3)?.let { step.seconds(3) } ?: 0L)
             }
 
             // calm: no trouble is left, and nobody may wait long beside fitting room.
@@ -203,11 +222,24 @@
 
             // pairs COUNT every S [with-chains]: so many times two or three troubles drawn together.
             "pairs" -> {
-                Troubles(world, w.getOrNull(4) == "with-chains").draw(w[1].toInt(), seconds(3))
+                Troubles(world, w.getOrNull(4) == "with-chains").draw(w[1].toInt(), step.seconds(3))
             }
 
+            else -> {
+                actOnControllers(world, step)
+            }
+        }
+    }
+
+    /** Processes of controllers that end, start and freeze. */
+    private fun actOnControllers(
+        world: World,
+        step: Step,
+    ) {
+        val w = step.words
+        when (w[0]) {
             "crash" -> {
-                world.nodes.first { it.name == named(1) }.crash()
+                world.nodes.first { it.name == step.node(world, 1) }.crash()
             }
 
             "crash-all" -> {
@@ -222,13 +254,38 @@
                 world.nodes.forEach { if (!it.up) it.start() }
             }
 
+            // back NODE after S: its process ends, and is there again a moment later.
+            "back" -> {
+                world.nodes.first { it.name == step.node(world, 1) }.let { node ->
+                    node.crash()
+                    world.clock.after(step.seconds(3)) { if (!node.up) node.start() }
+                }
+            }
+
+            "freeze" -> {
+                world.nodes.first { it.name == step.node(world, 1) }.freeze(step.seconds(3))
+            }
+
+            else -> {
+                actOnNetwork(world, step)
+            }
+        }
+    }
+
+    /** Messages that are lost, late or repeated. */
+    private fun actOnNetwork(
+        world: World,
+        step: Step,
+    ) {
+        val w = step.words
+        when (w[0]) {
             "cut" -> {
-                world.cut(named(1), w[2], seconds(4), w[5] == "hold")
+                world.cut(step.node(world, 1), w[2], step.seconds(4), w[5] == "hold")
             }
 
             // deaf MACHINE until S: its reports arrive, but nothing reaches it.
             "deaf" -> {
-                world.cut("nodes", host(world, w[1]), seconds(3), hold = false, oneWay = true)
+                world.cut("nodes", host(world, w[1]), step.seconds(3), hold = false, oneWay = true)
             }
 
             // uncommanded MACHINE: answers to its reports reach it, direct commands do not.
@@ -245,7 +302,7 @@
             "mute" -> {
                 world.mute(
                     w[1].toIntOrNull()?.let { world.cloud.names.take(it) } ?: listOf(host(world, w[1])),
-                    seconds(3),
+                    step.seconds(3),
                 )
             }
 
@@ -255,7 +312,7 @@
                 world.slow(
                     pattern(world, w[1]),
                     pattern(world, w[2]),
-                    seconds(4),
+                    step.seconds(4),
                     w[5].toLong(),
                     w.getOrNull(6) == "oneway",
                 )
@@ -274,21 +331,30 @@
             // copies SHARE within S: of that share of reports from now on a copy comes up to so much later.
             "copies" -> {
                 world.copied = w[1].toDouble()
-                world.copyDelayMs = seconds(3)
+                world.copyDelayMs = step.seconds(3)
             }
 
-            // back NODE after S: its process ends, and is there again a moment later.
-            "back" -> {
-                world.nodes.first { it.name == named(1) }.let { node ->
-                    node.crash()
-                    world.clock.after(seconds(3)) { if (!node.up) node.start() }
+            // busy NODE until S: it refuses connections of other controllers.
+            "busy" -> {
+                world.nodes.first { it.name == step.node(world, 1) }.let { node ->
+                    node.refusing = true
+                    world.clock.at(step.seconds(3)) { node.refusing = false }
                 }
             }
 
-            "freeze" -> {
-                world.nodes.first { it.name == named(1) }.freeze(seconds(3))
+            else -> {
+                actOnState(world, step)
             }
+        }
+    }
 
+    /** The state service. */
+    private fun actOnState(
+        world: World,
+        step: Step,
+    ) {
+        val w = step.words
+        when (w[0]) {
             // write KEY JSON: with no spaces.
             "write" -> {
                 world.state.write(w[1], w[2])
@@ -296,29 +362,29 @@
 
             // refuse NODE until S: the state service refuses this controller alone.
             "refuse" -> {
-                world.state.refuse(named(1), seconds(3))
+                world.state.refuse(step.node(world, 1), step.seconds(3))
             }
 
             // late-writes SHARE until S: no answer, and carried out 2 to 12 s later.
             "late-writes" -> {
                 world.state.lateShare = w[1].toDouble()
-                world.clock.at(seconds(3)) { world.state.lateShare = 0.0 }
+                world.clock.at(step.seconds(3)) { world.state.lateShare = 0.0 }
             }
 
             // unanswered-writes SHARE until S: carried out at once, only the answer is lost.
             "unanswered-writes" -> {
                 world.state.unansweredShare = w[1].toDouble()
-                world.clock.at(seconds(3)) { world.state.unansweredShare = 0.0 }
+                world.clock.at(step.seconds(3)) { world.state.unansweredShare = 0.0 }
             }
 
             // late-under PREFIX by S until S: what changes such a key gets no answer, and is carried out so much later.
             "late-under" -> {
-                world.state.late(w[1], seconds(3), seconds(5))
+                world.state.late(w[1], step.seconds(3), step.seconds(5))
             }
 
             // blind NODE until S: what its watches would tell is lost.
             "blind" -> {
-                world.state.blind(named(1), seconds(3))
+                world.state.blind(step.node(world, 1), step.seconds(3))
             }
 
             // forget-changes: the state service no longer tells those so far to watches.
@@ -326,17 +392,22 @@
                 world.state.forgetChanges()
             }
 
-            // busy NODE until S: it refuses connections of other controllers.
-            "busy" -> {
-                world.nodes.first { it.name == named(1) }.let { node ->
-                    node.refusing = true
-                    world.clock.at(seconds(3)) { node.refusing = false }
-                }
+            "state-down" -> {
+                world.state.outage(true)
             }
 
-            // boot MS: so long machines take to come up.
-            "boot" -> {
-                world.cloud.bootMs = w[1].toLong()
+            "state-up" -> {
+                world.state.outage(false)
+            }
+
+            // state-slow MS: transactions that write are carried out at once and answered so much later.
+            "state-slow" -> {
+                world.state.slowMs = w[1].toLong()
+            }
+
+            // compare-slow MS: those that only compare are.
+            "compare-slow" -> {
+                world.state.slowCompareMs = w[1].toLong()
             }
 
             // next LIMITS: the settings of controllers that start from now on announce them.
@@ -358,22 +429,22 @@
                 )
             }
 
-            "state-down" -> {
-                world.state.outage(true)
-            }
-
-            "state-up" -> {
-                world.state.outage(false)
-            }
-
-            // state-slow MS: transactions that write are carried out at once and answered so much later.
-            "state-slow" -> {
-                world.state.slowMs = w[1].toLong()
+            else -> {
+                actOnCloud(world, step)
             }
+        }
+    }
 
-            // compare-slow MS: those that only compare are.
-            "compare-slow" -> {
-                world.state.slowCompareMs = w[1].toLong()
+    /** The cloud: how machines come and go. */
+    private fun actOnCloud(
+        world: World,
+        step: Step,
+    ) {
+        val w = step.words
+        when (w[0]) {
+            // boot MS: so long machines take to come up.
+            "boot" -> {
+                world.cloud.bootMs = w[1].toLong()
             }
 
             "cloud-down" -> {
@@ -388,6 +459,37 @@
                 world.cloud.bootsNever = w[1].toInt()
             }
 
+            "take" -> {
+                world.vanish(host(world, w[1]))
+            }
+
+            // take-many COUNT: the first ones, without a word.
+            "take-many" -> {
+                world.cloud.names
+                    .take(w[1].toInt())
+                    .forEach(world::vanish)
+            }
+
+            "take-last" -> {
+                world.cloud.names
+                    .toList()
+                    .takeLast(w[1].toInt())
+                    .forEach(world::vanish)
+            }
+
+            else -> {
+                actOnMachines(world, step)
+            }
+        }
+    }
+
+    /** Machines and their workers. */
+    private fun actOnMachines(
+        world: World,
+        step: Step,
+    ) {
+        val w = step.words
+        when (w[0]) {
             "hang" -> {
                 world.workers[host(world, w[1])]?.hanging = true
             }
@@ -396,7 +498,7 @@
             "hang-many" -> {
                 world.cloud.names.take(w[1].toInt()).mapNotNull { world.workers[it] }.forEach { m ->
                     m.hanging = true
-                    world.clock.at(seconds(3)) { m.hanging = false }
+                    world.clock.at(step.seconds(3)) { m.hanging = false }
                 }
             }
 
@@ -413,7 +515,7 @@
             }
 
             "notice" -> {
-                world.workers.getValue(host(world, w[1])).recallAt = world.clock.now + seconds(2)
+                world.workers.getValue(host(world, w[1])).recallAt = world.clock.now + step.seconds(2)
             }
 
             "die" -> {
@@ -423,28 +525,6 @@
                 }
             }
 
-            "take" -> {
-                world.vanish(host(world, w[1]))
-            }
-
-            // take-many COUNT: the first ones, without a word.
-            "take-many" -> {
-                world.cloud.names
-                    .take(w[1].toInt())
-                    .forEach(world::vanish)
-            }
-
-            "take-last" -> {
-                world.cloud.names
-                    .toList()
-                    .takeLast(w[1].toInt())
-                    .forEach(world::vanish)
-            }
-
-            "expect" -> {
-                expect(world, step, w)
-            }
-
             else -> {
                 failures.add("line ${step.line}: unknown step ${w[0]}")
             }
@@ -462,8 +542,6 @@
             maxMachines = options["max-machines"]?.toInt() ?: Tuning.MAX_MACHINES,
         )
 
-    private fun holder(world: World) = world.state.field("w/g/0", "node") ?: "none"
-
     /** A machine's name, or the machine on which a task is: `@job-1/0`. */
     private fun host(
         world: World,
@@ -481,309 +559,7 @@
         word: String,
     ) = if (word == "holder") holder(world) else host(world, word)
 
-    private fun expect(
-        world: World,
-        step: Step,
-        w: List<String>,
-    ) {
-        fun check(
-            what: String,
-            actual: Any?,
-            holds: Boolean,
-        ) {
-            if (!holds) failures.add("line ${step.line}: $what: got $actual")
-        }
-        when (w[1]) {
-            "running" -> {
-                world.running(w[2]).let { check("running ${w[2]} ${w[3]}", it, it == w[3].toInt()) }
-            }
-
-            "begun" -> {
-                world.rules.startsOf(w[2]).let { check("begun ${w[2]}", it, it > 0) }
-            }
-
-            "starts" -> {
-                world.rules.startsOf(w[2]).let { check("starts ${w[2]} at most ${w[3]}", it, it <= w[3].toInt()) }
-            }
-
-            "failures" -> {
-                world.rules.failures.let { check("failures at most ${w[2]}", it, it <= w[2].toInt()) }
-            }
-
-            "decisions" -> {
-                (world.rules.lastAttempt and 0xFFFFFFF).let {
-                    check(
-                        "decisions at most ${w[2]}",
-                        it,
-                        it <= w[2].toInt(),
-                    )
-                }
-            }
-
-            "tenures" -> {
-                world.rules.tenures.let { check("tenures ${w[2]}", it, it == w[2].toInt()) }
-            }
-
-            "finished" -> {
-                world.rules.completedOf(w[2]).let { check("finished ${w[2]} ${w[3]}", it, it == w[3].toInt()) }
-            }
-
-            "accepted" -> {
-                check("accepted ${w[2]}", false, world.rules.isAccepted(w[2]))
-            }
-
-            "machines" -> {
-                world.cloud.names.size
-                    .let { check("machines ${w[2]}", it, it == w[2].toInt()) }
-            }
-
-            "spot-machines" -> {
-                world.cloud.spotCount.let { check("spot machines ${w[2]}", it, it == w[2].toInt()) }
-            }
-
-            "put-aside" -> {
-                world.state
-                    .keysUnder("m/")
-                    .sumOf { key ->
-                        world.state
-                            .text(key)
-                            .split("\"aside\":true")
-                            .size - 1
-                    }.let { check("put aside ${w[2]}", it, it == w[2].toInt()) }
-            }
-
-            "gone" -> {
-                check("gone ${w[2]}", true, w[2] !in world.cloud.names)
-            }
-
-            "holder" -> {
-                holder(world).let {
-                    check(
-                        "holder ${w[2]}",
-                        it,
-                        if (w[2] == "any") {
-                            it != "none"
-                        } else if (w[2].startsWith("not-")) {
-                            it != "none" && "not-$it" != w[2]
-                        } else {
-                            it == w[2]
-                        },
-                    )
-                }
-            }
-
-            "keys" -> {
-                world.state
-                    .keysUnder(w[2])
-                    .size
-                    .let { check("keys ${w[2]} ${w[3]}", it, it == w[3].toInt()) }
-            }
-
-            // too-large COUNT, too-many COUNT: transactions refused for their size; requests refused for their rate, at
-            // most.
-            "too-large" -> {
-                world.state.tooLarge.let { check("too large ${w[2]}", it, it == w[2].toInt()) }
-            }
-
-            "too-many" -> {
-                world.state.tooMany.let { check("too many at most ${w[2]}", it, it <= w[2].toInt()) }
-            }
-
-            // values-over PREFIX BYTES COUNT
-            "values-over" -> {
-                world.state
-                    .keysUnder(w[2])
-                    .count { world.state.text(it).length > w[3].toInt() }
-                    .let { check("values ${w[2]} over ${w[3]} ${w[4]}", it, it == w[4].toInt()) }
-            }
-
-            "keys-at-most" -> {
-                world.state
-                    .keysUnder(w[2])
-                    .size
-                    .let { check("keys ${w[2]} at most ${w[3]}", it, it <= w[3].toInt()) }
-            }
-
-            "up" -> {
-                world.ask(
-                    "GET",
-                    "/up",
-                    null,
-                    w[2],
-                ) { check("up ${w[2]} ${w[3]}", it.status, it.status == w[3].toInt()) }
-            }
-
-            // submission NODE STATUS JOB ...: as of `submit`; `without=FIELD` leaves one out, `FIELD:JSON` sets one.
-            "submission" -> {
-                world.clock.now.let { asked ->
-                    if (w[3] == "201") world.rules.submitted[w[4]] = spec(w.drop(4).filter { ':' !in it })
-                    world.users.submitOnce(w[4], body(w.drop(4)), w[2]) { status ->
-                        check("answer of ${w[2]} to ${w.drop(4)}", status, status == w[3].toInt())
-                        (world.clock.now - asked).let { took ->
-                            check("answered at once", "$took ms", took <= AT_ONCE_MS)
-                        }
-                    }
-                }
-            }
-
-            "everyone-known" -> {
-                world.rules.everyoneAccepted.forEach { job ->
-                    expectAnswer(
-                        world,
-                        job,
-                        world.clock.now + FORGOTTEN_MS,
-                    ) { check("everyone known", "no answer for $job", false) }
-                }
-            }
-
-            // Every accepted job is done, or its replicas all run; where a user asked for its end, or for that of a job
-            // that it needs, it may be withdrawn.
-            "everyone-served" -> {
-                world.rules.everyoneAccepted.forEach { job ->
-                    expectState(
-                        world,
-                        job,
-                        TRIES,
-                        { isServed(world, job, it) },
-                    ) { check("everyone served", "$job: $it", false) }
-                }
-            }
-
-            // withdrawn-everywhere FIRST COUNT: every controller calls each of so many jobs numbered from there
-            // withdrawn.
-            "withdrawn-everywhere" -> {
-                repeat(w[3].toInt()) { i ->
-                    val job = "job-${w[2].toInt() + i}"
-                    for (node in world.nodes) {
-                        expectState(world, job, TRIES, {
-                            it == WorkStates.WITHDRAWN
-                        }, node.name) { check("$job withdrawn at ${node.name}", it, false) }
-                    }
-                }
-            }
-
-            "answer" -> {
-                world.ask(w[2], w[3], w.getOrNull(5), null) {
-                    check(
-                        "answer to ${w[2]} ${w[3]}",
-                        it.status,
-                        it.status == w[4].toInt(),
-                    )
-                }
-            }
-
-            // at-once METHOD TARGET STATUS [BODY] [at=NODE]
-            "at-once" -> {
-                world.clock.now.let { asked ->
-                    val (node, body) = w.drop(5).partition { it.startsWith("at=") }
-                    world.ask(w[2], w[3], body.firstOrNull(), node.firstOrNull()?.substringAfter('=')) {
-                        check("answer to ${w[2]} ${w[3]}", it.status, it.status == w[4].toInt())
-                        (world.clock.now - asked).let { took ->
-                            check("answered at once", "$took ms", took <= AT_ONCE_MS)
-                        }
-                    }
-                }
-            }
-
-            else -> {
-                expectState(world, w[1], TRIES, { it == w[2] }) { actual -> check("${w[1]} ${w[2]}", actual, false) }
-            }
-        }
-    }
-
-    /** Polls [job] about every 5 s, as users do, until it is answered or forgotten. */
-    private fun expectAnswer(
-        world: World,
-        job: String,
-        until: Long,
-        forgotten: () -> Unit,
-    ) {
-        world.poll(job) { status, _ ->
-            if (status == 200) return@poll
-            if (world.clock.now >
-                until
-            ) {
-                forgotten()
-            } else {
-                world.clock.after(5_000) { expectAnswer(world, job, until, forgotten) }
-            }
-        }
-    }
-
-    /** A poll that gets no answer is repeated, as users do. */
-    private fun expectState(
-        world: World,
-        job: String,
-        tries: Int,
-        isRight: (String) -> Boolean,
-        node: String? = null,
-        wrong: (String) -> Unit,
-    ) {
-        world.poll(job, node) { status, state ->
-            val actual = state ?: status.toString()
-            when {
-                isRight(actual) -> Unit
-                state == null && status != 404 && tries > 1 -> expectState(world, job, tries - 1, isRight, node, wrong)
-                else -> wrong(actual)
-            }
-        }
-    }
-
-    private fun isServed(
-        world: World,
-        job: String,
-        state: String,
-    ) = when (state) {
-        WorkStates.DONE -> true
-        WorkStates.WITHDRAWN -> world.rules.mayBeWithdrawn(job)
-        WorkStates.PENDING, WorkStates.RUNNING -> world.rules.runsWhole(job)
-        else -> false
-    }
-
-    private fun body(words: List<String>): String {
-        val spec =
-            Users.SUBMISSION.encodeToJsonElement(
-                WorkRequest.serializer(),
-                spec(
-                    words.filter {
-                        ':' !in it
-                    },
-                ),
-            ) as JsonObject
-        val without = words.filter { it.startsWith("without=") }.map { it.substringAfter('=') }
-        val set =
-            words.filter { ':' in it }.joinToString(
-                "",
-            ) { ",\"${it.substringBefore(':')}\":${it.substringAfter(':')}" }
-        return JsonObject(spec - without.toSet()).toString().dropLast(1) + set + "}"
-    }
-
-    private fun spec(words: List<String>): WorkRequest {
-        val o = words.drop(1).associate { it.substringBefore('=') to it.substringAfter('=') }
-        return WorkRequest(
-            ref = words[0],
-            menu = o["class"] ?: "batch",
-            crew = o["team"] ?: "red",
-            shape = if (o["standing"] == "yes") "standing" else "sweep",
-            urgency = o["urgency"] ?: "normal",
-            portions = o["tasks"]?.toInt() ?: 1,
-            vcpus = o["cpus"]?.toDouble() ?: 2.0,
-            accelerators = o["gpus"]?.toDouble() ?: 0.0,
-            memoryGb = o["mem"]?.toDouble() ?: 1.0,
-            hall = o["hall"],
-            samePlace = o["together"] == "yes",
-            apart = o["apart"] == "yes",
-            borrowed = o["spot"] == "yes",
-            recipe = o["image"] ?: "i",
-            sizeGb = o["gb"]?.toDouble() ?: 0.3,
-            cookS = o["run"]?.toDouble() ?: 10.0,
-            awaits = o["awaits"]?.split(','),
-        )
-    }
-
     private companion object {
-        const val TRIES = 4
-
         /** The state service's limits, unless a scenario says otherwise. */
         const val RPS = 200.0
         const val WRITE_RPS = 60.0
@@ -791,9 +567,32 @@
         const val TXN_OPS = 16
         const val FIRST_OF_MANY = 1000
         const val FIRST_OF_PIPELINES = 5000
-
-        /** ms. A job with no question answered for so long is forgotten. */
-        const val FORGOTTEN_MS = 75_000L
-        const val AT_ONCE_MS = 300L
     }
 }
+
+/** The name of the controller that holds the block, or `none`. */
+internal fun holder(world: World) = world.state.field("w/g/0", "node") ?: "none"
+
+/** The submission that a step describes: a job's id and words like `tasks=3`. */
+internal fun requestOf(words: List<String>): WorkRequest {
+    val o = words.drop(1).associate { it.substringBefore('=') to it.substringAfter('=') }
+    return WorkRequest(
+        ref = words[0],
+        menu = o["class"] ?: "batch",
+        crew = o["team"] ?: "red",
+        shape = if (o["standing"] == "yes") "standing" else "sweep",
+        urgency = o["urgency"] ?: "normal",
+        portions = o["tasks"]?.toInt() ?: 1,
+        vcpus = o["cpus"]?.toDouble() ?: 2.0,
+        accelerators = o["gpus"]?.toDouble() ?: 0.0,
+        memoryGb = o["mem"]?.toDouble() ?: 1.0,
+        hall = o["hall"],
+        samePlace = o["together"] == "yes",
+        apart = o["apart"] == "yes",
+        borrowed = o["spot"] == "yes",
+        recipe = o["image"] ?: "i",
+        sizeGb = o["gb"]?.toDouble() ?: 0.3,
+        cookS = o["run"]?.toDouble() ?: 10.0,
+        awaits = o["awaits"]?.split(','),
+    )
+}
--- a/src/test/kotlin/ledgearch/world/StateStandIn.kt
+++ b/src/test/kotlin/ledgearch/world/StateStandIn.kt
@@ -191,62 +191,18 @@
             tooLarge++
             return answer(Reply(400, """{"error":"too large"}"""))
         }
-        val query =
-            target
-                .substringAfter('?', "")
-                .split('&')
-                .filter { it.isNotEmpty() }
-                .associate { it.substringBefore('=') to it.substringAfter('=') }
+        val query = queryOf(target)
         when {
             txn != null -> {
-                when {
-                    txn.then.isEmpty() -> {
-                        txn(txn).let {
-                            if (slowCompareMs ==
-                                0L
-                            ) {
-                                answer(it)
-                            } else {
-                                clock.after(slowCompareMs) { answer(it) }
-                            }
-                        }
-                    }
-
-                    isLate(txn) -> {
-                        carryOutLater(txn, lateMs)
-                    }
-
-                    lateShare > 0 && random.nextDouble() < lateShare -> {
-                        carryOutLater(
-                            txn,
-                            LATE_FROM_MS + random.nextLong(LATE_SPREAD_MS),
-                        )
-                    }
-
-                    unansweredShare > 0 && random.nextDouble() < unansweredShare -> {
-                        txn(txn)
-                    }
-
-                    else -> {
-                        txn(txn).let { if (slowMs == 0L) answer(it) else clock.after(slowMs) { answer(it) } }
-                    }
-                }
+                transact(txn, answer)
             }
 
             path == "/leases" -> {
-                val life = WireJson.decodeFromString(LeaseRequest.serializer(), body.orEmpty()).lifeMs
-                leases[nextPermit] = Lease(life, clock.now + life)
-                clock.after(life + 1) { expireLeases() }
-                answer(Reply(200, WireJson.encodeToString(LeaseReply.serializer(), LeaseReply(nextPermit++))))
+                answer(newLease(WireJson.decodeFromString(LeaseRequest.serializer(), body.orEmpty()).lifeMs))
             }
 
             path.startsWith("/leases/") -> {
-                val lease = leases[path.split('/')[2].toLong()]
-                if (lease != null) {
-                    lease.endsAt = clock.now + lease.lifeMs
-                    clock.after(lease.lifeMs + 1) { expireLeases() }
-                }
-                answer(Reply(if (lease == null) 404 else 200, "{}"))
+                answer(renewedLease(path.split('/')[2].toLong()))
             }
 
             path == "/changes" -> {
@@ -273,6 +229,65 @@
         }
     }
 
+    private fun queryOf(target: String): Map<String, String> =
+        target
+            .substringAfter('?', "")
+            .split('&')
+            .filter { it.isNotEmpty() }
+            .associate { it.substringBefore('=') to it.substringAfter('=') }
+
+    /** Carries [txn] out, at once or late, and answers at once, late or never. */
+    private fun transact(
+        txn: Txn,
+        answer: (Reply) -> Unit,
+    ) {
+        when {
+            txn.then.isEmpty() -> {
+                answerAfter(slowCompareMs, txn(txn), answer)
+            }
+
+            isLate(txn) -> {
+                carryOutLater(txn, lateMs)
+            }
+
+            lateShare > 0 && random.nextDouble() < lateShare -> {
+                carryOutLater(
+                    txn,
+                    LATE_FROM_MS + random.nextLong(LATE_SPREAD_MS),
+                )
+            }
+
+            unansweredShare > 0 && random.nextDouble() < unansweredShare -> {
+                txn(txn)
+            }
+
+            else -> {
+                answerAfter(slowMs, txn(txn), answer)
+            }
+        }
+    }
+
+    private fun answerAfter(
+        ms: Long,
+        reply: Reply,
+        answer: (Reply) -> Unit,
+    ) {
+        if (ms == 0L) answer(reply) else clock.after(ms) { answer(reply) }
+    }
+
+    private fun newLease(lifeMs: Long): Reply {
+        leases[nextPermit] = Lease(lifeMs, clock.now + lifeMs)
+        clock.after(lifeMs + 1) { expireLeases() }
+        return Reply(200, WireJson.encodeToString(LeaseReply.serializer(), LeaseReply(nextPermit++)))
+    }
+
+    private fun renewedLease(permit: Long): Reply {
+        val lease = leases[permit] ?: return Reply(404, "{}")
+        lease.endsAt = clock.now + lease.lifeMs
+        clock.after(lease.lifeMs + 1) { expireLeases() }
+        return Reply(200, "{}")
+    }
+
     private fun carryOutLater(
         txn: Txn,
         ms: Long,
