--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -118,8 +118,8 @@
     /** Share of the state service's limits that all nodes together plan to use: clocks and bursts differ a little. */
     const val BUDGET_USED = 0.9
 
-    /** Of the nodes' budget, the share of the block's holder; the others split the rest. */
-    const val HOLDER_SHARE = 0.5
+    /** Of the nodes' budget, the share of the block's leader; the others split the rest. */
+    const val LEADER_SHARE = 0.5
 
     /** Bytes. Planned size of one transaction: the service takes 64 KiB. */
     const val TXN_BYTES = 48 * 1024
@@ -168,10 +168,10 @@
     /** ms. A node that has not heard from the state service for this long is not healthy while others may be. */
     const val STATE_SILENT_MS = 4_000L
 
-    /** ms. A holder that has not heard from the state service for this long says so: sooner than others step aside. */
-    const val HOLDER_UNSERVED_MS = 2_500L
+    /** ms. A leader that has not heard from the state service for this long says so: sooner than others step aside. */
+    const val LEADER_UNSERVED_MS = 2_500L
 
-    /** ms. Such word counts this long: the holder speaks every second, and may be late. */
+    /** ms. Such word counts this long: the leader speaks every second, and may be late. */
     const val OUTAGE_HEARD_MS = 3_000L
 
     // --- Mesh -------------------------------------------------------------------------------------------------
@@ -182,16 +182,16 @@
     /** Frames. Waiting for one follower. */
     const val MESH_QUEUE = 8
 
-    /** ms. A holder silent for this long is connected to anew. */
+    /** ms. A leader silent for this long is connected to anew. */
     const val MESH_SILENT_MS = 4_000L
 
     /** ms. Between two tries to connect. */
     const val MESH_RETRY_MS = 150L
 
-    /** Refused connections in a row after which the holder's process is taken for ended. */
+    /** Refused connections in a row after which the leader's process is taken for ended. */
     const val REFUSALS = 2
 
-    /** ms. After a challenge, the next one waits this long: a wrong one costs a change of holder. */
+    /** ms. After a challenge, the next one waits this long: a wrong one costs a change of leader. */
     const val CHALLENGE_MS = 10_000L
 
     /** ms. Between two tellings of progress. */
@@ -208,7 +208,7 @@
     /** ms. A poll is waited for 2 s by its user. */
     const val POLL_MS = 1_500L
 
-    /** ms. A withdrawal waits this long for the holder, then the user is told to come back. */
+    /** ms. A withdrawal waits this long for the leader, then the user is told to come back. */
     const val WITHDRAW_MS = 3_000L
 
     /**
@@ -266,20 +266,20 @@
     const val MOST = 0.5
 
     /**
-     * Share. A holder that hears fewer machines than this is at fault itself; one that hears more is not, however many
+     * Share. A leader that hears fewer machines than this is at fault itself; one that hears more is not, however many
      * are silent: half of a fleet may be, in a zone that is cut off, and no other node would hear those.
      */
     const val HEARD_SHARE = 0.1
 
     /**
-     * ms. So long after a holder gave the block up for silence the next one stays, even if it hears nobody either: it
+     * ms. So long after a leader gave the block up for silence the next one stays, even if it hears nobody either: it
      * releases what is lost and rents anew, where the block would otherwise go round for ever.
      */
     const val CHANGED_IN_VAIN_MS = 60_000L
 
     /**
-     * Reports. With most machines silent for this many intervals, the holder gives the block up: late enough for
-     * one lost report, early enough that another holder renews the leases.
+     * Reports. With most machines silent for this many intervals, the leader gives the block up: late enough for
+     * one lost report, early enough that another leader renews the leases.
      */
     const val CUT_REPORTS = 2.2
 
@@ -334,7 +334,7 @@
 
     /**
      * Probes under way at one time on a whole processor: their answers take a fraction of a probe's time to work off,
-     * so that none times out here and proves nothing. Fewer, and hundreds of dead machines would hold up a new holder.
+     * so that none times out here and proves nothing. Fewer, and hundreds of dead machines would hold up a new leader.
      */
     private const val PROBES_A_PROCESSOR = 500
 
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -18,7 +18,7 @@
 import ledgearch.http.Request
 import ledgearch.http.Response
 import ledgearch.intake.Intake
-import ledgearch.mesh.HolderNews
+import ledgearch.mesh.LeaderStatus
 import ledgearch.mesh.MeshEvents
 import ledgearch.mesh.MeshLinks
 import org.slf4j.LoggerFactory
@@ -107,7 +107,7 @@
     private val tooBusy = Intake.error(503, "too many requests").copy(retryAfterS = settings.operator.retryAfterS)
 
     private inner class OwnerEvents : MeshEvents {
-        override suspend fun news(news: HolderNews) = queue.put(Command.News(news))
+        override suspend fun news(news: LeaderStatus) = queue.put(Command.News(news))
 
         override suspend fun refused(address: String) = queue.put(Command.PeerRefused(address))
     }
--- a/src/main/kotlin/ledgearch/core/Book.kt
+++ b/src/main/kotlin/ledgearch/core/Book.kt
@@ -32,7 +32,7 @@
 /**
  * Every node's copy of the watched keys: open jobs, the grant, machine types. It is filled by one listing and then
  * kept by a watch, so changes are seen in the order of their revisions. A copy may be old: what is told to users
- * is confirmed first, and the holder's right is fenced by its token.
+ * is confirmed first, and the leader's right is fenced by its token.
  */
 internal class Book(
     private val state: StateClient,
@@ -62,7 +62,7 @@
     var grantStamp = 0L
         private set
 
-    /** The last time that a holder gave the block up because it heard next to no machine. */
+    /** The last time that a leader gave the block up because it heard next to no machine. */
     var silence: SilenceRecord? = null
         private set
 
@@ -108,7 +108,7 @@
 
     /**
      * A job that this node made durable in a transaction that also compared its own grant. No other way leads past
-     * the watch: a holder that learnt of a job out of order could start what a newer holder starts too.
+     * the watch: a leader that learnt of a job out of order could start what a newer leader starts too.
      */
     fun acceptUnderGrant(
         record: JobRecord,
@@ -314,7 +314,7 @@
     }
 
     /** Who but [node] has held the block within the last [ms]. */
-    fun holdersOfLate(
+    fun recentLeaders(
         node: String,
         ms: Long,
     ): Set<String> = (heldUntil.filterValues { now.steady - it < ms }.keys + setOfNotNull(grant?.node)) - node
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -10,7 +10,7 @@
 import ledgearch.intake.Intake
 import ledgearch.leader.Election
 import ledgearch.leader.ElectionListener
-import ledgearch.mesh.HolderNews
+import ledgearch.mesh.LeaderStatus
 import ledgearch.mesh.Mesh
 import ledgearch.mesh.Progress
 import ledgearch.state.StateClient
@@ -29,9 +29,9 @@
         val respond: (Response) -> Unit,
     ) : Command
 
-    /** The holder tells how its jobs go. */
+    /** The leader tells how its jobs go. */
     class News(
-        val news: HolderNews,
+        val news: LeaderStatus,
     ) : Command
 
     /** The controller at this mesh address refuses connections after one of its own ended. */
@@ -74,15 +74,15 @@
     private val journal = Journal(state, election, book, now, settings.deployment.state.safeValueBytes)
     private val own = OwnTime(now, metrics)
     private val fleet: Fleet = Fleet(settings, metered, { election }, { book }, now, { journal })
-    private val holder = Holder(settings, state, metered, election, book, now, journal, fleet, metrics, own)
+    private val leader = Leader(settings, state, metered, election, book, now, journal, fleet, metrics, own)
     private val intake = Intake(settings, book, state, GrantEvents(), now)
 
     private var loadLogAt = 0L
     private var publishAt = 0L
     private var publishedTo = 0
 
-    /** When the holder last told that the state service does not answer it either (steady ms). */
-    private var holderUnservedAt = Long.MIN_VALUE / 2
+    /** When the leader last told that the state service does not answer it either (steady ms). */
+    private var leaderUnservedAt = Long.MIN_VALUE / 2
 
     init {
         journal.onClosed = { job, record -> book.rememberFinal(job.id, record) }
@@ -133,7 +133,7 @@
         election.drive()
         fleet.driveCatalog(election.holding)
         metrics.spend("intake") { intake.drive() }
-        holder.drive()
+        leader.drive()
         tellProgress()
         metrics.spend("state") { state.pump() }
         logLoad()
@@ -152,7 +152,7 @@
         waiting: Int,
     ) = metrics.worked(micros, waiting)
 
-    /** The holder's other half of a poll: the rest of the nodes know a job's progress only from here. */
+    /** The leader's other half of a poll: the rest of the nodes know a job's progress only from here. */
     private fun tellProgress() {
         if (!election.holding || now.steady < publishAt) return
         publishAt = now.steady + Tuning.PUBLISH_MS
@@ -164,12 +164,12 @@
                 if (!all && p == job.shown) null else p.also { job.shown = it }
             }
         // Empty frames too: they show that this node lives.
-        mesh.publish(HolderNews(news, served = now.steady - state.lastAnswer < Tuning.HOLDER_UNSERVED_MS))
+        mesh.publish(LeaderStatus(news, served = now.steady - state.lastAnswer < Tuning.LEADER_UNSERVED_MS))
     }
 
-    private fun heard(news: HolderNews) {
+    private fun heard(news: LeaderStatus) {
         news.progress.forEach { book.jobs[it.job]?.shown = it }
-        if (news.served == false) holderUnservedAt = now.steady
+        if (news.served == false) leaderUnservedAt = now.steady
     }
 
     private fun serve(
@@ -217,8 +217,8 @@
             node,
             election.token,
             book.jobs.size,
-            holder.machines.size,
-            holder.machines.values.sumOf {
+            leader.machines.size,
+            leader.machines.values.sumOf {
                 it.placements.size
             },
         )
@@ -232,7 +232,7 @@
         book.loaded && book.racks.isNotEmpty() &&
             (
                 now.steady - state.lastAnswer < Tuning.STATE_SILENT_MS ||
-                    now.steady - holderUnservedAt < Tuning.OUTAGE_HEARD_MS
+                    now.steady - leaderUnservedAt < Tuning.OUTAGE_HEARD_MS
             )
 
     private fun checkIn(
@@ -247,7 +247,7 @@
                 respond(Intake.error(400, "not a report"))
                 return
             }
-        val orders = holder.report(report) ?: return respond(elsewhere())
+        val orders = leader.report(report) ?: return respond(elsewhere())
         respond(Response(200, WireJson.encodeToString(CheckInReply.serializer(), CheckInReply(election.token, orders))))
     }
 
@@ -258,7 +258,7 @@
     }
 
     /** Whether the counts kept of machines and teams are those of a recount. */
-    fun countsHold() = !election.holding || holder.countsHold()
+    fun countsHold() = !election.holding || leader.countsHold()
 
     private inner class BookEvents : BookListener {
         override fun grantChanged() {
@@ -267,31 +267,31 @@
             log.info("block 0: holder {} by grant {}", book.grant?.node ?: "none", book.grantStamp)
         }
 
-        override fun jobOpened(job: Job) = holder.jobOpened(job)
+        override fun jobOpened(job: Job) = leader.jobOpened(job)
 
-        override fun jobChanged(job: Job) = holder.jobChanged(job)
+        override fun jobChanged(job: Job) = leader.jobChanged(job)
 
         override fun jobClosed(
             job: Job?,
             id: String,
             state: String,
         ) {
-            job?.let(holder::jobClosed)
+            job?.let(leader::jobClosed)
             intake.closed(id)
         }
 
-        override fun racksChanged() = holder.changed()
+        override fun racksChanged() = leader.changed()
     }
 
     private inner class DependencyEvents : DependencyListener {
-        override fun released(job: Job) = holder.jobReleased(job)
+        override fun released(job: Job) = leader.jobReleased(job)
 
-        override fun dependencyWithdrawn(job: Job) = holder.jobWithdrawnWithDependency(job)
+        override fun dependencyWithdrawn(job: Job) = leader.jobWithdrawnWithDependency(job)
 
         override fun urgencyChanged(
             job: Job,
             urgency: Int,
-        ) = holder.urgencyChanged(job, urgency)
+        ) = leader.urgencyChanged(job, urgency)
     }
 
     private inner class ElectionEvents : ElectionListener {
@@ -299,10 +299,10 @@
             token: Long,
             fresh: Boolean,
         ) {
-            if (fresh) holder.begin(token)
+            if (fresh) leader.begin(token)
         }
 
-        override fun lost() = holder.end()
+        override fun lost() = leader.end()
     }
 
     private inner class GrantEvents : GrantView {
--- a/src/main/kotlin/ledgearch/core/Courier.kt
+++ b/src/main/kotlin/ledgearch/core/Courier.kt
@@ -11,7 +11,7 @@
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
-/** What the holder has to say to its machines: orders in answers to reports, and direct commands. */
+/** What the leader has to say to its machines: orders in answers to reports, and direct commands. */
 internal class Courier(
     private val transport: Transport,
     private val election: Election,
--- a/src/main/kotlin/ledgearch/core/CutZones.kt
+++ b/src/main/kotlin/ledgearch/core/CutZones.kt
@@ -99,7 +99,7 @@
     /**
      * [m] is silent with its whole zone, it is worth keeping until the zone is back, and not yet given up. That is so
      * where only one other zone is heard, in which replicas that keep to two can't all be. Unconfirmed, [m] is worth
-     * keeping if a holder before this one may be cut off with it ([servedWithin]) and keep its lease alive; else nobody
+     * keeping if a leader before this one may be cut off with it ([servedWithin]) and keep its lease alive; else nobody
      * does, and older jobs only wait for it. Confirmed, it is if it has such replicas; all else begins anew elsewhere
      * the sooner the better.
      */
--- a/src/main/kotlin/ledgearch/core/Job.kt
+++ b/src/main/kotlin/ledgearch/core/Job.kt
@@ -8,7 +8,7 @@
 import ledgearch.wire.WorkRequest
 import java.util.BitSet
 
-/** An open job: the durable part known to every node, and what its block's holder knows of its tasks. */
+/** An open job: the durable part known to every node, and what its block's leader knows of its tasks. */
 internal class Job(
     var record: JobRecord,
     var stamp: Long,
@@ -52,12 +52,12 @@
     val placements = Int2ObjectOpenHashMap<Placement>()
 
     /**
-     * No machine that the present holder has not confirmed can have a task of this job: it was accepted under
-     * the holder's own grant, or every recorded machine has been confirmed since.
+     * No machine that the present leader has not confirmed can have a task of this job: it was accepted under
+     * the leader's own grant, or every recorded machine has been confirmed since.
      */
     var trusted = false
 
-    /** Run times of its finished tasks, as far as the present holder saw them from start to end. */
+    /** Run times of its finished tasks, as far as the present leader saw them from start to end. */
     val runTime = RunTime()
 
     /** Fits into its team's guarantee along with the team's earlier jobs. */
@@ -66,7 +66,7 @@
     /** Steady ms before which no task is started, after failures of the job's own. */
     var notBefore = Long.MIN_VALUE
 
-    /** Wall ms of the last start of one of its tasks by this holder. */
+    /** Wall ms of the last start of one of its tasks by this leader. */
     var servedAt = 0L
 
     /** Steady ms of the last writing of its finished tasks. */
@@ -80,7 +80,7 @@
     /** The final record is durable. */
     var closed = false
 
-    /** What the holder last told of it, on the nodes that are not holder; what was last told, on the holder. */
+    /** What the leader last told of it, on the nodes that are not leader; what was last told, on the leader. */
     var shown: Progress? = null
 
     /** ms since a task of it was started, or since it could start. */
@@ -147,8 +147,8 @@
         writtenChunks.set(chunk)
     }
 
-    /** Forgets all that only a holder knows. */
-    fun forgetHolderState() {
+    /** Forgets all that only a leader knows. */
+    fun forgetLeaderState() {
         finished.clear()
         finishedCount = 0
         recorded.clear()
--- a/src/main/kotlin/ledgearch/core/Journal.kt
+++ b/src/main/kotlin/ledgearch/core/Journal.kt
@@ -16,7 +16,7 @@
 import java.util.BitSet
 
 /**
- * What the holder makes durable, in batches of one transaction at a time, each comparing the holder's own grant: a
+ * What the leader makes durable, in batches of one transaction at a time, each comparing the leader's own grant: a
  * transaction that is applied late, after another grant, changes nothing. Applied late under the same grant it changes
  * nothing either that was written since, as every key is compared too ([KeyStamps]; a job that closes, by its own
  * stamp).
@@ -100,7 +100,7 @@
 
     fun bind(machine: Machine) = machines.put(machine)
 
-    /** The machines of a record that an earlier holder wrote. */
+    /** The machines of a record that an earlier leader wrote. */
     fun restore(
         name: String,
         pair: KeyValue,
@@ -112,7 +112,7 @@
         removals.add(key)
     }
 
-    /** A new holder has read [key]. */
+    /** A new leader has read [key]. */
     fun read(
         key: String,
         stamp: Long,
@@ -240,7 +240,7 @@
             .filter { book.jobs[it.id] !== it }
             .forEach(::forget)
         for (job in progress.values) {
-            // Until then its finished tasks stay on their machines' lists, from where the next holder would learn of
+            // Until then its finished tasks stay on their machines' lists, from where the next leader would learn of
             // them.
             if (job.closing || now.steady - job.progressAt < Tuning.PROGRESS_MS) continue
             if (batch.room == 0) return
--- a/src/main/kotlin/ledgearch/core/KeyStamps.kt
+++ b/src/main/kotlin/ledgearch/core/KeyStamps.kt
@@ -7,7 +7,7 @@
 import ledgearch.wire.Condition
 
 /**
- * The stamps of the keys that the holder alone writes, as last read or written by it; absent ones have 0. Every change
+ * The stamps of the keys that the leader alone writes, as last read or written by it; absent ones have 0. Every change
  * compares its key's stamp, so that of several tries without an answer one at most is carried out: a late one never
  * puts what is older over what is newer. A comparison that fails says that a try was carried out, and the key is read
  * anew.
--- a/src/main/kotlin/ledgearch/core/Holder.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -19,10 +19,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The holder of a block: it alone binds tasks to the block's machines. Nothing here outlives the grant;
- * a new holder learns what runs from the workers, after each has confirmed the new token.
+ * The leader of a block: it alone binds tasks to the block's machines. Nothing here outlives the grant;
+ * a new leader learns what runs from the workers, after each has confirmed the new token.
  */
-internal class Holder(
+internal class Leader(
     private val settings: Settings,
     private val state: StateClient,
     private val transport: Transport,
@@ -75,7 +75,7 @@
             )
         }
 
-    /** The first token of this tenure: a worker that has seen it no longer follows any earlier holder. */
+    /** The first token of this tenure: a worker that has seen it no longer follows any earlier leader. */
     private var tenure = 0L
     private var attemptSeq = 0L
     private val takeover = Takeover(state, book, journal, teams, now, ::join)
@@ -107,7 +107,7 @@
         }
         guaranteesDirty = true
         takeover.begin()
-        state.share(holder = true)
+        state.share(leader = true)
     }
 
     fun end() {
@@ -123,9 +123,9 @@
         teams.clear()
         takeover.clear()
         journal.clear()
-        for (job in book.jobs.values) job.forgetHolderState()
+        for (job in book.jobs.values) job.forgetLeaderState()
         fleet.end()
-        state.share(holder = false)
+        state.share(leader = false)
     }
 
     fun jobOpened(job: Job) {
@@ -142,7 +142,7 @@
             job.spec.sizeGb,
         )
         if (tenure == 0L) return
-        // Accepted after the grant: no earlier holder can have learnt of it while it still held the block.
+        // Accepted after the grant: no earlier leader can have learnt of it while it still held the block.
         // Of a cancelled one only the mark may be so new.
         job.trusted = if (job.record.cancel) allConfirmedLogged else job.stamp > tenure
         if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
@@ -310,7 +310,7 @@
         if (report.shift > m.shift) newSession(m, report.shift)
         // The first word of a session: it began before, and has a whole lease from then on without any answer of ours.
         if (m.ticket == 0L) m.answeredAt = now.steady
-        // Of a machine that has not confirmed the token, a report without it may be a copy as old as an earlier holder.
+        // Of a machine that has not confirmed the token, a report without it may be a copy as old as an earlier leader.
         val current = !isReport || m.confirmed || report.baton >= tenure
         if (isReport && report.ticket > m.reportTicket) {
             m.reportTicket = report.ticket
@@ -429,8 +429,8 @@
     // --- Time -------------------------------------------------------------------------------------------------
 
     private fun areasBefore(): Set<String> {
-        val holders = book.holdersOfLate(settings.node, Tuning.CUT_ZONE_MS)
-        return settings.members.filter { it.node in holders }.mapTo(HashSet()) { it.area }
+        val leaders = book.recentLeaders(settings.node, Tuning.CUT_ZONE_MS)
+        return settings.members.filter { it.node in leaders }.mapTo(HashSet()) { it.area }
     }
 
     /** Next to nothing is heard from some zone. */
@@ -487,7 +487,7 @@
         }
 
     private fun confirm() {
-        // Also those to be released: the cloud may be out, and an earlier holder may keep them until the token is
+        // Also those to be released: the cloud may be out, and an earlier leader may keep them until the token is
         // shown.
         for (m in unconfirmed) courier.probe(m)
         if (allConfirmedLogged || unconfirmed.any { it.inherited }) return
@@ -503,7 +503,7 @@
             if (job.closing) continue
             placer.forget(job)
             stopAll(job)
-            // Once it is over nothing of it is left, so that no later holder need count it for its team.
+            // Once it is over nothing of it is left, so that no later leader need count it for its team.
             // A job after a withdrawn one was never released, by any leader: nothing of it can be anywhere.
             val nothingLeft = job.dependencyWithdrawn || (job.trusted && job.placements.isEmpty())
             if (nothingLeft) journal.close(job, WorkStates.WITHDRAWN)
--- a/src/main/kotlin/ledgearch/core/Machine.kt
+++ b/src/main/kotlin/ledgearch/core/Machine.kt
@@ -5,7 +5,7 @@
 import ledgearch.core.placement.MachineQueue
 import ledgearch.wire.Rack
 
-/** A machine of the block, as its holder knows it. */
+/** A machine of the block, as its leader knows it. */
 internal class Machine(
     val name: String,
     val endpoint: String,
@@ -18,10 +18,10 @@
     /** The record that binds the machine to the block is in the state service. */
     var durable = false
 
-    /** Recorded by an earlier holder: until confirmed, any task of an older job may be on it. */
+    /** Recorded by an earlier leader: until confirmed, any task of an older job may be on it. */
     var inherited = false
 
-    /** The worker has confirmed the present holder's token: [placements] is all that can be on it. */
+    /** The worker has confirmed the present leader's token: [placements] is all that can be on it. */
     var confirmed = false
         private set
     var shift = 0L
--- a/src/main/kotlin/ledgearch/core/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/core/MachineRecords.kt
@@ -17,7 +17,7 @@
  * that may have a task, nor in two, which earlier versions would take for two machines. Until that transaction has gone
  * through, every try has the same keys: one that was carried out without an answer leaves none behind. Where one
  * transaction can't hold all the parts, the record is left as it is until fewer machines are left in it. It then names
- * machines that are gone, which the next holder finds out as it does of any machine that is missing, and never one too
+ * machines that are gone, which the next leader finds out as it does of any machine that is missing, and never one too
  * few.
  */
 internal class MachineRecords(
@@ -72,7 +72,7 @@
         group.version++
     }
 
-    /** Machines of a record read by a new holder. */
+    /** Machines of a record read by a new leader. */
     fun restore(
         name: String,
         pair: KeyValue,
--- a/src/main/kotlin/ledgearch/core/Placement.kt
+++ b/src/main/kotlin/ledgearch/core/Placement.kt
@@ -18,7 +18,7 @@
     val attempt: Long,
     val machine: Machine,
     val decidedAt: Long,
-    /** Started by an earlier holder: when its run began is not known. */
+    /** Started by an earlier leader: when its run began is not known. */
     val inherited: Boolean = false,
 ) {
     /** It is among its machine's attempts, and counted there and for its team. */
--- a/src/main/kotlin/ledgearch/core/Records.kt
+++ b/src/main/kotlin/ledgearch/core/Records.kt
@@ -32,7 +32,7 @@
     const val FINALS = "w/d/"
     const val CATALOG = "w/c"
 
-    /** Read only by a new holder. */
+    /** Read only by a new leader. */
     const val MACHINES = "m/"
     const val FINISHED = "f/"
 
@@ -78,7 +78,7 @@
     val over: Long = 0,
 )
 
-/** A holder gave the block up at this time of day (ms), since it heard next to no machine. */
+/** A leader gave the block up at this time of day (ms), since it heard next to no machine. */
 @Serializable
 internal data class SilenceRecord(
     val node: String,
--- a/src/main/kotlin/ledgearch/core/Takeover.kt
+++ b/src/main/kotlin/ledgearch/core/Takeover.kt
@@ -6,7 +6,7 @@
 import ledgearch.state.StateClient
 import ledgearch.wire.KeyValue
 
-/** What a new holder reads before it acts: the machines of the block, then the finished tasks of open jobs. */
+/** What a new leader reads before it acts: the machines of the block, then the finished tasks of open jobs. */
 internal class Takeover(
     private val state: StateClient,
     private val book: Book,
--- a/src/main/kotlin/ledgearch/core/TaskNews.kt
+++ b/src/main/kotlin/ledgearch/core/TaskNews.kt
@@ -8,7 +8,7 @@
 import ledgearch.wire.WorkStates
 import org.slf4j.LoggerFactory
 
-/** What the workers' lists of tasks mean for the attempts that their holder knows. */
+/** What the workers' lists of tasks mean for the attempts that their leader knows. */
 internal class TaskNews(
     private val book: Book,
     private val machines: Map<String, Machine>,
@@ -31,7 +31,7 @@
             val p = known ?: found(m, entry)
             p.listedAt = m.ticket
             update(p, entry)
-            // Its worker may be reporting to an earlier holder still, so it is told directly.
+            // Its worker may be reporting to an earlier leader still, so it is told directly.
             if (known == null && p.stop != Stop.NONE && !p.exited) want(m)
         }
         if (m.placements.values.all { it.listedAt == m.ticket }) return
@@ -42,7 +42,7 @@
         }
     }
 
-    /** An attempt that an earlier holder started, or one of a job that is over. */
+    /** An attempt that an earlier leader started, or one of a job that is over. */
     private fun found(
         m: Machine,
         entry: PortionReport,
@@ -179,7 +179,7 @@
         if (m.draining || !(several || provenElsewhere)) return
         log.warn("machine {} fails everything ({} tasks in a row); it is put aside", m.name, m.errorsInRow)
         m.draining = true
-        // The next holder is to know it too: it would have to fail its own tasks there to find out.
+        // The next leader is to know it too: it would have to fail its own tasks there to find out.
         journal.bind(m)
     }
 
--- a/src/main/kotlin/ledgearch/core/Teams.kt
+++ b/src/main/kotlin/ledgearch/core/Teams.kt
@@ -90,7 +90,7 @@
         unknownGpus += sign * rack.accelerators
     }
 
-    /** [rack] may hold any task of a job that is older than this holder and whose tasks have not all been found. */
+    /** [rack] may hold any task of a job that is older than this leader and whose tasks have not all been found. */
     fun countHidden(
         rack: Rack,
         sign: Int,
@@ -101,7 +101,7 @@
 
     /**
      * What of each team may run on machines that have not confirmed: tasks of its older jobs that are neither finished
-     * nor found. A job is over only once all its tasks are gone, and newer jobs were never an earlier holder's.
+     * nor found. A job is over only once all its tasks are gone, and newer jobs were never an earlier leader's.
      */
     fun countUnfound(jobs: Collection<Job>) {
         if (hiddenCpus <= Machine.ROUNDING && hiddenGpus <= Machine.ROUNDING) return
--- a/src/main/kotlin/ledgearch/fleet/Demand.kt
+++ b/src/main/kotlin/ledgearch/fleet/Demand.kt
@@ -1,7 +1,7 @@
 package ledgearch.fleet
 
-import ledgearch.core.Holder
 import ledgearch.core.Job
+import ledgearch.core.Leader
 import ledgearch.core.Now
 import ledgearch.core.Room
 import ledgearch.core.Zones
@@ -64,7 +64,7 @@
     companion object {
         fun of(
             jobs: Collection<Job>,
-            holder: Holder,
+            leader: Leader,
             now: Now,
         ): List<Demand> {
             val perTeam = HashMap<String, Double>()
@@ -73,7 +73,7 @@
                 .sortedWith(compareBy({ it.urgency }, { it.readyAt }))
                 .mapNotNull { job ->
                     val taken = perTeam[job.spec.crew] ?: 0.0
-                    val tasks = minOf(job.pendingCount, holder.teams.roomFor(job, taken))
+                    val tasks = minOf(job.pendingCount, leader.teams.roomFor(job, taken))
                     if (tasks <= 0) return@mapNotNull null
                     perTeam[job.spec.crew] = taken + tasks * job.spec.vcpus
                     Demand(job, tasks)
--- a/src/main/kotlin/ledgearch/fleet/Fleet.kt
+++ b/src/main/kotlin/ledgearch/fleet/Fleet.kt
@@ -5,9 +5,9 @@
 import ledgearch.config.Settings
 import ledgearch.core.Book
 import ledgearch.core.CatalogRecord
-import ledgearch.core.Holder
 import ledgearch.core.Job
 import ledgearch.core.Journal
+import ledgearch.core.Leader
 import ledgearch.core.Machine
 import ledgearch.core.Now
 import ledgearch.core.Room
@@ -24,7 +24,7 @@
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
-/** Rents, watches and returns machines. Only the holder of the grant does so; every node may read the catalog. */
+/** Rents, watches and returns machines. Only the leader of the grant does so; every node may read the catalog. */
 internal class Fleet(
     private val settings: Settings,
     private val transport: Transport,
@@ -128,24 +128,24 @@
         }
     }
 
-    // --- The holder's part --------------------------------------------------------------------------------------
+    // --- The leader's part --------------------------------------------------------------------------------------
 
-    fun drive(holder: Holder) {
-        driveList(holder)
-        // A holder that is cut off with its zone misses all other machines. What it asks for then may be carried out
-        // when the cut is over: hundreds of machines given back that serve the next holder, and hundreds rented.
+    fun drive(leader: Leader) {
+        driveList(leader)
+        // A leader that is cut off with its zone misses all other machines. What it asks for then may be carried out
+        // when the cut is over: hundreds of machines given back that serve the next leader, and hundreds rented.
         if (!election().sure) return
-        driveRelease(holder)
+        driveRelease(leader)
         if (now.steady < planAt) return
         planAt = now.steady + Tuning.PLAN_MS
-        plan(holder)
+        plan(leader)
     }
 
-    private fun driveRelease(holder: Holder) {
+    private fun driveRelease(leader: Leader) {
         if (releasing || toRelease.isEmpty() || now.steady < releaseRetryAt || !bucket.has(1)) return
         val names = toRelease.take(MAX_RELEASE)
         releasing = true
-        names.forEach { holder.machines[it]?.releaseSent = true }
+        names.forEach { leader.machines[it]?.releaseSent = true }
         val token = election().token
         call("POST", "/hosts/release", WireJson.encodeToString(StoveNames.serializer(), StoveNames(names))) { reply ->
             if (election().token == 0L) return@call
@@ -159,46 +159,46 @@
                 toRelease.remove(name)
                 returned.add(name)
                 booting.remove(name)
-                holder.machines[name]?.let(holder::machineGone)
+                leader.machines[name]?.let(leader::machineGone)
             }
             while (returned.size > Tuning.RETURNED_KEPT) returned.remove(returned.first())
         }
     }
 
-    private fun driveList(holder: Holder) {
+    private fun driveList(leader: Leader) {
         if (listBusy || now.steady < listAt || !bucket.has(1)) return
         listBusy = true
         listAt = now.steady + Tuning.LIST_MS
-        listPage(holder, "")
+        listPage(leader, "")
     }
 
     private fun listPage(
-        holder: Holder,
+        leader: Leader,
         since: String,
     ) {
         call("GET", "/hosts?since=$since&limit=500", null) { reply ->
             listBusy = false
             val list = parse(reply) { WireJson.decodeFromString(StoveList.serializer(), it) } ?: return@call
             if (!election().holding) return@call
-            list.stoves.forEach { listed(holder, it) }
+            list.stoves.forEach { listed(leader, it) }
             if (list.hasNext && list.stoves.isNotEmpty()) {
                 listBusy = true
-                listPage(holder, list.stoves.last().ref)
+                listPage(leader, list.stoves.last().ref)
             }
         }
     }
 
     private fun listed(
-        holder: Holder,
+        leader: Leader,
         stove: ListedStove,
     ) {
-        val m = holder.machines[stove.ref]
+        val m = leader.machines[stove.ref]
         if (stove.ref in returned || stove.ref in toRelease) return
         when (stove.status) {
             "failed" -> {
                 log.info("machine {} has failed", stove.ref)
                 toRelease.add(stove.ref)
-                m?.let(holder::machineGone)
+                m?.let(leader::machineGone)
             }
 
             "booting" -> {
@@ -217,7 +217,7 @@
             }
 
             else -> {
-                if (m == null) unheard(holder, stove)
+                if (m == null) unheard(leader, stove)
             }
         }
     }
@@ -227,58 +227,58 @@
      * boots.
      */
     private fun unheard(
-        holder: Holder,
+        leader: Leader,
         stove: ListedStove,
     ) {
         val since = unheard.getOrPut(stove.ref) { now.steady }
-        if (now.steady - since < Tuning.UNHEARD_MS || holder.isCutOff(stove.hall)) return
+        if (now.steady - since < Tuning.UNHEARD_MS || leader.isCutOff(stove.hall)) return
         log.info("machine {} is up and does not report; it is returned", stove.ref)
         unheard.remove(stove.ref)
         booting.remove(stove.ref)
         toRelease.add(stove.ref)
     }
 
-    private fun plan(holder: Holder) {
+    private fun plan(leader: Leader) {
         for ((name, b) in booting.entries.toList()) {
             if (now.steady - b.since > b.pool.rack.startupS * 1000 * Tuning.BOOT_PATIENCE + listLagMs &&
-                !isScouting(holder, name, b)
+                !isScouting(leader, name, b)
             ) {
                 booting.remove(name)
                 toRelease.add(name)
             }
         }
-        val churn = holder.estimates.freedASecond(book().jobs.values)
-        load.now(holder.machines.values.sumOf { it.usedCpus })
-        ordinaryLoad.now(book().jobs.values.sumOf { ordinaryCpus(holder, it) })
-        val needs = Demand.of(book().jobs.values, holder, now)
+        val churn = leader.estimates.freedASecond(book().jobs.values)
+        load.now(leader.machines.values.sumOf { it.usedCpus })
+        ordinaryLoad.now(book().jobs.values.sumOf { ordinaryCpus(leader, it) })
+        val needs = Demand.of(book().jobs.values, leader, now)
         // With a zone cut off, tasks that may run there wait for it unseen: what is up now will be needed.
-        if (needs.isEmpty() && !holder.anyCutOff) {
+        if (needs.isEmpty() && !leader.anyCutOff) {
             if (calmSince == 0L) calmSince = now.steady
         } else {
             calmSince = 0L
-            recallRetiring(holder)
+            recallRetiring(leader)
         }
-        rentFor(holder, needs, churn)
-        returnEmpty(holder)
-        if (calmSince != 0L && now.steady - calmSince > Tuning.CALM_MS) retire(holder, churn)
+        rentFor(leader, needs, churn)
+        returnEmpty(leader)
+        if (calmSince != 0L && now.steady - calmSince > Tuning.CALM_MS) retire(leader, churn)
     }
 
     /** Rents for what waits, less what running tasks will free before it is late or a machine could be up. */
     private fun rentFor(
-        holder: Holder,
+        leader: Leader,
         needs: List<Demand>,
         churn: Double,
     ) {
         if (now.steady < rentRetryAt) return
         val coming =
             booting.values
-                .filter { !holder.isCutOff(it.pool.hall) }
+                .filter { !leader.isCutOff(it.pool.hall) }
                 .map { Supply(it.pool.rack, it.pool.hall, it.pool.borrowed) }
                 .toMutableList()
         val planned = LinkedHashMap<Pool, Int>()
-        val mayRent = minOf(Tuning.RENT_AT_ONCE, settings.operator.maxMachines - holder.machines.size - booting.size)
+        val mayRent = minOf(Tuning.RENT_AT_ONCE, settings.operator.maxMachines - leader.machines.size - booting.size)
         var freed = 0.0
-        val churnIn by lazy(LazyThreadSafetyMode.NONE) { holder.estimates.freedASecondByZone(holder.machines.values) }
+        val churnIn by lazy(LazyThreadSafetyMode.NONE) { leader.estimates.freedASecondByZone(leader.machines.values) }
         for (need in needs) {
             var left = need.unmetBy(coming)
             val spec = need.job.spec
@@ -286,8 +286,8 @@
             if (!need.job.standing && spec.vcpus > 0 && need.job.unservedMs(now.wall) <= Tuning.STARVED_MS) {
                 val startup = bootS()
                 // Where only dear machines are left to rent, all that frees before one could be up is counted on.
-                val dear = isDear(need.job, cheapest(holder, need, planned))
-                val within = if (dear) startup else holder.reserve.startWithinS(need.job, startup)
+                val dear = isDear(need.job, cheapest(leader, need, planned))
+                val within = if (dear) startup else leader.reserve.startWithinS(need.job, startup)
                 val soon =
                     (need.onlyZone?.let { churnIn[it] ?: 0.0 } ?: churn) * within *
                         (if (dear) 1.0 else Tuning.CHURN_COUNTED) -
@@ -297,7 +297,7 @@
                 freed += served * spec.vcpus
             }
             while (left > 0 && planned.values.sum() < mayRent) {
-                val pool = cheapest(holder, need, planned) ?: break
+                val pool = cheapest(leader, need, planned) ?: break
                 val supply = Supply(pool.rack, pool.hall, pool.borrowed)
                 val taken = supply.take(need.job, left, need.zones)
                 if (taken == 0) break
@@ -320,14 +320,14 @@
 
     /** Not in a zone that is cut off: what is rented there can't be reached, and no more than a scout is. */
     private fun cheapest(
-        holder: Holder,
+        leader: Leader,
         need: Demand,
         planned: Map<Pool, Int>,
     ): Pool? {
         val pools = pools(need.job).filter { need.zones.allows(it.hall) }
         return pools
-            .filter { !holder.isCutOff(it.hall) }
-            .ifEmpty { pools.filter { mayScout(holder, it.hall, planned) } }
+            .filter { !leader.isCutOff(it.hall) }
+            .ifEmpty { pools.filter { mayScout(leader, it.hall, planned) } }
             .filter { now.steady >= (exhausted[key(it)] ?: Long.MIN_VALUE) }
             .minWithOrNull(
                 compareBy({ it.price }, { p ->
@@ -339,22 +339,22 @@
 
     /** It is up in a zone that is cut off, and its first report will tell that the zone is back. */
     private fun isScouting(
-        holder: Holder,
+        leader: Leader,
         name: String,
         b: Booting,
-    ) = holder.isCutOff(b.pool.hall) && unheard[name].let { it != null && now.steady - it < Tuning.CUT_ZONE_MS }
+    ) = leader.isCutOff(b.pool.hall) && unheard[name].let { it != null && now.steady - it < Tuning.CUT_ZONE_MS }
 
     /**
      * No machine is left in the zone that would tell when it is heard again: one is rented, for work that can go
      * nowhere else.
      */
     private fun mayScout(
-        holder: Holder,
+        leader: Leader,
         hall: String,
         planned: Map<Pool, Int>,
     ) = booting.values.none { it.pool.hall == hall } && planned.keys.none { it.hall == hall } &&
         renting.none { "/$hall/" in it } &&
-        holder.machines.values.none { it.hall == hall && !it.releasing }
+        leader.machines.values.none { it.hall == hall && !it.releasing }
 
     private fun pools(job: Job): List<Pool> =
         book()
@@ -426,10 +426,10 @@
         }
     }
 
-    private fun returnEmpty(holder: Holder) {
-        val active = holder.machines.values.filter { it.inService }
-        for (m in holder.machines.values.toList()) {
-            if (m.draining && m.confirmed && holder.replicas.canMove(m, active)) holder.replicas.move(m)
+    private fun returnEmpty(leader: Leader) {
+        val active = leader.machines.values.filter { it.inService }
+        for (m in leader.machines.values.toList()) {
+            if (m.draining && m.confirmed && leader.replicas.canMove(m, active)) leader.replicas.move(m)
             if ((m.draining || m.retiring) && m.placements.isEmpty() && m.confirmed && !m.releasing) {
                 log.info("machine {} is empty and not needed; it is returned", m.name)
                 release(m)
@@ -438,34 +438,34 @@
     }
 
     /** Work waits: machines on their way out serve again, the cheapest first, before any is rented. */
-    private fun recallRetiring(holder: Holder) {
-        for (m in holder.machines.values) {
+    private fun recallRetiring(leader: Leader) {
+        for (m in leader.machines.values) {
             if (m.retiring && !m.releasing) {
                 m.retiring = false
-                holder.changed()
+                leader.changed()
             }
         }
     }
 
     /** Machines are emptied for good, the dearest first, as long as what is left holds the load and the reserve. */
     private fun retire(
-        holder: Holder,
+        leader: Leader,
         churn: Double,
     ) {
         if (now.steady - retiredAt < Tuning.RETIRE_MS) return
         retiredAt = now.steady
-        while (retireOne(holder, churn)) Unit
+        while (retireOne(leader, churn)) Unit
     }
 
     private fun retireOne(
-        holder: Holder,
+        leader: Leader,
         churn: Double,
     ): Boolean {
-        val active = holder.machines.values.filter { it.inService }
+        val active = leader.machines.values.filter { it.inService }
         val capacity = active.sumOf { it.rack.vcpus }
         val used = load.value
         val ordinary = active.sumOf { if (it.borrowed) 0.0 else it.rack.vcpus }
-        val reserve = holder.reserve.cpus(churn, bootS())
+        val reserve = leader.reserve.cpus(churn, bootS())
         val fixed = active.filter { !it.borrowed }.groupingBy { it.hall }.eachCount()
         val m =
             active
@@ -474,7 +474,7 @@
                 .filter { c -> c.borrowed || ordinary - c.rack.vcpus >= ordinaryLoad.value }
                 .filter { c -> c.borrowed || (fixed[c.hall] ?: 0) > 1 }
                 .sortedWith(compareBy({ -price(it.rack, it.borrowed) }, { it.usedCpus }))
-                .firstOrNull { holder.replicas.canMove(it, active) } ?: return false
+                .firstOrNull { leader.replicas.canMove(it, active) } ?: return false
         m.retiring = true
         log.info(
             "machine {} is not needed: {} of {} processors used, {} to spare",
@@ -484,14 +484,14 @@
             reserve.toInt(),
         )
         // Replicas of several machines would move to the same room, and some wait for their image elsewhere.
-        return !holder.replicas.move(m)
+        return !leader.replicas.move(m)
     }
 
     /** What the tasks of [job] take if they belong on ordinary machines: they may not or should not run on spot. */
     private fun ordinaryCpus(
-        holder: Holder,
+        leader: Leader,
         job: Job,
-    ): Double = if (!holder.reliability.wantsOrdinary(job)) 0.0 else job.placements.size * job.spec.vcpus
+    ): Double = if (!leader.reliability.wantsOrdinary(job)) 0.0 else job.placements.size * job.spec.vcpus
 
     /** Seconds until a machine of the quickest type is up. */
     fun bootS() = book().racks.values.minOfOrNull { it.startupS } ?: 0.0
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -24,7 +24,7 @@
 import ledgearch.wire.WorkStates
 import ledgearch.wire.WorkStatus
 
-/** The grant as far as intake needs it: the holder's submissions are accepted under its own grant. */
+/** The grant as far as intake needs it: the leader's submissions are accepted under its own grant. */
 internal interface GrantView {
     val holding: Boolean
     val condition: Condition
@@ -615,7 +615,7 @@
         }
     }
 
-    /** Makes the user's wish durable; the block's holder carries it out and then closes the job. */
+    /** Makes the user's wish durable; the block's leader carries it out and then closes the job. */
     private fun mark(
         record: JobRecord,
         stamp: Long,
--- a/src/main/kotlin/ledgearch/leader/Election.kt
+++ b/src/main/kotlin/ledgearch/leader/Election.kt
@@ -30,9 +30,9 @@
 }
 
 /**
- * One key a block, attached to a lease of its holder. The key's stamp is the token: it rises with every grant.
+ * One key a block, attached to a lease of its leader. The key's stamp is the token: it rises with every grant.
  * Whoever sees the key missing writes it; the state service lets one writer through. Safety never hangs on the
- * lease: workers follow the highest token only, and a new holder waits for their confirmation.
+ * lease: workers follow the highest token only, and a new leader waits for their confirmation.
  */
 internal class Election(
     private val node: String,
@@ -129,7 +129,7 @@
         return Change(put = Keys.silence(0), v = encode(SilenceRecord.serializer(), record))
     }
 
-    /** A holder before this one has given the block up of late, and the change of holder did not help. */
+    /** A leader before this one has given the block up of late, and the change of leader did not help. */
     val changedInVain: Boolean get() = book().silence.let { it != null && now.wall - it.at < Tuning.CHANGED_IN_VAIN_MS }
 
     private fun withdrawGrant(
@@ -163,15 +163,15 @@
     }
 
     /**
-     * The holder's process seems to have ended: its grant is taken over without waiting for its lease. Should it
+     * The leader's process seems to have ended: its grant is taken over without waiting for its lease. Should it
      * live after all, it is deposed like any other; nothing unsafe can come of it.
      */
-    fun challenge(holder: String) {
+    fun challenge(leader: String) {
         val b = book()
-        if (holding || claiming || permit == 0L || !b.loaded || b.grant?.node != holder) return
+        if (holding || claiming || permit == 0L || !b.loaded || b.grant?.node != leader) return
         if (now.steady < standBackUntil || now.steady - challengedAt < Tuning.CHALLENGE_MS) return
         challengedAt = now.steady
-        log.info("block 0: {} refuses connections; its grant {} is claimed", holder, b.grantStamp)
+        log.info("block 0: {} refuses connections; its grant {} is claimed", leader, b.grantStamp)
         claim(b.grantStamp)
     }
 
@@ -191,7 +191,7 @@
         return true
     }
 
-    /** A new token for the same holder: fences direct commands that were lost on their way. */
+    /** A new token for the same leader: fences direct commands that were lost on their way. */
     fun bump() {
         if (!holding || bumping || now.steady - bumpedAt < Tuning.BUMP_MS) return
         bumping = true
@@ -222,7 +222,7 @@
     }
 
     /**
-     * The key is at another stamp than the token: this holder's own by a renewal that nobody answered for, or
+     * The key is at another stamp than the token: this leader's own by a renewal that nobody answered for, or
      * another's.
      */
     private fun compareGrant() {
--- a/src/main/kotlin/ledgearch/mesh/Frames.kt
+++ b/src/main/kotlin/ledgearch/mesh/Frames.kt
@@ -10,20 +10,20 @@
     val running: Int,
 )
 
-/** What the holder tells the others at one time. [served]: the state service answers it; null when it does not say. */
-internal class HolderNews(
+/** What the leader tells the others at one time. [served]: the state service answers it; null when it does not say. */
+internal class LeaderStatus(
     val progress: List<Progress>,
     val served: Boolean?,
 )
 
 /**
- * What the holder tells the other controllers. No rule depends on it, and nothing in it is durable. A frame is a length
+ * What the leader tells the other controllers. No rule depends on it, and nothing in it is durable. A frame is a length
  * (4 bytes) and that many bytes: repeatedly a job's id (length, UTF-8) and two counts. An entry with an empty id is no
- * job: its first count tells whether the state service answers the holder. Versions that don't know it find no such
+ * job: its first count tells whether the state service answers the leader. Versions that don't know it find no such
  * job.
  */
 internal object Frames {
-    fun encode(news: HolderNews): ByteString {
+    fun encode(news: LeaderStatus): ByteString {
         val body = Buffer()
         news.served?.let { body.writeByte(0).writeInt(if (it) 1 else 0).writeInt(0) }
         for (p in news.progress) {
@@ -38,7 +38,7 @@
     }
 
     /** Takes one whole frame out of [buffer], or returns null while it is not all there. */
-    fun take(buffer: Buffer): HolderNews? {
+    fun take(buffer: Buffer): LeaderStatus? {
         if (buffer.size < Int.SIZE_BYTES) return null
         val size = buffer.peek().readInt()
         if (size !in 0..MAX_FRAME) throw MalformedFrame("a frame of $size bytes")
@@ -53,7 +53,7 @@
             val entry = Progress(body.readUtf8(length.toLong()), body.readInt(), body.readInt())
             if (length == 0) served = entry.done != 0 else list.add(entry)
         }
-        return HolderNews(list, served)
+        return LeaderStatus(list, served)
     }
 
     private const val MAX_FRAME = 1 shl 20
--- a/src/main/kotlin/ledgearch/mesh/Mesh.kt
+++ b/src/main/kotlin/ledgearch/mesh/Mesh.kt
@@ -6,7 +6,7 @@
     fun follow(address: String?)
 
     /** Sends [news] to all that follow this node. */
-    fun publish(news: HolderNews)
+    fun publish(news: LeaderStatus)
 
     /** How many follow this node; counts connections that were ever made, so that a newcomer is noticed. */
     val joined: Int
--- a/src/main/kotlin/ledgearch/mesh/MeshLinks.kt
+++ b/src/main/kotlin/ledgearch/mesh/MeshLinks.kt
@@ -26,13 +26,13 @@
 
 /** What the links tell the owner. */
 internal interface MeshEvents {
-    suspend fun news(news: HolderNews)
+    suspend fun news(news: LeaderStatus)
 
     /** The connection to [address] ended and new ones are refused: most likely its process has ended. */
     suspend fun refused(address: String)
 }
 
-/** The connections between controllers: one from every other node to the holder, kept as long as it holds. */
+/** The connections between controllers: one from every other node to the leader, kept as long as it holds. */
 internal class MeshLinks(
     private val scope: CoroutineScope,
     private val group: AsynchronousChannelGroup,
@@ -72,7 +72,7 @@
         }
     }
 
-    override fun publish(news: HolderNews) {
+    override fun publish(news: LeaderStatus) {
         if (followers.isEmpty()) return
         val frame = Frames.encode(news)
         followers.forEach { it.trySend(frame) }
--- a/src/main/kotlin/ledgearch/state/StateClient.kt
+++ b/src/main/kotlin/ledgearch/state/StateClient.kt
@@ -78,7 +78,7 @@
 
     private val requests = TokenBucket(limits.rps)
     private val writes = TokenBucket(limits.writeRps)
-    private var isHolder = false
+    private var isLeader = false
 
     /** The service has shown that it keeps to the lower rates of the settings by now. */
     private var lowered = false
@@ -95,17 +95,17 @@
     private var refusedUntil = Long.MIN_VALUE
 
     init {
-        share(holder = false)
+        share(leader = false)
     }
 
-    /** The holder of the block writes most and gets the larger part of the budget. */
-    fun share(holder: Boolean) {
-        isHolder = holder
+    /** The leader of the block writes most and gets the larger part of the budget. */
+    fun share(leader: Boolean) {
+        isLeader = leader
         val part =
             when {
                 nodes <= 1 -> 1.0
-                holder -> Tuning.HOLDER_SHARE
-                else -> (1 - Tuning.HOLDER_SHARE) / (nodes - 1)
+                leader -> Tuning.LEADER_SHARE
+                else -> (1 - Tuning.LEADER_SHARE) / (nodes - 1)
             }
         requests.perSecond = (if (lowered) limits.lowerRps else limits.rps) * Tuning.BUDGET_USED * part
         writes.perSecond = (if (lowered) limits.lowerWriteRps else limits.writeRps) * Tuning.BUDGET_USED * part
@@ -125,7 +125,7 @@
             "the state service's limits seem to be lowered; {} changes a second are planned for",
             limits.lowerWriteRps,
         )
-        share(isHolder)
+        share(isLeader)
     }
 
     val maxChanges: Int get() = limits.safeTxnOps
--- a/src/test/kotlin/ledgearch/FramesTest.kt
+++ b/src/test/kotlin/ledgearch/FramesTest.kt
@@ -1,7 +1,7 @@
 package ledgearch
 
 import ledgearch.mesh.Frames
-import ledgearch.mesh.HolderNews
+import ledgearch.mesh.LeaderStatus
 import ledgearch.mesh.MalformedFrame
 import ledgearch.mesh.Progress
 import okio.Buffer
@@ -20,14 +20,14 @@
     @Test
     fun `a frame tells what was put into it`() {
         for (served in listOf(true, false, null)) {
-            val news = read(Frames.encode(HolderNews(progress, served)))
+            val news = read(Frames.encode(LeaderStatus(progress, served)))
             assertEquals(progress, news.progress)
             assertEquals(served, news.served)
         }
     }
 
     /**
-     * Written by the version before holders told whether the state service answers them: `job-7`, 3 done, 2 running.
+     * Written by the version before leaders told whether the state service answers them: `job-7`, 3 done, 2 running.
      */
     @Test
     fun `an earlier version's frame is read`() {
@@ -39,7 +39,7 @@
     /** To an earlier version what is new is one more job, with an empty id that nothing has. */
     @Test
     fun `what is new has the form of a job's entry`() {
-        assertEquals("00000009000000000000000000".decodeHex(), Frames.encode(HolderNews(emptyList(), served = false)))
+        assertEquals("00000009000000000000000000".decodeHex(), Frames.encode(LeaderStatus(emptyList(), served = false)))
     }
 
     @Test
--- a/src/test/kotlin/ledgearch/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/MixedVersionsTest.kt
@@ -17,7 +17,7 @@
 import ledgearch.core.SilenceRecord
 import ledgearch.core.SingleMachineRecord
 import ledgearch.mesh.Frames
-import ledgearch.mesh.HolderNews
+import ledgearch.mesh.LeaderStatus
 import ledgearch.mesh.Progress
 import ledgearch.wire.Rack
 import ledgearch.wire.Shapes
@@ -93,12 +93,12 @@
         )
 
     /** Every form of a frame with its file. */
-    private val frames: Map<String, HolderNews> =
+    private val frames: Map<String, LeaderStatus> =
         mapOf(
-            "frame-state-answers" to HolderNews(PROGRESS, served = true),
-            "frame-state-does-not-answer" to HolderNews(PROGRESS, served = false),
-            "frame-state-unknown" to HolderNews(PROGRESS, served = null),
-            "frame-no-job" to HolderNews(emptyList(), served = true),
+            "frame-state-answers" to LeaderStatus(PROGRESS, served = true),
+            "frame-state-does-not-answer" to LeaderStatus(PROGRESS, served = false),
+            "frame-state-unknown" to LeaderStatus(PROGRESS, served = null),
+            "frame-no-job" to LeaderStatus(emptyList(), served = true),
         )
 
     @TestFactory
--- a/src/test/kotlin/ledgearch/world/Rules.kt
+++ b/src/test/kotlin/ledgearch/world/Rules.kt
@@ -25,7 +25,7 @@
 
     fun startsOf(job: String) = starts[job] ?: 0
 
-    /** The highest attempt number that a worker was sent; its low bits count the holder's decisions. */
+    /** The highest attempt number that a worker was sent; its low bits count the leader's decisions. */
     var lastAttempt = 0L
         private set
 
--- a/src/test/kotlin/ledgearch/world/Troubles.kt
+++ b/src/test/kotlin/ledgearch/world/Troubles.kt
@@ -11,7 +11,7 @@
     private val clock get() = world.clock
     private val random get() = world.random
 
-    private fun holder() = world.state.field("w/g/0", "node") ?: world.nodes.first().name
+    private fun leader() = world.state.field("w/g/0", "node") ?: world.nodes.first().name
 
     private fun machine() =
         world.cloud.names
@@ -64,15 +64,15 @@
 
     private val all: List<() -> Unit> =
         listOf(
-            { world.state.refuse(holder(), until(4, 20)) },
+            { world.state.refuse(leader(), until(4, 20)) },
             { clock.after(random.nextLong(3_000)) { out(seconds(5, 50)) } },
             { during(seconds(5, 20), { world.state.lateShare = 0.3 }, { world.state.lateShare = 0.0 }) },
             { during(seconds(5, 20), { world.state.unansweredShare = 0.5 }, { world.state.unansweredShare = 0.0 }) },
             { during(seconds(5, 20), { world.state.slowMs = seconds(1, 4) }, { world.state.slowMs = 0 }) },
-            { back(world.nodes.first { it.name == holder() }, seconds(0, 6)) },
+            { back(world.nodes.first { it.name == leader() }, seconds(0, 6)) },
             { world.nodes.forEach { back(it, seconds(0, 4)) } },
-            { repeat(4) { i -> clock.after(i * 6_000L) { back(world.nodes.first { it.name == holder() }, 200L) } } },
-            { world.nodes.first { it.name == holder() }.freeze(until(1, 12)) },
+            { repeat(4) { i -> clock.after(i * 6_000L) { back(world.nodes.first { it.name == leader() }, 200L) } } },
+            { world.nodes.first { it.name == leader() }.freeze(until(1, 12)) },
             { machines(6).forEach { hang(it, seconds(2, 40)) } },
             { world.users.cancelNow(1 + random.nextInt(4), seconds(3, 30)) },
             { world.users.cancelNow(1 + random.nextInt(4), 0) },
@@ -98,7 +98,7 @@
             },
             {
                 val end = until(5, 40)
-                val cutOff = holder()
+                val cutOff = leader()
                 for (other in listOf("state") + world.nodes.map { it.name }) {
                     if (other !=
                         cutOff
@@ -107,7 +107,7 @@
                     }
                 }
             },
-            { world.cut(holder(), "workers", until(5, 30), hold = random.nextBoolean()) },
+            { world.cut(leader(), "workers", until(5, 30), hold = random.nextBoolean()) },
             { during(seconds(5, 25), { world.cloud.down = true }, { world.cloud.down = false }) },
             { during(seconds(10, 40), { world.keptShare = 0.3 }, { world.keptShare = 0.0 }) },
         )
@@ -119,7 +119,7 @@
             { world.users.cancelNeeded(1 + random.nextInt(3)) },
             {
                 world.users.cancelNeeded(1 + random.nextInt(3))
-                clock.after(random.nextLong(1_000)) { back(world.nodes.first { it.name == holder() }, seconds(0, 4)) }
+                clock.after(random.nextLong(1_000)) { back(world.nodes.first { it.name == leader() }, seconds(0, 4)) }
             },
             {
                 world.users.cancelNeeded(1 + random.nextInt(3))
--- a/src/test/kotlin/ledgearch/world/World.kt
+++ b/src/test/kotlin/ledgearch/world/World.kt
@@ -19,7 +19,7 @@
 import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
-import ledgearch.mesh.HolderNews
+import ledgearch.mesh.LeaderStatus
 import ledgearch.mesh.Mesh
 import ledgearch.wire.WorkRequest
 import kotlin.random.Random
@@ -243,7 +243,7 @@
                 clock.after(300) { look(address) }
             }
 
-            override fun publish(news: HolderNews) {
+            override fun publish(news: LeaderStatus) {
                 for (node in nodes) {
                     if (node !== this@Node &&
                         node.up
