--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -342,11 +342,11 @@
 
     fun callsAtOnce(sockets: Int) = (sockets * CALLS_SHARE).toInt().coerceAtLeast(1)
 
-    /** Bits of an attempt's number that count within a tenure; the token above them makes it unique for ever. */
+    /** Bits of an attempt's number that count within a term; the token above them makes it unique for ever. */
     const val ATTEMPT_BITS = 28
 
     /** Attempts. After these a new grant is needed: a fortnight at a hundred starts a second, half of what there is. */
-    const val ATTEMPTS_A_TENURE = 1L shl (ATTEMPT_BITS - 1)
+    const val ATTEMPTS_PER_TERM = 1L shl (ATTEMPT_BITS - 1)
 
     /** Orders. In one message, of at most 64 KiB: an order takes some 80 bytes, more with long names. */
     const val ORDERS_AT_ONCE = 400
--- a/src/main/kotlin/ledgearch/core/Courier.kt
+++ b/src/main/kotlin/ledgearch/core/Courier.kt
@@ -36,11 +36,11 @@
     /** Direct commands under way, without probes. */
     private var callsOpen = 0
 
-    /** Changes with every tenure: answers to an earlier one's calls mean nothing here. */
-    private var tenure = 0
+    /** Changes with every term: answers to an earlier one's calls mean nothing here. */
+    private var term = 0
 
     fun clear() {
-        tenure++
+        term++
         wanted.clear()
         lossy.clear()
         broken.clear()
@@ -151,7 +151,7 @@
         timeoutMs: Long,
         done: (CheckIn?) -> Unit,
     ) {
-        val mine = tenure
+        val mine = term
         val body =
             WireJson.encodeToString(
                 OrdersRequest.serializer(),
@@ -162,7 +162,7 @@
         val sentAt = now.steady
         // Over a slow link answers are awaited for as long as the last one took and half as long again.
         transport.call(m.endpoint, "POST", "/orders", body, maxOf(timeoutMs, m.answerMs * 3 / 2)) { reply ->
-            if (tenure != mine) return@call
+            if (term != mine) return@call
             val answer =
                 if (reply.status == 200 ||
                     reply.status == 409
--- a/src/main/kotlin/ledgearch/core/Journal.kt
+++ b/src/main/kotlin/ledgearch/core/Journal.kt
@@ -60,8 +60,8 @@
         }
     }
 
-    /** Changes with every tenure: what an earlier one's transactions made durable is nothing of this one's. */
-    private var tenure = 0
+    /** Changes with every term: what an earlier one's transactions made durable is nothing of this one's. */
+    private var term = 0
     private var stamps = KeyStamps(state)
     private var writing = false
     private var retryAt = Long.MIN_VALUE
@@ -85,7 +85,7 @@
     var onClosed: (Job, FinalRecord) -> Unit = { _, _ -> }
 
     fun clear() {
-        tenure++
+        term++
         stamps = KeyStamps(state)
         writing = false
         outdated.clear()
@@ -149,7 +149,7 @@
         writing = true
         val sentAt = now.steady
         val under = election.token
-        val mine = tenure
+        val mine = term
         val conditions = ArrayList<Condition>()
         conditions.add(election.condition)
         for (entry in entries) {
@@ -157,7 +157,7 @@
                 entry.closes?.let { listOf(Condition(Keys.job(it.id), it.stamp)) } ?: stamps.conditions(entry.changes)
         }
         state.txn(conditions, entries.flatMap { it.changes }, Lane.ORDINARY) { result ->
-            if (tenure != mine) return@txn
+            if (term != mine) return@txn
             writing = false
             if (alone > 0) alone--
             when (result) {
@@ -203,14 +203,14 @@
     ) {
         retryAt = now.steady + if (keys.isEmpty() || Keys.grant(0) in keys) Tuning.STATE_RETRY_MS else Tuning.TICK_MS
         if (Keys.grant(0) in keys) election.doubted(under)
-        val mine = tenure
+        val mine = term
         val own = ArrayList<String>()
         for (c in conditions) {
             if (c.key !in keys || c.key == Keys.grant(0)) continue
             if (c.key.startsWith(Keys.JOBS)) outdated[c.key.removePrefix(Keys.JOBS)] = c.stamp else own.add(c.key)
         }
         writing = true
-        stamps.readAnew(own) { if (tenure == mine) writing = false }
+        stamps.readAnew(own) { if (term == mine) writing = false }
     }
 
     private fun collect(): List<Entry> {
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -75,8 +75,8 @@
             )
         }
 
-    /** The first token of this tenure: a worker that has seen it no longer follows any earlier leader. */
-    private var tenure = 0L
+    /** The first token of this term: a worker that has seen it no longer follows any earlier leader. */
+    private var term = 0L
     private var attemptSeq = 0L
     private val takeover = Takeover(state, book, journal, teams, now, ::join)
     private val tasks = TaskNews(book, machines, estimates, journal, metrics, now, courier::want, ::changed)
@@ -99,10 +99,10 @@
 
     fun begin(token: Long) {
         end()
-        tenure = token
+        term = token
         attemptSeq = 0
         for (job in book.jobs.values) {
-            job.trusted = job.stamp > tenure && !job.record.cancel
+            job.trusted = job.stamp > term && !job.record.cancel
             if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
         }
         guaranteesDirty = true
@@ -111,7 +111,7 @@
     }
 
     fun end() {
-        tenure = 0
+        term = 0
         ready = false
         allConfirmedLogged = false
         machines.clear()
@@ -141,10 +141,10 @@
             job.spec.recipe,
             job.spec.sizeGb,
         )
-        if (tenure == 0L) return
+        if (term == 0L) return
         // Accepted after the grant: no earlier leader can have learnt of it while it still held the block.
         // Of a cancelled one only the mark may be so new.
-        job.trusted = if (job.record.cancel) allConfirmedLogged else job.stamp > tenure
+        job.trusted = if (job.record.cancel) allConfirmedLogged else job.stamp > term
         if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
         guaranteesDirty = true
         dirty = true
@@ -153,7 +153,7 @@
     /** Every job that [job] depends on is done. */
     fun jobReleased(job: Job) {
         reserve.opened(job)
-        if (tenure == 0L) return
+        if (term == 0L) return
         log.debug("{} may start: all that it depends on is done", job.id)
         guaranteesDirty = true
         dirty = true
@@ -161,7 +161,7 @@
 
     /** A job that [job] depends on was withdrawn. */
     fun jobWithdrawnWithDependency(job: Job) {
-        if (tenure != 0L) cancelled.add(job)
+        if (term != 0L) cancelled.add(job)
     }
 
     /** Attempts are counted by urgency, so those of [job] are taken out of the counts while it changes. */
@@ -177,13 +177,13 @@
     }
 
     fun jobChanged(job: Job) {
-        if (tenure == 0L) return
+        if (term == 0L) return
         if (job.record.cancel) cancelled.add(job)
         dirty = true
     }
 
     fun jobClosed(job: Job) {
-        if (tenure == 0L) return
+        if (term == 0L) return
         job.closed = true
         cancelled.remove(job)
         placer.forget(job)
@@ -200,7 +200,7 @@
 
     private fun takeOver() {
         // Jobs accepted before the grant are in the book once the watch has passed the grant.
-        if (book.revision < tenure) return
+        if (book.revision < term) return
         takeover.drive {
             ready = true
             dirty = true
@@ -311,7 +311,7 @@
         // The first word of a session: it began before, and has a whole lease from then on without any answer of ours.
         if (m.ticket == 0L) m.answeredAt = now.steady
         // Of a machine that has not confirmed the token, a report without it may be a copy as old as an earlier leader.
-        val current = !isReport || m.confirmed || report.baton >= tenure
+        val current = !isReport || m.confirmed || report.baton >= term
         if (isReport && report.ticket > m.reportTicket) {
             m.reportTicket = report.ticket
             m.reportAt = now.steady
@@ -332,7 +332,7 @@
         }
         if (!m.confirmed) {
             // One without a record is shown the token directly: the report may be a copy, and the machine gone.
-            if (report.baton < tenure || !ready || (isReport && !m.inherited)) return
+            if (report.baton < term || !ready || (isReport && !m.inherited)) return
             m.confirm()
             courier.reached(m)
             unconfirmed.remove(m)
@@ -389,7 +389,7 @@
         m: Machine,
     ) {
         metrics.count("task.started")
-        val attempt = (tenure shl Tuning.ATTEMPT_BITS) or ++attemptSeq
+        val attempt = (term shl Tuning.ATTEMPT_BITS) or ++attemptSeq
         val p = Placement(job, "${job.id}/$index", index, attempt, m, now.steady)
         m.attach(p)
         job.place(p)
@@ -440,11 +440,11 @@
     fun isCutOff(hall: String) = silence.isCutOff(hall)
 
     fun drive() {
-        if (tenure == 0L || !election.holding) return
+        if (term == 0L || !election.holding) return
         if (!ready) takeOver()
         if (!ready) return
         // A number used twice could be taken for the attempt that a replica has run under since long ago.
-        if (attemptSeq > Tuning.ATTEMPTS_A_TENURE) return election.giveUp("attempt numbers are used up")
+        if (attemptSeq > Tuning.ATTEMPTS_PER_TERM) return election.giveUp("attempt numbers are used up")
         confirm()
         closeCancelled()
         metrics.spend("silence") { silence.drive() }
@@ -529,7 +529,7 @@
     fun countsHold() =
         machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
             book.jobs.values.all { job ->
-                tenure == 0L ||
+                term == 0L ||
                     job.runningCount == job.placements.values.count { it.status == TaskStatus.RUNNING }
             }
 }
--- a/src/main/kotlin/ledgearch/core/Silence.kt
+++ b/src/main/kotlin/ledgearch/core/Silence.kt
@@ -204,7 +204,7 @@
     }
 
     /**
-     * Without a word from the cloud: a worker that confirmed this tenure's token has had no valid answer since
+     * Without a word from the cloud: a worker that confirmed this term's token has had no valid answer since
      * [Machine.answeredAt] if the grant was still this node's after the lease ended.
      */
     private fun leaseRanOut(m: Machine) {
--- a/src/main/kotlin/ledgearch/core/Takeover.kt
+++ b/src/main/kotlin/ledgearch/core/Takeover.kt
@@ -19,8 +19,8 @@
     private var reading = false
     private var retryAt = Long.MIN_VALUE
 
-    /** Changes with every tenure: what an earlier one asked for means nothing here. */
-    private var tenure = 0
+    /** Changes with every term: what an earlier one asked for means nothing here. */
+    private var term = 0
 
     /** Every machine that has a record is known. */
     var machinesRead = false
@@ -32,7 +32,7 @@
     }
 
     fun clear() {
-        tenure++
+        term++
         toRead.clear()
         reading = false
         machinesRead = false
@@ -43,9 +43,9 @@
         if (reading || now.steady < retryAt) return
         val (prefix, since) = toRead.firstOrNull() ?: return done()
         reading = true
-        val mine = tenure
+        val mine = term
         state.list(prefix, since, Lane.VITAL) { result ->
-            if (tenure != mine) return@list
+            if (term != mine) return@list
             reading = false
             when (result) {
                 is ReadResult.Found -> {
--- a/src/test/kotlin/ledgearch/world/Expectations.kt
+++ b/src/test/kotlin/ledgearch/world/Expectations.kt
@@ -48,7 +48,7 @@
             }
 
             "tenures" -> {
-                world.rules.tenures.let { compare("tenures ${w[2]}", it, it == w[2].toInt()) }
+                world.rules.terms.let { compare("tenures ${w[2]}", it, it == w[2].toInt()) }
             }
 
             "finished" -> {
--- a/src/test/kotlin/ledgearch/world/Rules.kt
+++ b/src/test/kotlin/ledgearch/world/Rules.kt
@@ -29,9 +29,9 @@
     var lastAttempt = 0L
         private set
 
-    /** How many grants, first ones of a tenure, starts were decided under. */
-    val tenures get() = tenuresSeen.size
-    private val tenuresSeen = HashSet<Long>()
+    /** How many grants, first ones of a term, starts were decided under. */
+    val terms get() = termsSeen.size
+    private val termsSeen = HashSet<Long>()
 
     /** Starts that a faulty machine failed. */
     var failures = 0
@@ -96,7 +96,7 @@
         task: WorkerStandIn.Task,
     ) {
         lastAttempt = maxOf(lastAttempt, task.attempt)
-        tenuresSeen.add(task.attempt shr Tuning.ATTEMPT_BITS)
+        termsSeen.add(task.attempt shr Tuning.ATTEMPT_BITS)
         if (task.portion.substringBefore('/') in
             withdrawnAt
         ) {
