--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -69,13 +69,13 @@
     private val metered = MeteredTransport(transport, settings.outside, metrics, now)
     private val state =
         StateClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, now)
-    private val book = Book(state, now, BookEvents(), DependencyEvents(), finalsKept)
-    private val election: Election = Election(node, life, state, { book }, now, random, ElectionEvents())
-    private val journal = Journal(state, election, book, now, settings.deployment.state.safeValueBytes)
+    private val jobStore = JobStore(state, now, JobStoreEvents(), DependencyEvents(), finalsKept)
+    private val election: Election = Election(node, life, state, { jobStore }, now, random, ElectionEvents())
+    private val journal = Journal(state, election, jobStore, now, settings.deployment.state.safeValueBytes)
     private val own = OwnTime(now, metrics)
-    private val fleet: Fleet = Fleet(settings, metered, { election }, { book }, now, { journal })
-    private val leader = Leader(settings, state, metered, election, book, now, journal, fleet, metrics, own)
-    private val intake = Intake(settings, book, state, GrantEvents(), now)
+    private val fleet: Fleet = Fleet(settings, metered, { election }, { jobStore }, now, { journal })
+    private val leader = Leader(settings, state, metered, election, jobStore, now, journal, fleet, metrics, own)
+    private val intake = Intake(settings, jobStore, state, GrantEvents(), now)
 
     private var loadLogAt = 0L
     private var publishAt = 0L
@@ -85,7 +85,7 @@
     private var leaderUnservedAt = Long.MIN_VALUE / 2
 
     init {
-        journal.onClosed = { job, record -> book.rememberFinal(job.id, record) }
+        journal.onClosed = { job, record -> jobStore.rememberFinal(job.id, record) }
     }
 
     /** One batch: all commands, then whatever follows from them. [behind]: more commands wait already. */
@@ -129,7 +129,7 @@
                 }
             }
         }
-        book.drive()
+        jobStore.drive()
         election.drive()
         fleet.driveCatalog(election.holding)
         metrics.spend("intake") { intake.drive() }
@@ -159,7 +159,7 @@
         val all = mesh.joined != publishedTo
         publishedTo = mesh.joined
         val news =
-            book.jobs.values.mapNotNull { job ->
+            jobStore.jobs.values.mapNotNull { job ->
                 val p = Progress(job.id, job.finishedCount, job.runningCount)
                 if (!all && p == job.shown) null else p.also { job.shown = it }
             }
@@ -168,7 +168,7 @@
     }
 
     private fun heard(news: LeaderStatus) {
-        news.progress.forEach { book.jobs[it.job]?.shown = it }
+        news.progress.forEach { jobStore.jobs[it.job]?.shown = it }
         if (news.served == false) leaderUnservedAt = now.steady
     }
 
@@ -216,7 +216,7 @@
         metrics.report(
             node,
             election.token,
-            book.jobs.size,
+            jobStore.jobs.size,
             leader.machines.size,
             leader.machines.values.sumOf {
                 it.placements.size
@@ -229,7 +229,7 @@
      * and everyone else told at once when to come back.
      */
     private fun healthy() =
-        book.loaded && book.racks.isNotEmpty() &&
+        jobStore.loaded && jobStore.racks.isNotEmpty() &&
             (
                 now.steady - state.lastAnswer < Tuning.STATE_SILENT_MS ||
                     now.steady - leaderUnservedAt < Tuning.OUTAGE_HEARD_MS
@@ -252,7 +252,7 @@
     }
 
     private fun elsewhere(): Response {
-        val other = book.grant?.node
+        val other = jobStore.grant?.node
         if (other == null || other == node) return Intake.error(503, "no holder is known")
         return Response(421, WireJson.encodeToString(Misdirected.serializer(), Misdirected(other)))
     }
@@ -260,11 +260,11 @@
     /** Whether the counts kept of machines and teams are those of a recount. */
     fun countsHold() = !election.holding || leader.countsHold()
 
-    private inner class BookEvents : BookListener {
+    private inner class JobStoreEvents : JobStoreListener {
         override fun grantChanged() {
             election.grantChanged()
-            mesh.follow(book.grant?.node?.let { members[it] })
-            log.info("block 0: holder {} by grant {}", book.grant?.node ?: "none", book.grantStamp)
+            mesh.follow(jobStore.grant?.node?.let { members[it] })
+            log.info("block 0: holder {} by grant {}", jobStore.grant?.node ?: "none", jobStore.grantStamp)
         }
 
         override fun jobOpened(job: Job) = leader.jobOpened(job)
--- a/src/main/kotlin/ledgearch/core/Book.kt
+++ b/src/main/kotlin/ledgearch/core/JobStore.kt
@@ -13,7 +13,7 @@
 import org.slf4j.LoggerFactory
 
 /** What changed in the watched part of the state service. */
-internal interface BookListener {
+internal interface JobStoreListener {
     fun grantChanged()
 
     fun jobOpened(job: Job)
@@ -34,10 +34,10 @@
  * kept by a watch, so changes are seen in the order of their revisions. A copy may be old: what is told to users
  * is confirmed first, and the leader's right is fenced by its token.
  */
-internal class Book(
+internal class JobStore(
     private val state: StateClient,
     private val now: Now,
-    private val listener: BookListener,
+    private val listener: JobStoreListener,
     dependencyListener: DependencyListener,
     finalsKept: Long,
 ) {
--- a/src/main/kotlin/ledgearch/core/Journal.kt
+++ b/src/main/kotlin/ledgearch/core/Journal.kt
@@ -24,7 +24,7 @@
 internal class Journal(
     private val state: StateClient,
     private val election: Election,
-    private val book: Book,
+    private val jobStore: JobStore,
     private val now: Now,
     private val valueBytes: Int,
 ) {
@@ -226,7 +226,7 @@
         for ((id, closing) in closings) {
             val (job, finalState) = closing
             // The stamp is compared so that a cancellation marked meanwhile is seen before the job is closed.
-            if (book.jobs[id] !== job || outdated[id] == job.stamp) continue
+            if (jobStore.jobs[id] !== job || outdated[id] == job.stamp) continue
             val record = FinalRecord(finalState, if (finalState == WorkStates.DONE) job.spec.portions else 0)
             val changes =
                 listOf(
@@ -237,7 +237,7 @@
         }
         closings.values
             .map { it.first }
-            .filter { book.jobs[it.id] !== it }
+            .filter { jobStore.jobs[it.id] !== it }
             .forEach(::forget)
         for (job in progress.values) {
             // Until then its finished tasks stay on their machines' lists, from where the next leader would learn of
@@ -309,7 +309,7 @@
         job.progressAt = now.steady
         written.values.forEach(job.recorded::or)
         // A final record written meanwhile would leave this chunk behind.
-        if (book.jobs[job.id] !== job) written.keys.forEach { removals.add(Keys.finished(job.id, it)) }
+        if (jobStore.jobs[job.id] !== job) written.keys.forEach { removals.add(Keys.finished(job.id, it)) }
         if (job.finished == job.recorded) progress.remove(job.id)
     }
 
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -27,7 +27,7 @@
     private val state: StateClient,
     private val transport: Transport,
     private val election: Election,
-    private val book: Book,
+    private val jobStore: JobStore,
     private val now: Now,
     private val journal: Journal,
     private val fleet: Fleet,
@@ -40,7 +40,8 @@
     val teams = Teams(settings.deployment.teams)
     val estimates = Estimates()
     val reserve = Reserve(settings, now)
-    private val deadlines = Deadlines(settings.deployment.objectives, estimates, now, book.dependencies::dependentsOf)
+    private val deadlines =
+        Deadlines(settings.deployment.objectives, estimates, now, jobStore.dependencies::dependentsOf)
     private val ranking = Ranking(settings.deployment.objectives, estimates, now, deadlines)
     val reliability = Reliability(estimates, ranking)
     private val placer =
@@ -78,8 +79,8 @@
     /** The first token of this term: a worker that has seen it no longer follows any earlier leader. */
     private var term = 0L
     private var attemptSeq = 0L
-    private val takeover = Takeover(state, book, journal, teams, now, ::join)
-    private val tasks = TaskNews(book, machines, estimates, journal, metrics, now, courier::want, ::changed)
+    private val takeover = Takeover(state, jobStore, journal, teams, now, ::join)
+    private val tasks = TaskNews(jobStore, machines, estimates, journal, metrics, now, courier::want, ::changed)
     val replicas = Replicas(now, placer::usable) { stop(it) }
 
     /** The records of the block are read; from here on machines are confirmed and tasks placed. */
@@ -101,7 +102,7 @@
         end()
         term = token
         attemptSeq = 0
-        for (job in book.jobs.values) {
+        for (job in jobStore.jobs.values) {
             job.trusted = job.stamp > term && !job.record.cancel
             if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
         }
@@ -123,7 +124,7 @@
         teams.clear()
         takeover.clear()
         journal.clear()
-        for (job in book.jobs.values) job.forgetLeaderState()
+        for (job in jobStore.jobs.values) job.forgetLeaderState()
         fleet.end()
         state.share(leader = false)
     }
@@ -199,15 +200,15 @@
     // --- Taking over ------------------------------------------------------------------------------------------
 
     private fun takeOver() {
-        // Jobs accepted before the grant are in the book once the watch has passed the grant.
-        if (book.revision < term) return
+        // Jobs accepted before the grant are in the job store once the watch has passed the grant.
+        if (jobStore.revision < term) return
         takeover.drive {
             ready = true
             dirty = true
             log.info(
                 "block 0: took over {} machines and {} open jobs under token {}",
                 machines.size,
-                book.jobs.size,
+                jobStore.jobs.size,
                 election.token,
             )
         }
@@ -284,7 +285,7 @@
 
     /** A machine without a record: nothing was ever started on it, since the record comes first. */
     private fun adopt(report: CheckIn): Machine? {
-        val rack = book.racks[report.rack] ?: return null
+        val rack = jobStore.racks[report.rack] ?: return null
         if (fleet.isReturned(report.stove)) return null
         val m = Machine(report.stove, report.endpoint, rack, report.hall, report.borrowed, now.steady, teams)
         m.answeredAt = now.steady
@@ -429,7 +430,7 @@
     // --- Time -------------------------------------------------------------------------------------------------
 
     private fun areasBefore(): Set<String> {
-        val leaders = book.recentLeaders(settings.node, Tuning.CUT_ZONE_MS)
+        val leaders = jobStore.recentLeaders(settings.node, Tuning.CUT_ZONE_MS)
         return settings.members.filter { it.node in leaders }.mapTo(HashSet()) { it.area }
     }
 
@@ -468,17 +469,17 @@
         dirty = false
         if (guaranteesDirty) {
             guaranteesDirty = false
-            teams.countGuarantees(book.jobs.values)
+            teams.countGuarantees(jobStore.jobs.values)
             shelter()
         }
-        teams.countUnfound(book.jobs.values)
-        own.passed(metrics.timed { placer.pass(book.jobs.values) })
+        teams.countUnfound(jobStore.jobs.values)
+        own.passed(metrics.timed { placer.pass(jobStore.jobs.values) })
     }
 
     private fun shelter() =
         metrics.spend("shelter") {
             reliability.shelter(
-                book.jobs.values.filter {
+                jobStore.jobs.values.filter {
                     !it.waitsForOthers
                 },
                 machines.values,
@@ -492,7 +493,7 @@
         for (m in unconfirmed) courier.probe(m)
         if (allConfirmedLogged || unconfirmed.any { it.inherited }) return
         allConfirmedLogged = true
-        book.jobs.values.forEach { it.trusted = true }
+        jobStore.jobs.values.forEach { it.trusted = true }
         dirty = true
         log.info("block 0: every recorded machine is confirmed")
     }
@@ -528,7 +529,7 @@
     /** Whether the counts kept as attempts come and go are those of a recount. */
     fun countsHold() =
         machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
-            book.jobs.values.all { job ->
+            jobStore.jobs.values.all { job ->
                 term == 0L ||
                     job.runningCount == job.placements.values.count { it.status == TaskStatus.RUNNING }
             }
--- a/src/main/kotlin/ledgearch/core/Takeover.kt
+++ b/src/main/kotlin/ledgearch/core/Takeover.kt
@@ -9,7 +9,7 @@
 /** What a new leader reads before it acts: the machines of the block, then the finished tasks of open jobs. */
 internal class Takeover(
     private val state: StateClient,
-    private val book: Book,
+    private val jobStore: JobStore,
     private val journal: Journal,
     private val teams: Teams,
     private val now: Now,
@@ -79,7 +79,7 @@
             journal.restore(name, pair, teams, now.steady).forEach(join)
         } else {
             val id = name.substringBefore('/')
-            val job = book.jobs[id]
+            val job = jobStore.jobs[id]
             val record = decodeRecord(FinishedRecord.serializer(), pair.v)
             if (job == null) {
                 journal.remove(pair.key)
--- a/src/main/kotlin/ledgearch/core/TaskNews.kt
+++ b/src/main/kotlin/ledgearch/core/TaskNews.kt
@@ -10,7 +10,7 @@
 
 /** What the workers' lists of tasks mean for the attempts that their leader knows. */
 internal class TaskNews(
-    private val book: Book,
+    private val jobStore: JobStore,
     private val machines: Map<String, Machine>,
     private val estimates: Estimates,
     private val journal: Journal,
@@ -49,7 +49,7 @@
     ): Placement {
         val id = entry.portion.substringBefore('/')
         val index = entry.portion.substringAfter('/', "").toIntOrNull() ?: -1
-        val job = book.jobs[id]?.takeIf { index in 0 until it.spec.portions && !it.placements.containsKey(index) }
+        val job = jobStore.jobs[id]?.takeIf { index in 0 until it.spec.portions && !it.placements.containsKey(index) }
         val p = Placement(job, entry.portion, index, entry.`try`, m, now.steady, inherited = true)
         m.attach(p)
         if (job == null) {
--- a/src/main/kotlin/ledgearch/fleet/Fleet.kt
+++ b/src/main/kotlin/ledgearch/fleet/Fleet.kt
@@ -3,9 +3,9 @@
 import kotlinx.serialization.SerializationException
 import ledgearch.Tuning
 import ledgearch.config.Settings
-import ledgearch.core.Book
 import ledgearch.core.CatalogRecord
 import ledgearch.core.Job
+import ledgearch.core.JobStore
 import ledgearch.core.Journal
 import ledgearch.core.Leader
 import ledgearch.core.Machine
@@ -29,7 +29,7 @@
     private val settings: Settings,
     private val transport: Transport,
     private val election: () -> Election,
-    private val book: () -> Book,
+    private val jobStore: () -> JobStore,
     private val now: Now,
     private val journal: () -> Journal,
 ) {
@@ -110,7 +110,7 @@
 
     fun driveCatalog(holding: Boolean) {
         bucket.refill(now.steady)
-        val wanted = book().racks.isEmpty() || holding
+        val wanted = jobStore().racks.isEmpty() || holding
         if (!wanted || catalogBusy || now.steady < catalogAt || !bucket.has(1)) return
         catalogBusy = true
         call("GET", "/catalog", null) { reply ->
@@ -118,13 +118,13 @@
             val racks = parse(reply) { WireJson.decodeFromString(Catalog.serializer(), it) }?.racks
             catalogAt = now.steady + if (racks == null) Tuning.CLOUD_RETRY_MS else Tuning.CATALOG_MS
             if (racks.isNullOrEmpty()) return@call
-            val known = book().racks
+            val known = jobStore().racks
             if (known.keys != racks.mapTo(HashSet()) { it.label } &&
                 election().holding
             ) {
                 journal().catalog(CatalogRecord(racks))
             }
-            book().setRacks(racks)
+            jobStore().setRacks(racks)
         }
     }
 
@@ -203,7 +203,7 @@
 
             "booting" -> {
                 if (m == null) {
-                    val rack = book().racks[stove.rack] ?: return
+                    val rack = jobStore().racks[stove.rack] ?: return
                     val patience = rack.startupS * Tuning.BOOT_PATIENCE
                     if (stove.heldS > patience) {
                         log.info("machine {} does not come up; it is returned", stove.ref)
@@ -247,10 +247,10 @@
                 toRelease.add(name)
             }
         }
-        val churn = leader.estimates.freedASecond(book().jobs.values)
+        val churn = leader.estimates.freedASecond(jobStore().jobs.values)
         load.now(leader.machines.values.sumOf { it.usedCpus })
-        ordinaryLoad.now(book().jobs.values.sumOf { ordinaryCpus(leader, it) })
-        val needs = Demand.of(book().jobs.values, leader, now)
+        ordinaryLoad.now(jobStore().jobs.values.sumOf { ordinaryCpus(leader, it) })
+        val needs = Demand.of(jobStore().jobs.values, leader, now)
         // With a zone cut off, tasks that may run there wait for it unseen: what is up now will be needed.
         if (needs.isEmpty() && !leader.anyCutOff) {
             if (calmSince == 0L) calmSince = now.steady
@@ -357,7 +357,7 @@
         leader.machines.values.none { it.hall == hall && !it.releasing }
 
     private fun pools(job: Job): List<Pool> =
-        book()
+        jobStore()
             .racks.values
             .filter { Room(it).fits(job) }
             .flatMap { rack -> rack.halls.flatMap { hall -> listOf(Pool(rack, hall, true), Pool(rack, hall, false)) } }
@@ -494,7 +494,7 @@
     ): Double = if (!leader.reliability.wantsOrdinary(job)) 0.0 else job.placements.size * job.spec.vcpus
 
     /** Seconds until a machine of the quickest type is up. */
-    fun bootS() = book().racks.values.minOfOrNull { it.startupS } ?: 0.0
+    fun bootS() = jobStore().racks.values.minOfOrNull { it.startupS } ?: 0.0
 
     private fun call(
         method: String,
--- a/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
+++ b/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
@@ -1,7 +1,7 @@
 package ledgearch.intake
 
-import ledgearch.core.Book
 import ledgearch.core.FinalRecord
+import ledgearch.core.JobStore
 import ledgearch.core.Keys
 import ledgearch.core.decodeRecord
 import ledgearch.state.Lane
@@ -36,7 +36,7 @@
  * open record and then whose final record are absent had not been accepted when the first was read.
  */
 internal class AwaitedJobs(
-    private val book: Book,
+    private val jobStore: JobStore,
     private val state: StateClient,
 ) {
     /** Looks at [ids] one after the other. */
@@ -51,9 +51,9 @@
         done: (AwaitedResult) -> Unit,
     ) {
         for ((index, id) in ids.withIndex()) {
-            val job = book.jobs[id]
+            val job = jobStore.jobs[id]
             if (job?.standing == true) return done(AwaitedResult.IsService(id))
-            if (job != null || book.final(id) != null) continue
+            if (job != null || jobStore.final(id) != null) continue
             return readOpen(id, done) { final ->
                 if (final != null) ended[id] = final
                 check(ids.drop(index + 1), ended, done)
@@ -92,7 +92,7 @@
     ): FinalRecord? {
         val stored = result as? ReadResult.Found ?: return null
         val record = decodeRecord(FinalRecord.serializer(), stored.value.v) ?: return null
-        book.rememberFinal(id, record)
+        jobStore.rememberFinal(id, record)
         return record
     }
 }
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -3,10 +3,10 @@
 import ledgearch.Tuning
 import ledgearch.config.Settings
 import ledgearch.config.Team
-import ledgearch.core.Book
 import ledgearch.core.FinalRecord
 import ledgearch.core.Job
 import ledgearch.core.JobRecord
+import ledgearch.core.JobStore
 import ledgearch.core.Keys
 import ledgearch.core.Now
 import ledgearch.core.decodeRecord
@@ -42,7 +42,7 @@
  */
 internal class Intake(
     private val settings: Settings,
-    private val book: Book,
+    private val jobStore: JobStore,
     private val state: StateClient,
     private val grant: GrantView,
     private val now: Now,
@@ -85,7 +85,7 @@
     )
 
     private val teams: Map<String, Team> = settings.deployment.teams.associateBy { it.name }
-    private val awaitedJobs = AwaitedJobs(book, state)
+    private val awaitedJobs = AwaitedJobs(jobStore, state)
     private val freshMs = (settings.deployment.workers.cancelS * 1000 * Tuning.FRESH_SHARE).toLong()
     private val valueLimit = settings.deployment.state.safeValueBytes
     private val submissions = LinkedHashMap<String, Submission>()
@@ -135,8 +135,8 @@
                 return respond(error(400, e.message.orEmpty()))
             }
         val id = submitted.id
-        book.final(id)?.let { return respond(finalAnswer(id, it)) }
-        if (book.jobs.containsKey(id)) return poll(id, respond)
+        jobStore.final(id)?.let { return respond(finalAnswer(id, it)) }
+        if (jobStore.jobs.containsKey(id)) return poll(id, respond)
         val spec =
             try {
                 submitted.request()
@@ -146,8 +146,13 @@
         val record = JobRecord(spec, now.wall)
         if (bytes(record.copy(cancel = true)) > valueLimit) return refuse(id, 400, "too large", respond)
         if (joinedSubmission(id, respond)) return
-        if (book.racks.isEmpty() || submissions.size >= Tuning.INTAKE_BACKLOG) return respond(busy())
-        Validation.impossible(spec, teams[spec.crew], book.racks.values)?.let { return refuse(id, 422, it, respond) }
+        if (jobStore.racks.isEmpty() || submissions.size >= Tuning.INTAKE_BACKLOG) return respond(busy())
+        Validation
+            .impossible(
+                spec,
+                teams[spec.crew],
+                jobStore.racks.values,
+            )?.let { return refuse(id, 422, it, respond) }
         if (spec.awaits == null) accept(record, respond) else checkAwaited(record, spec.awaits, respond)
     }
 
@@ -204,7 +209,7 @@
     ) {
         val id = record.spec.ref
         when {
-            book.final(id) != null || book.jobs.containsKey(id) -> {
+            jobStore.final(id) != null || jobStore.jobs.containsKey(id) -> {
                 poll(id, respond)
             }
 
@@ -241,7 +246,7 @@
         respond: (Response) -> Unit,
     ) {
         if (!Validation.isJobId(id)) return respond(error(404, "no such job"))
-        book.final(id)?.let { return respond(finalAnswer(id, it)) }
+        jobStore.final(id)?.let { return respond(finalAnswer(id, it)) }
         if (polls.size >= Tuning.INTAKE_BACKLOG) return respond(busy())
         polls.addLast(Poll(id, now.steady, respond))
     }
@@ -251,17 +256,17 @@
         respond: (Response) -> Unit,
     ) {
         if (!Validation.isJobId(id)) return respond(error(404, "no such job"))
-        book.final(id)?.let { return respond(finalAnswer(id, it)) }
+        jobStore.final(id)?.let { return respond(finalAnswer(id, it)) }
         val since = now.steady
 
         fun await() = withdrawals.getOrPut(id) { ArrayList() }.add(Withdrawal(since, respond))
-        if (book.jobs.containsKey(id)) {
+        if (jobStore.jobs.containsKey(id)) {
             await()
             return
         }
         // Accepted at another node a moment ago, perhaps: only an end is an answer to a withdrawal.
         read(id, respond, unknown = { respond(error(404, "no such job")) }) { open ->
-            val final = book.final(id)
+            val final = jobStore.final(id)
             val record = decodeRecord(JobRecord.serializer(), open.v)
             when {
                 final != null -> {
@@ -284,7 +289,7 @@
     fun closed(id: String) {
         marking.remove(id)
         val waiting = withdrawals.remove(id) ?: return
-        val final = book.final(id)
+        val final = jobStore.final(id)
         for (w in waiting) w.respond(if (final != null) finalAnswer(id, final) else busy())
     }
 
@@ -292,7 +297,7 @@
         expire()
         flushSubmissions()
         flushPolls()
-        for (id in withdrawals.keys) book.jobs[id]?.let { if (!it.record.cancel) mark(it.record, it.stamp) }
+        for (id in withdrawals.keys) jobStore.jobs[id]?.let { if (!it.record.cancel) mark(it.record, it.stamp) }
     }
 
     private fun expire() {
@@ -317,7 +322,7 @@
         // The wish is durable already; the end can't be seen by this node now.
         if (state.refuses) {
             withdrawals.entries.removeAll { (id, list) ->
-                (book.jobs[id]?.record?.cancel == true).also { if (it) list.forEach { w -> w.respond(busy()) } }
+                (jobStore.jobs[id]?.record?.cancel == true).also { if (it) list.forEach { w -> w.respond(busy()) } }
             }
         }
     }
@@ -394,7 +399,7 @@
             turnAway(s)
             return true
         }
-        val withdrawn = awaited.any { finalOf(it, s) != null || book.jobs[it]?.dependencyWithdrawn == true }
+        val withdrawn = awaited.any { finalOf(it, s) != null || jobStore.jobs[it]?.dependencyWithdrawn == true }
         val change =
             if (withdrawn) {
                 Change(
@@ -424,7 +429,7 @@
     private fun finalOf(
         id: String,
         s: Submission,
-    ): FinalRecord? = s.ended[id] ?: book.final(id)
+    ): FinalRecord? = s.ended[id] ?: jobStore.final(id)
 
     /** [underGrant]: the revision, where the transaction also compared this node's own grant. */
     private fun accepted(
@@ -434,9 +439,9 @@
     ) {
         submissions.remove(s.id, s)
         if (withdrawn) {
-            book.rememberFinal(s.id, FinalRecord(WorkStates.WITHDRAWN))
+            jobStore.rememberFinal(s.id, FinalRecord(WorkStates.WITHDRAWN))
         } else if (underGrant != null) {
-            book.acceptUnderGrant(s.record, underGrant)
+            jobStore.acceptUnderGrant(s.record, underGrant)
         }
         val state = if (withdrawn) WorkStates.WITHDRAWN else WorkStates.PENDING
         s.first.forEach { it(status(201, WorkStatus(s.id, state))) }
@@ -459,7 +464,7 @@
     }
 
     /** This node's copy was complete so lately that what it knows of a chain is within the time for a cancellation. */
-    private fun isFresh() = now.steady - book.completeAt < freshMs
+    private fun isFresh() = now.steady - jobStore.completeAt < freshMs
 
     /**
      * Whether a user may be told that [job] is open. One that waits for others may be withdrawn with them without
@@ -467,7 +472,7 @@
      * ago.
      */
     private fun mayTellOpen(job: Job) =
-        !job.waitsForOthers || (!job.dependencyWithdrawn && isFresh() && book.dependencies.areKnown(job))
+        !job.waitsForOthers || (!job.dependencyWithdrawn && isFresh() && jobStore.dependencies.areKnown(job))
 
     private fun flushPolls() {
         if (confirming || polls.isEmpty() || now.steady < confirmRetryAt) return
@@ -478,8 +483,8 @@
         val conditions = LinkedHashMap<String, Long>()
         while (polls.isNotEmpty() && conditions.size + 2 <= state.maxConditions) {
             val p = polls.removeFirst()
-            val job = book.jobs[p.id]
-            val final = book.final(p.id)
+            val job = jobStore.jobs[p.id]
+            val final = jobStore.final(p.id)
             if (final != null) {
                 p.respond(finalAnswer(p.id, final))
                 continue
@@ -527,8 +532,8 @@
 
     /** [p]'s job was open at the stamp known here, or unknown to the state service. */
     private fun answer(p: Poll) {
-        val final = book.final(p.id)
-        val job = book.jobs[p.id]
+        val final = jobStore.final(p.id)
+        val job = jobStore.jobs[p.id]
         when {
             final != null -> p.respond(finalAnswer(p.id, final))
 
@@ -549,8 +554,8 @@
         respond: (Response) -> Unit,
         unknown: () -> Unit,
     ) = read(id, respond, unknown) { open ->
-        val final = book.final(id)
-        val known = book.jobs[id]
+        val final = jobStore.final(id)
+        val known = jobStore.jobs[id]
         val isWaiting = decodeRecord(JobRecord.serializer(), open.v)?.spec?.awaits != null
         when {
             final != null -> respond(finalAnswer(id, final))
@@ -597,7 +602,7 @@
                 is ReadResult.Found -> {
                     val record = decodeRecord(FinalRecord.serializer(), read.value.v)
                     if (record != null) {
-                        book.rememberFinal(id, record)
+                        jobStore.rememberFinal(id, record)
                         found(record)
                     } else {
                         failed()
@@ -638,7 +643,7 @@
                     withdrawals.remove(id)?.forEach { it.respond(busy()) }
                 }
 
-                // Over, or marked by another node, and this node's book is behind.
+                // Over, or marked by another node, and this node's job store is behind.
                 is TxnResult.Conflict -> {
                     readFinal(id, {}, {}) {}
                 }
--- a/src/main/kotlin/ledgearch/leader/Election.kt
+++ b/src/main/kotlin/ledgearch/leader/Election.kt
@@ -3,8 +3,8 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.json.JsonElement
 import ledgearch.Tuning
-import ledgearch.core.Book
 import ledgearch.core.GrantRecord
+import ledgearch.core.JobStore
 import ledgearch.core.Keys
 import ledgearch.core.Now
 import ledgearch.core.SilenceRecord
@@ -38,7 +38,7 @@
     private val node: String,
     private val life: Long,
     private val state: StateClient,
-    private val book: () -> Book,
+    private val jobStore: () -> JobStore,
     private val now: Now,
     private val random: Random,
     private val listener: ElectionListener,
@@ -87,15 +87,15 @@
         if (holding && !bumping && token == under) compareGrant()
     }
 
-    /** The book has news of the grant. */
+    /** The job store has news of the grant. */
     fun grantChanged() {
-        if (!bumping) compareBook()
+        if (!bumping) compareJobStore()
         claimAt = now.steady + random.nextLong(Tuning.ELECTION_SPREAD_MS)
     }
 
-    /** The grant in the book is the one held, the one that took its place, or this node holds nothing any more. */
-    private fun compareBook() {
-        val b = book()
+    /** The grant in the job store is the one held, the one that took its place, or this node holds nothing any more. */
+    private fun compareJobStore() {
+        val b = jobStore()
         if (holding && b.grantStamp > token &&
             !renewed(b.grant, b.grantStamp)
         ) {
@@ -130,7 +130,11 @@
     }
 
     /** A leader before this one has given the block up of late, and the change of leader did not help. */
-    val changedInVain: Boolean get() = book().silence.let { it != null && now.wall - it.at < Tuning.CHANGED_IN_VAIN_MS }
+    val changedInVain: Boolean get() =
+        jobStore().silence.let {
+            it != null &&
+                now.wall - it.at < Tuning.CHANGED_IN_VAIN_MS
+        }
 
     private fun withdrawGrant(
         stamp: Long,
@@ -145,7 +149,7 @@
 
     fun drive() {
         driveLease()
-        val b = book()
+        val b = jobStore()
         if (!b.loaded || permit == 0L) return
         if (holding) {
             driveVerify()
@@ -167,7 +171,7 @@
      * live after all, it is deposed like any other; nothing unsafe can come of it.
      */
     fun challenge(leader: String) {
-        val b = book()
+        val b = jobStore()
         if (holding || claiming || permit == 0L || !b.loaded || b.grant?.node != leader) return
         if (now.steady < standBackUntil || now.steady - challengedAt < Tuning.CHALLENGE_MS) return
         challengedAt = now.steady
@@ -213,9 +217,9 @@
                     compareGrant()
                 }
 
-                // Perhaps written: the book shows it, now or later.
+                // Perhaps written: the job store shows it, now or later.
                 TxnResult.Unknown, TxnResult.NoLease, TxnResult.Refused, TxnResult.TooLarge -> {
-                    compareBook()
+                    compareJobStore()
                 }
             }
         }
@@ -253,7 +257,7 @@
 
     /** The watch has already shown what came after the grant made at [edition]. */
     private fun superseded(edition: Long): Boolean {
-        val b = book()
+        val b = jobStore()
         return b.grantStamp > edition || (b.grantStamp == 0L && b.revision > edition)
     }
 
