--- a/src/main/kotlin/ledgearch/core/Courier.kt
+++ b/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
@@ -12,7 +12,7 @@
 import org.slf4j.LoggerFactory
 
 /** What the leader has to say to its machines: orders in answers to reports, and direct commands. */
-internal class Courier(
+internal class CommandDispatcher(
     private val transport: Transport,
     private val election: Election,
     private val now: Now,
--- a/src/main/kotlin/ledgearch/core/JobStore.kt
+++ b/src/main/kotlin/ledgearch/core/JobStore.kt
@@ -30,9 +30,9 @@
 }
 
 /**
- * Every node's copy of the watched keys: open jobs, the grant, machine types. It is filled by one listing and then
- * kept by a watch, so changes are seen in the order of their revisions. A copy may be old: what is told to users
- * is confirmed first, and the leader's right is fenced by its token.
+ * Every node's replicated view of the watched keys: open jobs, the grant, machine types. It is filled by one listing
+ * and then kept by a watch, so changes are seen in the order of their revisions. A copy may be old: what is told to
+ * users is confirmed first, and the leader's right is fenced by its token.
  */
 internal class JobStore(
     private val state: StateClient,
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -56,8 +56,8 @@
             metrics,
             ::start,
         )
-    private val courier =
-        Courier(
+    private val dispatcher =
+        CommandDispatcher(
             transport,
             election,
             now,
@@ -69,7 +69,17 @@
             ::begunAnew,
         )
     private val silence =
-        Silence(settings.deployment.workers, machines, election, courier, fleet, reliability, now, own, ::areasBefore) {
+        Silence(
+            settings.deployment.workers,
+            machines,
+            election,
+            dispatcher,
+            fleet,
+            reliability,
+            now,
+            own,
+            ::areasBefore,
+        ) {
             newSession(
                 it,
                 it.shift + 1,
@@ -80,7 +90,7 @@
     private var term = 0L
     private var attemptSeq = 0L
     private val takeover = Takeover(state, jobStore, journal, teams, now, ::join)
-    private val tasks = TaskNews(jobStore, machines, estimates, journal, metrics, now, courier::want, ::changed)
+    private val tasks = TaskNews(jobStore, machines, estimates, journal, metrics, now, dispatcher::want, ::changed)
     val replicas = Replicas(now, placer::usable) { stop(it) }
 
     /** The records of the block are read; from here on machines are confirmed and tasks placed. */
@@ -118,7 +128,7 @@
         machines.clear()
         unconfirmed.clear()
         cancelled.clear()
-        courier.clear()
+        dispatcher.clear()
         silence.clear()
         placer.clear()
         teams.clear()
@@ -239,7 +249,7 @@
         hear(m, report, isReport = true)
         if (report.shift != m.shift || !ready) return emptyList()
         // The orders are carried out or dropped before the worker's next report.
-        val orders = courier.orders(m)
+        val orders = dispatcher.orders(m)
         for (order in orders) {
             val p = if (order.verb == Verbs.START) m.placements.get(order.`try`) else null
             if (p != null) p.sentInReplyTo = maxOf(p.sentInReplyTo, report.ticket)
@@ -328,14 +338,14 @@
         m.recallAt = if (report.recallS == null) 0 else now.steady + (report.recallS * 1000).toLong()
         if (report.baton > m.baton) {
             m.baton = report.baton
-            if (report.baton == election.token && m.confirmed) courier.reached(m)
+            if (report.baton == election.token && m.confirmed) dispatcher.reached(m)
             for (p in m.placements.values) if (p.lostToken in 1 until m.baton) p.lostToken = 0
         }
         if (!m.confirmed) {
             // One without a record is shown the token directly: the report may be a copy, and the machine gone.
             if (report.baton < term || !ready || (isReport && !m.inherited)) return
             m.confirm()
-            courier.reached(m)
+            dispatcher.reached(m)
             unconfirmed.remove(m)
             if (!m.durable) journal.bind(m)
             placer.machinesChanged()
@@ -396,7 +406,7 @@
         job.place(p)
         job.servedAt = now.wall
         m.touchImage(job.spec.recipe, job.spec.sizeGb)
-        courier.want(m)
+        dispatcher.want(m)
         log.debug("{} try {} starts on {}", p.task, attempt, m.name)
     }
 
@@ -416,14 +426,14 @@
     ) {
         val spec = p.job?.spec
         p.stop = if (spec != null && spec.stirS > 0 && spec.plateS < left) Stop.SAVE_FIRST else Stop.AT_ONCE
-        courier.want(p.machine)
+        dispatcher.want(p.machine)
     }
 
     private fun stopAll(job: Job) {
         for (p in job.placements.values) {
             if (p.stop == Stop.AT_ONCE) continue
             p.stop = Stop.AT_ONCE
-            courier.want(p.machine)
+            dispatcher.want(p.machine)
         }
     }
 
@@ -456,7 +466,7 @@
             shelter()
         }
         metrics.spend("placement") { place() }
-        metrics.spend("orders") { courier.drive() }
+        metrics.spend("orders") { dispatcher.drive() }
         metrics.spend("fleet") { fleet.drive(this) }
         metrics.spend("journal") { journal.drive() }
     }
@@ -490,7 +500,7 @@
     private fun confirm() {
         // Also those to be released: the cloud may be out, and an earlier leader may keep them until the token is
         // shown.
-        for (m in unconfirmed) courier.probe(m)
+        for (m in unconfirmed) dispatcher.probe(m)
         if (allConfirmedLogged || unconfirmed.any { it.inherited }) return
         allConfirmedLogged = true
         jobStore.jobs.values.forEach { it.trusted = true }
@@ -520,7 +530,7 @@
         machines.remove(m.name)
         m.left()
         unconfirmed.remove(m)
-        courier.forget(m)
+        dispatcher.forget(m)
         placer.machinesChanged(m)
         journal.unbind(m)
         dirty = true
--- a/src/main/kotlin/ledgearch/core/Silence.kt
+++ b/src/main/kotlin/ledgearch/core/Silence.kt
@@ -12,7 +12,7 @@
     times: WorkerTimes,
     private val machines: Map<String, Machine>,
     private val election: Election,
-    private val courier: Courier,
+    private val dispatcher: CommandDispatcher,
     private val fleet: Fleet,
     private val reliability: Reliability,
     private val now: Now,
@@ -103,11 +103,11 @@
      */
     private fun releaseUnreached() {
         val lost =
-            courier.broken.filter {
+            dispatcher.broken.filter {
                 !it.releasing && !mayComeBack(it) && it.probesFailed >= Tuning.PROBES &&
                     now.steady - it.brokenSince > (reportMs * Tuning.LOST_REPORTS).toLong()
             }
-        val mostBroken = courier.broken.size > machines.size * Tuning.MOST
+        val mostBroken = dispatcher.broken.size > machines.size * Tuning.MOST
         for (m in lost) {
             // Then it may be this node, for a time.
             if (mostBroken && now.steady - m.brokenSince < Tuning.PATH_FAULT_MS) continue
@@ -137,11 +137,11 @@
         }
         val heard by lazy(LazyThreadSafetyMode.NONE) { Heard(active) }
         val mostMute = active.count { isMute(it) } > active.size * Tuning.MOST
-        for (m in courier.broken) if (!m.releasing) courier.probe(m)
+        for (m in dispatcher.broken) if (!m.releasing) dispatcher.probe(m)
         for (m in machines.values.toList()) {
             if (!silentFor(m, Tuning.OVERDUE_REPORTS)) {
                 if (isTaken(m)) {
-                    courier.probe(m)
+                    dispatcher.probe(m)
                     if (m.probesFailed > 0 && !m.releasing) {
                         log.info("machine {} was taken; it is released", m.name)
                         release(m)
@@ -149,7 +149,7 @@
                 }
                 continue
             }
-            if (m.confirmed && !m.releasing) courier.probe(m)
+            if (m.confirmed && !m.releasing) dispatcher.probe(m)
             if (!silentFor(m, Tuning.LOST_REPORTS) && !surelyLost(m, heard)) continue
             if (!m.releasing && !mayComeBack(m) && !(mostMute && isMute(m))) {
                 log.warn("machine {} is silent for {} ms; it is released", m.name, now.steady - m.reportedAt)
