--- a/src/main/kotlin/ledgearch/core/Silence.kt
+++ b/src/main/kotlin/ledgearch/core/FailureDetector.kt
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory
 
 /** Which machines are lost, by what is not heard from them and by what does not reach them. */
-internal class Silence(
+internal class FailureDetector(
     times: WorkerTimes,
     private val machines: Map<String, Machine>,
     private val election: Election,
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -68,8 +68,8 @@
             ::answered,
             ::begunAnew,
         )
-    private val silence =
-        Silence(
+    private val failureDetector =
+        FailureDetector(
             settings.deployment.workers,
             machines,
             election,
@@ -129,7 +129,7 @@
         unconfirmed.clear()
         cancelled.clear()
         dispatcher.clear()
-        silence.clear()
+        failureDetector.clear()
         placer.clear()
         teams.clear()
         takeover.clear()
@@ -445,10 +445,10 @@
     }
 
     /** Next to nothing is heard from some zone. */
-    val anyCutOff get() = silence.anyCutOff
+    val anyCutOff get() = failureDetector.anyCutOff
 
     /** Next to nothing is heard from this zone. */
-    fun isCutOff(hall: String) = silence.isCutOff(hall)
+    fun isCutOff(hall: String) = failureDetector.isCutOff(hall)
 
     fun drive() {
         if (term == 0L || !election.holding) return
@@ -458,7 +458,7 @@
         if (attemptSeq > Tuning.ATTEMPTS_PER_TERM) return election.giveUp("attempt numbers are used up")
         confirm()
         closeCancelled()
-        metrics.spend("silence") { silence.drive() }
+        metrics.spend("silence") { failureDetector.drive() }
         if (!election.holding) return
         if (now.steady - countedAt > Tuning.COUNT_MS) {
             countedAt = now.steady
