--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -90,7 +90,8 @@
     private var term = 0L
     private var attemptSeq = 0L
     private val takeover = Takeover(state, jobStore, journal, teams, now, ::join)
-    private val tasks = TaskNews(jobStore, machines, estimates, journal, metrics, now, dispatcher::want, ::changed)
+    private val tasks =
+        TaskStatusHandler(jobStore, machines, estimates, journal, metrics, now, dispatcher::want, ::changed)
     val replicas = Replicas(now, placer::usable) { stop(it) }
 
     /** The records of the block are read; from here on machines are confirmed and tasks placed. */
--- a/src/main/kotlin/ledgearch/core/TaskNews.kt
+++ b/src/main/kotlin/ledgearch/core/TaskStatusHandler.kt
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory
 
 /** What the workers' lists of tasks mean for the attempts that their leader knows. */
-internal class TaskNews(
+internal class TaskStatusHandler(
     private val jobStore: JobStore,
     private val machines: Map<String, Machine>,
     private val estimates: Estimates,
