--- a/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
@@ -16,7 +16,7 @@
     private val transport: Transport,
     private val election: Election,
     private val now: Now,
-    private val own: OwnTime,
+    private val stalls: StallCompensation,
     private val probesAtOnce: Int,
     private val callsAtOnce: Int,
     private val isHere: (Machine) -> Boolean,
@@ -138,7 +138,7 @@
                 }
             }
             // A time-out of our own, while this node was behind with its work, says nothing about the machine.
-            if (answer == null && own.lateAt < sentAt) missed(m)
+            if (answer == null && stalls.lateAt < sentAt) missed(m)
             if (answer != null && isHere(m)) heard(m, answer)
             if (list.size == Tuning.ORDERS_AT_ONCE) want(m)
         }
@@ -210,7 +210,7 @@
             m.pushing = false
             probesOpen--
             if (answer == null) {
-                if (own.lateAt < sentAt) {
+                if (stalls.lateAt < sentAt) {
                     m.probesFailed++
                     if (!m.confirmed) missed(m)
                 }
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -72,9 +72,9 @@
     private val jobStore = JobStore(state, now, JobStoreEvents(), DependencyEvents(), finalsKept)
     private val election: Election = Election(node, life, state, { jobStore }, now, random, ElectionEvents())
     private val journal = Journal(state, election, jobStore, now, settings.deployment.state.safeValueBytes)
-    private val own = OwnTime(now, metrics)
+    private val stalls = StallCompensation(now, metrics)
     private val fleet: Fleet = Fleet(settings, metered, { election }, { jobStore }, now, { journal })
-    private val leader = Leader(settings, state, metered, election, jobStore, now, journal, fleet, metrics, own)
+    private val leader = Leader(settings, state, metered, election, jobStore, now, journal, fleet, metrics, stalls)
     private val intake = Intake(settings, jobStore, state, GrantEvents(), now)
 
     private var loadLogAt = 0L
@@ -97,7 +97,7 @@
     ) {
         now.steady = steadyMs
         now.wall = wallMs
-        own.behind = behind
+        stalls.behind = behind
         for (command in commands) {
             when (command) {
                 is Command.Serve -> {
@@ -125,7 +125,7 @@
                 }
 
                 Command.Tick -> {
-                    own.ticked()
+                    stalls.ticked()
                 }
             }
         }
--- a/src/main/kotlin/ledgearch/core/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/core/FailureDetector.kt
@@ -16,7 +16,7 @@
     private val fleet: Fleet,
     private val reliability: Reliability,
     private val now: Now,
-    private val own: OwnTime,
+    private val stalls: StallCompensation,
     /** The zones of the controllers that held the block of late. */
     private val areasBefore: () -> Set<String>,
     private val sessionEnded: (Machine) -> Unit,
@@ -94,7 +94,7 @@
     ) = confirmed > all * Tuning.MOST ||
         (
             confirmed > all * Tuning.HEARD_SHARE &&
-                now.steady - maxOf(own.lateAt, election.grantedAt) > (reportMs * Tuning.CUT_REPORTS).toLong()
+                now.steady - maxOf(stalls.lateAt, election.grantedAt) > (reportMs * Tuning.CUT_REPORTS).toLong()
         )
 
     /**
@@ -123,7 +123,7 @@
     private fun silentFor(
         m: Machine,
         reports: Double,
-    ) = now.steady - maxOf(m.reportedAt, own.lateAt, election.grantedAt, cutZones.backAt(m.hall)) >
+    ) = now.steady - maxOf(m.reportedAt, stalls.lateAt, election.grantedAt, cutZones.backAt(m.hall)) >
         (reportMs * reports).toLong()
 
     private fun watch() {
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -32,7 +32,7 @@
     private val journal: Journal,
     private val fleet: Fleet,
     private val metrics: Metrics,
-    private val own: OwnTime,
+    private val stalls: StallCompensation,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
 
@@ -61,7 +61,7 @@
             transport,
             election,
             now,
-            own,
+            stalls,
             Tuning.probesAtOnce(settings.deployment.quota.cpu),
             Tuning.callsAtOnce(settings.deployment.quota.fdLimit),
             { machines[it.name] === it },
@@ -77,7 +77,7 @@
             fleet,
             reliability,
             now,
-            own,
+            stalls,
             ::areasBefore,
         ) {
             newSession(
@@ -475,7 +475,7 @@
     /** Places what waits when something has changed, and now and then since time alone may open a way. */
     private fun place() {
         if (!dirty && now.steady - passAt < Tuning.IDLE_PASS_MS) return
-        if (!own.mayPass()) return
+        if (!stalls.mayPass()) return
         passAt = now.steady
         dirty = false
         if (guaranteesDirty) {
@@ -484,7 +484,7 @@
             shelter()
         }
         teams.countUnfound(jobStore.jobs.values)
-        own.passed(metrics.timed { placer.pass(jobStore.jobs.values) })
+        stalls.passed(metrics.timed { placer.pass(jobStore.jobs.values) })
     }
 
     private fun shelter() =
--- a/src/main/kotlin/ledgearch/core/OwnTime.kt
+++ b/src/main/kotlin/ledgearch/core/StallCompensation.kt
@@ -6,7 +6,7 @@
  * Whether this node keeps up. While it is behind, reports and answers wait to be read here: nobody was silent, and a
  * time-out may be this node's own.
  */
-internal class OwnTime(
+internal class StallCompensation(
     private val now: Now,
     private val metrics: Metrics,
 ) {
