--- a/src/main/kotlin/ledgearch/core/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/core/FailureDetector.kt
@@ -25,21 +25,21 @@
     private val reportMs = (times.reportS * 1000).toLong()
     private val leaseMs = (times.leaseS * 1000).toLong()
     private var watchAt = 0L
-    private val cutZones = CutZones(now)
+    private val partitionedZones = PartitionedZones(now)
 
-    fun clear() = cutZones.clear()
+    fun clear() = partitionedZones.clear()
 
-    private fun mayComeBack(m: Machine) = cutZones.mayComeBack(m, areasBefore())
+    private fun mayComeBack(m: Machine) = partitionedZones.mayComeBack(m, areasBefore())
 
-    val anyCutOff get() = !cutZones.isEmpty
+    val anyCutOff get() = !partitionedZones.isEmpty
 
-    fun isCutOff(hall: String) = hall in cutZones
+    fun isCutOff(hall: String) = hall in partitionedZones
 
     fun drive() {
         if (now.steady < watchAt) return
         watchAt = now.steady + Tuning.WATCH_SILENCE_MS
         val back =
-            cutZones.update(machines.values) {
+            partitionedZones.update(machines.values) {
                 if (it.inherited &&
                     !it.confirmed
                 ) {
@@ -123,7 +123,7 @@
     private fun silentFor(
         m: Machine,
         reports: Double,
-    ) = now.steady - maxOf(m.reportedAt, stalls.lateAt, election.grantedAt, cutZones.backAt(m.hall)) >
+    ) = now.steady - maxOf(m.reportedAt, stalls.lateAt, election.grantedAt, partitionedZones.backAt(m.hall)) >
         (reportMs * reports).toLong()
 
     private fun watch() {
--- a/src/main/kotlin/ledgearch/core/CutZones.kt
+++ b/src/main/kotlin/ledgearch/core/PartitionedZones.kt
@@ -8,7 +8,7 @@
  * within a minute or so; nothing is rented there meanwhile, and its machines are not given back where that would lose
  * what goes on.
  */
-internal class CutZones(
+internal class PartitionedZones(
     private val now: Now,
 ) {
     private class ZoneCounts {
