--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -140,7 +140,7 @@
     const val STATE_RETRY_MS = 250L
 
     /**
-     * ms. An entry of the journal that the service took for too large, sent alone, waits this long: its limits may rise
+     * ms. A written entry that the service took for too large, sent alone, waits this long: its limits may rise
      * again.
      */
     const val TOO_LARGE_RETRY_MS = 30_000L
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -71,10 +71,10 @@
         StateClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, now)
     private val jobStore = JobStore(state, now, JobStoreEvents(), DependencyEvents(), finalsKept)
     private val election: Election = Election(node, life, state, { jobStore }, now, random, ElectionEvents())
-    private val journal = Journal(state, election, jobStore, now, settings.deployment.state.safeValueBytes)
+    private val recordWriter = RecordWriter(state, election, jobStore, now, settings.deployment.state.safeValueBytes)
     private val stalls = StallCompensation(now, metrics)
-    private val fleet: Fleet = Fleet(settings, metered, { election }, { jobStore }, now, { journal })
-    private val leader = Leader(settings, state, metered, election, jobStore, now, journal, fleet, metrics, stalls)
+    private val fleet: Fleet = Fleet(settings, metered, { election }, { jobStore }, now, { recordWriter })
+    private val leader = Leader(settings, state, metered, election, jobStore, now, recordWriter, fleet, metrics, stalls)
     private val intake = Intake(settings, jobStore, state, GrantEvents(), now)
 
     private var loadLogAt = 0L
@@ -85,7 +85,7 @@
     private var leaderUnservedAt = Long.MIN_VALUE / 2
 
     init {
-        journal.onClosed = { job, record -> jobStore.rememberFinal(job.id, record) }
+        recordWriter.onClosed = { job, record -> jobStore.rememberFinal(job.id, record) }
     }
 
     /** One batch: all commands, then whatever follows from them. [behind]: more commands wait already. */
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -29,7 +29,7 @@
     private val election: Election,
     private val jobStore: JobStore,
     private val now: Now,
-    private val journal: Journal,
+    private val recordWriter: RecordWriter,
     private val fleet: Fleet,
     private val metrics: Metrics,
     private val stalls: StallCompensation,
@@ -89,9 +89,9 @@
     /** The first token of this term: a worker that has seen it no longer follows any earlier leader. */
     private var term = 0L
     private var attemptSeq = 0L
-    private val takeover = Takeover(state, jobStore, journal, teams, now, ::join)
+    private val takeover = Takeover(state, jobStore, recordWriter, teams, now, ::join)
     private val tasks =
-        TaskStatusHandler(jobStore, machines, estimates, journal, metrics, now, dispatcher::want, ::changed)
+        TaskStatusHandler(jobStore, machines, estimates, recordWriter, metrics, now, dispatcher::want, ::changed)
     val replicas = Replicas(now, placer::usable) { stop(it) }
 
     /** The records of the block are read; from here on machines are confirmed and tasks placed. */
@@ -134,7 +134,7 @@
         placer.clear()
         teams.clear()
         takeover.clear()
-        journal.clear()
+        recordWriter.clear()
         for (job in jobStore.jobs.values) job.forgetLeaderState()
         fleet.end()
         state.share(leader = false)
@@ -348,7 +348,7 @@
             m.confirm()
             dispatcher.reached(m)
             unconfirmed.remove(m)
-            if (!m.durable) journal.bind(m)
+            if (!m.durable) recordWriter.bind(m)
             placer.machinesChanged()
             m.answeredAt = now.steady
             // It may have found the way back only now: its next report is due from here on.
@@ -469,7 +469,7 @@
         metrics.spend("placement") { place() }
         metrics.spend("orders") { dispatcher.drive() }
         metrics.spend("fleet") { fleet.drive(this) }
-        metrics.spend("journal") { journal.drive() }
+        metrics.spend("journal") { recordWriter.drive() }
     }
 
     /** Places what waits when something has changed, and now and then since time alone may open a way. */
@@ -518,7 +518,7 @@
             // Once it is over nothing of it is left, so that no later leader need count it for its team.
             // A job after a withdrawn one was never released, by any leader: nothing of it can be anywhere.
             val nothingLeft = job.dependencyWithdrawn || (job.trusted && job.placements.isEmpty())
-            if (nothingLeft) journal.close(job, WorkStates.WITHDRAWN)
+            if (nothingLeft) recordWriter.close(job, WorkStates.WITHDRAWN)
         }
     }
 
@@ -533,7 +533,7 @@
         unconfirmed.remove(m)
         dispatcher.forget(m)
         placer.machinesChanged(m)
-        journal.unbind(m)
+        recordWriter.unbind(m)
         dirty = true
     }
 
--- a/src/main/kotlin/ledgearch/core/Journal.kt
+++ b/src/main/kotlin/ledgearch/core/RecordWriter.kt
@@ -21,7 +21,7 @@
  * nothing either that was written since, as every key is compared too ([KeyStamps]; a job that closes, by its own
  * stamp).
  */
-internal class Journal(
+internal class RecordWriter(
     private val state: StateClient,
     private val election: Election,
     private val jobStore: JobStore,
--- a/src/main/kotlin/ledgearch/core/Takeover.kt
+++ b/src/main/kotlin/ledgearch/core/Takeover.kt
@@ -10,7 +10,7 @@
 internal class Takeover(
     private val state: StateClient,
     private val jobStore: JobStore,
-    private val journal: Journal,
+    private val recordWriter: RecordWriter,
     private val teams: Teams,
     private val now: Now,
     private val join: (Machine) -> Unit,
@@ -74,15 +74,15 @@
         pair: KeyValue,
     ) {
         val name = pair.key.removePrefix(prefix)
-        journal.read(pair.key, pair.stamp)
+        recordWriter.read(pair.key, pair.stamp)
         if (prefix == Keys.MACHINES) {
-            journal.restore(name, pair, teams, now.steady).forEach(join)
+            recordWriter.restore(name, pair, teams, now.steady).forEach(join)
         } else {
             val id = name.substringBefore('/')
             val job = jobStore.jobs[id]
             val record = decodeRecord(FinishedRecord.serializer(), pair.v)
             if (job == null) {
-                journal.remove(pair.key)
+                recordWriter.remove(pair.key)
             } else if (record != null) {
                 job.restoreFinished(record.r, name.substringAfter('/').toIntOrNull() ?: 0)
             }
--- a/src/main/kotlin/ledgearch/core/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/core/TaskStatusHandler.kt
@@ -13,7 +13,7 @@
     private val jobStore: JobStore,
     private val machines: Map<String, Machine>,
     private val estimates: Estimates,
-    private val journal: Journal,
+    private val recordWriter: RecordWriter,
     private val metrics: Metrics,
     private val now: Now,
     private val want: (Machine) -> Unit,
@@ -124,8 +124,8 @@
                         estimates.ran(job, (now.steady - p.runningSince) / 1000.0)
                     }
                     job.finish(p.index)
-                    if (!job.closed) journal.progress(job)
-                    if (job.complete) journal.close(job, WorkStates.DONE)
+                    if (!job.closed) recordWriter.progress(job)
+                    if (job.complete) recordWriter.close(job, WorkStates.DONE)
                 }
             }
 
@@ -180,7 +180,7 @@
         log.warn("machine {} fails everything ({} tasks in a row); it is put aside", m.name, m.errorsInRow)
         m.draining = true
         // The next leader is to know it too: it would have to fail its own tasks there to find out.
-        journal.bind(m)
+        recordWriter.bind(m)
     }
 
     /** [p] is provably on its machine no more, and no start of it can arrive. */
--- a/src/main/kotlin/ledgearch/fleet/Fleet.kt
+++ b/src/main/kotlin/ledgearch/fleet/Fleet.kt
@@ -6,10 +6,10 @@
 import ledgearch.core.CatalogRecord
 import ledgearch.core.Job
 import ledgearch.core.JobStore
-import ledgearch.core.Journal
 import ledgearch.core.Leader
 import ledgearch.core.Machine
 import ledgearch.core.Now
+import ledgearch.core.RecordWriter
 import ledgearch.core.Room
 import ledgearch.core.Transport
 import ledgearch.http.Reply
@@ -31,7 +31,7 @@
     private val election: () -> Election,
     private val jobStore: () -> JobStore,
     private val now: Now,
-    private val journal: () -> Journal,
+    private val recordWriter: () -> RecordWriter,
 ) {
     private data class Pool(
         val rack: Rack,
@@ -122,7 +122,7 @@
             if (known.keys != racks.mapTo(HashSet()) { it.label } &&
                 election().holding
             ) {
-                journal().catalog(CatalogRecord(racks))
+                recordWriter().catalog(CatalogRecord(racks))
             }
             jobStore().setRacks(racks)
         }
