--- a/src/main/kotlin/ledgearch/core/placement/Placer.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Placer.kt
@@ -33,7 +33,7 @@
     private val hurriedImages = HashSet<String>()
 
     /** Sizes of tasks for which this pass has found no room anywhere. */
-    private val misfits = Misfits()
+    private val unplaceable = UnplaceableSizes()
 
     /** Machines held for starved jobs. */
     private val holds = HashMap<Job, Hold>()
@@ -65,7 +65,7 @@
         val open = jobs.filter { it.startable(now.steady) }
         if (open.isEmpty()) return
         val all = machines.values.filter { usable(it) }
-        misfits.clear()
+        unplaceable.clear()
         for (job in open) if (!job.standing && ranking.hurried(job)) hurriedImages.add(job.spec.recipe)
         val usable = withoutHeld(serveStarved(open, all), all)
         val running = jobs.filter { it.placements.isNotEmpty() }
@@ -170,9 +170,9 @@
         usable: List<Machine>,
         leave: Int = 0,
     ) {
-        if (misfits.covers(job)) return
+        if (unplaceable.covers(job)) return
         val roomLeft = startIn(job, usable, leave)
-        if (!roomLeft) misfits.add(job)
+        if (!roomLeft) unplaceable.add(job)
     }
 
     /** Starts what there is room for in [places], but for the last [leave] tasks; false when no room is left there. */
--- a/src/main/kotlin/ledgearch/core/placement/Preemption.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Preemption.kt
@@ -117,7 +117,7 @@
         val placed = HashMap<Job, Int>()
         // Tasks of each team that have got room here, in processors.
         val promised = HashMap<String, Double>()
-        val misfits = HashMap<List<Any>, Misfits>()
+        val unplaceable = HashMap<List<Any>, UnplaceableSizes>()
         val halls = prospects.mapTo(HashSet()) { it.machine.hall }
         for (job in waiting) {
             val places = if (sparing) prospects.filter { it.machine.imageDistance(job.spec.recipe) == 0 } else prospects
@@ -132,9 +132,9 @@
                 val guaranteed = mayClaim(job, 1 + if (job.spec.vcpus > 0) (cpus / job.spec.vcpus).toInt() else 0)
                 // What was tried in vain for one job is not tried again for another that may stop no more.
                 val tried =
-                    misfits.getOrPut(
+                    unplaceable.getOrPut(
                         if (guaranteed) listOf(job.urgency, job.spec.crew) else listOf(job.urgency),
-                    ) { Misfits() }
+                    ) { UnplaceableSizes() }
                 val allowed = halls.filterTo(HashSet()) { zones.allows(it) }
                 if (!sparing && tried.covers(job, allowed)) break
                 val yields = if (done < teams.roomOnceStopped(job)) null else yielding.next() ?: break
--- a/src/main/kotlin/ledgearch/core/placement/Misfits.kt
+++ b/src/main/kotlin/ledgearch/core/placement/UnplaceableSizes.kt
@@ -3,13 +3,13 @@
 import ledgearch.core.Job
 
 /** Tasks that found no room in this pass: until room shows, none that asks for as much or more needs to look. */
-internal class Misfits {
-    private data class Misfit(
+internal class UnplaceableSizes {
+    private data class UnplaceableSize(
         val job: Job,
         val halls: Set<String>?,
     )
 
-    private val all = ArrayList<Misfit>()
+    private val all = ArrayList<UnplaceableSize>()
 
     fun clear() = all.clear()
 
@@ -18,7 +18,7 @@
         job: Job,
         halls: Set<String>? = null,
     ) {
-        if (!covers(job, halls)) all.add(Misfit(job, halls))
+        if (!covers(job, halls)) all.add(UnplaceableSize(job, halls))
     }
 
     /** A job with no fewer places to go to, and tasks no larger, found no room. */
