--- a/src/test/kotlin/ledgearch/world/Troubles.kt
+++ b/src/test/kotlin/ledgearch/world/FaultInjection.kt
@@ -1,10 +1,10 @@
 package ledgearch.world
 
 /**
- * Troubles drawn two or three together, so that those meet which no list has side by side. All are over a while after
+ * Faults drawn two or three together, so that those meet which no list has side by side. All are over a while after
  * the last draw.
  */
-internal class Troubles(
+internal class FaultInjection(
     private val world: World,
     private val withChains: Boolean = false,
 ) {
--- a/src/test/kotlin/ledgearch/world/Scenario.kt
+++ b/src/test/kotlin/ledgearch/world/Scenario.kt
@@ -222,7 +222,7 @@
 
             // pairs COUNT every S [with-chains]: so many times two or three troubles drawn together.
             "pairs" -> {
-                Troubles(world, w.getOrNull(4) == "with-chains").draw(w[1].toInt(), step.seconds(3))
+                FaultInjection(world, w.getOrNull(4) == "with-chains").draw(w[1].toInt(), step.seconds(3))
             }
 
             else -> {
