--- a/src/main/kotlin/ledgearch/cli/Main.kt
+++ b/src/main/kotlin/ledgearch/cli/Main.kt
@@ -66,7 +66,7 @@
     val words = line.argList
     if (words.size > 1) return usage("unknown argument: ${words[1]}")
     val command = words.firstOrNull() ?: return usage("no command")
-    if (command == "rehearse") return rehearse()
+    if (command == "warm-up") return warmUp()
     if (command != "serve" && command != "check-config") return usage("unknown command: $command")
     val file = line.getOptionValue("config") ?: return usage("$command needs --config FILE")
     val settings =
--- a/src/main/kotlin/ledgearch/cli/Rehearsal.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUp.kt
@@ -9,7 +9,7 @@
  * Run by the build to record which classes a starting controller loads, for the class-data-sharing archive:
  * a controller is started on loopback with nothing behind it, left alone for a moment and ended.
  */
-internal fun rehearse(): Int {
+internal fun warmUp(): Int {
     val file = Files.createTempFile("ledgearch", ".json")
     try {
         val ports = List(4) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort } }
@@ -24,7 +24,7 @@
             """.trimIndent(),
         )
         val settings = SettingsLoader.load(file)
-        RehearsalWorld(settings).play()
+        WarmUpServices(settings).play()
     } finally {
         Files.deleteIfExists(file)
     }
--- a/src/main/kotlin/ledgearch/cli/RehearsalWorld.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -14,7 +14,7 @@
 import kotlin.system.exitProcess
 
 /** The least of a cloud, a state service and a user that makes a starting controller load what it needs. */
-internal class RehearsalWorld(
+internal class WarmUpServices(
     private val settings: Settings,
 ) {
     private val executor = ScheduledThreadPoolExecutor(1)
