--- a/src/main/kotlin/ledgearch/fleet/Fleet.kt
+++ b/src/main/kotlin/ledgearch/fleet/Fleet.kt
@@ -241,7 +241,7 @@
     private fun plan(leader: Leader) {
         for ((name, b) in booting.entries.toList()) {
             if (now.steady - b.since > b.pool.rack.startupS * 1000 * Tuning.BOOT_PATIENCE + listLagMs &&
-                !isScouting(leader, name, b)
+                !isProbeMachine(leader, name, b)
             ) {
                 booting.remove(name)
                 toRelease.add(name)
@@ -318,7 +318,7 @@
         for ((pool, count) in planned) if (key(pool) !in renting && bucket.has(1)) rent(pool, minOf(count, MAX_RENT))
     }
 
-    /** Not in a zone that is cut off: what is rented there can't be reached, and no more than a scout is. */
+    /** Not in a zone that is cut off: what is rented there can't be reached, and no more than a probe machine is. */
     private fun cheapest(
         leader: Leader,
         need: Demand,
@@ -327,7 +327,7 @@
         val pools = pools(need.job).filter { need.zones.allows(it.hall) }
         return pools
             .filter { !leader.isCutOff(it.hall) }
-            .ifEmpty { pools.filter { mayScout(leader, it.hall, planned) } }
+            .ifEmpty { pools.filter { mayRentProbeMachine(leader, it.hall, planned) } }
             .filter { now.steady >= (exhausted[key(it)] ?: Long.MIN_VALUE) }
             .minWithOrNull(
                 compareBy({ it.price }, { p ->
@@ -338,7 +338,7 @@
     }
 
     /** It is up in a zone that is cut off, and its first report will tell that the zone is back. */
-    private fun isScouting(
+    private fun isProbeMachine(
         leader: Leader,
         name: String,
         b: Booting,
@@ -348,7 +348,7 @@
      * No machine is left in the zone that would tell when it is heard again: one is rented, for work that can go
      * nowhere else.
      */
-    private fun mayScout(
+    private fun mayRentProbeMachine(
         leader: Leader,
         hall: String,
         planned: Map<Pool, Int>,
