--- a/src/main/kotlin/ledgearch/core/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/core/MachineRecords.kt
@@ -95,7 +95,7 @@
             Machine(entry.name, entry.endpoint, rack, entry.hall, entry.borrowed, nowMs, teams).also {
                 it.inherited = true
                 it.durable = true
-                it.draining = entry.aside
+                it.draining = entry.quarantined
                 join(it, group)
             }
         }
@@ -196,11 +196,11 @@
     private fun entry(
         m: Machine,
         rack: Int,
-        aside: Boolean,
-    ) = MachineEntry(m.name, m.endpoint, rack, m.hall, m.borrowed, aside)
+        quarantined: Boolean,
+    ) = MachineEntry(m.name, m.endpoint, rack, m.hall, m.borrowed, quarantined)
 
     /**
-     * [machines] in order, in as few pieces as records have room for; each has room for every machine to be put aside.
+     * [machines] in order, in as few pieces as records have room for; each has room for every one to be quarantined.
      */
     private fun pieces(machines: Collection<Machine>): List<List<Machine>> {
         val pieces = ArrayList<ArrayList<Machine>>()
@@ -224,7 +224,7 @@
 
     /** With the comma after it. */
     private fun entryBytes(m: Machine) =
-        bytes(WireJson.encodeToJsonElement(MachineEntry.serializer(), entry(m, ANY_RACK, aside = true))) + 1
+        bytes(WireJson.encodeToJsonElement(MachineEntry.serializer(), entry(m, ANY_RACK, quarantined = true))) + 1
 
     private fun rackBytes(rack: Rack) = bytes(WireJson.encodeToJsonElement(Rack.serializer(), rack)) + 1
 
--- a/src/main/kotlin/ledgearch/core/Records.kt
+++ b/src/main/kotlin/ledgearch/core/Records.kt
@@ -1,6 +1,7 @@
 package ledgearch.core
 
 import kotlinx.serialization.DeserializationStrategy
+import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.JsonElement
@@ -100,14 +101,16 @@
     val rack: Rack,
     val hall: String,
     val borrowed: Boolean,
-    val aside: Boolean = false,
+    @SerialName("aside")
+    val quarantined: Boolean = false,
 ) {
     fun asOneOf(name: String) =
-        MachinesRecord(0, listOf(rack), listOf(MachineEntry(name, endpoint, 0, hall, borrowed, aside)))
+        MachinesRecord(0, listOf(rack), listOf(MachineEntry(name, endpoint, 0, hall, borrowed, quarantined)))
 }
 
 /**
- * One of them, with the place of its type among the record's. [aside]: it fails what it starts, and gets nothing new.
+ * One of them, with the place of its type among the record's. [quarantined]: it fails what it starts, and gets nothing
+ * new.
  */
 @Serializable
 internal data class MachineEntry(
@@ -116,7 +119,8 @@
     val rack: Int,
     val hall: String,
     val borrowed: Boolean,
-    val aside: Boolean = false,
+    @SerialName("aside")
+    val quarantined: Boolean = false,
 )
 
 /** The finished tasks of one chunk of a job, as ranges: `0-3,7`. */
--- a/src/main/kotlin/ledgearch/core/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/core/TaskStatusHandler.kt
@@ -169,7 +169,7 @@
         }
     }
 
-    /** Puts [m] aside when several jobs failed on it in a row, or several tasks of one that is done elsewhere. */
+    /** Quarantines [m] when several jobs failed on it in a row, or several tasks of one that is done elsewhere. */
     private fun blame(
         m: Machine,
         job: Job,
--- a/src/test/kotlin/ledgearch/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/MixedVersionsTest.kt
@@ -244,10 +244,10 @@
         val MACHINES =
             listOf(
                 MachineEntry("machine-1", "10.0.1.1:9000", 0, "a", borrowed = false),
-                MachineEntry("machine-2", "10.0.1.2:9000", 1, "b", borrowed = true, aside = true),
+                MachineEntry("machine-2", "10.0.1.2:9000", 1, "b", borrowed = true, quarantined = true),
             )
 
-        val SINGLE_MACHINE = SingleMachineRecord("10.0.1.2:9000", SHORT_RACK, "b", borrowed = true, aside = true)
+        val SINGLE_MACHINE = SingleMachineRecord("10.0.1.2:9000", SHORT_RACK, "b", borrowed = true, quarantined = true)
 
         val PROGRESS = listOf(Progress("job-1", 3, 2), Progress("job-ä", 0, 1_000_000))
     }
