--- a/src/main/kotlin/ledgearch/core/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/core/JobDependencies.kt
@@ -118,6 +118,9 @@
         return true
     }
 
+    /** The job [id] is open here, and so is each that it waits for. */
+    fun isKnown(id: String): Boolean = openJobs[id]?.let(::areKnown) ?: false
+
     /** The open jobs that name [job] as awaited. */
     fun dependentsOf(job: Job): Collection<Job> = dependents[job.id].orEmpty()
 
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -380,7 +380,7 @@
         }
     }
 
-    /** False when [batch] has no room for [s]. */
+    /** False when [batch] has no room for [s]; one that can't be decided yet is passed over. */
     private fun add(
         s: Submission,
         batch: Batch,
@@ -395,6 +395,8 @@
             return true
         }
         val withdrawn = awaited.any { finalOf(it, s) != null || book.jobs[it]?.dependencyWithdrawn == true }
+        // It waits for what is being read: one of those that they depend on may have been withdrawn long ago.
+        if (!withdrawn && !awaited.all(book.dependencies::isKnown)) return true
         val change =
             if (withdrawn) {
                 Change(
