--- a/src/test/kotlin/ledgearch/world/Expectations.kt
+++ b/src/test/kotlin/ledgearch/world/Expectations.kt
@@ -10,250 +10,233 @@
     private val step: Step,
     private val failures: MutableList<String>,
 ) {
-    private val w = step.words
-
-    /** Compares: here tasks and decisions; each further kind has its own function. */
+    private val words = step.words
+    private val rules = world.rules
+    private val state = world.state
+
+    private val onTasks =
+        mapOf(
+            "running" to ::running,
+            "begun" to ::begun,
+            "starts" to ::starts,
+            "failures" to ::failedTasks,
+            "decisions" to ::decisions,
+            "tenures" to ::tenures,
+            "finished" to ::finished,
+            "accepted" to ::accepted,
+        )
+
+    private val onCloud =
+        mapOf(
+            "machines" to ::machines,
+            "spot-machines" to ::spotMachines,
+            "put-aside" to ::putAside,
+            "gone" to ::gone,
+            "holder" to ::heldBy,
+        )
+
+    private val onState =
+        mapOf(
+            "keys" to ::keys,
+            "keys-at-most" to ::keysAtMost,
+            "values-over" to ::valuesOver,
+            "too-large" to ::tooLarge,
+            "too-many" to ::tooMany,
+        )
+
+    private val onAnswers =
+        mapOf(
+            "up" to ::up,
+            "submission" to ::submission,
+            "answer" to ::answer,
+            "at-once" to ::answerAtOnce,
+            "everyone-known" to ::everyoneKnown,
+            "everyone-served" to ::everyoneServed,
+            "withdrawn-everywhere" to ::withdrawnEverywhere,
+        )
+
+    private val checks = onTasks + onCloud + onState + onAnswers
+
+    /** Compares as the second word says; when that is a job, its state. */
     fun check() {
-        when (w[1]) {
-            "running" -> {
-                world.running(w[2]).let { compare("running ${w[2]} ${w[3]}", it, it == w[3].toInt()) }
-            }
-
-            "begun" -> {
-                world.rules.startsOf(w[2]).let { compare("begun ${w[2]}", it, it > 0) }
-            }
+        val check = checks[words[1]] ?: ::jobState
+        check()
+    }
 
-            "starts" -> {
-                world.rules.startsOf(w[2]).let {
-                    compare(
-                        "starts ${w[2]} at most ${w[3]}",
-                        it,
-                        it <= w[3].toInt(),
-                    )
-                }
-            }
+    private fun running() {
+        val count = world.running(words[2])
+        compare("running ${words[2]} ${words[3]}", count, count == words[3].toInt())
+    }
 
-            "failures" -> {
-                world.rules.failures.let { compare("failures at most ${w[2]}", it, it <= w[2].toInt()) }
-            }
+    private fun begun() {
+        val count = rules.startsOf(words[2])
+        compare("begun ${words[2]}", count, count > 0)
+    }
 
-            "decisions" -> {
-                (world.rules.lastAttempt and 0xFFFFFFF).let {
-                    compare(
-                        "decisions at most ${w[2]}",
-                        it,
-                        it <= w[2].toInt(),
-                    )
-                }
-            }
+    private fun starts() {
+        val count = rules.startsOf(words[2])
+        compare("starts ${words[2]} at most ${words[3]}", count, count <= words[3].toInt())
+    }
 
-            "tenures" -> {
-                world.rules.tenures.let { compare("tenures ${w[2]}", it, it == w[2].toInt()) }
-            }
+    private fun failedTasks() {
+        val count = rules.failures
+        compare("failures at most ${words[2]}", count, count <= words[2].toInt())
+    }
 
-            "finished" -> {
-                world.rules.completedOf(w[2]).let { compare("finished ${w[2]} ${w[3]}", it, it == w[3].toInt()) }
-            }
+    private fun decisions() {
+        val count = rules.lastAttempt and COUNTER_OF_ATTEMPT
+        compare("decisions at most ${words[2]}", count, count <= words[2].toInt())
+    }
 
-            "accepted" -> {
-                compare("accepted ${w[2]}", false, world.rules.isAccepted(w[2]))
-            }
+    private fun tenures() {
+        val count = rules.tenures
+        compare("tenures ${words[2]}", count, count == words[2].toInt())
+    }
 
-            else -> {
-                checkWorld()
-            }
-        }
+    private fun finished() {
+        val count = rules.completedOf(words[2])
+        compare("finished ${words[2]} ${words[3]}", count, count == words[3].toInt())
     }
 
-    /** What the cloud holds, and who holds the block. */
-    private fun checkWorld() {
-        when (w[1]) {
-            "machines" -> {
-                world.cloud.names.size
-                    .let { compare("machines ${w[2]}", it, it == w[2].toInt()) }
-            }
+    private fun accepted() {
+        compare("accepted ${words[2]}", false, rules.isAccepted(words[2]))
+    }
 
-            "spot-machines" -> {
-                world.cloud.spotCount.let { compare("spot machines ${w[2]}", it, it == w[2].toInt()) }
-            }
+    private fun machines() {
+        val count = world.cloud.names.size
+        compare("machines ${words[2]}", count, count == words[2].toInt())
+    }
 
-            "put-aside" -> {
-                world.state
-                    .keysUnder("m/")
-                    .sumOf { key ->
-                        world.state
-                            .text(key)
-                            .split("\"aside\":true")
-                            .size - 1
-                    }.let { compare("put aside ${w[2]}", it, it == w[2].toInt()) }
-            }
+    private fun spotMachines() {
+        val count = world.cloud.spotCount
+        compare("spot machines ${words[2]}", count, count == words[2].toInt())
+    }
 
-            "gone" -> {
-                compare("gone ${w[2]}", true, w[2] !in world.cloud.names)
-            }
+    private fun putAside() {
+        val count = state.keysUnder("m/").sumOf { state.text(it).split("\"aside\":true").size - 1 }
+        compare("put aside ${words[2]}", count, count == words[2].toInt())
+    }
 
-            "holder" -> {
-                holder(world).let {
-                    compare(
-                        "holder ${w[2]}",
-                        it,
-                        if (w[2] == "any") {
-                            it != "none"
-                        } else if (w[2].startsWith("not-")) {
-                            it != "none" && "not-$it" != w[2]
-                        } else {
-                            it == w[2]
-                        },
-                    )
-                }
-            }
+    private fun gone() {
+        compare("gone ${words[2]}", true, words[2] !in world.cloud.names)
+    }
 
-            else -> {
-                checkState()
+    /** holder NODE|any|not-NODE */
+    private fun heldBy() {
+        val actual = holder(world)
+        val expected = words[2]
+        val holds =
+            when {
+                expected == "any" -> actual != "none"
+                expected.startsWith("not-") -> actual != "none" && "not-$actual" != expected
+                else -> actual == expected
             }
-        }
+        compare("holder $expected", actual, holds)
     }
 
-    /** What the state service holds and has refused. */
-    private fun checkState() {
-        when (w[1]) {
-            "keys" -> {
-                world.state
-                    .keysUnder(w[2])
-                    .size
-                    .let { compare("keys ${w[2]} ${w[3]}", it, it == w[3].toInt()) }
-            }
+    private fun keys() {
+        val count = state.keysUnder(words[2]).size
+        compare("keys ${words[2]} ${words[3]}", count, count == words[3].toInt())
+    }
 
-            // too-large COUNT, too-many COUNT: transactions refused for their size; requests refused for their rate, at
-            // most.
-            "too-large" -> {
-                world.state.tooLarge.let { compare("too large ${w[2]}", it, it == w[2].toInt()) }
-            }
+    private fun keysAtMost() {
+        val count = state.keysUnder(words[2]).size
+        compare("keys ${words[2]} at most ${words[3]}", count, count <= words[3].toInt())
+    }
 
-            "too-many" -> {
-                world.state.tooMany.let { compare("too many at most ${w[2]}", it, it <= w[2].toInt()) }
-            }
+    /** values-over PREFIX BYTES COUNT */
+    private fun valuesOver() {
+        val count = state.keysUnder(words[2]).count { state.text(it).length > words[3].toInt() }
+        compare("values ${words[2]} over ${words[3]} ${words[4]}", count, count == words[4].toInt())
+    }
 
-            // values-over PREFIX BYTES COUNT
-            "values-over" -> {
-                world.state
-                    .keysUnder(w[2])
-                    .count { world.state.text(it).length > w[3].toInt() }
-                    .let { compare("values ${w[2]} over ${w[3]} ${w[4]}", it, it == w[4].toInt()) }
-            }
+    /** too-large COUNT: transactions refused for their size. */
+    private fun tooLarge() {
+        val count = state.tooLarge
+        compare("too large ${words[2]}", count, count == words[2].toInt())
+    }
 
-            "keys-at-most" -> {
-                world.state
-                    .keysUnder(w[2])
-                    .size
-                    .let { compare("keys ${w[2]} at most ${w[3]}", it, it <= w[3].toInt()) }
-            }
+    /** too-many COUNT: requests refused for their rate, at most. */
+    private fun tooMany() {
+        val count = state.tooMany
+        compare("too many at most ${words[2]}", count, count <= words[2].toInt())
+    }
 
-            else -> {
-                checkAnswers()
-            }
+    private fun up() {
+        world.ask("GET", "/up", null, words[2]) {
+            compare("up ${words[2]} ${words[3]}", it.status, it.status == words[3].toInt())
         }
     }
 
-    /** What controllers answer. */
-    private fun checkAnswers() {
-        when (w[1]) {
-            "up" -> {
-                world.ask(
-                    "GET",
-                    "/up",
-                    null,
-                    w[2],
-                ) { compare("up ${w[2]} ${w[3]}", it.status, it.status == w[3].toInt()) }
-            }
+    /** submission NODE STATUS JOB ...: as of `submit`; `without=FIELD` leaves one out, `FIELD:JSON` sets one. */
+    private fun submission() {
+        val asked = world.clock.now
+        val description = words.drop(4)
+        if (words[3] == "201") rules.submitted[words[4]] = requestOf(description.filter { ':' !in it })
+        world.users.submitOnce(words[4], body(description), words[2]) { status ->
+            compare("answer of ${words[2]} to $description", status, status == words[3].toInt())
+            compareAtOnce(asked)
+        }
+    }
 
-            // submission NODE STATUS JOB ...: as of `submit`; `without=FIELD` leaves one out, `FIELD:JSON` sets one.
-            "submission" -> {
-                world.clock.now.let { asked ->
-                    if (w[3] == "201") world.rules.submitted[w[4]] = requestOf(w.drop(4).filter { ':' !in it })
-                    world.users.submitOnce(w[4], body(w.drop(4)), w[2]) { status ->
-                        compare("answer of ${w[2]} to ${w.drop(4)}", status, status == w[3].toInt())
-                        (world.clock.now - asked).let { took ->
-                            compare(
-                                "answered at once",
-                                "$took ms",
-                                took <= AT_ONCE_MS,
-                            )
-                        }
-                    }
-                }
-            }
+    /** answer METHOD TARGET STATUS [BODY] */
+    private fun answer() {
+        world.ask(words[2], words[3], words.getOrNull(5), null) {
+            compare("answer to ${words[2]} ${words[3]}", it.status, it.status == words[4].toInt())
+        }
+    }
 
-            "answer" -> {
-                world.ask(w[2], w[3], w.getOrNull(5), null) {
-                    compare(
-                        "answer to ${w[2]} ${w[3]}",
-                        it.status,
-                        it.status == w[4].toInt(),
-                    )
-                }
-            }
+    /** at-once METHOD TARGET STATUS [BODY] [at=NODE] */
+    private fun answerAtOnce() {
+        val asked = world.clock.now
+        val (node, body) = words.drop(5).partition { it.startsWith("at=") }
+        world.ask(words[2], words[3], body.firstOrNull(), node.firstOrNull()?.substringAfter('=')) {
+            compare("answer to ${words[2]} ${words[3]}", it.status, it.status == words[4].toInt())
+            compareAtOnce(asked)
+        }
+    }
 
-            // at-once METHOD TARGET STATUS [BODY] [at=NODE]
-            "at-once" -> {
-                world.clock.now.let { asked ->
-                    val (node, body) = w.drop(5).partition { it.startsWith("at=") }
-                    world.ask(w[2], w[3], body.firstOrNull(), node.firstOrNull()?.substringAfter('=')) {
-                        compare("answer to ${w[2]} ${w[3]}", it.status, it.status == w[4].toInt())
-                        (world.clock.now - asked).let { took ->
-                            compare(
-                                "answered at once",
-                                "$took ms",
-                                took <= AT_ONCE_MS,
-                            )
-                        }
-                    }
-                }
-            }
+    private fun compareAtOnce(asked: Long) {
+        val took = world.clock.now - asked
+        compare("answered at once", "$took ms", took <= AT_ONCE_MS)
+    }
 
-            else -> {
-                checkEveryone()
+    private fun everyoneKnown() {
+        rules.everyoneAccepted.forEach { job ->
+            expectAnswer(job, world.clock.now + FORGOTTEN_MS) {
+                compare("everyone known", "no answer for $job", false)
             }
         }
     }
 
-    /** Every job that was accepted, or a single one by its name. */
-    private fun checkEveryone() {
-        when (w[1]) {
-            "everyone-known" -> {
-                world.rules.everyoneAccepted.forEach { job ->
-                    expectAnswer(
-                        job,
-                        world.clock.now + FORGOTTEN_MS,
-                    ) { compare("everyone known", "no answer for $job", false) }
-                }
-            }
+    /**
+     * Every accepted job is done, or its replicas all run; where a user asked for its end, or for that of a job that
+     * it needs, it may be withdrawn.
+     */
+    private fun everyoneServed() {
+        rules.everyoneAccepted.forEach { job ->
+            expectState(job, TRIES, { isServed(job, it) }) { compare("everyone served", "$job: $it", false) }
+        }
+    }
 
-            // Every accepted job is done, or its replicas all run; where a user asked for its end, or for that of a job
-            // that it needs, it may be withdrawn.
-            "everyone-served" -> {
-                world.rules.everyoneAccepted.forEach { job ->
-                    expectState(job, TRIES, { isServed(job, it) }) { compare("everyone served", "$job: $it", false) }
-                }
-            }
+    /** withdrawn-everywhere FIRST COUNT: every controller calls each of so many jobs numbered from there withdrawn. */
+    private fun withdrawnEverywhere() {
+        repeat(words[3].toInt()) { i ->
+            val job = "job-${words[2].toInt() + i}"
+            world.nodes.forEach { expectWithdrawn(job, it.name) }
+        }
+    }
 
-            // withdrawn-everywhere FIRST COUNT: every controller calls each of so many jobs numbered from there
-            // withdrawn.
-            "withdrawn-everywhere" -> {
-                repeat(w[3].toInt()) { i ->
-                    val job = "job-${w[2].toInt() + i}"
-                    for (node in world.nodes) {
-                        expectState(job, TRIES, {
-                            it == WorkStates.WITHDRAWN
-                        }, node.name) { compare("$job withdrawn at ${node.name}", it, false) }
-                    }
-                }
-            }
+    private fun expectWithdrawn(
+        job: String,
+        node: String,
+    ) = expectState(job, TRIES, { it == WorkStates.WITHDRAWN }, node) {
+        compare("$job withdrawn at $node", it, false)
+    }
 
-            else -> {
-                expectState(w[1], TRIES, { it == w[2] }) { actual -> compare("${w[1]} ${w[2]}", actual, false) }
-            }
-        }
+    /** JOB STATE */
+    private fun jobState() {
+        expectState(words[1], TRIES, { it == words[2] }) { compare("${words[1]} ${words[2]}", it, false) }
     }
 
     private fun compare(
@@ -272,12 +255,10 @@
     ) {
         world.poll(job) { status, _ ->
             if (status == 200) return@poll
-            if (world.clock.now >
-                until
-            ) {
+            if (world.clock.now > until) {
                 forgotten()
             } else {
-                world.clock.after(5_000) { expectAnswer(job, until, forgotten) }
+                world.clock.after(POLL_MS) { expectAnswer(job, until, forgotten) }
             }
         }
     }
@@ -310,22 +291,13 @@
         else -> false
     }
 
-    private fun body(words: List<String>): String {
-        val spec =
-            Users.SUBMISSION.encodeToJsonElement(
-                WorkRequest.serializer(),
-                requestOf(
-                    words.filter {
-                        ':' !in it
-                    },
-                ),
-            ) as JsonObject
-        val without = words.filter { it.startsWith("without=") }.map { it.substringAfter('=') }
-        val set =
-            words.filter { ':' in it }.joinToString(
-                "",
-            ) { ",\"${it.substringBefore(':')}\":${it.substringAfter(':')}" }
-        return JsonObject(spec - without.toSet()).toString().dropLast(1) + set + "}"
+    /** The submission as JSON, without and with fields as its words say. */
+    private fun body(description: List<String>): String {
+        val (fields, words) = description.partition { ':' in it }
+        val submission = Users.SUBMISSION.encodeToJsonElement(WorkRequest.serializer(), requestOf(words)) as JsonObject
+        val without = description.filter { it.startsWith("without=") }.map { it.substringAfter('=') }
+        val set = fields.joinToString("") { ",\"${it.substringBefore(':')}\":${it.substringAfter(':')}" }
+        return JsonObject(submission - without.toSet()).toString().dropLast(1) + set + "}"
     }
 
     private companion object {
@@ -334,5 +306,9 @@
         /** ms. A job with no question answered for so long is forgotten. */
         const val FORGOTTEN_MS = 75_000L
         const val AT_ONCE_MS = 300L
+        const val POLL_MS = 5_000L
+
+        /** The bits of an attempt's number that count decisions. */
+        const val COUNTER_OF_ATTEMPT = 0xFFFFFFFL
     }
 }
--- a/src/test/kotlin/ledgearch/world/StateStandIn.kt
+++ b/src/test/kotlin/ledgearch/world/StateStandIn.kt
@@ -182,51 +182,42 @@
         if (down || isRefused(from)) return answer(Reply(503, ""))
         expireLeases()
         val path = target.substringBefore('?')
-        val txn = if (path == "/txn") WireJson.decodeFromString(Txn.serializer(), body.orEmpty()) else null
+        val txn = if (path == TXN) WireJson.decodeFromString(Txn.serializer(), body.orEmpty()) else null
+        val refusal = refusalByLimits(txn, body.orEmpty())
+        when {
+            refusal != null -> answer(refusal)
+            txn != null -> transact(txn, answer)
+            path == LEASES || path.startsWith("$LEASES/") -> answer(leaseReply(path, body.orEmpty()))
+            path == CHANGES -> watch(from, queryOf(target), answer)
+            path == KEYS -> answer(page(queryOf(target)))
+            method == "GET" && path.startsWith("$KEYS/") -> answer(get(path.removePrefix("$KEYS/")))
+            else -> answer(Reply(400, "{}"))
+        }
+    }
+
+    /** The answer to a request that the limits on rates or sizes refuse; otherwise none. */
+    private fun refusalByLimits(
+        txn: Txn?,
+        body: String,
+    ): Reply? {
         if (!passes(txn?.then?.size ?: 0)) {
             tooMany++
-            return answer(Reply(429, ""))
+            return Reply(429, "")
         }
-        if (txn != null && isTooLarge(txn, body.orEmpty())) {
+        if (txn != null && isTooLarge(txn, body)) {
             tooLarge++
-            return answer(Reply(400, """{"error":"too large"}"""))
+            return Reply(400, """{"error":"too large"}""")
         }
-        val query = queryOf(target)
-        when {
-            txn != null -> {
-                transact(txn, answer)
-            }
-
-            path == "/leases" -> {
-                answer(newLease(WireJson.decodeFromString(LeaseRequest.serializer(), body.orEmpty()).lifeMs))
-            }
-
-            path.startsWith("/leases/") -> {
-                answer(renewedLease(path.split('/')[2].toLong()))
-            }
-
-            path == "/changes" -> {
-                watch(
-                    from,
-                    query.getValue("under"),
-                    query.getValue("since").toLong(),
-                    query["blockMs"]?.toLong() ?: 0,
-                    answer,
-                )
-            }
-
-            path == "/keys" -> {
-                answer(page(query.getValue("under"), query["since"], query["limit"]?.toInt() ?: 1000))
-            }
-
-            method == "GET" && path.startsWith("/keys/") -> {
-                answer(get(path.removePrefix("/keys/")))
-            }
+        return null
+    }
 
-            else -> {
-                answer(Reply(400, "{}"))
-            }
-        }
+    private fun leaseReply(
+        path: String,
+        body: String,
+    ) = if (path == LEASES) {
+        newLease(WireJson.decodeFromString(LeaseRequest.serializer(), body).lifeMs)
+    } else {
+        renewedLease(path.split('/')[2].toLong())
     }
 
     private fun queryOf(target: String): Map<String, String> =
@@ -303,11 +294,10 @@
         return Reply(200, WireJson.encodeToString(KeyValue.serializer(), KeyValue(key, e.v, e.stamp, e.permit)))
     }
 
-    private fun page(
-        prefix: String,
-        since: String?,
-        limit: Int,
-    ): Reply {
+    private fun page(query: Map<String, String>): Reply {
+        val prefix = query.getValue("under")
+        val since = query["since"]
+        val limit = query["limit"]?.toInt() ?: PAGE_SIZE
         val all = keysUnder(prefix).filter { since == null || it > since }
         val pairs = all.take(limit).map { KeyValue(it, keys.getValue(it).v, keys.getValue(it).stamp) }
         return Reply(200, WireJson.encodeToString(KeyPage.serializer(), KeyPage(pairs, all.size > limit, edition)))
@@ -367,11 +357,12 @@
 
     private fun watch(
         node: String,
-        prefix: String,
-        since: Long,
-        blockMs: Long,
+        query: Map<String, String>,
         answer: (Reply) -> Unit,
     ) {
+        val prefix = query.getValue("under")
+        val since = query.getValue("since").toLong()
+        val blockMs = query["blockMs"]?.toLong() ?: 0
         if (since < forgotten) return answer(Reply(410, "{}"))
         val w = Watch(node, prefix, since, answer)
         if (tryAnswer(w)) return
@@ -441,6 +432,13 @@
     fun stamp(key: String): Long = keys[key]?.stamp ?: 0
 
     private companion object {
+        const val TXN = "/txn"
+        const val LEASES = "/leases"
+        const val CHANGES = "/changes"
+        const val KEYS = "/keys"
+
+        /** Keys on a page, unless the request names another limit. */
+        const val PAGE_SIZE = 1000
         const val TXN_BYTES = 64 * 1024
         const val CONDITIONS_A_CHANGE = 4
         const val LATE_FROM_MS = 2_000L
--- /dev/null
+++ b/src/test/kotlin/ledgearch/world/UserSteps.kt
@@ -0,0 +1,44 @@
+package ledgearch.world
+
+/** What users ask beside submissions, and when they cancel. */
+internal class UserSteps(
+    world: World,
+) : StepFamily(world) {
+    override val actions =
+        mapOf<String, (Step) -> Unit>(
+            "poll-many" to ::pollMany,
+            "look" to ::look,
+            "close-looks" to ::lookClosely,
+            "cancel-at-end" to ::cancelAtEnd,
+            "cancel-now" to ::cancelNow,
+        )
+
+    /** poll-many COUNT EVERY-MS TIMES: each of so many jobs numbered from 1000. */
+    private fun pollMany(step: Step) {
+        val words = step.words
+        repeat(words[3].toInt()) { time ->
+            world.clock.after(time * words[2].toLong()) {
+                repeat(words[1].toInt()) { i -> world.poll("job-${FIRST_OF_MANY + i}") { _, _ -> } }
+            }
+        }
+    }
+
+    /** look JOB for S: all controllers are asked again and again within milliseconds, submissions repeated. */
+    private fun look(step: Step) {
+        world.users.look(step.words[1], step.milliseconds(3))
+    }
+
+    private fun lookClosely(step: Step) {
+        world.users.closeLooks = step.words[1].toDouble()
+    }
+
+    private fun cancelAtEnd(step: Step) {
+        world.users.cancelsAtEnd = step.words[1].toDouble()
+    }
+
+    /** cancel-now COUNT [hang S]: of those that run; some of their machines hang so long. */
+    private fun cancelNow(step: Step) {
+        val hangsMs = if (step.words.size > 3) step.milliseconds(3) else 0L
+        world.users.cancelNow(step.words[1].toInt(), hangsMs)
+    }
+}
