--- a/src/main/kotlin/ledgearch/core/Courier.kt
+++ b/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
@@ -11,12 +11,12 @@
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
-/** What the holder has to say to its machines: orders in answers to reports, and direct commands. */
-internal class Courier(
+/** What the leader has to say to its machines: orders in answers to reports, and direct commands. */
+internal class CommandDispatcher(
     private val transport: Transport,
     private val election: Election,
     private val now: Now,
-    private val own: OwnTime,
+    private val stalls: StallCompensation,
     private val probesAtOnce: Int,
     private val callsAtOnce: Int,
     private val isHere: (Machine) -> Boolean,
@@ -36,11 +36,11 @@
     /** Direct commands under way, without probes. */
     private var callsOpen = 0
 
-    /** Changes with every tenure: answers to an earlier one's calls mean nothing here. */
-    private var tenure = 0
+    /** Changes with every term: answers to an earlier one's calls mean nothing here. */
+    private var term = 0
 
     fun clear() {
-        tenure++
+        term++
         wanted.clear()
         lossy.clear()
         broken.clear()
@@ -138,7 +138,7 @@
                 }
             }
             // A time-out of our own, while this node was behind with its work, says nothing about the machine.
-            if (answer == null && own.lateAt < sentAt) missed(m)
+            if (answer == null && stalls.lateAt < sentAt) missed(m)
             if (answer != null && isHere(m)) heard(m, answer)
             if (list.size == Tuning.ORDERS_AT_ONCE) want(m)
         }
@@ -151,7 +151,7 @@
         timeoutMs: Long,
         done: (CheckIn?) -> Unit,
     ) {
-        val mine = tenure
+        val mine = term
         val body =
             WireJson.encodeToString(
                 OrdersRequest.serializer(),
@@ -162,7 +162,7 @@
         val sentAt = now.steady
         // Over a slow link answers are awaited for as long as the last one took and half as long again.
         transport.call(m.endpoint, "POST", "/orders", body, maxOf(timeoutMs, m.answerMs * 3 / 2)) { reply ->
-            if (tenure != mine) return@call
+            if (term != mine) return@call
             val answer =
                 if (reply.status == 200 ||
                     reply.status == 409
@@ -210,7 +210,7 @@
             m.pushing = false
             probesOpen--
             if (answer == null) {
-                if (own.lateAt < sentAt) {
+                if (stalls.lateAt < sentAt) {
                     m.probesFailed++
                     if (!m.confirmed) missed(m)
                 }
--- a/src/main/kotlin/ledgearch/core/Silence.kt
+++ b/src/main/kotlin/ledgearch/core/FailureDetector.kt
@@ -8,15 +8,15 @@
 import org.slf4j.LoggerFactory
 
 /** Which machines are lost, by what is not heard from them and by what does not reach them. */
-internal class Silence(
+internal class FailureDetector(
     times: WorkerTimes,
     private val machines: Map<String, Machine>,
     private val election: Election,
-    private val courier: Courier,
+    private val dispatcher: CommandDispatcher,
     private val fleet: Fleet,
     private val reliability: Reliability,
     private val now: Now,
-    private val own: OwnTime,
+    private val stalls: StallCompensation,
     /** The zones of the controllers that held the block of late. */
     private val areasBefore: () -> Set<String>,
     private val sessionEnded: (Machine) -> Unit,
@@ -25,21 +25,21 @@
     private val reportMs = (times.reportS * 1000).toLong()
     private val leaseMs = (times.leaseS * 1000).toLong()
     private var watchAt = 0L
-    private val cutZones = CutZones(now)
+    private val partitionedZones = PartitionedZones(now)
 
-    fun clear() = cutZones.clear()
+    fun clear() = partitionedZones.clear()
 
-    private fun mayComeBack(m: Machine) = cutZones.mayComeBack(m, areasBefore())
+    private fun mayComeBack(m: Machine) = partitionedZones.mayComeBack(m, areasBefore())
 
-    val anyCutOff get() = !cutZones.isEmpty
+    val anyCutOff get() = !partitionedZones.isEmpty
 
-    fun isCutOff(hall: String) = hall in cutZones
+    fun isCutOff(hall: String) = hall in partitionedZones
 
     fun drive() {
         if (now.steady < watchAt) return
         watchAt = now.steady + Tuning.WATCH_SILENCE_MS
         val back =
-            cutZones.update(machines.values) {
+            partitionedZones.update(machines.values) {
                 if (it.inherited &&
                     !it.confirmed
                 ) {
@@ -94,7 +94,7 @@
     ) = confirmed > all * Tuning.MOST ||
         (
             confirmed > all * Tuning.HEARD_SHARE &&
-                now.steady - maxOf(own.lateAt, election.grantedAt) > (reportMs * Tuning.CUT_REPORTS).toLong()
+                now.steady - maxOf(stalls.lateAt, election.grantedAt) > (reportMs * Tuning.CUT_REPORTS).toLong()
         )
 
     /**
@@ -103,11 +103,11 @@
      */
     private fun releaseUnreached() {
         val lost =
-            courier.broken.filter {
+            dispatcher.broken.filter {
                 !it.releasing && !mayComeBack(it) && it.probesFailed >= Tuning.PROBES &&
                     now.steady - it.brokenSince > (reportMs * Tuning.LOST_REPORTS).toLong()
             }
-        val mostBroken = courier.broken.size > machines.size * Tuning.MOST
+        val mostBroken = dispatcher.broken.size > machines.size * Tuning.MOST
         for (m in lost) {
             // Then it may be this node, for a time.
             if (mostBroken && now.steady - m.brokenSince < Tuning.PATH_FAULT_MS) continue
@@ -123,7 +123,7 @@
     private fun silentFor(
         m: Machine,
         reports: Double,
-    ) = now.steady - maxOf(m.reportedAt, own.lateAt, election.grantedAt, cutZones.backAt(m.hall)) >
+    ) = now.steady - maxOf(m.reportedAt, stalls.lateAt, election.grantedAt, partitionedZones.backAt(m.hall)) >
         (reportMs * reports).toLong()
 
     private fun watch() {
@@ -137,11 +137,11 @@
         }
         val heard by lazy(LazyThreadSafetyMode.NONE) { Heard(active) }
         val mostMute = active.count { isMute(it) } > active.size * Tuning.MOST
-        for (m in courier.broken) if (!m.releasing) courier.probe(m)
+        for (m in dispatcher.broken) if (!m.releasing) dispatcher.probe(m)
         for (m in machines.values.toList()) {
             if (!silentFor(m, Tuning.OVERDUE_REPORTS)) {
                 if (isTaken(m)) {
-                    courier.probe(m)
+                    dispatcher.probe(m)
                     if (m.probesFailed > 0 && !m.releasing) {
                         log.info("machine {} was taken; it is released", m.name)
                         release(m)
@@ -149,7 +149,7 @@
                 }
                 continue
             }
-            if (m.confirmed && !m.releasing) courier.probe(m)
+            if (m.confirmed && !m.releasing) dispatcher.probe(m)
             if (!silentFor(m, Tuning.LOST_REPORTS) && !surelyLost(m, heard)) continue
             if (!m.releasing && !mayComeBack(m) && !(mostMute && isMute(m))) {
                 log.warn("machine {} is silent for {} ms; it is released", m.name, now.steady - m.reportedAt)
@@ -204,7 +204,7 @@
     }
 
     /**
-     * Without a word from the cloud: a worker that confirmed this tenure's token has had no valid answer since
+     * Without a word from the cloud: a worker that confirmed this term's token has had no valid answer since
      * [Machine.answeredAt] if the grant was still this node's after the lease ended.
      */
     private fun leaseRanOut(m: Machine) {
--- a/src/main/kotlin/ledgearch/core/Journal.kt
+++ b/src/main/kotlin/ledgearch/core/Journal.kt
@@ -16,7 +16,7 @@
 import java.util.BitSet
 
 /**
- * What the holder makes durable, in batches of one transaction at a time, each comparing the holder's own grant: a
+ * What the leader makes durable, in batches of one transaction at a time, each comparing the leader's own grant: a
  * transaction that is applied late, after another grant, changes nothing. Applied late under the same grant it changes
  * nothing either that was written since, as every key is compared too ([KeyStamps]; a job that closes, by its own
  * stamp).
@@ -24,7 +24,7 @@
 internal class Journal(
     private val state: StateClient,
     private val election: Election,
-    private val book: Book,
+    private val jobStore: JobStore,
     private val now: Now,
     private val valueBytes: Int,
 ) {
@@ -60,8 +60,8 @@
         }
     }
 
-    /** Changes with every tenure: what an earlier one's transactions made durable is nothing of this one's. */
-    private var tenure = 0
+    /** Changes with every term: what an earlier one's transactions made durable is nothing of this one's. */
+    private var term = 0
     private var stamps = KeyStamps(state)
     private var writing = false
     private var retryAt = Long.MIN_VALUE
@@ -85,7 +85,7 @@
     var onClosed: (Job, FinalRecord) -> Unit = { _, _ -> }
 
     fun clear() {
-        tenure++
+        term++
         stamps = KeyStamps(state)
         writing = false
         outdated.clear()
@@ -100,7 +100,7 @@
 
     fun bind(machine: Machine) = machines.put(machine)
 
-    /** The machines of a record that an earlier holder wrote. */
+    /** The machines of a record that an earlier leader wrote. */
     fun restore(
         name: String,
         pair: KeyValue,
@@ -112,7 +112,7 @@
         removals.add(key)
     }
 
-    /** A new holder has read [key]. */
+    /** A new leader has read [key]. */
     fun read(
         key: String,
         stamp: Long,
@@ -149,7 +149,7 @@
         writing = true
         val sentAt = now.steady
         val under = election.token
-        val mine = tenure
+        val mine = term
         val conditions = ArrayList<Condition>()
         conditions.add(election.condition)
         for (entry in entries) {
@@ -157,7 +157,7 @@
                 entry.closes?.let { listOf(Condition(Keys.job(it.id), it.stamp)) } ?: stamps.conditions(entry.changes)
         }
         state.txn(conditions, entries.flatMap { it.changes }, Lane.ORDINARY) { result ->
-            if (tenure != mine) return@txn
+            if (term != mine) return@txn
             writing = false
             if (alone > 0) alone--
             when (result) {
@@ -203,14 +203,14 @@
     ) {
         retryAt = now.steady + if (keys.isEmpty() || Keys.grant(0) in keys) Tuning.STATE_RETRY_MS else Tuning.TICK_MS
         if (Keys.grant(0) in keys) election.doubted(under)
-        val mine = tenure
+        val mine = term
         val own = ArrayList<String>()
         for (c in conditions) {
             if (c.key !in keys || c.key == Keys.grant(0)) continue
             if (c.key.startsWith(Keys.JOBS)) outdated[c.key.removePrefix(Keys.JOBS)] = c.stamp else own.add(c.key)
         }
         writing = true
-        stamps.readAnew(own) { if (tenure == mine) writing = false }
+        stamps.readAnew(own) { if (term == mine) writing = false }
     }
 
     private fun collect(): List<Entry> {
@@ -226,7 +226,7 @@
         for ((id, closing) in closings) {
             val (job, finalState) = closing
             // The stamp is compared so that a cancellation marked meanwhile is seen before the job is closed.
-            if (book.jobs[id] !== job || outdated[id] == job.stamp) continue
+            if (jobStore.jobs[id] !== job || outdated[id] == job.stamp) continue
             val record = FinalRecord(finalState, if (finalState == WorkStates.DONE) job.spec.portions else 0)
             val changes =
                 listOf(
@@ -237,10 +237,10 @@
         }
         closings.values
             .map { it.first }
-            .filter { book.jobs[it.id] !== it }
+            .filter { jobStore.jobs[it.id] !== it }
             .forEach(::forget)
         for (job in progress.values) {
-            // Until then its finished tasks stay on their machines' lists, from where the next holder would learn of
+            // Until then its finished tasks stay on their machines' lists, from where the next leader would learn of
             // them.
             if (job.closing || now.steady - job.progressAt < Tuning.PROGRESS_MS) continue
             if (batch.room == 0) return
@@ -309,7 +309,7 @@
         job.progressAt = now.steady
         written.values.forEach(job.recorded::or)
         // A final record written meanwhile would leave this chunk behind.
-        if (book.jobs[job.id] !== job) written.keys.forEach { removals.add(Keys.finished(job.id, it)) }
+        if (jobStore.jobs[job.id] !== job) written.keys.forEach { removals.add(Keys.finished(job.id, it)) }
         if (job.finished == job.recorded) progress.remove(job.id)
     }
 
--- a/src/main/kotlin/ledgearch/core/Holder.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -19,20 +19,20 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The holder of a block: it alone binds tasks to the block's machines. Nothing here outlives the grant;
- * a new holder learns what runs from the workers, after each has confirmed the new token.
+ * The leader of a block: it alone binds tasks to the block's machines. Nothing here outlives the grant;
+ * a new leader learns what runs from the workers, after each has confirmed the new token.
  */
-internal class Holder(
+internal class Leader(
     private val settings: Settings,
     private val state: StateClient,
     private val transport: Transport,
     private val election: Election,
-    private val book: Book,
+    private val jobStore: JobStore,
     private val now: Now,
     private val journal: Journal,
     private val fleet: Fleet,
     private val metrics: Metrics,
-    private val own: OwnTime,
+    private val stalls: StallCompensation,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
 
@@ -40,7 +40,8 @@
     val teams = Teams(settings.deployment.teams)
     val estimates = Estimates()
     val reserve = Reserve(settings, now)
-    private val deadlines = Deadlines(settings.deployment.objectives, estimates, now, book.dependencies::dependentsOf)
+    private val deadlines =
+        Deadlines(settings.deployment.objectives, estimates, now, jobStore.dependencies::dependentsOf)
     private val ranking = Ranking(settings.deployment.objectives, estimates, now, deadlines)
     val reliability = Reliability(estimates, ranking)
     private val placer =
@@ -55,31 +56,42 @@
             metrics,
             ::start,
         )
-    private val courier =
-        Courier(
+    private val dispatcher =
+        CommandDispatcher(
             transport,
             election,
             now,
-            own,
+            stalls,
             Tuning.probesAtOnce(settings.deployment.quota.cpu),
             Tuning.callsAtOnce(settings.deployment.quota.fdLimit),
             { machines[it.name] === it },
             ::answered,
             ::begunAnew,
         )
-    private val silence =
-        Silence(settings.deployment.workers, machines, election, courier, fleet, reliability, now, own, ::areasBefore) {
+    private val failureDetector =
+        FailureDetector(
+            settings.deployment.workers,
+            machines,
+            election,
+            dispatcher,
+            fleet,
+            reliability,
+            now,
+            stalls,
+            ::areasBefore,
+        ) {
             newSession(
                 it,
                 it.shift + 1,
             )
         }
 
-    /** The first token of this tenure: a worker that has seen it no longer follows any earlier holder. */
-    private var tenure = 0L
+    /** The first token of this term: a worker that has seen it no longer follows any earlier leader. */
+    private var term = 0L
     private var attemptSeq = 0L
-    private val takeover = Takeover(state, book, journal, teams, now, ::join)
-    private val tasks = TaskNews(book, machines, estimates, journal, metrics, now, courier::want, ::changed)
+    private val takeover = Takeover(state, jobStore, journal, teams, now, ::join)
+    private val tasks =
+        TaskStatusHandler(jobStore, machines, estimates, journal, metrics, now, dispatcher::want, ::changed)
     val replicas = Replicas(now, placer::usable) { stop(it) }
 
     /** The records of the block are read; from here on machines are confirmed and tasks placed. */
@@ -99,33 +111,33 @@
 
     fun begin(token: Long) {
         end()
-        tenure = token
+        term = token
         attemptSeq = 0
-        for (job in book.jobs.values) {
-            job.trusted = job.stamp > tenure && !job.record.cancel
+        for (job in jobStore.jobs.values) {
+            job.trusted = job.stamp > term && !job.record.cancel
             if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
         }
         guaranteesDirty = true
         takeover.begin()
-        state.share(holder = true)
+        state.share(leader = true)
     }
 
     fun end() {
-        tenure = 0
+        term = 0
         ready = false
         allConfirmedLogged = false
         machines.clear()
         unconfirmed.clear()
         cancelled.clear()
-        courier.clear()
-        silence.clear()
+        dispatcher.clear()
+        failureDetector.clear()
         placer.clear()
         teams.clear()
         takeover.clear()
         journal.clear()
-        for (job in book.jobs.values) job.forgetHolderState()
+        for (job in jobStore.jobs.values) job.forgetLeaderState()
         fleet.end()
-        state.share(holder = false)
+        state.share(leader = false)
     }
 
     fun jobOpened(job: Job) {
@@ -141,10 +153,10 @@
             job.spec.recipe,
             job.spec.sizeGb,
         )
-        if (tenure == 0L) return
-        // Accepted after the grant: no earlier holder can have learnt of it while it still held the block.
+        if (term == 0L) return
+        // Accepted after the grant: no earlier leader can have learnt of it while it still held the block.
         // Of a cancelled one only the mark may be so new.
-        job.trusted = if (job.record.cancel) allConfirmedLogged else job.stamp > tenure
+        job.trusted = if (job.record.cancel) allConfirmedLogged else job.stamp > term
         if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
         guaranteesDirty = true
         dirty = true
@@ -153,7 +165,7 @@
     /** Every job that [job] depends on is done. */
     fun jobReleased(job: Job) {
         reserve.opened(job)
-        if (tenure == 0L) return
+        if (term == 0L) return
         log.debug("{} may start: all that it depends on is done", job.id)
         guaranteesDirty = true
         dirty = true
@@ -161,7 +173,7 @@
 
     /** A job that [job] depends on was withdrawn. */
     fun jobWithdrawnWithDependency(job: Job) {
-        if (tenure != 0L) cancelled.add(job)
+        if (term != 0L) cancelled.add(job)
     }
 
     /** Attempts are counted by urgency, so those of [job] are taken out of the counts while it changes. */
@@ -177,13 +189,13 @@
     }
 
     fun jobChanged(job: Job) {
-        if (tenure == 0L) return
+        if (term == 0L) return
         if (job.record.cancel) cancelled.add(job)
         dirty = true
     }
 
     fun jobClosed(job: Job) {
-        if (tenure == 0L) return
+        if (term == 0L) return
         job.closed = true
         cancelled.remove(job)
         placer.forget(job)
@@ -199,15 +211,15 @@
     // --- Taking over ------------------------------------------------------------------------------------------
 
     private fun takeOver() {
-        // Jobs accepted before the grant are in the book once the watch has passed the grant.
-        if (book.revision < tenure) return
+        // Jobs accepted before the grant are in the job store once the watch has passed the grant.
+        if (jobStore.revision < term) return
         takeover.drive {
             ready = true
             dirty = true
             log.info(
                 "block 0: took over {} machines and {} open jobs under token {}",
                 machines.size,
-                book.jobs.size,
+                jobStore.jobs.size,
                 election.token,
             )
         }
@@ -238,7 +250,7 @@
         hear(m, report, isReport = true)
         if (report.shift != m.shift || !ready) return emptyList()
         // The orders are carried out or dropped before the worker's next report.
-        val orders = courier.orders(m)
+        val orders = dispatcher.orders(m)
         for (order in orders) {
             val p = if (order.verb == Verbs.START) m.placements.get(order.`try`) else null
             if (p != null) p.sentInReplyTo = maxOf(p.sentInReplyTo, report.ticket)
@@ -284,7 +296,7 @@
 
     /** A machine without a record: nothing was ever started on it, since the record comes first. */
     private fun adopt(report: CheckIn): Machine? {
-        val rack = book.racks[report.rack] ?: return null
+        val rack = jobStore.racks[report.rack] ?: return null
         if (fleet.isReturned(report.stove)) return null
         val m = Machine(report.stove, report.endpoint, rack, report.hall, report.borrowed, now.steady, teams)
         m.answeredAt = now.steady
@@ -310,8 +322,8 @@
         if (report.shift > m.shift) newSession(m, report.shift)
         // The first word of a session: it began before, and has a whole lease from then on without any answer of ours.
         if (m.ticket == 0L) m.answeredAt = now.steady
-        // Of a machine that has not confirmed the token, a report without it may be a copy as old as an earlier holder.
-        val current = !isReport || m.confirmed || report.baton >= tenure
+        // Of a machine that has not confirmed the token, a report without it may be a copy as old as an earlier leader.
+        val current = !isReport || m.confirmed || report.baton >= term
         if (isReport && report.ticket > m.reportTicket) {
             m.reportTicket = report.ticket
             m.reportAt = now.steady
@@ -327,14 +339,14 @@
         m.recallAt = if (report.recallS == null) 0 else now.steady + (report.recallS * 1000).toLong()
         if (report.baton > m.baton) {
             m.baton = report.baton
-            if (report.baton == election.token && m.confirmed) courier.reached(m)
+            if (report.baton == election.token && m.confirmed) dispatcher.reached(m)
             for (p in m.placements.values) if (p.lostToken in 1 until m.baton) p.lostToken = 0
         }
         if (!m.confirmed) {
             // One without a record is shown the token directly: the report may be a copy, and the machine gone.
-            if (report.baton < tenure || !ready || (isReport && !m.inherited)) return
+            if (report.baton < term || !ready || (isReport && !m.inherited)) return
             m.confirm()
-            courier.reached(m)
+            dispatcher.reached(m)
             unconfirmed.remove(m)
             if (!m.durable) journal.bind(m)
             placer.machinesChanged()
@@ -389,13 +401,13 @@
         m: Machine,
     ) {
         metrics.count("task.started")
-        val attempt = (tenure shl Tuning.ATTEMPT_BITS) or ++attemptSeq
+        val attempt = (term shl Tuning.ATTEMPT_BITS) or ++attemptSeq
         val p = Placement(job, "${job.id}/$index", index, attempt, m, now.steady)
         m.attach(p)
         job.place(p)
         job.servedAt = now.wall
         m.touchImage(job.spec.recipe, job.spec.sizeGb)
-        courier.want(m)
+        dispatcher.want(m)
         log.debug("{} try {} starts on {}", p.task, attempt, m.name)
     }
 
@@ -415,39 +427,39 @@
     ) {
         val spec = p.job?.spec
         p.stop = if (spec != null && spec.stirS > 0 && spec.plateS < left) Stop.SAVE_FIRST else Stop.AT_ONCE
-        courier.want(p.machine)
+        dispatcher.want(p.machine)
     }
 
     private fun stopAll(job: Job) {
         for (p in job.placements.values) {
             if (p.stop == Stop.AT_ONCE) continue
             p.stop = Stop.AT_ONCE
-            courier.want(p.machine)
+            dispatcher.want(p.machine)
         }
     }
 
     // --- Time -------------------------------------------------------------------------------------------------
 
     private fun areasBefore(): Set<String> {
-        val holders = book.holdersOfLate(settings.node, Tuning.CUT_ZONE_MS)
-        return settings.members.filter { it.node in holders }.mapTo(HashSet()) { it.area }
+        val leaders = jobStore.recentLeaders(settings.node, Tuning.CUT_ZONE_MS)
+        return settings.members.filter { it.node in leaders }.mapTo(HashSet()) { it.area }
     }
 
     /** Next to nothing is heard from some zone. */
-    val anyCutOff get() = silence.anyCutOff
+    val anyCutOff get() = failureDetector.anyCutOff
 
     /** Next to nothing is heard from this zone. */
-    fun isCutOff(hall: String) = silence.isCutOff(hall)
+    fun isCutOff(hall: String) = failureDetector.isCutOff(hall)
 
     fun drive() {
-        if (tenure == 0L || !election.holding) return
+        if (term == 0L || !election.holding) return
         if (!ready) takeOver()
         if (!ready) return
         // A number used twice could be taken for the attempt that a replica has run under since long ago.
-        if (attemptSeq > Tuning.ATTEMPTS_A_TENURE) return election.giveUp("attempt numbers are used up")
+        if (attemptSeq > Tuning.ATTEMPTS_PER_TERM) return election.giveUp("attempt numbers are used up")
         confirm()
         closeCancelled()
-        metrics.spend("silence") { silence.drive() }
+        metrics.spend("silence") { failureDetector.drive() }
         if (!election.holding) return
         if (now.steady - countedAt > Tuning.COUNT_MS) {
             countedAt = now.steady
@@ -455,7 +467,7 @@
             shelter()
         }
         metrics.spend("placement") { place() }
-        metrics.spend("orders") { courier.drive() }
+        metrics.spend("orders") { dispatcher.drive() }
         metrics.spend("fleet") { fleet.drive(this) }
         metrics.spend("journal") { journal.drive() }
     }
@@ -463,22 +475,22 @@
     /** Places what waits when something has changed, and now and then since time alone may open a way. */
     private fun place() {
         if (!dirty && now.steady - passAt < Tuning.IDLE_PASS_MS) return
-        if (!own.mayPass()) return
+        if (!stalls.mayPass()) return
         passAt = now.steady
         dirty = false
         if (guaranteesDirty) {
             guaranteesDirty = false
-            teams.countGuarantees(book.jobs.values)
+            teams.countGuarantees(jobStore.jobs.values)
             shelter()
         }
-        teams.countUnfound(book.jobs.values)
-        own.passed(metrics.timed { placer.pass(book.jobs.values) })
+        teams.countUnfound(jobStore.jobs.values)
+        stalls.passed(metrics.timed { placer.pass(jobStore.jobs.values) })
     }
 
     private fun shelter() =
         metrics.spend("shelter") {
             reliability.shelter(
-                book.jobs.values.filter {
+                jobStore.jobs.values.filter {
                     !it.waitsForOthers
                 },
                 machines.values,
@@ -487,12 +499,12 @@
         }
 
     private fun confirm() {
-        // Also those to be released: the cloud may be out, and an earlier holder may keep them until the token is
+        // Also those to be released: the cloud may be out, and an earlier leader may keep them until the token is
         // shown.
-        for (m in unconfirmed) courier.probe(m)
+        for (m in unconfirmed) dispatcher.probe(m)
         if (allConfirmedLogged || unconfirmed.any { it.inherited }) return
         allConfirmedLogged = true
-        book.jobs.values.forEach { it.trusted = true }
+        jobStore.jobs.values.forEach { it.trusted = true }
         dirty = true
         log.info("block 0: every recorded machine is confirmed")
     }
@@ -503,7 +515,7 @@
             if (job.closing) continue
             placer.forget(job)
             stopAll(job)
-            // Once it is over nothing of it is left, so that no later holder need count it for its team.
+            // Once it is over nothing of it is left, so that no later leader need count it for its team.
             // A job after a withdrawn one was never released, by any leader: nothing of it can be anywhere.
             val nothingLeft = job.dependencyWithdrawn || (job.trusted && job.placements.isEmpty())
             if (nothingLeft) journal.close(job, WorkStates.WITHDRAWN)
@@ -519,7 +531,7 @@
         machines.remove(m.name)
         m.left()
         unconfirmed.remove(m)
-        courier.forget(m)
+        dispatcher.forget(m)
         placer.machinesChanged(m)
         journal.unbind(m)
         dirty = true
@@ -528,8 +540,8 @@
     /** Whether the counts kept as attempts come and go are those of a recount. */
     fun countsHold() =
         machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
-            book.jobs.values.all { job ->
-                tenure == 0L ||
+            jobStore.jobs.values.all { job ->
+                term == 0L ||
                     job.runningCount == job.placements.values.count { it.status == TaskStatus.RUNNING }
             }
 }
--- a/src/main/kotlin/ledgearch/core/Takeover.kt
+++ b/src/main/kotlin/ledgearch/core/Takeover.kt
@@ -6,10 +6,10 @@
 import ledgearch.state.StateClient
 import ledgearch.wire.KeyValue
 
-/** What a new holder reads before it acts: the machines of the block, then the finished tasks of open jobs. */
+/** What a new leader reads before it acts: the machines of the block, then the finished tasks of open jobs. */
 internal class Takeover(
     private val state: StateClient,
-    private val book: Book,
+    private val jobStore: JobStore,
     private val journal: Journal,
     private val teams: Teams,
     private val now: Now,
@@ -19,8 +19,8 @@
     private var reading = false
     private var retryAt = Long.MIN_VALUE
 
-    /** Changes with every tenure: what an earlier one asked for means nothing here. */
-    private var tenure = 0
+    /** Changes with every term: what an earlier one asked for means nothing here. */
+    private var term = 0
 
     /** Every machine that has a record is known. */
     var machinesRead = false
@@ -32,7 +32,7 @@
     }
 
     fun clear() {
-        tenure++
+        term++
         toRead.clear()
         reading = false
         machinesRead = false
@@ -43,9 +43,9 @@
         if (reading || now.steady < retryAt) return
         val (prefix, since) = toRead.firstOrNull() ?: return done()
         reading = true
-        val mine = tenure
+        val mine = term
         state.list(prefix, since, Lane.VITAL) { result ->
-            if (tenure != mine) return@list
+            if (term != mine) return@list
             reading = false
             when (result) {
                 is ReadResult.Found -> {
@@ -79,7 +79,7 @@
             journal.restore(name, pair, teams, now.steady).forEach(join)
         } else {
             val id = name.substringBefore('/')
-            val job = book.jobs[id]
+            val job = jobStore.jobs[id]
             val record = decodeRecord(FinishedRecord.serializer(), pair.v)
             if (job == null) {
                 journal.remove(pair.key)
--- a/src/main/kotlin/ledgearch/leader/Election.kt
+++ b/src/main/kotlin/ledgearch/leader/Election.kt
@@ -3,8 +3,8 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.json.JsonElement
 import ledgearch.Tuning
-import ledgearch.core.Book
 import ledgearch.core.GrantRecord
+import ledgearch.core.JobStore
 import ledgearch.core.Keys
 import ledgearch.core.Now
 import ledgearch.core.SilenceRecord
@@ -30,15 +30,15 @@
 }
 
 /**
- * One key a block, attached to a lease of its holder. The key's stamp is the token: it rises with every grant.
+ * One key a block, attached to a lease of its leader. The key's stamp is the token: it rises with every grant.
  * Whoever sees the key missing writes it; the state service lets one writer through. Safety never hangs on the
- * lease: workers follow the highest token only, and a new holder waits for their confirmation.
+ * lease: workers follow the highest token only, and a new leader waits for their confirmation.
  */
 internal class Election(
     private val node: String,
     private val life: Long,
     private val state: StateClient,
-    private val book: () -> Book,
+    private val jobStore: () -> JobStore,
     private val now: Now,
     private val random: Random,
     private val listener: ElectionListener,
@@ -87,15 +87,15 @@
         if (holding && !bumping && token == under) compareGrant()
     }
 
-    /** The book has news of the grant. */
+    /** The job store has news of the grant. */
     fun grantChanged() {
-        if (!bumping) compareBook()
+        if (!bumping) compareJobStore()
         claimAt = now.steady + random.nextLong(Tuning.ELECTION_SPREAD_MS)
     }
 
-    /** The grant in the book is the one held, the one that took its place, or this node holds nothing any more. */
-    private fun compareBook() {
-        val b = book()
+    /** The grant in the job store is the one held, the one that took its place, or this node holds nothing any more. */
+    private fun compareJobStore() {
+        val b = jobStore()
         if (holding && b.grantStamp > token &&
             !renewed(b.grant, b.grantStamp)
         ) {
@@ -129,8 +129,12 @@
         return Change(put = Keys.silence(0), v = encode(SilenceRecord.serializer(), record))
     }
 
-    /** A holder before this one has given the block up of late, and the change of holder did not help. */
-    val changedInVain: Boolean get() = book().silence.let { it != null && now.wall - it.at < Tuning.CHANGED_IN_VAIN_MS }
+    /** A leader before this one has given the block up of late, and the change of leader did not help. */
+    val changedInVain: Boolean get() =
+        jobStore().silence.let {
+            it != null &&
+                now.wall - it.at < Tuning.CHANGED_IN_VAIN_MS
+        }
 
     private fun withdrawGrant(
         stamp: Long,
@@ -145,7 +149,7 @@
 
     fun drive() {
         driveLease()
-        val b = book()
+        val b = jobStore()
         if (!b.loaded || permit == 0L) return
         if (holding) {
             driveVerify()
@@ -163,15 +167,15 @@
     }
 
     /**
-     * The holder's process seems to have ended: its grant is taken over without waiting for its lease. Should it
+     * The leader's process seems to have ended: its grant is taken over without waiting for its lease. Should it
      * live after all, it is deposed like any other; nothing unsafe can come of it.
      */
-    fun challenge(holder: String) {
-        val b = book()
-        if (holding || claiming || permit == 0L || !b.loaded || b.grant?.node != holder) return
+    fun challenge(leader: String) {
+        val b = jobStore()
+        if (holding || claiming || permit == 0L || !b.loaded || b.grant?.node != leader) return
         if (now.steady < standBackUntil || now.steady - challengedAt < Tuning.CHALLENGE_MS) return
         challengedAt = now.steady
-        log.info("block 0: {} refuses connections; its grant {} is claimed", holder, b.grantStamp)
+        log.info("block 0: {} refuses connections; its grant {} is claimed", leader, b.grantStamp)
         claim(b.grantStamp)
     }
 
@@ -191,7 +195,7 @@
         return true
     }
 
-    /** A new token for the same holder: fences direct commands that were lost on their way. */
+    /** A new token for the same leader: fences direct commands that were lost on their way. */
     fun bump() {
         if (!holding || bumping || now.steady - bumpedAt < Tuning.BUMP_MS) return
         bumping = true
@@ -213,16 +217,16 @@
                     compareGrant()
                 }
 
-                // Perhaps written: the book shows it, now or later.
+                // Perhaps written: the job store shows it, now or later.
                 TxnResult.Unknown, TxnResult.NoLease, TxnResult.Refused, TxnResult.TooLarge -> {
-                    compareBook()
+                    compareJobStore()
                 }
             }
         }
     }
 
     /**
-     * The key is at another stamp than the token: this holder's own by a renewal that nobody answered for, or
+     * The key is at another stamp than the token: this leader's own by a renewal that nobody answered for, or
      * another's.
      */
     private fun compareGrant() {
@@ -253,7 +257,7 @@
 
     /** The watch has already shown what came after the grant made at [edition]. */
     private fun superseded(edition: Long): Boolean {
-        val b = book()
+        val b = jobStore()
         return b.grantStamp > edition || (b.grantStamp == 0L && b.revision > edition)
     }
 
--- a/src/test/kotlin/ledgearch/world/Expectations.kt
+++ b/src/test/kotlin/ledgearch/world/Expectations.kt
@@ -21,7 +21,7 @@
             "starts" to ::starts,
             "failures" to ::failedTasks,
             "decisions" to ::decisions,
-            "tenures" to ::tenures,
+            "terms" to ::terms,
             "finished" to ::finished,
             "accepted" to ::accepted,
         )
@@ -88,9 +88,9 @@
         compare("decisions at most ${words[2]}", count, count <= words[2].toInt())
     }
 
-    private fun tenures() {
-        val count = rules.tenures
-        compare("tenures ${words[2]}", count, count == words[2].toInt())
+    private fun terms() {
+        val count = rules.terms
+        compare("terms ${words[2]}", count, count == words[2].toInt())
     }
 
     private fun finished() {
