--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -385,7 +385,7 @@
         }
     }
 
-    /** False when [batch] has no room for [s]. */
+    /** False when [batch] has no room for [s]; one that can't be decided yet is passed over. */
     private fun add(
         s: Submission,
         batch: Batch,
@@ -400,6 +400,8 @@
             return true
         }
         val withdrawn = awaited.any { finalOf(it, s) != null || jobStore.jobs[it]?.dependencyWithdrawn == true }
+        // It waits for what is being read: one of those that they depend on may have been withdrawn long ago.
+        if (!withdrawn && !awaited.all(jobStore.dependencies::isKnown)) return true
         val change =
             if (withdrawn) {
                 Change(
