--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -399,14 +399,14 @@
     /** Parts. A starved job gets one such part of its tasks before others are served again. */
     const val STARVED_PARTS = 4
 
-    /** Machines. Held at one time for starved jobs that find no room: they stand partly idle meanwhile. */
-    const val HELD_AT_ONCE = 3
+    /** Machines. Reserved at one time for starved jobs that find no room: they stand partly idle meanwhile. */
+    const val RESERVED_AT_ONCE = 3
 
     /**
-     * ms. So long one is held, and for so long then no other for the same job: nobody waits longer beside fitting room.
+     * ms. So long one is reserved, then for so long no other for the same job: nobody waits longer beside fitting room.
      */
-    const val HOLD_MS = 75_000L
-    const val HOLD_PAUSE_MS = 5_000L
+    const val RESERVATION_MS = 75_000L
+    const val RESERVATION_PAUSE_MS = 5_000L
 
     // --- Placement: what things are worth ---
 
--- a/src/main/kotlin/ledgearch/core/Machine.kt
+++ b/src/main/kotlin/ledgearch/core/Machine.kt
@@ -154,7 +154,7 @@
     fun hasRoom(job: Job): Boolean = placements.size < Tuning.MACHINE_TASKS && room.fits(job)
 
     /** A task of [job] would fit once all that ends by itself has ended. */
-    fun couldHold(job: Job): Boolean {
+    fun couldTake(job: Job): Boolean {
         val room = Room(rack)
         for (p in placements.values) if (!p.exited && p.job?.standing != false) room.take(p.job)
         return room.fits(job)
--- a/src/main/kotlin/ledgearch/core/placement/Placer.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Placer.kt
@@ -35,10 +35,10 @@
     /** Sizes of tasks for which this pass has found no room anywhere. */
     private val unplaceable = UnplaceableSizes()
 
-    /** Machines held for starved jobs. */
-    private val holds = HashMap<Job, Hold>()
+    /** Machines reserved for starved jobs. */
+    private val reservations = HashMap<Job, Reservation>()
 
-    private class Hold(
+    private class Reservation(
         val machine: Machine,
         val until: Long,
     )
@@ -58,7 +58,7 @@
         lists = null
         bound.clear()
         hurriedImages.clear()
-        holds.clear()
+        reservations.clear()
     }
 
     fun pass(jobs: Collection<Job>) {
@@ -67,7 +67,7 @@
         val all = machines.values.filter { usable(it) }
         unplaceable.clear()
         for (job in open) if (!job.standing && ranking.hurried(job)) hurriedImages.add(job.spec.recipe)
-        val usable = withoutHeld(serveStarved(open, all), all)
+        val usable = withoutReserved(serveStarved(open, all), all)
         val running = jobs.filter { it.placements.isNotEmpty() }
         val waiting = ArrayList<Job>()
         for ((_, sameUrgency) in open.groupBy { it.urgency }.toSortedMap()) {
@@ -94,54 +94,54 @@
 
     /**
      * Starved jobs come first, with a part of their tasks, so that what else waits goes on being served. Where there is
-     * no room for one, a machine is held for it until there is: little tasks would take each piece of room that frees.
+     * no room for one, a machine is reserved for it until there is: little tasks would take each piece that frees.
      */
     private fun serveStarved(
         open: List<Job>,
         usable: List<Machine>,
     ): Set<Machine> {
         val starved = open.filter { it.placements.isEmpty() && ranking.starved(it) }.sortedBy { it.readyAt }
-        val held = HashSet<Machine>()
+        val reserved = HashSet<Machine>()
         for (job in starved) {
-            val free = withoutHeld(held, usable)
+            val free = withoutReserved(reserved, usable)
             startAnywhere(job, free, leave = job.pendingCount - maxOf(1, job.pendingCount / Tuning.STARVED_PARTS))
             job.placements.values.forEach { it.spared = true }
             if (job.placements.isEmpty() && teams.allows(job) &&
-                held.size < Tuning.HELD_AT_ONCE
+                reserved.size < Tuning.RESERVED_AT_ONCE
             ) {
-                hold(job, free)?.let { held.add(it) }
+                reserve(job, free)?.let { reserved.add(it) }
             }
         }
-        if (starved.isEmpty()) holds.clear() else holds.keys.retainAll(starved.toSet())
-        return held
+        if (starved.isEmpty()) reservations.clear() else reservations.keys.retainAll(starved.toSet())
+        return reserved
     }
 
-    private fun withoutHeld(
-        held: Set<Machine>,
+    private fun withoutReserved(
+        reserved: Set<Machine>,
         usable: List<Machine>,
-    ) = if (held.isEmpty()) usable else usable.filter { it !in held }
+    ) = if (reserved.isEmpty()) usable else usable.filter { it !in reserved }
 
     /**
-     * The machine held for [job]: the same as before while it will do, else the one with most room that could take it.
+     * The machine reserved for [job]: the same as before while it will do, else one with most room that could take it.
      * After a while it is let go for a moment, since what runs there may go on for long and others wait beside its
      * room.
      */
-    private fun hold(
+    private fun reserve(
         job: Job,
         free: List<Machine>,
     ): Machine? {
-        val before = holds[job]
+        val before = reservations[job]
         if (before != null && now.steady < before.until) {
             if (before.machine in free) return before.machine
-        } else if (before != null && now.steady < before.until + Tuning.HOLD_PAUSE_MS) {
+        } else if (before != null && now.steady < before.until + Tuning.RESERVATION_PAUSE_MS) {
             return null
         }
         val zones = Zones(job)
         val m =
             free
-                .filter { it.allows(job) && zones.allows(it.hall) && it.couldHold(job) }
+                .filter { it.allows(job) && zones.allows(it.hall) && it.couldTake(job) }
                 .minByOrNull { it.usedCpus } ?: return null
-        holds[job] = Hold(m, now.steady + Tuning.HOLD_MS)
+        reservations[job] = Reservation(m, now.steady + Tuning.RESERVATION_MS)
         return m
     }
 
