--- a/src/test/kotlin/ledgearch/ScenarioTest.kt
+++ b/src/test/kotlin/ledgearch/ScenarioTest.kt
@@ -1,6 +1,6 @@
 package ledgearch
 
-import ledgearch.world.Scenario
+import ledgearch.simulation.Scenario
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.DynamicTest
--- a/src/test/kotlin/ledgearch/world/CloudStandIn.kt
+++ b/src/test/kotlin/ledgearch/simulation/CloudStandIn.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import ledgearch.http.Reply
 import ledgearch.wire.Catalog
@@ -11,7 +11,7 @@
 
 /** The cloud by its published protocol: one machine type in two zones. */
 internal class CloudStandIn(
-    private val world: World,
+    private val simulation: Simulation,
 ) {
     private class Rented(
         val name: String,
@@ -36,8 +36,8 @@
         borrowed: Boolean,
     ): String {
         val name = newName()
-        machines[name] = Rented(name, TYPE, hall, borrowed, world.clock.now, "running", true)
-        world.bootWorker(name, TYPE, hall, borrowed)
+        machines[name] = Rented(name, TYPE, hall, borrowed, simulation.clock.now, "running", true)
+        simulation.bootWorker(name, TYPE, hall, borrowed)
         return name
     }
 
@@ -61,7 +61,7 @@
             path == "/hosts/release" -> {
                 for (name in WireJson.decodeFromString(StoveNames.serializer(), body.orEmpty()).stoves) {
                     machines.remove(name)
-                    world.removeWorker(name)
+                    simulation.removeWorker(name)
                 }
                 answer(Reply(200, "{}"))
             }
@@ -80,7 +80,7 @@
                             it.hall,
                             it.borrowed,
                             it.status,
-                            (world.clock.now - it.since) / 1000.0,
+                            (simulation.clock.now - it.since) / 1000.0,
                         )
                     }
                 answer(Reply(200, WireJson.encodeToString(StoveList.serializer(), StoveList(listed))))
@@ -97,7 +97,7 @@
         if (request.booking in
             bookings
         ) {
-            world.rules.violations.add("${world.clock.now} ms: booking ${request.booking} used again")
+            simulation.rules.violations.add("${simulation.clock.now} ms: booking ${request.booking} used again")
         }
         val names =
             bookings[request.booking] ?: run {
@@ -114,20 +114,20 @@
         request: RentRequest,
     ) {
         val boots = bootsNever-- <= 0
-        val m = Rented(name, request.rack, request.hall, request.borrowed, world.clock.now, "booting", boots)
+        val m = Rented(name, request.rack, request.hall, request.borrowed, simulation.clock.now, "booting", boots)
         machines[name] = m
         if (boots) {
-            world.clock.after(bootMs) {
+            simulation.clock.after(bootMs) {
                 if (machines[name] === m) {
                     m.status = "running"
-                    world.bootWorker(name, m.type, m.hall, m.borrowed)
+                    simulation.bootWorker(name, m.type, m.hall, m.borrowed)
                 }
             }
         }
     }
 
     fun died(name: String) {
-        world.clock.after(30_000) { machines[name]?.status = "failed" }
+        simulation.clock.after(30_000) { machines[name]?.status = "failed" }
     }
 
     fun taken(name: String) {
--- a/src/test/kotlin/ledgearch/world/ControllerSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/ControllerSteps.kt
@@ -1,13 +1,13 @@
-package ledgearch.world
+package ledgearch.simulation
 
 /** Processes of controllers that end, start and freeze. */
 internal class ControllerSteps(
-    world: World,
-) : StepFamily(world) {
+    simulation: Simulation,
+) : StepFamily(simulation) {
     override val actions =
         mapOf<String, (Step) -> Unit>(
             "crash" to { step -> node(step.words[1]).crash() },
-            "crash-all" to { world.nodes.forEach { it.crash() } },
+            "crash-all" to { simulation.nodes.forEach { it.crash() } },
             "start" to ::start,
             "start-all" to { startAll() },
             "back" to ::restart,
@@ -15,17 +15,17 @@
         )
 
     private fun start(step: Step) {
-        world.nodes.first { it.name == step.words[1] }.start()
+        simulation.nodes.first { it.name == step.words[1] }.start()
     }
 
     private fun startAll() {
-        world.nodes.forEach { if (!it.up) it.start() }
+        simulation.nodes.forEach { if (!it.up) it.start() }
     }
 
     /** back NODE after S: its process ends, and is there again a moment later. */
     private fun restart(step: Step) {
         val node = node(step.words[1])
         node.crash()
-        world.clock.after(step.milliseconds(3)) { if (!node.up) node.start() }
+        simulation.clock.after(step.milliseconds(3)) { if (!node.up) node.start() }
     }
 }
--- a/src/test/kotlin/ledgearch/world/DependencyRules.kt
+++ b/src/test/kotlin/ledgearch/simulation/DependencyRules.kt
@@ -1,11 +1,11 @@
-package ledgearch.world
+package ledgearch.simulation
 
 /**
  * The rules of jobs that await others, checked from outside as all rules are. A job needs the jobs that it awaits and,
  * at any depth, those that they need; its dependents are the jobs that need it.
  */
 internal class DependencyRules(
-    private val world: World,
+    private val simulation: Simulation,
     private val rules: Rules,
     private val broken: (String, String) -> Unit,
 ) {
@@ -79,7 +79,7 @@
     ) {
         for (needed in neededBy(job)) {
             val cancelledAt = rules.toldWithdrawnAt(needed) ?: continue
-            if (askedAt > cancelledAt + World.CANCEL_MS && orphaned.add(job)) {
+            if (askedAt > cancelledAt + Simulation.CANCEL_MS && orphaned.add(job)) {
                 broken(
                     "orphaned",
                     "$job is $state, asked ${askedAt - cancelledAt} ms after $needed was called withdrawn",
@@ -99,8 +99,8 @@
             }
         }
         if (rules.isCancelled(job)) {
-            world.clock.after(World.CANCEL_MS + 1) {
-                dependentsOf(job).forEach(world.users::pollEverywhere)
+            simulation.clock.after(Simulation.CANCEL_MS + 1) {
+                dependentsOf(job).forEach(simulation.users::pollEverywhere)
             }
         }
     }
--- a/src/test/kotlin/ledgearch/world/Expectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/Expectations.kt
@@ -1,18 +1,18 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import kotlinx.serialization.json.JsonObject
 import ledgearch.wire.WorkRequest
 import ledgearch.wire.WorkStates
 
-/** What the `expect` [step] of a scenario expects of the [world]; what does not hold is added to [failures]. */
+/** What the `expect` [step] of a scenario expects of the [simulation]; what does not hold is added to [failures]. */
 internal class Expectations(
-    private val world: World,
+    private val simulation: Simulation,
     private val step: Step,
     private val failures: MutableList<String>,
 ) {
     private val words = step.words
-    private val rules = world.rules
-    private val state = world.state
+    private val rules = simulation.rules
+    private val state = simulation.state
 
     private val onTasks =
         mapOf(
@@ -64,7 +64,7 @@
     }
 
     private fun running() {
-        val count = world.running(words[2])
+        val count = simulation.running(words[2])
         compare("running ${words[2]} ${words[3]}", count, count == words[3].toInt())
     }
 
@@ -103,12 +103,12 @@
     }
 
     private fun machines() {
-        val count = world.cloud.names.size
+        val count = simulation.cloud.names.size
         compare("machines ${words[2]}", count, count == words[2].toInt())
     }
 
     private fun spotMachines() {
-        val count = world.cloud.spotCount
+        val count = simulation.cloud.spotCount
         compare("spot machines ${words[2]}", count, count == words[2].toInt())
     }
 
@@ -118,12 +118,12 @@
     }
 
     private fun gone() {
-        compare("gone ${words[2]}", true, words[2] !in world.cloud.names)
+        compare("gone ${words[2]}", true, words[2] !in simulation.cloud.names)
     }
 
     /** holder NODE|any|not-NODE */
     private fun heldBy() {
-        val actual = holder(world)
+        val actual = holder(simulation)
         val expected = words[2]
         val holds =
             when {
@@ -163,17 +163,17 @@
     }
 
     private fun up() {
-        world.ask("GET", "/up", null, words[2]) {
+        simulation.ask("GET", "/up", null, words[2]) {
             compare("up ${words[2]} ${words[3]}", it.status, it.status == words[3].toInt())
         }
     }
 
     /** submission NODE STATUS JOB ...: as of `submit`; `without=FIELD` leaves one out, `FIELD:JSON` sets one. */
     private fun submission() {
-        val asked = world.clock.now
+        val asked = simulation.clock.now
         val description = words.drop(4)
         if (words[3] == "201") rules.submitted[words[4]] = requestOf(description.filter { ':' !in it })
-        world.users.submitOnce(words[4], body(description), words[2]) { status ->
+        simulation.users.submitOnce(words[4], body(description), words[2]) { status ->
             compare("answer of ${words[2]} to $description", status, status == words[3].toInt())
             compareAtOnce(asked)
         }
@@ -181,29 +181,29 @@
 
     /** answer METHOD TARGET STATUS [BODY] */
     private fun answer() {
-        world.ask(words[2], words[3], words.getOrNull(5), null) {
+        simulation.ask(words[2], words[3], words.getOrNull(5), null) {
             compare("answer to ${words[2]} ${words[3]}", it.status, it.status == words[4].toInt())
         }
     }
 
     /** at-once METHOD TARGET STATUS [BODY] [at=NODE] */
     private fun answerAtOnce() {
-        val asked = world.clock.now
+        val asked = simulation.clock.now
         val (node, body) = words.drop(5).partition { it.startsWith("at=") }
-        world.ask(words[2], words[3], body.firstOrNull(), node.firstOrNull()?.substringAfter('=')) {
+        simulation.ask(words[2], words[3], body.firstOrNull(), node.firstOrNull()?.substringAfter('=')) {
             compare("answer to ${words[2]} ${words[3]}", it.status, it.status == words[4].toInt())
             compareAtOnce(asked)
         }
     }
 
     private fun compareAtOnce(asked: Long) {
-        val took = world.clock.now - asked
+        val took = simulation.clock.now - asked
         compare("answered at once", "$took ms", took <= AT_ONCE_MS)
     }
 
     private fun everyoneKnown() {
         rules.everyoneAccepted.forEach { job ->
-            expectAnswer(job, world.clock.now + FORGOTTEN_MS) {
+            expectAnswer(job, simulation.clock.now + FORGOTTEN_MS) {
                 compare("everyone known", "no answer for $job", false)
             }
         }
@@ -223,7 +223,7 @@
     private fun withdrawnEverywhere() {
         repeat(words[3].toInt()) { i ->
             val job = "job-${words[2].toInt() + i}"
-            world.nodes.forEach { expectWithdrawn(job, it.name) }
+            simulation.nodes.forEach { expectWithdrawn(job, it.name) }
         }
     }
 
@@ -253,12 +253,12 @@
         until: Long,
         forgotten: () -> Unit,
     ) {
-        world.poll(job) { status, _ ->
+        simulation.poll(job) { status, _ ->
             if (status == 200) return@poll
-            if (world.clock.now > until) {
+            if (simulation.clock.now > until) {
                 forgotten()
             } else {
-                world.clock.after(POLL_MS) { expectAnswer(job, until, forgotten) }
+                simulation.clock.after(POLL_MS) { expectAnswer(job, until, forgotten) }
             }
         }
     }
@@ -271,7 +271,7 @@
         node: String? = null,
         wrong: (String) -> Unit,
     ) {
-        world.poll(job, node) { status, state ->
+        simulation.poll(job, node) { status, state ->
             val actual = state ?: status.toString()
             when {
                 isRight(actual) -> Unit
@@ -286,8 +286,8 @@
         state: String,
     ) = when (state) {
         WorkStates.DONE -> true
-        WorkStates.WITHDRAWN -> world.rules.mayBeWithdrawn(job)
-        WorkStates.PENDING, WorkStates.RUNNING -> world.rules.runsWhole(job)
+        WorkStates.WITHDRAWN -> simulation.rules.mayBeWithdrawn(job)
+        WorkStates.PENDING, WorkStates.RUNNING -> simulation.rules.runsWhole(job)
         else -> false
     }
 
--- a/src/test/kotlin/ledgearch/world/JobSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/JobSteps.kt
@@ -1,9 +1,9 @@
-package ledgearch.world
+package ledgearch.simulation
 
 /** Submissions and withdrawals of jobs. */
 internal class JobSteps(
-    world: World,
-) : StepFamily(world) {
+    simulation: Simulation,
+) : StepFamily(simulation) {
     override val actions =
         mapOf<String, (Step) -> Unit>(
             "submit" to ::submit,
@@ -17,7 +17,7 @@
     /** submit JOB WORDS: with at=NODE, at that controller. */
     private fun submit(step: Step) {
         val node = step.words.firstOrNull { it.startsWith("at=") }?.substringAfter('=')
-        world.users.submit(requestOf(step.words.drop(1)), node?.let(::nodeName))
+        simulation.users.submit(requestOf(step.words.drop(1)), node?.let(::nodeName))
     }
 
     /**
@@ -26,9 +26,9 @@
     private fun submitMany(step: Step) {
         val words = step.words
         repeat(words[1].toInt()) { i ->
-            world.clock.after(i * words[2].toLong()) {
+            simulation.clock.after(i * words[2].toLong()) {
                 val description = Pipelines.ofChain(words.drop(3), FIRST_OF_MANY, i)
-                world.submit(requestOf(listOf("job-${FIRST_OF_MANY + i}") + description))
+                simulation.submit(requestOf(listOf("job-${FIRST_OF_MANY + i}") + description))
             }
         }
     }
@@ -36,34 +36,34 @@
     /** submit-odd JOB JSON: a job that can't run or lacks a field, with no spaces; it must never be accepted. */
     private fun submitOdd(step: Step) {
         val (_, job, json) = step.words
-        world.rules.submittedOdd(job)
-        val askedAt = world.clock.now
-        world.ask("POST", "/work", json) { world.rules.submitAnswered(job, it.status, null, askedAt) }
+        simulation.rules.submittedOdd(job)
+        val askedAt = simulation.clock.now
+        simulation.ask("POST", "/work", json) { simulation.rules.submitAnswered(job, it.status, null, askedAt) }
     }
 
     /** pipelines COUNT EVERY-MS MIDDLE ...: numbered from 5000, each of MIDDLE + 2 jobs. */
     private fun submitPipelines(step: Step) {
         val words = step.words
         repeat(words[1].toInt()) { i ->
-            world.clock.after(i * words[2].toLong()) {
+            simulation.clock.after(i * words[2].toLong()) {
                 Pipelines
                     .diamond(FIRST_OF_PIPELINES, i, words[3].toInt(), words.drop(4))
-                    .forEach { world.submit(requestOf(it)) }
+                    .forEach { simulation.submit(requestOf(it)) }
             }
         }
     }
 
     /** withdraw JOB [at NODE] */
     private fun withdraw(step: Step) {
-        world.users.withdraw(step.words[1], step.words.getOrNull(3)?.let(::nodeName))
+        simulation.users.withdraw(step.words[1], step.words.getOrNull(3)?.let(::nodeName))
     }
 
     /** withdraw-many COUNT EVERY-MS STEP: every so manieth of the jobs numbered from 1000. */
     private fun withdrawMany(step: Step) {
         val words = step.words
         repeat(words[1].toInt()) { i ->
-            world.clock.after(i * words[2].toLong()) {
-                world.withdraw("job-${FIRST_OF_MANY + i * words[3].toInt()}")
+            simulation.clock.after(i * words[2].toLong()) {
+                simulation.withdraw("job-${FIRST_OF_MANY + i * words[3].toInt()}")
             }
         }
     }
--- a/src/test/kotlin/ledgearch/world/MachineRecordsRule.kt
+++ b/src/test/kotlin/ledgearch/simulation/MachineRecordsRule.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonObject
@@ -10,14 +10,14 @@
  * new leader would not know of it, and none is in two, which would be taken for two machines.
  */
 internal class MachineRecordsRule(
-    private val world: World,
+    private val simulation: Simulation,
 ) {
     init {
-        world.state.onChanged = { keys -> if (keys.any { it.startsWith(MACHINES) }) check() }
+        simulation.state.onChanged = { keys -> if (keys.any { it.startsWith(MACHINES) }) check() }
     }
 
     private fun check() {
-        val recorded = world.state.keysUnder(MACHINES).flatMap(::machinesOf)
+        val recorded = simulation.state.keysUnder(MACHINES).flatMap(::machinesOf)
         recorded
             .groupingBy { it }
             .eachCount()
@@ -25,13 +25,13 @@
             .keys
             .forEach { broken("$it is in two records") }
         val known = recorded.toSet()
-        world.workers.values
+        simulation.workers.values
             .filter { m -> m.alive && m.name !in known && m.tasks.values.any { it.status != "exited" } }
             .forEach { broken("${it.name} has tasks and no record") }
     }
 
     private fun machinesOf(key: String): List<String> {
-        val record = world.state.value(key) as? JsonObject ?: return emptyList()
+        val record = simulation.state.value(key) as? JsonObject ?: return emptyList()
         val machines = record["machines"] as? JsonArray ?: return listOf(key.removePrefix(MACHINES))
         return machines.map {
             it.jsonObject
@@ -41,7 +41,7 @@
     }
 
     private fun broken(what: String) {
-        world.rules.violations.add("${world.clock.now} ms: machine records: $what")
+        simulation.rules.violations.add("${simulation.clock.now} ms: machine records: $what")
     }
 
     private companion object {
--- /dev/null
+++ b/src/test/kotlin/ledgearch/simulation/MachineSteps.kt
@@ -0,0 +1,38 @@
+package ledgearch.simulation
+
+/** Machines and their workers. */
+internal class MachineSteps(
+    simulation: Simulation,
+) : StepFamily(simulation) {
+    override val actions =
+        mapOf<String, (Step) -> Unit>(
+            "hang" to { step -> simulation.workers[host(step.words[1])]?.hanging = true },
+            "hang-many" to ::hangMany,
+            "resume" to { step -> simulation.workers[host(step.words[1])]?.hanging = false },
+            "sick" to { step -> worker(step).sick = true },
+            "restart" to { step -> worker(step).restart() },
+            "notice" to ::notice,
+            "die" to ::die,
+        )
+
+    private fun worker(step: Step) = simulation.workers.getValue(host(step.words[1]))
+
+    /** hang-many COUNT until S: the first ones, then they go on. */
+    private fun hangMany(step: Step) {
+        val hosts = simulation.cloud.names.take(step.words[1].toInt())
+        hosts.mapNotNull { simulation.workers[it] }.forEach { worker ->
+            worker.hanging = true
+            simulation.clock.at(step.milliseconds(3)) { worker.hanging = false }
+        }
+    }
+
+    private fun notice(step: Step) {
+        worker(step).recallAt = simulation.clock.now + step.milliseconds(2)
+    }
+
+    private fun die(step: Step) {
+        val host = host(step.words[1])
+        simulation.workers.getValue(host).alive = false
+        simulation.cloud.died(host)
+    }
+}
--- a/src/test/kotlin/ledgearch/world/Moments.kt
+++ b/src/test/kotlin/ledgearch/simulation/Moments.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 /** The first moment at which something became known of a job: steps and users may wait for it. */
 internal class Moments(
--- a/src/test/kotlin/ledgearch/world/Pipelines.kt
+++ b/src/test/kotlin/ledgearch/simulation/Pipelines.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 /** The words of `submit` for jobs that await each other. */
 internal object Pipelines {
--- a/src/test/kotlin/ledgearch/world/Rules.kt
+++ b/src/test/kotlin/ledgearch/simulation/Rules.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import ledgearch.Tuning
 import ledgearch.wire.WorkRequest
@@ -6,7 +6,7 @@
 
 /** The users' rules, checked from outside: it sees workers and answers, never the service's own state. */
 internal class Rules(
-    private val world: World,
+    private val simulation: Simulation,
 ) {
     val violations = ArrayList<String>()
     val submitted = HashMap<String, WorkRequest>()
@@ -20,8 +20,8 @@
     private val starts = HashMap<String, Int>()
 
     /** What steps and users wait for. */
-    val moments = Moments(world.clock)
-    private val dependencies = DependencyRules(world, this, ::broken)
+    val moments = Moments(simulation.clock)
+    private val dependencies = DependencyRules(simulation, this, ::broken)
 
     fun startsOf(job: String) = starts[job] ?: 0
 
@@ -46,7 +46,7 @@
     fun runsWhole(job: String) =
         submitted.getValue(job).let {
             it.shape == "standing" && job !in cancelAsked &&
-                world.running(job) == it.portions
+                simulation.running(job) == it.portions
         }
 
     fun isCancelled(job: String) = job in cancelAsked
@@ -79,14 +79,14 @@
         if (!completed.add(portion)) return
         if (completedCount.merge(job, 1, Int::plus) != submitted[job]?.portions) return
         moments.reached(job, Moments.Kind.ENDED)
-        world.users.ended(job)
+        simulation.users.ended(job)
     }
 
     private fun broken(
         rule: String,
         what: String,
     ) {
-        violations.add("${world.clock.now} ms: $rule: $what")
+        violations.add("${simulation.clock.now} ms: $rule: $what")
     }
 
     private fun spec(portion: String) = submitted[portion.substringBefore('/')]
@@ -103,7 +103,7 @@
             broken("ran_cancelled", "${task.portion} sent to ${worker.name} after its job was called withdrawn")
         }
         dependencies.commanded(task.portion, worker.name)
-        for (other in world.workers.values) {
+        for (other in simulation.workers.values) {
             if (other !== worker && other.alive &&
                 other.tasks.values.any { it.portion == task.portion && it.status != "exited" }
             ) {
@@ -131,7 +131,7 @@
         val spec = submitted[job] ?: return broken("invented", "${task.portion} started")
         starts.merge(job, 1, Int::plus)
         val everywhere =
-            world.workers.values
+            simulation.workers.values
                 .filter { it.alive }
                 .flatMap { w ->
                     w.tasks.values
@@ -145,7 +145,7 @@
             broken("ran_twice", "${task.portion} on ${worker.name}")
         }
         val use = everywhere.mapNotNull { (_, t) -> spec(t.portion) }.filter { it.crew == spec.crew }.sumOf { it.vcpus }
-        if (use > world.teamMax) broken("quota", "${spec.crew} uses $use")
+        if (use > simulation.teamMax) broken("quota", "${spec.crew} uses $use")
         val siblings = everywhere.filter { (_, t) -> t.portion.substringBefore('/') == job }
         val here = siblings.count { (w, _) -> w.hall == worker.hall }
         if (spec.apart &&
@@ -208,7 +208,7 @@
         state: String?,
         askedAt: Long,
     ) {
-        val now = world.clock.now
+        val now = simulation.clock.now
 
         fun before(since: Long?) = since != null && since <= askedAt
         if (status == 404 && before(acceptedAt[job])) broken("forgotten", job)
@@ -234,12 +234,12 @@
             moments.reached(job, Moments.Kind.WITHDRAWN)
             // Nothing may be left by then; what is on a machine that hangs may go on within its lease.
             checkGone(job)
-            world.clock.after(World.CANCEL_MS + 1) { checkGone(job) }
+            simulation.clock.after(Simulation.CANCEL_MS + 1) { checkGone(job) }
         }
     }
 
     private fun checkGone(job: String) {
-        for (w in world.workers.values) {
+        for (w in simulation.workers.values) {
             if (w.alive &&
                 w.tasks.values.any { it.here && it.portion.substringBefore('/') == job }
             ) {
@@ -259,8 +259,8 @@
      */
     fun watchWaiting() {
         val free =
-            world.workers.values
-                .filter { world.isReached(it) }
+            simulation.workers.values
+                .filter { simulation.isReached(it) }
                 .associateWith { w ->
                     CloudStandIn.RACK.vcpus -
                         w.tasks.values
@@ -272,18 +272,18 @@
             val over =
                 job in cancelAsked || job in doneAt || completedOf(job) == spec.portions ||
                     dependencies.mayBeWithdrawnWithOthers(job)
-            if (over || dependencies.isWaiting(job) || world.workersOf(job).isNotEmpty() || !hasRoom(spec, free)) {
+            if (over || dependencies.isWaiting(job) || simulation.workersOf(job).isNotEmpty() || !hasRoom(spec, free)) {
                 waitingSince.remove(job)
                 continue
             }
-            val since = waitingSince.getOrPut(job) { world.clock.now }
-            if (world.clock.now - since > STARVED_MS &&
+            val since = waitingSince.getOrPut(job) { simulation.clock.now }
+            if (simulation.clock.now - since > STARVED_MS &&
                 starved.add(job)
             ) {
                 broken("starved", "$job waits beside fitting room")
             }
         }
-        world.clock.after(LOOK_MS) { watchWaiting() }
+        simulation.clock.after(LOOK_MS) { watchWaiting() }
     }
 
     private fun hasRoom(
@@ -291,7 +291,7 @@
         free: Map<WorkerStandIn, Double>,
     ): Boolean {
         val use =
-            world.workers.values
+            simulation.workers.values
                 .filter { it.alive }
                 .sumOf { w ->
                     w.tasks.values
@@ -300,7 +300,7 @@
                         .filter { it.crew == spec.crew }
                         .sumOf { it.vcpus }
                 }
-        if (use + spec.vcpus > world.teamMax) return false
+        if (use + spec.vcpus > simulation.teamMax) return false
         return free.any { (w, cpus) ->
             cpus >= spec.vcpus && (spec.hall == null || spec.hall == w.hall) &&
                 (spec.borrowed || !w.borrowed)
--- a/src/test/kotlin/ledgearch/world/Scenario.kt
+++ b/src/test/kotlin/ledgearch/simulation/Scenario.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import ledgearch.Tuning
 import ledgearch.config.NextStateLimits
@@ -7,7 +7,7 @@
 
 /**
  * A scenario in a text file. A line is a time in seconds, a step and its words; `#` begins a comment. Steps of the
- * world change it; `expect` steps must hold at their time. The rules are checked throughout.
+ * simulation change it; `expect` steps must hold at their time. The rules are checked throughout.
  */
 internal class Scenario(
     text: String,
@@ -43,21 +43,21 @@
 
     /** What went wrong; empty when all is well. */
     fun play(): List<String> {
-        val world = newWorld()
-        val actions = actionsIn(world)
-        addMachines(world)
-        world.nodes.forEach { it.start() }
-        steps.forEach { step -> world.clock.at(step.at) { carryOut(step, actions) } }
-        world.clock.runUntil(steps.maxOf { it.at } + LAST_ANSWERS_MS)
-        return failures + world.rules.violations
+        val simulation = newSimulation()
+        val actions = actionsIn(simulation)
+        addMachines(simulation)
+        simulation.nodes.forEach { it.start() }
+        steps.forEach { step -> simulation.clock.at(step.at) { carryOut(step, actions) } }
+        simulation.clock.runUntil(steps.maxOf { it.at } + LAST_ANSWERS_MS)
+        return failures + simulation.rules.violations
     }
 
-    private fun newWorld() =
-        World(
+    private fun newSimulation() =
+        Simulation(
             options["nodes"]?.toInt() ?: 1,
             seed ?: options["seed"]?.toLong() ?: 1,
             operator(),
-            options["team-max"]?.toDouble() ?: World.TEAM_MAX,
+            options["team-max"]?.toDouble() ?: Simulation.TEAM_MAX,
             options["report-ms"]?.toLong() ?: REPORT_MS,
             options["cpu"]?.toDouble() ?: 1.0,
             stateLimits(),
@@ -83,33 +83,33 @@
     }
 
     /** machines PLACES: a+spot*20 is so many spot machines in zone a. */
-    private fun addMachines(world: World) {
+    private fun addMachines(simulation: Simulation) {
         val places = options["machines"].orEmpty().split(' ').filter { it.isNotEmpty() }
         for (place in places) {
             val kind = place.substringBefore('*')
             val count = place.substringAfter('*', "1").toInt()
-            repeat(count) { world.cloud.add(kind.substringBefore('+'), kind.endsWith("+spot")) }
+            repeat(count) { simulation.cloud.add(kind.substringBefore('+'), kind.endsWith("+spot")) }
         }
     }
 
-    /** What carries out each step in the [world], by the step's name. */
-    private fun actionsIn(world: World): Map<String, (Step) -> Unit> {
+    /** What carries out each step in the [simulation], by the step's name. */
+    private fun actionsIn(simulation: Simulation): Map<String, (Step) -> Unit> {
         val families =
             listOf(
-                JobSteps(world),
-                UserSteps(world),
-                ControllerSteps(world),
-                NetworkSteps(world),
-                StateSteps(world),
-                CloudSteps(world),
-                MachineSteps(world),
+                JobSteps(simulation),
+                UserSteps(simulation),
+                ControllerSteps(simulation),
+                NetworkSteps(simulation),
+                StateSteps(simulation),
+                CloudSteps(simulation),
+                MachineSteps(simulation),
             )
         val actions = HashMap<String, (Step) -> Unit>()
         families.forEach { actions += it.actions }
-        actions["expect"] = { step -> Expectations(world, step, failures).check() }
-        actions["when"] = { step -> await(step, world, actions) }
-        actions["calm"] = { expectShortWaits(world) }
-        actions["pairs"] = { step -> drawFaults(step, world) }
+        actions["expect"] = { step -> Expectations(simulation, step, failures).check() }
+        actions["when"] = { step -> await(step, simulation, actions) }
+        actions["calm"] = { expectShortWaits(simulation) }
+        actions["pairs"] = { step -> drawFaults(step, simulation) }
         return actions
     }
 
@@ -128,28 +128,28 @@
     /** when JOB accepted|ended|withdrawn after S STEP ...: so long after that was first so. */
     private fun await(
         step: Step,
-        world: World,
+        simulation: Simulation,
         actions: Map<String, (Step) -> Unit>,
     ) {
         val kind = Moments.Kind.valueOf(step.words[2].uppercase())
         val awaiting = Step(step.line, step.at, step.words.drop(5))
-        world.rules.moments.await(step.words[1], kind) {
-            world.clock.after(step.milliseconds(4)) { carryOut(awaiting, actions) }
+        simulation.rules.moments.await(step.words[1], kind) {
+            simulation.clock.after(step.milliseconds(4)) { carryOut(awaiting, actions) }
         }
     }
 
     /** calm: no trouble is left, and nobody may wait long beside fitting room. */
-    private fun expectShortWaits(world: World) {
-        world.rules.watchWaiting()
+    private fun expectShortWaits(simulation: Simulation) {
+        simulation.rules.watchWaiting()
     }
 
     /** pairs COUNT every S [with-chains]: so many times two or three faults drawn together. */
     private fun drawFaults(
         step: Step,
-        world: World,
+        simulation: Simulation,
     ) {
         val withChains = step.words.getOrNull(4) == "with-chains"
-        FaultInjection(world, withChains).draw(step.words[1].toInt(), step.milliseconds(3))
+        FaultInjection(simulation, withChains).draw(step.words[1].toInt(), step.milliseconds(3))
     }
 
     private companion object {
--- a/src/test/kotlin/ledgearch/world/ScenarioLimits.kt
+++ b/src/test/kotlin/ledgearch/simulation/ScenarioLimits.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import ledgearch.config.NextStateLimits
 import ledgearch.config.StateLimits
--- a/src/test/kotlin/ledgearch/world/World.kt
+++ b/src/test/kotlin/ledgearch/simulation/Simulation.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import ledgearch.Tuning
 import ledgearch.config.CloudLimits
@@ -25,7 +25,7 @@
 import kotlin.random.Random
 
 /** Controllers, stand-ins of everything around them and a network between, all on one simulated clock. */
-internal class World(
+internal class Simulation(
     nodeCount: Int,
     seed: Long,
     private val operator: OperatorSettings = OperatorSettings(),
--- a/src/test/kotlin/ledgearch/world/StateStandIn.kt
+++ b/src/test/kotlin/ledgearch/simulation/StateStandIn.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
--- a/src/test/kotlin/ledgearch/world/StateSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/StateSteps.kt
@@ -1,10 +1,10 @@
-package ledgearch.world
+package ledgearch.simulation
 
 /** What the state service does and refuses. */
 internal class StateSteps(
-    world: World,
-) : StepFamily(world) {
-    private val state = world.state
+    simulation: Simulation,
+) : StepFamily(simulation) {
+    private val state = simulation.state
 
     override val actions =
         mapOf<String, (Step) -> Unit>(
@@ -36,13 +36,13 @@
     /** late-writes SHARE until S: no answer, and carried out 2 to 12 s later. */
     private fun delayWrites(step: Step) {
         state.lateShare = step.words[1].toDouble()
-        world.clock.at(step.milliseconds(3)) { state.lateShare = 0.0 }
+        simulation.clock.at(step.milliseconds(3)) { state.lateShare = 0.0 }
     }
 
     /** unanswered-writes SHARE until S: carried out at once, only the answer is lost. */
     private fun loseAnswersToWrites(step: Step) {
         state.unansweredShare = step.words[1].toDouble()
-        world.clock.at(step.milliseconds(3)) { state.unansweredShare = 0.0 }
+        simulation.clock.at(step.milliseconds(3)) { state.unansweredShare = 0.0 }
     }
 
     /** late-under PREFIX by S until S: what changes such a key gets no answer, and is carried out so much later. */
@@ -72,7 +72,7 @@
 
     /** next LIMITS: the settings of controllers that start from now on announce them. */
     private fun announceLimits(step: Step) {
-        world.nextLimits = ScenarioLimits.next(step.words.drop(1))
+        simulation.nextLimits = ScenarioLimits.next(step.words.drop(1))
     }
 
     /** state-limits LIMITS: the state service has them from now on. */
--- a/src/test/kotlin/ledgearch/world/Step.kt
+++ b/src/test/kotlin/ledgearch/simulation/Step.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 /** One line of a scenario: at [at] ms, the step that its [words] name. */
 internal class Step(
--- a/src/test/kotlin/ledgearch/world/StepFamily.kt
+++ b/src/test/kotlin/ledgearch/simulation/StepFamily.kt
@@ -1,29 +1,29 @@
-package ledgearch.world
+package ledgearch.simulation
 
-/** Steps of one kind, by name, and how their words name controllers and machines of the [world]. */
+/** Steps of one kind, by name, and how their words name controllers and machines of the [simulation]. */
 internal abstract class StepFamily(
-    protected val world: World,
+    protected val simulation: Simulation,
 ) {
     /** What carries out each step, by the step's name. */
     abstract val actions: Map<String, (Step) -> Unit>
 
     /** A controller's name: as it is written, or that of the holder. */
-    protected fun nodeName(word: String) = if (word == HOLDER) holder(world) else word
+    protected fun nodeName(word: String) = if (word == HOLDER) holder(simulation) else word
 
     /** The controller that a word names. */
-    protected fun node(word: String) = world.nodes.first { it.name == nodeName(word) }
+    protected fun node(word: String) = simulation.nodes.first { it.name == nodeName(word) }
 
     /** A machine's name, or the machine on which a task is: `@job-1/0`. */
     protected fun host(word: String): String {
         if (!word.startsWith("@")) return word
         val portion = word.drop(1)
-        return world.workers.values
+        return simulation.workers.values
             .firstOrNull { worker -> worker.tasks.values.any { it.portion == portion && it.status != "exited" } }
             ?.name ?: "nowhere"
     }
 
     /** A kind of hosts, a controller or a machine. */
-    protected fun pattern(word: String) = if (word == HOLDER) holder(world) else host(word)
+    protected fun pattern(word: String) = if (word == HOLDER) holder(simulation) else host(word)
 
     protected companion object {
         const val HOLDER = "holder"
@@ -34,4 +34,4 @@
 }
 
 /** The name of the controller that holds the block, or `none`. */
-internal fun holder(world: World) = world.state.field("w/g/0", "node") ?: "none"
+internal fun holder(simulation: Simulation) = simulation.state.field("w/g/0", "node") ?: "none"
--- a/src/test/kotlin/ledgearch/world/Submissions.kt
+++ b/src/test/kotlin/ledgearch/simulation/Submissions.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import ledgearch.wire.WorkRequest
 
--- a/src/test/kotlin/ledgearch/world/UserSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/UserSteps.kt
@@ -1,9 +1,9 @@
-package ledgearch.world
+package ledgearch.simulation
 
 /** What users ask beside submissions, and when they cancel. */
 internal class UserSteps(
-    world: World,
-) : StepFamily(world) {
+    simulation: Simulation,
+) : StepFamily(simulation) {
     override val actions =
         mapOf<String, (Step) -> Unit>(
             "poll-many" to ::pollMany,
@@ -17,28 +17,28 @@
     private fun pollMany(step: Step) {
         val words = step.words
         repeat(words[3].toInt()) { time ->
-            world.clock.after(time * words[2].toLong()) {
-                repeat(words[1].toInt()) { i -> world.poll("job-${FIRST_OF_MANY + i}") { _, _ -> } }
+            simulation.clock.after(time * words[2].toLong()) {
+                repeat(words[1].toInt()) { i -> simulation.poll("job-${FIRST_OF_MANY + i}") { _, _ -> } }
             }
         }
     }
 
     /** look JOB for S: all controllers are asked again and again within milliseconds, submissions repeated. */
     private fun look(step: Step) {
-        world.users.look(step.words[1], step.milliseconds(3))
+        simulation.users.look(step.words[1], step.milliseconds(3))
     }
 
     private fun lookClosely(step: Step) {
-        world.users.closeLooks = step.words[1].toDouble()
+        simulation.users.closeLooks = step.words[1].toDouble()
     }
 
     private fun cancelAtEnd(step: Step) {
-        world.users.cancelsAtEnd = step.words[1].toDouble()
+        simulation.users.cancelsAtEnd = step.words[1].toDouble()
     }
 
     /** cancel-now COUNT [hang S]: of those that run; some of their machines hang so long. */
     private fun cancelNow(step: Step) {
         val hangsMs = if (step.words.size > 3) step.milliseconds(3) else 0L
-        world.users.cancelNow(step.words[1].toInt(), hangsMs)
+        simulation.users.cancelNow(step.words[1].toInt(), hangsMs)
     }
 }
--- a/src/test/kotlin/ledgearch/world/Users.kt
+++ b/src/test/kotlin/ledgearch/simulation/Users.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import kotlinx.serialization.json.Json
 import ledgearch.http.Reply
@@ -8,10 +8,10 @@
 
 /** The users: they submit, ask and cancel as the protocol has it, and some of them look closely. */
 internal class Users(
-    private val world: World,
+    private val simulation: Simulation,
 ) {
-    private val clock get() = world.clock
-    private val rules get() = world.rules
+    private val clock get() = simulation.clock
+    private val rules get() = simulation.rules
 
     /**
      * Share of the accepted, ended and cancelled jobs about which all controllers are asked at once, again and again.
@@ -101,9 +101,9 @@
     /** The last task of [job] has just ended. */
     fun ended(job: String) {
         if (cancelsAtEnd > 0 &&
-            world.random.nextDouble() < cancelsAtEnd
+            simulation.random.nextDouble() < cancelsAtEnd
         ) {
-            clock.after(world.random.nextLong(AT_END_MS)) { withdraw(job) }
+            clock.after(simulation.random.nextLong(AT_END_MS)) { withdraw(job) }
         }
         lookCloselyWithDependents(job)
     }
@@ -114,7 +114,7 @@
     }
 
     private fun lookClosely(job: String) {
-        if (closeLooks > 0 && world.random.nextDouble() < closeLooks) look(job, LOOK_MS)
+        if (closeLooks > 0 && simulation.random.nextDouble() < closeLooks) look(job, LOOK_MS)
     }
 
     /**
@@ -128,25 +128,25 @@
         val until = clock.now + forMs
 
         fun again() {
-            for (node in world.nodes) {
+            for (node in simulation.nodes) {
                 if (!node.up) continue
                 val spec = rules.submitted[job]
                 if (spec != null &&
-                    world.random.nextInt(REPEATS) == 0
+                    simulation.random.nextInt(REPEATS) == 0
                 ) {
                     submitOnce(job, body(spec), node.name) { }
                 } else {
                     poll(job, node.name) { _, _ -> }
                 }
             }
-            if (clock.now < until) clock.after(1 + world.random.nextLong(LOOK_EVERY_MS)) { again() }
+            if (clock.now < until) clock.after(1 + simulation.random.nextLong(LOOK_EVERY_MS)) { again() }
         }
         again()
     }
 
     /** Every controller is asked about [job], again each second until it answers. */
     fun pollEverywhere(job: String) {
-        for (node in world.nodes) pollUntilAnswered(job, node.name, clock.now + PATIENCE_MS)
+        for (node in simulation.nodes) pollUntilAnswered(job, node.name, clock.now + PATIENCE_MS)
     }
 
     private fun pollUntilAnswered(
@@ -163,12 +163,12 @@
     fun cancelNeeded(count: Int) {
         val needed =
             rules.submitted.keys.filter {
-                world.rules.isAccepted(it) && !rules.isCancelled(it) &&
+                simulation.rules.isAccepted(it) && !rules.isCancelled(it) &&
                     !rules.isCompleted(it) &&
                     rules.dependentsOf(it).isNotEmpty()
             }
-        for (job in needed.shuffled(world.random).take(count)) {
-            clock.after(world.random.nextLong(CANCEL_SPREAD_MS)) {
+        for (job in needed.shuffled(simulation.random).take(count)) {
+            clock.after(simulation.random.nextLong(CANCEL_SPREAD_MS)) {
                 withdraw(job)
             }
         }
@@ -184,18 +184,18 @@
     ) {
         val running =
             rules.submitted.keys
-                .filter { world.running(it) > 0 && !rules.isCancelled(it) }
-                .shuffled(world.random)
+                .filter { simulation.running(it) > 0 && !rules.isCancelled(it) }
+                .shuffled(simulation.random)
                 .take(count)
         var hangs = MOST_HANGS
         for (job in running) {
             if (hangMs > 0 && hangs-- > 0) {
-                world.workersOf(job).firstOrNull()?.let { m ->
+                simulation.workersOf(job).firstOrNull()?.let { m ->
                     m.hanging = true
                     clock.after(hangMs) { m.hanging = false }
                 }
             }
-            clock.after(world.random.nextLong(CANCEL_SPREAD_MS)) { withdraw(job) }
+            clock.after(simulation.random.nextLong(CANCEL_SPREAD_MS)) { withdraw(job) }
         }
     }
 
@@ -215,7 +215,7 @@
         node: String? = null,
         answer: (Reply) -> Unit,
     ) {
-        val live = world.nodes.filter { if (node == null) it.healthy else it.name == node && it.up }
+        val live = simulation.nodes.filter { if (node == null) it.healthy else it.name == node && it.up }
         var answered = false
 
         fun finish(reply: Reply) {
@@ -225,7 +225,7 @@
         }
         clock.after(5000) { finish(Reply.NONE) }
         if (live.isNotEmpty()) {
-            world.send("user", live[world.random.nextInt(live.size)].name, method, target, body) {
+            simulation.send("user", live[simulation.random.nextInt(live.size)].name, method, target, body) {
                 finish(it)
             }
         }
--- a/src/test/kotlin/ledgearch/world/WorkerStandIn.kt
+++ b/src/test/kotlin/ledgearch/simulation/WorkerStandIn.kt
@@ -1,4 +1,4 @@
-package ledgearch.world
+package ledgearch.simulation
 
 import ledgearch.http.Reply
 import ledgearch.wire.CheckIn
@@ -12,7 +12,7 @@
 
 /** A machine with its worker, by the published protocol. */
 internal class WorkerStandIn(
-    private val world: World,
+    private val simulation: Simulation,
     val name: String,
     val type: String,
     val hall: String,
@@ -27,7 +27,7 @@
         val here: Boolean get() = status == "running" || status == "saving"
     }
 
-    private val clock get() = world.clock
+    private val clock get() = simulation.clock
     val endpoint = "$name:9000"
     val tasks = LinkedHashMap<Long, Task>()
     var shift = 1L
@@ -54,9 +54,9 @@
     private fun tick() {
         if (!alive) return
         // A frozen worker whose lease has run out can do nothing before it has killed its tasks.
-        if (clock.now - lastAnswered > world.leaseMs) newSession()
+        if (clock.now - lastAnswered > simulation.leaseMs) newSession()
         if (!hanging) {
-            val due = clock.now - lastReport >= world.reportMs || (changed && clock.now - lastReport >= 500)
+            val due = clock.now - lastReport >= simulation.reportMs || (changed && clock.now - lastReport >= 500)
             if (waitingSince < 0 && due) report()
             if (waitingSince >= 0 && clock.now - waitingSince >= 4000) nextNode(1000)
         }
@@ -64,7 +64,7 @@
     }
 
     private fun newSession() {
-        if (tasks.isNotEmpty()) world.notes.add("${clock.now} $name lease ended with ${tasks.size} tasks")
+        if (tasks.isNotEmpty()) simulation.notes.add("${clock.now} $name lease ended with ${tasks.size} tasks")
         tasks.clear()
         shift++
         lastAnswered = clock.now
@@ -106,9 +106,9 @@
         waitingSince = sentAt
         lastReport = sentAt
         changed = false
-        val node = world.nodes[target % world.nodes.size]
+        val node = simulation.nodes[target % simulation.nodes.size]
         val body = WireJson.encodeToString(CheckIn.serializer(), snapshot())
-        world.sendReport(name, node.name, body) { reply ->
+        simulation.sendReport(name, node.name, body) { reply ->
             if (!alive || hanging || seq != reportSeq || session != shift) return@sendReport
             when (reply.status) {
                 200 -> {
@@ -124,8 +124,8 @@
 
                 421 -> {
                     val chef = WireJson.decodeFromString(Misdirected.serializer(), reply.body).chef
-                    val at = world.nodes.indexOfFirst { it.name == chef }
-                    if (at >= 0 && at != target % world.nodes.size) {
+                    val at = simulation.nodes.indexOfFirst { it.name == chef }
+                    if (at >= 0 && at != target % simulation.nodes.size) {
                         target = at
                         waitingSince = -1
                         lastReport = Long.MIN_VALUE / 2
@@ -145,7 +145,7 @@
         target++
         reportSeq++
         waitingSince = -1
-        lastReport = clock.now - world.reportMs + delay
+        lastReport = clock.now - simulation.reportMs + delay
     }
 
     fun handle(
@@ -195,29 +195,29 @@
         val busy = tasks.values.any { it.portion == order.portion && it.status != "exited" }
         tasks[task.attempt] = task
         changed = true
-        world.rules.commanded(this, task)
+        simulation.rules.commanded(this, task)
         if (busy) return exit(task, "busy")
         if (sick) {
-            world.rules.failed()
+            simulation.rules.failed()
             return exit(task, "error")
         }
-        if (!world.rules.fits(this, task)) return exit(task, "full")
+        if (!simulation.rules.fits(this, task)) return exit(task, "full")
         val session = shift
-        clock.after(world.fetchMs) { whenFree(task, session) { begin(task, session) } }
+        clock.after(simulation.fetchMs) { whenFree(task, session) { begin(task, session) } }
     }
 
     private fun begin(
         task: Task,
         session: Long,
     ) {
-        if (world.rules.resultKept(task.portion)) return exit(task, "done")
+        if (simulation.rules.resultKept(task.portion)) return exit(task, "done")
         task.status = "running"
         changed = true
-        world.rules.started(this, task)
-        val run = world.runMs(task.portion) ?: return
+        simulation.rules.started(this, task)
+        val run = simulation.runMs(task.portion) ?: return
         clock.after(run) {
             whenFree(task, session) {
-                world.rules.completed(task.portion)
+                simulation.rules.completed(task.portion)
                 exit(task, "done")
             }
         }
