--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -357,6 +357,15 @@
     /** ms. A worker drops answers 4 s after its report was sent; a little more, since clocks drift and batches wait. */
     const val ANSWER_AWAITED_MS = 4_500L
 
+    /** ms. A process that has not read the state service by then listens all the same, and tells callers so. */
+    const val LISTEN_WAIT_MS = 3_000L
+
+    /** ms. A tick that comes so late shows that the node does not keep up: four ticks were due. */
+    const val BUSY_TICK_MS = 200L
+
+    /** ms. A node counts as busy for so long after such a tick. */
+    const val BUSY_MS = 1_000L
+
     /** ms. Between two looks for silent machines: a fraction of a report interval. */
     const val WATCH_SILENCE_MS = 250L
 
--- a/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
@@ -19,6 +19,7 @@
     private val stalls: StallCompensation,
     private val probesAtOnce: Int,
     private val callsAtOnce: Int,
+    private val dueMs: Long,
     private val isHere: (Machine) -> Boolean,
     private val heard: (Machine, CheckIn) -> Unit,
     private val begunAnew: (Machine) -> Unit,
@@ -195,6 +196,7 @@
         again: Boolean = false,
     ) {
         if (m.pushing || (!again && (now.steady < m.probeAt || probesOpen >= probesAtOnce))) return
+        if (!again && !m.confirmed && reportsByItself(m)) return
         m.pushing = true
         // Hundreds that stay silent for long, in a zone that is cut off, are asked more and more seldom.
         m.probeAt =
@@ -221,6 +223,12 @@
         }
     }
 
+    /**
+     * A machine that a new leader has just read reports within an interval, and the answer renews its lease, as that of a
+     * probe does not. While this node does not keep up, probes would only delay the answers to reports.
+     */
+    private fun reportsByItself(m: Machine) = stalls.isBusy && m.inherited && now.steady - m.knownSince < dueMs
+
     private fun parse(reply: Reply): CheckIn? =
         try {
             WireJson.decodeFromString(CheckIn.serializer(), reply.body)
--- a/src/main/kotlin/ledgearch/core/JobStore.kt
+++ b/src/main/kotlin/ledgearch/core/JobStore.kt
@@ -1,7 +1,5 @@
 package ledgearch.core
 
-import com.github.benmanes.caffeine.cache.Cache
-import com.github.benmanes.caffeine.cache.Caffeine
 import kotlinx.serialization.json.JsonElement
 import ledgearch.Tuning
 import ledgearch.state.Lane
@@ -43,12 +41,7 @@
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.state")
     val jobs = LinkedHashMap<String, Job>()
-    private val finals: Cache<String, FinalRecord> =
-        Caffeine
-            .newBuilder()
-            .maximumSize(finalsKept)
-            .executor(Runnable::run)
-            .build()
+    private val finals = LruMap<String, FinalRecord>(finalsKept)
     val dependencies = JobDependencies(state, now, jobs, ::final, ::rememberFinal, dependencyListener)
     var racks: Map<String, Rack> = emptyMap()
         private set
@@ -78,13 +71,13 @@
     private var reading = false
     private var retryAt = Long.MIN_VALUE
 
-    fun final(id: String): FinalRecord? = finals.getIfPresent(id)
+    fun final(id: String): FinalRecord? = finals[id]
 
     fun rememberFinal(
         id: String,
         record: FinalRecord,
     ) {
-        finals.put(id, record)
+        finals[id] = record
         close(id, record.st)
         dependencies.ended(id, record)
     }
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -64,6 +64,7 @@
             stalls,
             Tuning.probesAtOnce(settings.deployment.quota.cpu),
             Tuning.callsAtOnce(settings.deployment.quota.fdLimit),
+            (settings.deployment.workers.reportS * 1000 * Tuning.DUE_REPORTS).toLong(),
             { machines[it.name] === it },
             ::answered,
             ::begunAnew,
--- a/src/main/kotlin/ledgearch/core/StallCompensation.kt
+++ b/src/main/kotlin/ledgearch/core/StallCompensation.kt
@@ -23,10 +23,16 @@
             val gap = now.steady - tickAt
             metrics.ticked(gap)
             if (gap > Tuning.OWN_PAUSE_MS) lateAt = now.steady
+            if (gap > Tuning.BUSY_TICK_MS) busyAt = now.steady
         }
         tickAt = now.steady
     }
 
+    private var busyAt = Long.MIN_VALUE / 2
+
+    /** More is to be done than this node keeps up with: ticks were late a moment ago. */
+    val isBusy: Boolean get() = behind || now.steady - busyAt < Tuning.BUSY_MS
+
     /** The last batch was full: more commands wait. */
     var behind = false
 
--- /dev/null
+++ b/src/test/kotlin/ledgearch/LruMapTest.kt
@@ -0,0 +1,25 @@
+package ledgearch
+
+import ledgearch.core.LruMap
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+/** The bounded map of final states. */
+internal class LruMapTest {
+    @Test
+    fun `the least recently used entry goes first`() {
+        val map = LruMap<String, Int>(most = 2)
+        map["a"] = 1
+        map["b"] = 2
+        assertEquals(1, map["a"])
+        map["c"] = 3
+        assertEquals(setOf("a", "c"), map.keys)
+    }
+
+    @Test
+    fun `a map for nothing remembers nothing`() {
+        val map = LruMap<String, Int>(most = 0)
+        map["a"] = 1
+        assertEquals(null, map["a"])
+    }
+}
