--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -7,6 +7,7 @@
 import kotlinx.coroutines.asCoroutineDispatcher
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import kotlinx.coroutines.withTimeoutOrNull
 import ledgearch.Tuning
 import ledgearch.config.Settings
 import ledgearch.core.Command
@@ -17,6 +18,7 @@
 import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
+import ledgearch.http.listenOn
 import ledgearch.intake.Intake
 import ledgearch.mesh.LeaderStatus
 import ledgearch.mesh.MeshEvents
@@ -26,6 +28,7 @@
 import java.nio.channels.AsynchronousChannelGroup
 import java.util.concurrent.ScheduledThreadPoolExecutor
 import kotlin.random.Random
+import kotlin.system.exitProcess
 
 /** The process around the owner: one thread for coroutines, sockets and the owner's queue. */
 internal class Daemon(
@@ -47,14 +50,19 @@
     private val controller =
         Controller(settings, SocketTransport(), mesh, random, random.nextLong(Long.MAX_VALUE), System::nanoTime)
 
-    /** Binds the address (throws [IOException] when it is taken) and starts; the process then runs until killed. */
+    /**
+     * Starts; throws [IOException] when the address is taken. The process then runs until killed. It listens once it has
+     * read the state service, or after a while: until then it could only turn callers away, and on a small processor share
+     * hundreds of workers that try every controller would keep it from getting ready.
+     */
     fun start() {
         val sockets = (settings.deployment.quota.fdLimit * Tuning.INCOMING_SHARE).toInt()
         val staleMs = (settings.deployment.workers.reportS * 1000 * Tuning.STALE_REPORTS).toLong()
         val server = HttpServer(scope, group, sockets, { it.path == "/checkin" }, staleMs, ::handle)
-        server.start(settings.listen)
+        checkFree(settings.listen)
         mesh.listen(settings.meshAddress)
         scope.launch { own() }
+        scope.launch { listenWhenReady(server) }
         scope.launch {
             while (true) {
                 delay(Tuning.TICK_MS)
@@ -73,9 +81,24 @@
                 )
             }
         }
+    }
+
+    private suspend fun listenWhenReady(server: HttpServer) {
+        withTimeoutOrNull(Tuning.LISTEN_WAIT_MS) {
+            while (!controller.isReady) delay(Tuning.TICK_MS)
+        }
+        try {
+            server.start(settings.listen)
+        } catch (e: IOException) {
+            log.error("{} can't be listened on: {}", settings.listen, e.message)
+            exitProcess(EXIT_ADDRESS)
+        }
         log.info("node {} listens on {}", settings.node, settings.listen)
     }
 
+    /** Tells at once, by an exception, that [address] can't be listened on. */
+    private fun checkFree(address: String) = listenOn(address, group).close()
+
     private suspend fun handle(request: Request): Response {
         val answer = CompletableDeferred<Response>()
         val command = Command.Serve(request) { answer.complete(it) }
@@ -129,6 +152,9 @@
     }
 
     private companion object {
+        /** An address can't be listened on. */
+        const val EXIT_ADDRESS = 4
+
         /** What must not wait behind users: workers' leases hang on it, and the load balancer's patience. */
         val FIRST = setOf("/checkin", "/up")
     }
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -77,6 +77,9 @@
     private val leader = Leader(settings, state, metered, election, jobStore, now, recordWriter, fleet, metrics, stalls)
     private val intake = Intake(settings, jobStore, state, GrantEvents(), now)
 
+    /** The state service has been read: callers need not be turned away. */
+    val isReady: Boolean get() = jobStore.loaded
+
     private var loadLogAt = 0L
     private var publishAt = 0L
     private var publishedTo = 0
