--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -4,8 +4,11 @@
 internal object Tuning {
     // --- The machine ---
 
-    /** MB. What the process takes at the most, by the heap in deploy/service.toml and what was measured beside it. */
-    const val MEMORY_MB = 180.0
+    /**
+     * MB. What the process takes at the most, by the command line in deploy/service.toml: 96 of heap, 24 each of
+     * metaspace and compiled code, and 12 of the class archive, stacks and the virtual machine's own.
+     */
+    const val MEMORY_MB = 156.0
 
     /** Sockets. With fewer than this a small deployment's users already have to take turns. */
     const val FEW_SOCKETS = 128
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -51,9 +51,9 @@
         Controller(settings, SocketTransport(), mesh, random, random.nextLong(Long.MAX_VALUE), System::nanoTime)
 
     /**
-     * Starts; throws [IOException] when the address is taken. The process then runs until killed. It listens once it has
-     * read the state service, or after a while: until then it could only turn callers away, and on a small processor share
-     * hundreds of workers that try every controller would keep it from getting ready.
+     * Starts; throws [IOException] when the address is taken. The process then runs until killed. It listens once it
+     * has read the state service, or after a while: until then it could only turn callers away, and on a small
+     * processor share hundreds of workers that try every controller would keep it from getting ready.
      */
     fun start() {
         val sockets = (settings.deployment.quota.fdLimit * Tuning.INCOMING_SHARE).toInt()
--- a/src/main/kotlin/ledgearch/cli/WarmUp.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUp.kt
@@ -6,8 +6,8 @@
 import java.nio.file.Files
 
 /**
- * Run by the build to record which classes a controller loads after a restart, for the class-data-sharing archive: one is
- * started on loopback with stand-ins of all that it talks to, serves them for a moment and ends.
+ * Run by the build to record which classes a controller loads after a restart, for the class-data-sharing archive: one
+ * is started on loopback with stand-ins of all that it talks to, serves them for a moment and ends.
  */
 internal fun warmUp(): Int {
     val file = Files.createTempFile("ledgearch", ".json")
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -25,8 +25,9 @@
 import kotlin.system.exitProcess
 
 /**
- * The least of a cloud, a state service, a worker and a user that makes a starting controller do once what it does after a
- * restart: it reads stored jobs and a machine, takes the block, confirms the machine, starts tasks and sees them end.
+ * The least of a cloud, a state service, a worker and a user that makes a starting controller do once what it does
+ * after a restart: it reads stored jobs and a machine, takes the block, confirms the machine, starts tasks and sees
+ * them end.
  */
 internal class WarmUpServices(
     private val settings: Settings,
--- a/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
@@ -224,8 +224,8 @@
     }
 
     /**
-     * A machine that a new leader has just read reports within an interval, and the answer renews its lease, as that of a
-     * probe does not. While this node does not keep up, probes would only delay the answers to reports.
+     * A machine that a new leader has just read reports within an interval, and the answer renews its lease, as that of
+     * a probe does not. While this node does not keep up, probes would only delay the answers to reports.
      */
     private fun reportsByItself(m: Machine) = stalls.isBusy && m.inherited && now.steady - m.knownSince < dueMs
 
--- a/src/main/kotlin/ledgearch/core/LruMap.kt
+++ b/src/main/kotlin/ledgearch/core/LruMap.kt
@@ -1,8 +1,8 @@
 package ledgearch.core
 
 /**
- * A map of at most [most] entries, from which the least recently used one goes first. For one thread, as all that the owner
- * has; a library's concurrent cache would take a tenth of the start-up time for what is not needed here.
+ * A map of at most [most] entries, from which the least recently used one goes first. For one thread, as all that the
+ * owner has; a library's concurrent cache would take a tenth of the start-up time for what is not needed here.
  */
 internal class LruMap<K, V>(
     private val most: Long,
