--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -5,8 +5,8 @@
     // --- The machine ---
 
     /**
-     * MB. What the process takes at the most, by the command line in deploy/service.toml: 96 of heap, 24 each of
-     * metaspace and compiled code, and 12 of the class archive, stacks and the virtual machine's own.
+     * MB. What the process takes at the most, by the command line in deploy/service.toml: 96 of heap, 24 of compiled
+     * code, 24 of classes, in the archive or else in metaspace, and 12 of stacks and the virtual machine's own.
      */
     const val MEMORY_MB = 156.0
 
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -256,7 +256,7 @@
 
     private fun elsewhere(): Response {
         val other = jobStore.grant?.node
-        if (other == null || other == node) return Intake.error(503, "no holder is known")
+        if (other == null || other == node) return Intake.error(503, "no leader is known")
         return Response(421, WireJson.encodeToString(Misdirected.serializer(), Misdirected(other)))
     }
 
@@ -267,7 +267,7 @@
         override fun grantChanged() {
             election.grantChanged()
             mesh.follow(jobStore.grant?.node?.let { members[it] })
-            log.info("block 0: holder {} by grant {}", jobStore.grant?.node ?: "none", jobStore.grantStamp)
+            log.info("block 0: leader {} by grant {}", jobStore.grant?.node ?: "none", jobStore.grantStamp)
         }
 
         override fun jobOpened(job: Job) = leader.jobOpened(job)
--- a/src/main/kotlin/ledgearch/core/KeyStamps.kt
+++ b/src/main/kotlin/ledgearch/core/KeyStamps.kt
@@ -17,8 +17,6 @@
 ) {
     private val stamps = HashMap<String, Long>()
 
-    fun clear() = stamps.clear()
-
     fun read(
         key: String,
         stamp: Long,
