--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -28,9 +28,15 @@
 import kotlin.random.Random
 
 /** The process around the owner: one thread for coroutines, sockets and the owner's queue. */
-internal class Daemon(private val settings: Settings) {
+internal class Daemon(
+    private val settings: Settings,
+) {
     private val log = LoggerFactory.getLogger("ledgearch.daemon")
-    private val executor = ScheduledThreadPoolExecutor(1) { Thread(it, "ledgearch") }.apply { removeOnCancelPolicy = true }
+    private val executor =
+        ScheduledThreadPoolExecutor(1) { Thread(it, "ledgearch") }.apply {
+            removeOnCancelPolicy =
+                true
+        }
     private val failures = CoroutineExceptionHandler { _, e -> log.error("unexpected failure", e) }
     private val scope = CoroutineScope(executor.asCoroutineDispatcher() + SupervisorJob() + failures)
     private val group = AsynchronousChannelGroup.withThreadPool(executor)
@@ -38,7 +44,8 @@
     private val queue = OwnerQueue()
     private val random = Random(System.nanoTime() xor settings.node.hashCode().toLong())
     private val mesh = MeshLinks(scope, group, OwnerEvents())
-    private val controller = Controller(settings, SocketTransport(), mesh, random, random.nextLong(Long.MAX_VALUE), System::nanoTime)
+    private val controller =
+        Controller(settings, SocketTransport(), mesh, random, random.nextLong(Long.MAX_VALUE), System::nanoTime)
 
     /** Binds the address (throws [IOException] when it is taken) and starts; the process then runs until killed. */
     fun start() {
@@ -58,7 +65,12 @@
             while (true) {
                 delay(Tuning.POOLED_IDLE_MS / 2)
                 client.sweep()
-                log.debug("sockets: {} incoming, {} outgoing, {} commands wait", server.open, client.open, queue.waiting)
+                log.debug(
+                    "sockets: {} incoming, {} outgoing, {} commands wait",
+                    server.open,
+                    client.open,
+                    queue.waiting,
+                )
             }
         }
         log.info("node {} listens on {}", settings.node, settings.listen)
@@ -67,7 +79,11 @@
     private suspend fun handle(request: Request): Response {
         val answer = CompletableDeferred<Response>()
         val command = Command.Serve(request) { answer.complete(it) }
-        if (request.path in FIRST) queue.put(command) else if (!queue.offer(command)) return tooBusy
+        if (request.path in FIRST) {
+            queue.put(command)
+        } else if (!queue.offer(command)) {
+            return tooBusy
+        }
         return answer.await()
     }
 
@@ -97,7 +113,14 @@
     }
 
     private inner class SocketTransport : Transport {
-        override fun call(address: String, method: String, target: String, body: String?, timeoutMs: Long, done: (Reply) -> Unit) {
+        override fun call(
+            address: String,
+            method: String,
+            target: String,
+            body: String?,
+            timeoutMs: Long,
+            done: (Reply) -> Unit,
+        ) {
             scope.launch {
                 val reply = client.call(address, method, target, body, timeoutMs)
                 queue.put(Command.Answered(reply, done))
--- a/src/main/kotlin/ledgearch/cli/Main.kt
+++ b/src/main/kotlin/ledgearch/cli/Main.kt
@@ -28,11 +28,24 @@
 LOG_LEVEL (error, warn, info, debug) sets the amount of logging on standard error.
 exit codes: 0 fine, 2 wrong usage, 3 settings can't be used, 4 an address can't be listened on"""
 
-private val OPTIONS = Options()
-    .addOption(Option.builder().longOpt("config").hasArg().argName("FILE").get())
-    .addOption(Option.builder().longOpt("operator").hasArg().argName("FILE").get())
-    .addOption(Option.builder().longOpt("version").get())
-    .addOption(Option.builder("h").longOpt("help").get())
+private val OPTIONS =
+    Options()
+        .addOption(
+            Option
+                .builder()
+                .longOpt("config")
+                .hasArg()
+                .argName("FILE")
+                .get(),
+        ).addOption(
+            Option
+                .builder()
+                .longOpt("operator")
+                .hasArg()
+                .argName("FILE")
+                .get(),
+        ).addOption(Option.builder().longOpt("version").get())
+        .addOption(Option.builder("h").longOpt("help").get())
 
 fun main(args: Array<String>) {
     val code = run(args)
@@ -42,11 +55,12 @@
 /** The exit code, or null when the process goes on. */
 private fun run(args: Array<String>): Int? {
     Logging.configure(System.getenv("LOG_LEVEL"))
-    val line = try {
-        DefaultParser().parse(OPTIONS, args)
-    } catch (e: ParseException) {
-        return usage(e.message.orEmpty())
-    }
+    val line =
+        try {
+            DefaultParser().parse(OPTIONS, args)
+        } catch (e: ParseException) {
+            return usage(e.message.orEmpty())
+        }
     if (line.hasOption("help")) return EXIT_OK.also { println(USAGE) }
     if (line.hasOption("version")) return EXIT_OK.also { println("ledgearch ${Version.text}") }
     val words = line.argList
@@ -55,25 +69,28 @@
     if (command == "rehearse") return rehearse()
     if (command != "serve" && command != "check-config") return usage("unknown command: $command")
     val file = line.getOptionValue("config") ?: return usage("$command needs --config FILE")
-    val settings = try {
-        val platform = SettingsLoader.load(Path.of(file))
-        line.getOptionValue("operator")?.let { platform.copy(operator = OperatorLoader.load(Path.of(it))) } ?: platform
-    } catch (e: SettingsException) {
-        System.err.println("ledgearch: ${e.message}")
-        return EXIT_SETTINGS
-    }
+    val settings =
+        try {
+            val platform = SettingsLoader.load(Path.of(file))
+            line.getOptionValue("operator")?.let { platform.copy(operator = OperatorLoader.load(Path.of(it))) }
+                ?: platform
+        } catch (e: SettingsException) {
+            System.err.println("ledgearch: ${e.message}")
+            return EXIT_SETTINGS
+        }
     SettingsLoader.warnings(settings).forEach { System.err.println("ledgearch: warning: $it") }
     if (command == "check-config") return EXIT_OK.also { println(SettingsLoader.print(settings)) }
     return serve(settings)
 }
 
-private fun serve(settings: Settings): Int? = try {
-    Daemon(settings).start()
-    null
-} catch (e: IOException) {
-    System.err.println("ledgearch: cannot listen on ${settings.listen}: ${e.message}")
-    EXIT_ADDRESS
-}
+private fun serve(settings: Settings): Int? =
+    try {
+        Daemon(settings).start()
+        null
+    } catch (e: IOException) {
+        System.err.println("ledgearch: cannot listen on ${settings.listen}: ${e.message}")
+        EXIT_ADDRESS
+    }
 
 private fun usage(problem: String): Int {
     System.err.println("ledgearch: $problem\n\n$USAGE")
--- a/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
@@ -33,10 +33,12 @@
     /** Waits for a command, then adds what else there is to [batch], up to [Tuning.BATCH]; a part is always the users'. */
     suspend fun take(batch: MutableList<Command>) {
         // Never with a time-out: a command handed over at the moment of the time-out would be lost.
-        batch.add(select {
-            first.onReceive { it }
-            users.onReceive { it }
-        })
+        batch.add(
+            select {
+                first.onReceive { it }
+                users.onReceive { it }
+            },
+        )
         while (batch.size < Tuning.BATCH - Tuning.USERS_IN_BATCH) batch.add(first.tryReceive().getOrNull() ?: break)
         while (batch.size < Tuning.BATCH) batch.add(users.tryReceive().getOrNull() ?: break)
         waiting -= batch.size
--- a/src/main/kotlin/ledgearch/cli/RehearsalWorld.kt
+++ b/src/main/kotlin/ledgearch/cli/RehearsalWorld.kt
@@ -14,7 +14,9 @@
 import kotlin.system.exitProcess
 
 /** The least of a cloud, a state service and a user that makes a starting controller load what it needs. */
-internal class RehearsalWorld(private val settings: Settings) {
+internal class RehearsalWorld(
+    private val settings: Settings,
+) {
     private val executor = ScheduledThreadPoolExecutor(1)
     private val scope = CoroutineScope(executor.asCoroutineDispatcher())
     private val group = AsynchronousChannelGroup.withThreadPool(executor)
@@ -30,30 +32,46 @@
                 Thread.sleep(STEP_MS)
                 client.call(settings.listen, "GET", "/up", null, STEP_MS * 10)
                 client.call(settings.listen, "POST", "/work", job(round), STEP_MS * 10)
-                client.call(settings.listen, "GET", "/work/job-${round}", null, STEP_MS * 10)
+                client.call(settings.listen, "GET", "/work/job-$round", null, STEP_MS * 10)
                 client.call(settings.listen, "POST", "/checkin", report(round + 1), STEP_MS * 10)
             }
         }
         exitProcess(0)
     }
 
-    private suspend fun state(request: Request): Response = when {
-        request.path.startsWith("/leases") -> Response(200, """{"permit":7}""")
-        request.path == "/txn" -> Response(200, """{"edition":${++edition}}""")
-        request.path == "/changes" -> {
-            kotlinx.coroutines.delay(STEP_MS)
-            Response(200, """{"edition":$edition,"news":[]}""")
+    private suspend fun state(request: Request): Response =
+        when {
+            request.path.startsWith("/leases") -> {
+                Response(200, """{"permit":7}""")
+            }
+
+            request.path == "/txn" -> {
+                Response(200, """{"edition":${++edition}}""")
+            }
+
+            request.path == "/changes" -> {
+                kotlinx.coroutines.delay(STEP_MS)
+                Response(200, """{"edition":$edition,"news":[]}""")
+            }
+
+            else -> {
+                Response(200, """{"pairs":[],"hasNext":false,"edition":$edition}""")
+            }
         }
-        else -> Response(200, """{"pairs":[],"hasNext":false,"edition":$edition}""")
-    }
 
-    private suspend fun cloud(request: Request): Response = when (request.path) {
-        "/catalog" -> Response(
-            200,
-            """{"racks":[{"label":"r","vcpus":8,"memoryGb":16,"localGb":35,"fetchGbPerS":0.3,"hourly":0.5,"lowPrice":0.2,"startupS":15,"halls":["z"]}]}""",
-        )
-        else -> Response(200, """{"stoves":[],"hasNext":false}""")
-    }
+    private suspend fun cloud(request: Request): Response =
+        when (request.path) {
+            "/catalog" -> {
+                Response(
+                    200,
+                    """{"racks":[{"label":"r","vcpus":8,"memoryGb":16,"localGb":35,"fetchGbPerS":0.3,"hourly":0.5,"lowPrice":0.2,"startupS":15,"halls":["z"]}]}""",
+                )
+            }
+
+            else -> {
+                Response(200, """{"stoves":[],"hasNext":false}""")
+            }
+        }
 
     private fun job(n: Int) =
         """{"ref":"job-$n","menu":"m","crew":"t","shape":"sweep","urgency":"urgent","portions":2,"vcpus":1.0,"accelerators":0.0,
--- a/src/main/kotlin/ledgearch/cli/Version.kt
+++ b/src/main/kotlin/ledgearch/cli/Version.kt
@@ -2,6 +2,9 @@
 
 internal object Version {
     val text: String by lazy {
-        Version::class.java.getResourceAsStream("/ledgearch-version.txt")?.bufferedReader()?.use { it.readText().trim() } ?: "unknown"
+        Version::class.java
+            .getResourceAsStream("/ledgearch-version.txt")
+            ?.bufferedReader()
+            ?.use { it.readText().trim() } ?: "unknown"
     }
 }
--- a/src/main/kotlin/ledgearch/config/OperatorLoader.kt
+++ b/src/main/kotlin/ledgearch/config/OperatorLoader.kt
@@ -14,15 +14,19 @@
         val element = readSettings(path, json::parseToJsonElement)
         val errors = ArrayList<ValidationError>()
         if (!schema().validate(element, errors::add)) {
-            val problems = errors.joinToString("; ") { "${it.objectPath.toString().removePrefix("/").ifEmpty { "the file" }}: ${it.message}" }
+            val problems =
+                errors.joinToString("; ") {
+                    "${it.objectPath.toString().removePrefix("/").ifEmpty { "the file" }}: ${it.message}"
+                }
             throw SettingsException("$path: $problems")
         }
         return json.decodeFromJsonElement(OperatorSettings.serializer(), element)
     }
 
     private fun schema(): JsonSchema {
-        val text = checkNotNull(OperatorLoader::class.java.getResourceAsStream(SCHEMA)) { "$SCHEMA is missing from the build" }
-            .use { it.readBytes().toString(Charsets.UTF_8) }
+        val text =
+            checkNotNull(OperatorLoader::class.java.getResourceAsStream(SCHEMA)) { "$SCHEMA is missing from the build" }
+                .use { it.readBytes().toString(Charsets.UTF_8) }
         return JsonSchema.fromDefinition(text)
     }
 }
--- a/src/main/kotlin/ledgearch/config/Settings.kt
+++ b/src/main/kotlin/ledgearch/config/Settings.kt
@@ -18,10 +18,17 @@
 )
 
 @Serializable
-data class Member(val node: String, val area: String = "", val addr: String)
+data class Member(
+    val node: String,
+    val area: String = "",
+    val addr: String,
+)
 
 @Serializable
-data class OutsideAddresses(val cloud: String, val state: String)
+data class OutsideAddresses(
+    val cloud: String,
+    val state: String,
+)
 
 @Serializable
 data class Deployment(
@@ -54,10 +61,11 @@
 )
 
 /** For each class that is to start within a time, the shortest one asked for, in seconds. */
-internal fun List<Objective>.startWithinS(): Map<String, Double> = this
-    .filter { it.kind == "wait" && it.jobClass != null && it.withinS != null }
-    .groupBy { it.jobClass.orEmpty() }
-    .mapValues { (_, list) -> list.minOf { it.withinS ?: 0.0 } }
+internal fun List<Objective>.startWithinS(): Map<String, Double> =
+    this
+        .filter { it.kind == "wait" && it.jobClass != null && it.withinS != null }
+        .groupBy { it.jobClass.orEmpty() }
+        .mapValues { (_, list) -> list.minOf { it.withinS ?: 0.0 } }
 
 @Serializable
 data class WorkerTimes(
@@ -96,7 +104,10 @@
 )
 
 @Serializable
-data class CloudLimits(val rps: Double, @SerialName("list_lag_s") val listLagS: Double = 0.0)
+data class CloudLimits(
+    val rps: Double,
+    @SerialName("list_lag_s") val listLagS: Double = 0.0,
+)
 
 @Serializable
 data class NodeQuota(
--- a/src/main/kotlin/ledgearch/config/SettingsLoader.kt
+++ b/src/main/kotlin/ledgearch/config/SettingsLoader.kt
@@ -11,18 +11,24 @@
 import java.nio.file.Path
 
 /** A settings file that can't be used; [message] names the file, the field and what is allowed. */
-class SettingsException(message: String) : Exception(message)
+class SettingsException(
+    message: String,
+) : Exception(message)
 
 /** What [parse] makes of the file at [path]; whatever is wrong with it is told in one line. */
-internal fun <T> readSettings(path: Path, parse: (String) -> T): T = try {
-    parse(Files.readString(path))
-} catch (_: NoSuchFileException) {
-    throw SettingsException("$path: there is no such file")
-} catch (e: IOException) {
-    throw SettingsException("$path: cannot be read: ${e.message}")
-} catch (e: SerializationException) {
-    throw SettingsException("$path: ${e.message?.lineSequence()?.first()}")
-}
+internal fun <T> readSettings(
+    path: Path,
+    parse: (String) -> T,
+): T =
+    try {
+        parse(Files.readString(path))
+    } catch (_: NoSuchFileException) {
+        throw SettingsException("$path: there is no such file")
+    } catch (e: IOException) {
+        throw SettingsException("$path: cannot be read: ${e.message}")
+    } catch (e: SerializationException) {
+        throw SettingsException("$path: ${e.message?.lineSequence()?.first()}")
+    }
 
 object SettingsLoader {
     private val json = Json { ignoreUnknownKeys = true }
@@ -48,40 +54,60 @@
 
     private fun problem(s: Settings): String? {
         val deployment = s.deployment
-        val addresses = mapOf(
-            "listen" to s.listen, "mesh_addr" to s.meshAddress,
-            "outside.cloud" to s.outside.cloud, "outside.state" to s.outside.state,
-        ) + s.members.map { "members[${it.node}].addr" to it.addr }
+        val addresses =
+            mapOf(
+                "listen" to s.listen,
+                "mesh_addr" to s.meshAddress,
+                "outside.cloud" to s.outside.cloud,
+                "outside.state" to s.outside.state,
+            ) + s.members.map { "members[${it.node}].addr" to it.addr }
         for ((field, value) in addresses) {
             if (!isAddress(value)) return "$field: \"$value\" is not HOST:PORT with a port from 1 to 65535"
         }
         if (s.node.isBlank()) return "node: must not be empty"
         if (deployment.teams.isEmpty()) return "deployment.teams: at least one team is needed"
-        deployment.teams.groupBy { it.name }.values.firstOrNull { it.size > 1 }
+        deployment.teams
+            .groupBy { it.name }
+            .values
+            .firstOrNull { it.size > 1 }
             ?.let { return "deployment.teams: \"${it[0].name}\" is named twice" }
         val next = deployment.state.next
-        val positive = listOf(
-            "deployment.workers.report_s" to deployment.workers.reportS,
-            "deployment.workers.lease_s" to deployment.workers.leaseS,
-            "deployment.workers.cancel_s" to deployment.workers.cancelS,
-            "deployment.state.rps" to deployment.state.rps,
-            "deployment.state.write_rps" to deployment.state.writeRps,
-            "deployment.state.value_kb" to deployment.state.valueKb,
-            "deployment.state.txn_ops" to deployment.state.txnOps.toDouble(),
-            "deployment.state.next.rps" to next?.rps,
-            "deployment.state.next.write_rps" to next?.writeRps,
-            "deployment.state.next.value_kb" to next?.valueKb,
-            "deployment.state.next.txn_ops" to next?.txnOps?.toDouble(),
-            "deployment.cloud.rps" to deployment.cloud.rps,
-            "deployment.quota.cpu" to deployment.quota.cpu,
-            "deployment.quota.fd_limit" to deployment.quota.fdLimit.toDouble(),
-        )
+        val positive =
+            listOf(
+                "deployment.workers.report_s" to deployment.workers.reportS,
+                "deployment.workers.lease_s" to deployment.workers.leaseS,
+                "deployment.workers.cancel_s" to deployment.workers.cancelS,
+                "deployment.state.rps" to deployment.state.rps,
+                "deployment.state.write_rps" to deployment.state.writeRps,
+                "deployment.state.value_kb" to deployment.state.valueKb,
+                "deployment.state.txn_ops" to deployment.state.txnOps.toDouble(),
+                "deployment.state.next.rps" to next?.rps,
+                "deployment.state.next.write_rps" to next?.writeRps,
+                "deployment.state.next.value_kb" to next?.valueKb,
+                "deployment.state.next.txn_ops" to next?.txnOps?.toDouble(),
+                "deployment.cloud.rps" to deployment.cloud.rps,
+                "deployment.quota.cpu" to deployment.quota.cpu,
+                "deployment.quota.fd_limit" to deployment.quota.fdLimit.toDouble(),
+            )
         for ((field, value) in positive) {
-            if (value != null && (!(value > 0.0) || value.isInfinite())) return "$field: $value must be above 0 and finite"
+            if (value != null &&
+                (!(value > 0.0) || value.isInfinite())
+            ) {
+                return "$field: $value must be above 0 and finite"
+            }
         }
         for (team in deployment.teams) {
-            val amounts = mapOf("cpus" to team.cpus, "cpus_max" to team.cpusMax, "gpus" to team.gpus, "gpus_max" to team.gpusMax)
-            amounts.entries.firstOrNull { !(it.value >= 0.0) }?.let { return "deployment.teams.${team.name}.${it.key}: ${it.value} must be 0 or more" }
+            val amounts =
+                mapOf(
+                    "cpus" to team.cpus,
+                    "cpus_max" to team.cpusMax,
+                    "gpus" to team.gpus,
+                    "gpus_max" to team.gpusMax,
+                )
+            amounts.entries
+                .firstOrNull {
+                    !(it.value >= 0.0)
+                }?.let { return "deployment.teams.${team.name}.${it.key}: ${it.value} must be 0 or more" }
         }
         return null
     }
@@ -90,12 +116,22 @@
     fun warnings(s: Settings): List<String> {
         val quota = s.deployment.quota
         return listOfNotNull(
-            "deployment.quota.memory_mb: ${quota.memoryMb} is little; the service takes up to ${Tuning.MEMORY_MB}".takeIf { quota.memoryMb > 0.0 && quota.memoryMb < Tuning.MEMORY_MB },
+            "deployment.quota.memory_mb: ${quota.memoryMb} is little; the service takes up to ${Tuning.MEMORY_MB}"
+                .takeIf {
+                    quota.memoryMb >
+                        0.0 &&
+                        quota.memoryMb < Tuning.MEMORY_MB
+                },
             "deployment.state.txn_ops: ${s.deployment.state.safeTxnOps} is too little; what closes a job takes two changes in one transaction"
                 .takeIf { s.deployment.state.safeTxnOps < Tuning.FEW_CHANGES },
-            "deployment.quota.fd_limit: ${quota.fdLimit} is little; every worker and user needs one".takeIf { quota.fdLimit < Tuning.FEW_SOCKETS },
-        ) + s.deployment.teams.filter { it.cpusMax < it.cpus || it.gpusMax < it.gpus }
-            .map { "deployment.teams.${it.name}: what is guaranteed is more than the limit" }
+            "deployment.quota.fd_limit: ${quota.fdLimit} is little; every worker and user needs one".takeIf {
+                quota.fdLimit <
+                    Tuning.FEW_SOCKETS
+            },
+        ) +
+            s.deployment.teams
+                .filter { it.cpusMax < it.cpus || it.gpusMax < it.gpus }
+                .map { "deployment.teams.${it.name}: what is guaranteed is more than the limit" }
     }
 
     private fun isAddress(value: String): Boolean {
--- a/src/main/kotlin/ledgearch/core/Chunks.kt
+++ b/src/main/kotlin/ledgearch/core/Chunks.kt
@@ -11,8 +11,14 @@
  * versions without smaller ones give them. Each smaller size has numbers of its own above those, so that no record is written
  * over one of other tasks. A task may so be in two records; finished is finished, and both go with the job.
  */
-internal class Chunks(valueBytes: Int) {
-    private val halvings: Int = generateSequence(0) { it + 1 }.first { tasksOf(it) == 1 || worstBytes(tasksOf(it)) <= valueBytes }
+internal class Chunks(
+    valueBytes: Int,
+) {
+    private val halvings: Int =
+        generateSequence(0) { it + 1 }.first {
+            tasksOf(it) == 1 ||
+                worstBytes(tasksOf(it)) <= valueBytes
+        }
 
     /** Tasks in one chunk. */
     val tasks = tasksOf(halvings)
@@ -40,7 +46,8 @@
 }
 
 /** Of these, the tasks in [range]. */
-internal fun BitSet.within(range: IntRange): BitSet = BitSet().also {
-    it.set(range.first, range.last + 1)
-    it.and(this)
-}
+internal fun BitSet.within(range: IntRange): BitSet =
+    BitSet().also {
+        it.set(range.first, range.last + 1)
+        it.and(this)
+    }
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -24,18 +24,28 @@
 
 /** What the owner is asked to do. */
 internal sealed interface Command {
-    class Serve(val request: Request, val respond: (Response) -> Unit) : Command
+    class Serve(
+        val request: Request,
+        val respond: (Response) -> Unit,
+    ) : Command
 
     /** The holder tells how its jobs go. */
-    class News(val news: HolderNews) : Command
+    class News(
+        val news: HolderNews,
+    ) : Command
 
     /** The controller at this mesh address refuses connections after one of its own ended. */
-    class PeerRefused(val address: String) : Command
+    class PeerRefused(
+        val address: String,
+    ) : Command
 
     /** Time has passed. */
     data object Tick : Command
 
-    class Answered(val reply: Reply, val done: (Reply) -> Unit) : Command
+    class Answered(
+        val reply: Reply,
+        val done: (Reply) -> Unit,
+    ) : Command
 }
 
 /**
@@ -57,7 +67,8 @@
     private val now = Now()
     private val metrics = Metrics(now, nanos)
     private val metered = MeteredTransport(transport, settings.outside, metrics, now)
-    private val state = StateClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, now)
+    private val state =
+        StateClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, now)
     private val book = Book(state, now, BookEvents(), DependencyEvents(), finalsKept)
     private val election: Election = Election(node, life, state, { book }, now, random, ElectionEvents())
     private val journal = Journal(state, election, book, now, settings.deployment.state.safeValueBytes)
@@ -78,17 +89,44 @@
     }
 
     /** One batch: all commands, then whatever follows from them. [behind]: more commands wait already. */
-    fun run(steadyMs: Long, wallMs: Long, commands: List<Command>, behind: Boolean = false) {
+    fun run(
+        steadyMs: Long,
+        wallMs: Long,
+        commands: List<Command>,
+        behind: Boolean = false,
+    ) {
         now.steady = steadyMs
         now.wall = wallMs
         own.behind = behind
         for (command in commands) {
             when (command) {
-                is Command.Serve -> metrics.spend(if (command.request.path == "/checkin") "reports" else "requests") { serve(command.request, command.respond) }
-                is Command.Answered -> metrics.spend("answers") { command.done(command.reply) }
-                is Command.News -> heard(command.news)
-                is Command.PeerRefused -> members.entries.firstOrNull { it.value == command.address }?.let { election.challenge(it.key) }
-                Command.Tick -> own.ticked()
+                is Command.Serve -> {
+                    metrics.spend(
+                        if (command.request.path ==
+                            "/checkin"
+                        ) {
+                            "reports"
+                        } else {
+                            "requests"
+                        },
+                    ) { serve(command.request, command.respond) }
+                }
+
+                is Command.Answered -> {
+                    metrics.spend("answers") { command.done(command.reply) }
+                }
+
+                is Command.News -> {
+                    heard(command.news)
+                }
+
+                is Command.PeerRefused -> {
+                    members.entries.firstOrNull { it.value == command.address }?.let { election.challenge(it.key) }
+                }
+
+                Command.Tick -> {
+                    own.ticked()
+                }
             }
         }
         book.drive()
@@ -109,7 +147,10 @@
     }
 
     /** The last batch took [micros] and left [waiting] commands. */
-    fun worked(micros: Long, waiting: Int) = metrics.worked(micros, waiting)
+    fun worked(
+        micros: Long,
+        waiting: Int,
+    ) = metrics.worked(micros, waiting)
 
     /** The holder's other half of a poll: the rest of the nodes know a job's progress only from here. */
     private fun tellProgress() {
@@ -117,10 +158,11 @@
         publishAt = now.steady + Tuning.PUBLISH_MS
         val all = mesh.joined != publishedTo
         publishedTo = mesh.joined
-        val news = book.jobs.values.mapNotNull { job ->
-            val p = Progress(job.id, job.finishedCount, job.runningCount)
-            if (!all && p == job.shown) null else p.also { job.shown = it }
-        }
+        val news =
+            book.jobs.values.mapNotNull { job ->
+                val p = Progress(job.id, job.finishedCount, job.runningCount)
+                if (!all && p == job.shown) null else p.also { job.shown = it }
+            }
         // Empty frames too: they show that this node lives.
         mesh.publish(HolderNews(news, served = now.steady - state.lastAnswer < Tuning.HOLDER_UNSERVED_MS))
     }
@@ -130,16 +172,39 @@
         if (news.served == false) holderUnservedAt = now.steady
     }
 
-    private fun serve(request: Request, respond: (Response) -> Unit) {
+    private fun serve(
+        request: Request,
+        respond: (Response) -> Unit,
+    ) {
         when (request.path) {
-            "/up" -> respond(if (healthy()) Response(200, "{}") else Intake.error(503, "not ready"))
-            "/checkin" -> if (request.method == "POST") checkIn(request.body, measured("checkin", respond)) else respond(Intake.error(405, "use POST"))
-            "/metrics" -> respond(Response(200, WireJson.encodeToString(MetricsReport.serializer(), report())))
-            else -> intake.handle(request, measured(Intake.kind(request), respond))
+            "/up" -> {
+                respond(if (healthy()) Response(200, "{}") else Intake.error(503, "not ready"))
+            }
+
+            "/checkin" -> {
+                if (request.method ==
+                    "POST"
+                ) {
+                    checkIn(request.body, measured("checkin", respond))
+                } else {
+                    respond(Intake.error(405, "use POST"))
+                }
+            }
+
+            "/metrics" -> {
+                respond(Response(200, WireJson.encodeToString(MetricsReport.serializer(), report())))
+            }
+
+            else -> {
+                intake.handle(request, measured(Intake.kind(request), respond))
+            }
         }
     }
 
-    private fun measured(what: String, respond: (Response) -> Unit): (Response) -> Unit {
+    private fun measured(
+        what: String,
+        respond: (Response) -> Unit,
+    ): (Response) -> Unit {
         val startedAt = now.steady
         return {
             metrics.answered(what, it.status, startedAt)
@@ -148,24 +213,40 @@
     }
 
     private fun report() =
-        metrics.report(node, election.token, book.jobs.size, holder.machines.size, holder.machines.values.sumOf { it.placements.size })
+        metrics.report(
+            node,
+            election.token,
+            book.jobs.size,
+            holder.machines.size,
+            holder.machines.values.sumOf {
+                it.placements.size
+            },
+        )
 
     /**
      * Users are better served elsewhere while the state service refuses this node alone. In an outage nobody serves them
      * better, and nodes that all stepped aside would be long in coming back: what is known for good is answered, and
      * everyone else told at once when to come back.
      */
-    private fun healthy() = book.loaded && book.racks.isNotEmpty() &&
-        (now.steady - state.lastAnswer < Tuning.STATE_SILENT_MS || now.steady - holderUnservedAt < Tuning.OUTAGE_HEARD_MS)
-
-    private fun checkIn(body: String, respond: (Response) -> Unit) {
+    private fun healthy() =
+        book.loaded && book.racks.isNotEmpty() &&
+            (
+                now.steady - state.lastAnswer < Tuning.STATE_SILENT_MS ||
+                    now.steady - holderUnservedAt < Tuning.OUTAGE_HEARD_MS
+            )
+
+    private fun checkIn(
+        body: String,
+        respond: (Response) -> Unit,
+    ) {
         if (!election.holding) return respond(elsewhere())
-        val report = try {
-            WireJson.decodeFromString(CheckIn.serializer(), body)
-        } catch (e: IllegalArgumentException) {
-            respond(Intake.error(400, "not a report"))
-            return
-        }
+        val report =
+            try {
+                WireJson.decodeFromString(CheckIn.serializer(), body)
+            } catch (e: IllegalArgumentException) {
+                respond(Intake.error(400, "not a report"))
+                return
+            }
         val orders = holder.report(report) ?: return respond(elsewhere())
         respond(Response(200, WireJson.encodeToString(CheckInReply.serializer(), CheckInReply(election.token, orders))))
     }
@@ -190,7 +271,11 @@
 
         override fun jobChanged(job: Job) = holder.jobChanged(job)
 
-        override fun jobClosed(job: Job?, id: String, state: String) {
+        override fun jobClosed(
+            job: Job?,
+            id: String,
+            state: String,
+        ) {
             job?.let(holder::jobClosed)
             intake.closed(id)
         }
@@ -203,11 +288,17 @@
 
         override fun dependencyWithdrawn(job: Job) = holder.jobWithdrawnWithDependency(job)
 
-        override fun urgencyChanged(job: Job, urgency: Int) = holder.urgencyChanged(job, urgency)
+        override fun urgencyChanged(
+            job: Job,
+            urgency: Int,
+        ) = holder.urgencyChanged(job, urgency)
     }
 
     private inner class ElectionEvents : ElectionListener {
-        override fun granted(token: Long, fresh: Boolean) {
+        override fun granted(
+            token: Long,
+            fresh: Boolean,
+        ) {
             if (fresh) holder.begin(token)
         }
 
@@ -218,6 +309,9 @@
         override val holding get() = election.holding
         override val condition: Condition get() = election.condition
 
-        override fun verified(sentAt: Long, under: Long) = election.verified(sentAt, under)
+        override fun verified(
+            sentAt: Long,
+            under: Long,
+        ) = election.verified(sentAt, under)
     }
 }
--- a/src/main/kotlin/ledgearch/core/Courier.kt
+++ b/src/main/kotlin/ledgearch/core/Courier.kt
@@ -65,12 +65,22 @@
         val starts = ArrayList<Order>()
         for (p in m.placements.values) {
             when {
-                p.exited -> if (p.clearable && p.settled(m.reportTicket)) halts.add(Order(Verbs.CLEAR, p.task, p.attempt))
+                p.exited -> {
+                    if (p.clearable && p.settled(m.reportTicket)) halts.add(Order(Verbs.CLEAR, p.task, p.attempt))
+                }
+
                 p.stop != Stop.NONE -> {
                     val grace = if (p.stop == Stop.SAVE_FIRST) p.job?.spec?.plateS ?: 0.0 else 0.0
-                    if (p.status != TaskStatus.SAVING || grace == 0.0) halts.add(Order(Verbs.HALT, p.task, p.attempt, grace))
+                    if (p.status != TaskStatus.SAVING ||
+                        grace == 0.0
+                    ) {
+                        halts.add(Order(Verbs.HALT, p.task, p.attempt, grace))
+                    }
+                }
+
+                !p.seen -> {
+                    starts.add(Order(Verbs.START, p.task, p.attempt))
                 }
-                !p.seen -> starts.add(Order(Verbs.START, p.task, p.attempt))
             }
         }
         // A message has a size that it may not pass; what is left over goes with the next one.
@@ -135,22 +145,42 @@
     }
 
     /** [done] gets the machine's report, or null when it did not answer. */
-    private fun direct(m: Machine, list: List<Order>, timeoutMs: Long, done: (CheckIn?) -> Unit) {
+    private fun direct(
+        m: Machine,
+        list: List<Order>,
+        timeoutMs: Long,
+        done: (CheckIn?) -> Unit,
+    ) {
         val mine = tenure
-        val body = WireJson.encodeToString(OrdersRequest.serializer(), OrdersRequest(election.token, maxOf(m.shift, 1L), list))
+        val body =
+            WireJson.encodeToString(
+                OrdersRequest.serializer(),
+                OrdersRequest(election.token, maxOf(m.shift, 1L), list),
+            )
         val shift = m.shift
         val ticket = m.ticket
         val sentAt = now.steady
         // Over a slow link answers are awaited for as long as the last one took and half as long again.
         transport.call(m.endpoint, "POST", "/orders", body, maxOf(timeoutMs, m.answerMs * 3 / 2)) { reply ->
             if (tenure != mine) return@call
-            val answer = if (reply.status == 200 || reply.status == 409) parse(reply)?.takeIf { it.stove == m.name } else null
+            val answer =
+                if (reply.status == 200 ||
+                    reply.status == 409
+                ) {
+                    parse(reply)?.takeIf { it.stove == m.name }
+                } else {
+                    null
+                }
             if (answer != null) {
                 m.answerMs = now.steady - sentAt
                 reached(m)
             }
             // Numbers only grow, and this answer was made after the request: they have begun anew, and the worker with them.
-            if (answer != null && isHere(m) && (answer.shift < shift || (answer.shift == shift && answer.ticket <= ticket))) begunAnew(m)
+            if (answer != null && isHere(m) &&
+                (answer.shift < shift || (answer.shift == shift && answer.ticket <= ticket))
+            ) {
+                begunAnew(m)
+            }
             done(answer)
         }
     }
@@ -159,15 +189,23 @@
      * Shows the token to a machine that is not known to follow it, or asks one that is overdue for a sign of life. If
      * its session is another than the one known here, its answer tells which, and the token is shown once more.
      */
-    fun probe(m: Machine, again: Boolean = false) {
+    fun probe(
+        m: Machine,
+        again: Boolean = false,
+    ) {
         if (m.pushing || (!again && (now.steady < m.probeAt || probesOpen >= probesAtOnce))) return
         m.pushing = true
         // Hundreds that stay silent for long, in a zone that is cut off, are asked more and more seldom.
-        m.probeAt = now.steady + Tuning.PROBE_MS * (1 + (m.probesFailed - Tuning.PROBES).coerceIn(0, Tuning.MOST_PROBE_PAUSES))
+        m.probeAt =
+            now.steady + Tuning.PROBE_MS * (1 + (m.probesFailed - Tuning.PROBES).coerceIn(0, Tuning.MOST_PROBE_PAUSES))
         probesOpen++
         val sentAt = now.steady
         val session = m.shift
-        direct(m, emptyList(), Tuning.PROBE_MS * (1 + (m.probesFailed + 1 - Tuning.PROBES).coerceIn(0, Tuning.MOST_PROBE_PAUSES))) { answer ->
+        direct(
+            m,
+            emptyList(),
+            Tuning.PROBE_MS * (1 + (m.probesFailed + 1 - Tuning.PROBES).coerceIn(0, Tuning.MOST_PROBE_PAUSES)),
+        ) { answer ->
             m.pushing = false
             probesOpen--
             if (answer == null) {
@@ -182,10 +220,11 @@
         }
     }
 
-    private fun parse(reply: Reply): CheckIn? = try {
-        WireJson.decodeFromString(CheckIn.serializer(), reply.body)
-    } catch (e: SerializationException) {
-        log.warn("a worker's answer makes no sense: {}", e.message)
-        null
-    }
+    private fun parse(reply: Reply): CheckIn? =
+        try {
+            WireJson.decodeFromString(CheckIn.serializer(), reply.body)
+        } catch (e: SerializationException) {
+            log.warn("a worker's answer makes no sense: {}", e.message)
+            null
+        }
 }
--- a/src/main/kotlin/ledgearch/core/CutZones.kt
+++ b/src/main/kotlin/ledgearch/core/CutZones.kt
@@ -7,7 +7,9 @@
  * Zones of which next to no machine is heard while most of another zone's are. Such a zone is cut off and mostly back within
  * a minute or so; nothing is rented there meanwhile, and its machines are not given back where that would lose what goes on.
  */
-internal class CutZones(private val now: Now) {
+internal class CutZones(
+    private val now: Now,
+) {
     private class Heard {
         var machines = 0
         var heard = 0
@@ -34,7 +36,10 @@
     operator fun contains(hall: String) = hall in since
 
     /** Returns the zones that are heard again. */
-    fun update(machines: Collection<Machine>, isHeard: (Machine) -> Boolean): Set<String> {
+    fun update(
+        machines: Collection<Machine>,
+        isHeard: (Machine) -> Boolean,
+    ): Set<String> {
         val zones = HashMap<String, Heard>()
         for (m in machines) {
             if (m.releasing) continue
@@ -43,7 +48,11 @@
             if (isHeard(m)) zone.heard++
         }
         val anyWell = zones.values.any { it.heard > it.machines * Tuning.MOST }
-        val cut = zones.filterValues { anyWell && it.machines >= Tuning.ZONE_MACHINES && it.heard < it.machines * Tuning.HEARD_SHARE }
+        val cut =
+            zones.filterValues {
+                anyWell && it.machines >= Tuning.ZONE_MACHINES &&
+                    it.heard < it.machines * Tuning.HEARD_SHARE
+            }
         val back = since.filterTo(HashMap()) { (hall, began) -> isBack(zones[hall], began) }.keys
         for (hall in back) {
             log.info("zone {} is heard again, or gone", hall)
@@ -52,16 +61,29 @@
             backAt[hall] = now.steady
         }
         for ((hall, zone) in cut) {
-            if (since.putIfAbsent(hall, now.steady) == null) log.warn("zone {}: {} of {} machines are heard", hall, zone.heard, zone.machines)
+            if (since.putIfAbsent(hall, now.steady) ==
+                null
+            ) {
+                log.warn("zone {}: {} of {} machines are heard", hall, zone.heard, zone.machines)
+            }
         }
         others = zones.keys.count { it !in since }
         return back
     }
 
     /** Something of the zone is heard, or too little of it is left to tell for how long it will be cut off. */
-    private fun isBack(zone: Heard?, began: Long) = when {
-        zone == null || (zone.machines < Tuning.ZONE_MACHINES && zone.heard == 0) -> now.steady - began >= Tuning.CUT_ZONE_MS
-        else -> zone.heard >= zone.machines * Tuning.HEARD_SHARE
+    private fun isBack(
+        zone: Heard?,
+        began: Long,
+    ) = when {
+        zone == null || (zone.machines < Tuning.ZONE_MACHINES && zone.heard == 0) -> {
+            now.steady - began >=
+                Tuning.CUT_ZONE_MS
+        }
+
+        else -> {
+            zone.heard >= zone.machines * Tuning.HEARD_SHARE
+        }
     }
 
     /** Zones that are not cut off. */
@@ -73,11 +95,19 @@
      * holder before this one may be cut off with it ([servedWithin]) and keep its lease alive; else nobody does, and older
      * jobs only wait for it. Confirmed, it is if it has such replicas; all else begins anew elsewhere the sooner the better.
      */
-    fun mayComeBack(m: Machine, servedWithin: Set<String>): Boolean {
+    fun mayComeBack(
+        m: Machine,
+        servedWithin: Set<String>,
+    ): Boolean {
         if (others >= 2 || now.steady - (since[m.hall] ?: return false) >= Tuning.CUT_ZONE_MS) return false
         if (!m.confirmed) return m.hall in servedWithin
         return m in kept || holdsTwoZoneReplica(m).also { if (it) kept.add(m) }
     }
 
-    private fun holdsTwoZoneReplica(m: Machine) = m.placements.values.any { it.job?.spec?.apart == true && it.job.standing && !it.exited }
+    private fun holdsTwoZoneReplica(m: Machine) =
+        m.placements.values.any {
+            it.job?.spec?.apart == true &&
+                it.job.standing &&
+                !it.exited
+        }
 }
--- a/src/main/kotlin/ledgearch/core/Holder.kt
+++ b/src/main/kotlin/ledgearch/core/Holder.kt
@@ -43,13 +43,37 @@
     private val deadlines = Deadlines(settings.deployment.objectives, estimates, now, book.dependencies::dependentsOf)
     private val ranking = Ranking(settings.deployment.objectives, estimates, now, deadlines)
     val reliability = Reliability(estimates, ranking)
-    private val placer = Placer(machines, teams, now, ranking, Preemption(teams, ranking, now, ::preempt), reliability, estimates, metrics, ::start)
-    private val courier = Courier(
-        transport, election, now, own,
-        Tuning.probesAtOnce(settings.deployment.quota.cpu), Tuning.callsAtOnce(settings.deployment.quota.fdLimit),
-        { machines[it.name] === it }, ::answered, ::begunAnew,
-    )
-    private val silence = Silence(settings.deployment.workers, machines, election, courier, fleet, reliability, now, own, ::areasBefore) { newSession(it, it.shift + 1) }
+    private val placer =
+        Placer(
+            machines,
+            teams,
+            now,
+            ranking,
+            Preemption(teams, ranking, now, ::preempt),
+            reliability,
+            estimates,
+            metrics,
+            ::start,
+        )
+    private val courier =
+        Courier(
+            transport,
+            election,
+            now,
+            own,
+            Tuning.probesAtOnce(settings.deployment.quota.cpu),
+            Tuning.callsAtOnce(settings.deployment.quota.fdLimit),
+            { machines[it.name] === it },
+            ::answered,
+            ::begunAnew,
+        )
+    private val silence =
+        Silence(settings.deployment.workers, machines, election, courier, fleet, reliability, now, own, ::areasBefore) {
+            newSession(
+                it,
+                it.shift + 1,
+            )
+        }
 
     /** The first token of this tenure: a worker that has seen it no longer follows any earlier holder. */
     private var tenure = 0L
@@ -103,7 +127,17 @@
 
     fun jobOpened(job: Job) {
         if (!job.waitsForOthers) reserve.opened(job)
-        log.debug("{} opened: {} {} tasks of {} processors for {}, estimate {} s, image {} of {} GB", job.id, job.spec.portions, job.spec.menu, job.spec.vcpus, job.spec.crew, job.spec.cookS, job.spec.recipe, job.spec.sizeGb)
+        log.debug(
+            "{} opened: {} {} tasks of {} processors for {}, estimate {} s, image {} of {} GB",
+            job.id,
+            job.spec.portions,
+            job.spec.menu,
+            job.spec.vcpus,
+            job.spec.crew,
+            job.spec.cookS,
+            job.spec.recipe,
+            job.spec.sizeGb,
+        )
         if (tenure == 0L) return
         // Accepted after the grant: no earlier holder can have learnt of it while it still held the block.
         // Of a cancelled one only the mark may be so new.
@@ -128,7 +162,10 @@
     }
 
     /** Attempts are counted by urgency, so those of [job] are taken out of the counts while it changes. */
-    fun urgencyChanged(job: Job, urgency: Int) {
+    fun urgencyChanged(
+        job: Job,
+        urgency: Int,
+    ) {
         val attempts = machines.values.flatMap { m -> m.placements.values.filter { it.job === job } }
         attempts.forEach { it.machine.count(it, -1) }
         job.urgency = urgency
@@ -164,7 +201,12 @@
         takeover.drive {
             ready = true
             dirty = true
-            log.info("block 0: took over {} machines and {} open jobs under token {}", machines.size, book.jobs.size, election.token)
+            log.info(
+                "block 0: took over {} machines and {} open jobs under token {}",
+                machines.size,
+                book.jobs.size,
+                election.token,
+            )
         }
     }
 
@@ -202,12 +244,29 @@
     }
 
     /** A worker waits for the answer to its last report only, and not for long. */
-    private fun isCopy(m: Machine, report: CheckIn) = report.shift < m.shift || (report.shift == m.shift &&
-        (report.ticket < m.reportTicket || (report.ticket == m.reportTicket && now.steady - m.reportAt > Tuning.ANSWER_AWAITED_MS)))
+    private fun isCopy(
+        m: Machine,
+        report: CheckIn,
+    ) = report.shift < m.shift || (
+        report.shift == m.shift &&
+            (
+                report.ticket < m.reportTicket ||
+                    (report.ticket == m.reportTicket && now.steady - m.reportAt > Tuning.ANSWER_AWAITED_MS)
+            )
+    )
 
     /** A worker's answer to a direct command. */
-    private fun answered(m: Machine, answer: CheckIn) {
-        if (answer.baton > election.token) election.lose("a worker has seen token ${answer.baton}") else hear(m, answer, isReport = false)
+    private fun answered(
+        m: Machine,
+        answer: CheckIn,
+    ) {
+        if (answer.baton >
+            election.token
+        ) {
+            election.lose("a worker has seen token ${answer.baton}")
+        } else {
+            hear(m, answer, isReport = false)
+        }
     }
 
     /**
@@ -229,11 +288,21 @@
         metrics.count("machine.joined")
         join(m)
         fleet.arrived(m)
-        log.info("machine {} ({}, {}{}) joins the block", m.name, m.rack.label, m.hall, if (m.borrowed) ", spot" else "")
+        log.info(
+            "machine {} ({}, {}{}) joins the block",
+            m.name,
+            m.rack.label,
+            m.hall,
+            if (m.borrowed) ", spot" else "",
+        )
         return m
     }
 
-    private fun hear(m: Machine, report: CheckIn, isReport: Boolean) {
+    private fun hear(
+        m: Machine,
+        report: CheckIn,
+        isReport: Boolean,
+    ) {
         if (report.shift < m.shift) return
         if (report.shift > m.shift) newSession(m, report.shift)
         // The first word of a session: it began before, and has a whole lease from then on without any answer of ours.
@@ -291,9 +360,18 @@
         }
     }
 
-    private fun newSession(m: Machine, shift: Long) {
-        if (m.shift != 0L && m.placements.isNotEmpty()) log.info("machine {}: new session, {} tasks lost", m.name, m.placements.size)
-        m.placements.values.toList().forEach(tasks::gone)
+    private fun newSession(
+        m: Machine,
+        shift: Long,
+    ) {
+        if (m.shift != 0L &&
+            m.placements.isNotEmpty()
+        ) {
+            log.info("machine {}: new session, {} tasks lost", m.name, m.placements.size)
+        }
+        m.placements.values
+            .toList()
+            .forEach(tasks::gone)
         m.shift = shift
         m.ticket = 0
         m.reportTicket = 0
@@ -302,7 +380,11 @@
 
     // --- Orders -----------------------------------------------------------------------------------------------
 
-    private fun start(job: Job, index: Int, m: Machine) {
+    private fun start(
+        job: Job,
+        index: Int,
+        m: Machine,
+    ) {
         metrics.count("task.started")
         val attempt = (tenure shl Tuning.ATTEMPT_BITS) or ++attemptSeq
         val p = Placement(job, "${job.id}/$index", index, attempt, m, now.steady)
@@ -314,14 +396,20 @@
         log.debug("{} try {} starts on {}", p.task, attempt, m.name)
     }
 
-    private fun preempt(p: Placement, by: Job) {
+    private fun preempt(
+        p: Placement,
+        by: Job,
+    ) {
         metrics.count("task.preempted")
         log.debug("{} on {} makes room for {} ({})", p.task, p.machine.name, by.id, by.spec.menu)
         stop(p)
     }
 
     /** Tells [p] to stop, saving first if it can and [left] seconds suffice. */
-    private fun stop(p: Placement, left: Double = Double.MAX_VALUE) {
+    private fun stop(
+        p: Placement,
+        left: Double = Double.MAX_VALUE,
+    ) {
         val spec = p.job?.spec
         p.stop = if (spec != null && spec.stirS > 0 && spec.plateS < left) Stop.SAVE_FIRST else Stop.AT_ONCE
         courier.want(p.machine)
@@ -384,9 +472,16 @@
         own.passed(metrics.timed { placer.pass(book.jobs.values) })
     }
 
-    private fun shelter() = metrics.spend("shelter") {
-        reliability.shelter(book.jobs.values.filter { !it.waitsForOthers }, machines.values, reserve.ordinaryCpus(fleet.bootS()))
-    }
+    private fun shelter() =
+        metrics.spend("shelter") {
+            reliability.shelter(
+                book.jobs.values.filter {
+                    !it.waitsForOthers
+                },
+                machines.values,
+                reserve.ordinaryCpus(fleet.bootS()),
+            )
+        }
 
     private fun confirm() {
         // Also those to be released: the cloud may be out, and an earlier holder may keep them until the token is shown.
@@ -414,7 +509,9 @@
     /** The machine and everything on it are gone. */
     fun machineGone(m: Machine) {
         metrics.count("machine.gone")
-        m.placements.values.toList().forEach(tasks::gone)
+        m.placements.values
+            .toList()
+            .forEach(tasks::gone)
         machines.remove(m.name)
         m.left()
         unconfirmed.remove(m)
@@ -425,6 +522,10 @@
     }
 
     /** Whether the counts kept as attempts come and go are those of a recount. */
-    fun countsHold() = machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
-        book.jobs.values.all { job -> tenure == 0L || job.runningCount == job.placements.values.count { it.status == TaskStatus.RUNNING } }
+    fun countsHold() =
+        machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
+            book.jobs.values.all { job ->
+                tenure == 0L ||
+                    job.runningCount == job.placements.values.count { it.status == TaskStatus.RUNNING }
+            }
 }
--- a/src/main/kotlin/ledgearch/core/Job.kt
+++ b/src/main/kotlin/ledgearch/core/Job.kt
@@ -9,7 +9,10 @@
 import java.util.BitSet
 
 /** An open job: the durable part known to every node, and what its block's holder knows of its tasks. */
-internal class Job(var record: JobRecord, var stamp: Long) {
+internal class Job(
+    var record: JobRecord,
+    var stamp: Long,
+) {
     val spec: WorkRequest get() = record.spec
     val id: String get() = spec.ref
     val standing: Boolean = spec.shape == Shapes.STANDING
@@ -84,12 +87,18 @@
     fun unservedMs(wallMs: Long) = wallMs - maxOf(servedAt, readyAt)
 
     /** Waits for room, and nothing else holds it back. */
-    fun startable(nowMs: Long) = trusted && !waitsForOthers && !closing && !record.cancel && pendingCount > 0 && nowMs >= notBefore
+    fun startable(nowMs: Long) =
+        trusted && !waitsForOthers && !closing && !record.cancel && pendingCount > 0 && nowMs >= notBefore
 
     /** Its tasks may run on machines of this type, zone and kind. */
-    fun allows(rack: Rack, hall: String, borrowed: Boolean): Boolean {
+    fun allows(
+        rack: Rack,
+        hall: String,
+        borrowed: Boolean,
+    ): Boolean {
         val spec = spec
-        return (spec.racks == null || rack.label in spec.racks) && (spec.hall == null || spec.hall == hall) && (spec.borrowed || !borrowed)
+        return (spec.racks == null || rack.label in spec.racks) && (spec.hall == null || spec.hall == hall) &&
+            (spec.borrowed || !borrowed)
     }
 
     val complete: Boolean get() = !standing && finishedCount == spec.portions
@@ -126,7 +135,10 @@
         take(index)
     }
 
-    fun restoreFinished(ranges: String, chunk: Int) {
+    fun restoreFinished(
+        ranges: String,
+        chunk: Int,
+    ) {
         Ranges.decode(ranges, finished, spec.portions)
         taken.or(finished)
         takenCount = taken.cardinality()
--- a/src/main/kotlin/ledgearch/core/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/core/JobDependencies.kt
@@ -15,7 +15,10 @@
     fun dependencyWithdrawn(job: Job)
 
     /** The urgency of [job] has to become [urgency], that of the most urgent job that depends on it. */
-    fun urgencyChanged(job: Job, urgency: Int)
+    fun urgencyChanged(
+        job: Job,
+        urgency: Int,
+    )
 }
 
 /**
@@ -58,7 +61,10 @@
     }
 
     /** The job [id] is over. */
-    fun ended(id: String, record: FinalRecord) {
+    fun ended(
+        id: String,
+        record: FinalRecord,
+    ) {
         val waiting = dependents[id] ?: return
         when (record.st) {
             WorkStates.DONE -> {
@@ -66,6 +72,7 @@
                 readAgainAt.remove(id)
                 waiting.forEach { finished(it, id) }
             }
+
             WorkStates.WITHDRAWN -> {
                 readAgainAt.remove(id)
                 waiting.toList().forEach(::withdraw)
@@ -113,9 +120,13 @@
     /** The open jobs that name [job] as awaited. */
     fun dependentsOf(job: Job): Collection<Job> = dependents[job.id].orEmpty()
 
-    private fun isWithdrawn(id: String) = finalOf(id)?.st == WorkStates.WITHDRAWN || openJobs[id]?.dependencyWithdrawn == true
+    private fun isWithdrawn(id: String) =
+        finalOf(id)?.st == WorkStates.WITHDRAWN || openJobs[id]?.dependencyWithdrawn == true
 
-    private fun finished(job: Job, id: String) {
+    private fun finished(
+        job: Job,
+        id: String,
+    ) {
         job.unfinishedDependencies.remove(id)
         if (job.waitsForOthers) return
         job.readyAt = now.wall
--- a/src/main/kotlin/ledgearch/core/Journal.kt
+++ b/src/main/kotlin/ledgearch/core/Journal.kt
@@ -20,11 +20,21 @@
  * a transaction that is applied late, after another grant, changes nothing. Applied late under the same grant it changes
  * nothing either that was written since, as every key is compared too ([KeyStamps]; a job that closes, by its own stamp).
  */
-internal class Journal(private val state: StateClient, private val election: Election, private val book: Book, private val now: Now, private val valueBytes: Int) {
+internal class Journal(
+    private val state: StateClient,
+    private val election: Election,
+    private val book: Book,
+    private val now: Now,
+    private val valueBytes: Int,
+) {
     private val log = LoggerFactory.getLogger("ledgearch.state")
 
     /** One part of a batch: its changes go in together or not at all. [closes]: the job that they close. */
-    private class Entry(val changes: List<Change>, val closes: Job? = null, val done: () -> Unit) {
+    private class Entry(
+        val changes: List<Change>,
+        val closes: Job? = null,
+        val done: () -> Unit,
+    ) {
         /** By which it is known from try to try. */
         val key: String = changes.first().let { it.put ?: it.remove.orEmpty() }
         val bytes: Int = changes.sumOf { change -> change.v?.let(::bytes) ?: 0 }
@@ -90,18 +100,29 @@
     fun bind(machine: Machine) = machines.put(machine)
 
     /** The machines of a record that an earlier holder wrote. */
-    fun restore(name: String, pair: KeyValue, teams: Teams, nowMs: Long): List<Machine> = machines.restore(name, pair, teams, nowMs)
+    fun restore(
+        name: String,
+        pair: KeyValue,
+        teams: Teams,
+        nowMs: Long,
+    ): List<Machine> = machines.restore(name, pair, teams, nowMs)
 
     fun remove(key: String) {
         removals.add(key)
     }
 
     /** A new holder has read [key]. */
-    fun read(key: String, stamp: Long) = stamps.read(key, stamp)
+    fun read(
+        key: String,
+        stamp: Long,
+    ) = stamps.read(key, stamp)
 
     fun unbind(machine: Machine) = machines.remove(machine)
 
-    fun close(job: Job, state: String) {
+    fun close(
+        job: Job,
+        state: String,
+    ) {
         if (job.closing) return
         job.closing = true
         closings[job.id] = job to state
@@ -127,7 +148,10 @@
         val mine = tenure
         val conditions = ArrayList<Condition>()
         conditions.add(election.condition)
-        for (entry in entries) conditions += entry.closes?.let { listOf(Condition(Keys.job(it.id), it.stamp)) } ?: stamps.conditions(entry.changes)
+        for (entry in entries) {
+            conditions +=
+                entry.closes?.let { listOf(Condition(Keys.job(it.id), it.stamp)) } ?: stamps.conditions(entry.changes)
+        }
         state.txn(conditions, entries.flatMap { it.changes }, Lane.ORDINARY) { result ->
             if (tenure != mine) return@txn
             writing = false
@@ -140,9 +164,18 @@
                         entry.done()
                     }
                 }
-                is TxnResult.Conflict -> failed(result.failed.toSet(), conditions, under)
-                TxnResult.TooLarge -> separate(entries)
-                else -> retryAt = now.steady + Tuning.STATE_RETRY_MS
+
+                is TxnResult.Conflict -> {
+                    failed(result.failed.toSet(), conditions, under)
+                }
+
+                TxnResult.TooLarge -> {
+                    separate(entries)
+                }
+
+                else -> {
+                    retryAt = now.steady + Tuning.STATE_RETRY_MS
+                }
             }
         }
     }
@@ -159,7 +192,11 @@
     }
 
     /** Some comparison failed, so that nothing was written: what is to be compared is put right before the next try. */
-    private fun failed(keys: Set<String>, conditions: List<Condition>, under: Long) {
+    private fun failed(
+        keys: Set<String>,
+        conditions: List<Condition>,
+        under: Long,
+    ) {
         retryAt = now.steady + if (keys.isEmpty() || Keys.grant(0) in keys) Tuning.STATE_RETRY_MS else Tuning.TICK_MS
         if (Keys.grant(0) in keys) election.doubted(under)
         val mine = tenure
@@ -187,10 +224,17 @@
             // The stamp is compared so that a cancellation marked meanwhile is seen before the job is closed.
             if (book.jobs[id] !== job || outdated[id] == job.stamp) continue
             val record = FinalRecord(finalState, if (finalState == WorkStates.DONE) job.spec.portions else 0)
-            val changes = listOf(Change(put = Keys.final(id), v = encode(FinalRecord.serializer(), record)), Change(remove = Keys.job(id)))
+            val changes =
+                listOf(
+                    Change(put = Keys.final(id), v = encode(FinalRecord.serializer(), record)),
+                    Change(remove = Keys.job(id)),
+                )
             if (!batch.add(Entry(changes, job) { jobClosed(job, record) })) return
         }
-        closings.values.map { it.first }.filter { book.jobs[it.id] !== it }.forEach(::forget)
+        closings.values
+            .map { it.first }
+            .filter { book.jobs[it.id] !== it }
+            .forEach(::forget)
         for (job in progress.values) {
             // Until then its finished tasks stay on their machines' lists, from where the next holder would learn of them.
             if (job.closing || now.steady - job.progressAt < Tuning.PROGRESS_MS) continue
@@ -199,14 +243,28 @@
             if (written.isEmpty()) continue
             // Also one that is never answered may be written, and is to be removed in the end.
             written.keys.forEach(job.writtenChunks::set)
-            val changes = written.map { (chunk, tasks) -> Change(put = Keys.finished(job.id, chunk), v = encode(FinishedRecord.serializer(), FinishedRecord(Ranges.encode(tasks)))) }
+            val changes =
+                written.map { (chunk, tasks) ->
+                    Change(
+                        put = Keys.finished(job.id, chunk),
+                        v = encode(FinishedRecord.serializer(), FinishedRecord(Ranges.encode(tasks))),
+                    )
+                }
             if (!batch.add(Entry(changes) { progressWritten(job, written) })) return
         }
         for (key in removals.toList()) {
             if (!batch.add(Entry(listOf(Change(remove = key))) { removals.remove(key) })) return
         }
         catalog?.let { record ->
-            batch.add(Entry(listOf(Change(put = Keys.CATALOG, v = encode(CatalogRecord.serializer(), record)))) { if (catalog === record) catalog = null })
+            batch.add(
+                Entry(listOf(Change(put = Keys.CATALOG, v = encode(CatalogRecord.serializer(), record)))) {
+                    if (catalog ===
+                        record
+                    ) {
+                        catalog = null
+                    }
+                },
+            )
         }
     }
 
@@ -214,10 +272,18 @@
     private fun unwritten(job: Job): List<Int> {
         val tasks = job.finished.clone() as BitSet
         tasks.andNot(job.recorded)
-        return tasks.stream().map(chunks::numberOf).distinct().toArray().toList()
+        return tasks
+            .stream()
+            .map(chunks::numberOf)
+            .distinct()
+            .toArray()
+            .toList()
     }
 
-    private fun jobClosed(job: Job, record: FinalRecord) {
+    private fun jobClosed(
+        job: Job,
+        record: FinalRecord,
+    ) {
         forget(job)
         onClosed(job, record)
     }
@@ -231,7 +297,10 @@
     }
 
     /** [written]: by chunk, the tasks that are durable now. */
-    private fun progressWritten(job: Job, written: Map<Int, BitSet>) {
+    private fun progressWritten(
+        job: Job,
+        written: Map<Int, BitSet>,
+    ) {
         job.progressAt = now.steady
         written.values.forEach(job.recorded::or)
         // A final record written meanwhile would leave this chunk behind.
@@ -239,5 +308,8 @@
         if (job.finished == job.recorded) progress.remove(job.id)
     }
 
-    private fun <T> encode(serializer: KSerializer<T>, value: T): JsonElement = WireJson.encodeToJsonElement(serializer, value)
+    private fun <T> encode(
+        serializer: KSerializer<T>,
+        value: T,
+    ): JsonElement = WireJson.encodeToJsonElement(serializer, value)
 }
--- a/src/main/kotlin/ledgearch/core/KeyStamps.kt
+++ b/src/main/kotlin/ledgearch/core/KeyStamps.kt
@@ -11,21 +11,33 @@
  * compares its key's stamp, so that of several tries without an answer one at most is carried out: a late one never puts
  * what is older over what is newer. A comparison that fails says that a try was carried out, and the key is read anew.
  */
-internal class KeyStamps(private val state: StateClient) {
+internal class KeyStamps(
+    private val state: StateClient,
+) {
     private val stamps = HashMap<String, Long>()
 
     fun clear() = stamps.clear()
 
-    fun read(key: String, stamp: Long) {
+    fun read(
+        key: String,
+        stamp: Long,
+    ) {
         if (stamp == 0L) stamps.remove(key) else stamps[key] = stamp
     }
 
-    fun conditions(changes: List<Change>): List<Condition> = changes.map { Condition(keyOf(it), stamps[keyOf(it)] ?: 0) }
+    fun conditions(changes: List<Change>): List<Condition> =
+        changes.map { Condition(keyOf(it), stamps[keyOf(it)] ?: 0) }
 
-    fun written(changes: List<Change>, edition: Long) = changes.forEach { read(keyOf(it), if (it.put != null) edition else 0) }
+    fun written(
+        changes: List<Change>,
+        edition: Long,
+    ) = changes.forEach { read(keyOf(it), if (it.put != null) edition else 0) }
 
     /** Reads [keys], whose comparison failed; [done] once all are answered, or not: then they fail once more. */
-    fun readAnew(keys: List<String>, done: () -> Unit) {
+    fun readAnew(
+        keys: List<String>,
+        done: () -> Unit,
+    ) {
         var open = keys.size
         if (open == 0) return done()
         for (key in keys) {
--- a/src/main/kotlin/ledgearch/core/Machine.kt
+++ b/src/main/kotlin/ledgearch/core/Machine.kt
@@ -116,14 +116,20 @@
     }
 
     /** Makes a [change] to [p] that may alter what it counts for. */
-    inline fun recounting(p: Placement, change: () -> Unit) {
+    inline fun recounting(
+        p: Placement,
+        change: () -> Unit,
+    ) {
         if (p.attached) count(p, -1)
         change()
         if (p.attached) count(p, 1)
     }
 
     /** Counts are kept as attempts come, change and go: a recount of the whole block for each report would cost too much. */
-    fun count(p: Placement, sign: Int) {
+    fun count(
+        p: Placement,
+        sign: Int,
+    ) {
         if (p.exited) return
         if (p.status == TaskStatus.FETCHING || p.status == TaskStatus.DECIDED) fetching += sign
         if (p.status == TaskStatus.RUNNING) p.job?.let { it.runningCount += sign }
@@ -136,7 +142,8 @@
         val fresh = Room(rack)
         val here = placements.values.filter { !it.exited }
         here.forEach { fresh.take(it.job) }
-        return room.isAbout(fresh) && fetching == here.count { it.status == TaskStatus.FETCHING || it.status == TaskStatus.DECIDED }
+        return room.isAbout(fresh) &&
+            fetching == here.count { it.status == TaskStatus.FETCHING || it.status == TaskStatus.DECIDED }
     }
 
     fun hasRoom(job: Job): Boolean = placements.size < Tuning.MACHINE_TASKS && room.fits(job)
@@ -152,7 +159,10 @@
     fun roomLeft() = room.copy()
 
     /** How many tasks of [job] there is room for, at most [most]. */
-    fun roomFor(job: Job, most: Int): Int = room.count(job, most)
+    fun roomFor(
+        job: Job,
+        most: Int,
+    ): Int = room.count(job, most)
 
     /** Type, zone and kind allow tasks of [job]. */
     fun allows(job: Job): Boolean = job.allows(rack, hall, borrowed)
@@ -161,9 +171,19 @@
     val fetched = HashSet<String>()
 
     /** 0: the image is here, 1: it is being fetched, 2: it is not. */
-    fun imageDistance(image: String) = if (image !in images) 2 else if (image in fetched) 0 else 1
+    fun imageDistance(image: String) =
+        if (image !in images) {
+            2
+        } else if (image in fetched) {
+            0
+        } else {
+            1
+        }
 
-    fun touchImage(image: String, gb: Double) {
+    fun touchImage(
+        image: String,
+        gb: Double,
+    ) {
         images.remove(image)
         images[image] = gb
         var total = images.values.sum()
--- a/src/main/kotlin/ledgearch/core/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/core/MachineRecords.kt
@@ -19,8 +19,13 @@
  * the parts, the record is left as it is until fewer machines are left in it. It then names machines that are gone, which the
  * next holder finds out as it does of any machine that is missing, and never one too few.
  */
-internal class MachineRecords(valueBytes: Int, private val maxChanges: Int) {
-    private class Group(val name: String) {
+internal class MachineRecords(
+    valueBytes: Int,
+    private val maxChanges: Int,
+) {
+    private class Group(
+        val name: String,
+    ) {
         val machines = LinkedHashMap<String, Machine>()
 
         /** Changed since it was last written, and written at some time. */
@@ -32,7 +37,10 @@
     }
 
     /** Changes of one group, or of all parts of one, that go in together, and what they make durable once written. */
-    class Writing(val changes: List<Change>, val done: () -> Unit)
+    class Writing(
+        val changes: List<Change>,
+        val done: () -> Unit,
+    )
 
     private val mostBytes = (valueBytes * Tuning.VALUE_FILLED).toInt()
     private val groups = LinkedHashMap<String, Group>()
@@ -64,16 +72,23 @@
     }
 
     /** Machines of a record read by a new holder. */
-    fun restore(name: String, pair: KeyValue, teams: Teams, nowMs: Long): List<Machine> {
-        val record = if ((pair.v as? JsonObject)?.containsKey("endpoint") == true) {
-            decodeRecord(SingleMachineRecord.serializer(), pair.v)?.asOneOf(name)
-        } else {
-            decodeRecord(MachinesRecord.serializer(), pair.v)
-        } ?: return emptyList()
-        val group = Group(name).also {
-            it.dirty = false
-            groups[name] = it
-        }
+    fun restore(
+        name: String,
+        pair: KeyValue,
+        teams: Teams,
+        nowMs: Long,
+    ): List<Machine> {
+        val record =
+            if ((pair.v as? JsonObject)?.containsKey("endpoint") == true) {
+                decodeRecord(SingleMachineRecord.serializer(), pair.v)?.asOneOf(name)
+            } else {
+                decodeRecord(MachinesRecord.serializer(), pair.v)
+            } ?: return emptyList()
+        val group =
+            Group(name).also {
+                it.dirty = false
+                groups[name] = it
+            }
         return record.machines.mapNotNull { entry ->
             val rack = record.racks.getOrNull(entry.rack) ?: return@mapNotNull null
             Machine(entry.name, entry.endpoint, rack, entry.hall, entry.borrowed, nowMs, teams).also {
@@ -85,7 +100,10 @@
         }
     }
 
-    private fun join(m: Machine, group: Group) {
+    private fun join(
+        m: Machine,
+        group: Group,
+    ) {
         group.machines[m.name] = m
         groupOf[m.name] = group
     }
@@ -95,8 +113,11 @@
         for (piece in pieces(arrivals.values)) newGroup(piece)
         arrivals.clear()
         val changed = groups.values.filter { it.dirty && it.parts.first() === it }
-        return (changed.filter { g -> g.machines.values.any { !it.durable } } + changed.filter { g -> g.machines.values.all { it.durable } })
-            .asSequence().mapNotNull(::writing)
+        return (
+            changed.filter { g -> g.machines.values.any { !it.durable } } +
+                changed.filter { g -> g.machines.values.all { it.durable } }
+        ).asSequence()
+            .mapNotNull(::writing)
     }
 
     private fun newGroup(members: List<Machine>): Group {
@@ -111,7 +132,11 @@
 
     /** Null when the group can't be written: too large, and in too many parts for one transaction. */
     private fun writing(group: Group): Writing? {
-        if (group.parts.size == 1 && group.machines.isNotEmpty() && bytes(value(group)) > mostBytes && !split(group)) return null
+        if (group.parts.size == 1 && group.machines.isNotEmpty() && bytes(value(group)) > mostBytes &&
+            !split(group)
+        ) {
+            return null
+        }
         val parts = group.parts
         val members = parts.flatMap { it.machines.values }
         val versions = parts.map { it.version }
@@ -121,9 +146,18 @@
         }
     }
 
-    private fun written(group: Group, version: Int) {
+    private fun written(
+        group: Group,
+        version: Int,
+    ) {
         group.parts = listOf(group)
-        if (group.version != version) group.dirty = true else if (group.machines.isEmpty()) groups.remove(group.name) else group.dirty = false
+        if (group.version != version) {
+            group.dirty = true
+        } else if (group.machines.isEmpty()) {
+            groups.remove(group.name)
+        } else {
+            group.dirty = false
+        }
     }
 
     /** Splits a group for its next record; false when one transaction can't hold that. */
@@ -146,10 +180,23 @@
     private fun value(group: Group): JsonElement {
         val members = group.machines.values
         val racks = members.map { it.rack }.distinct()
-        return WireJson.encodeToJsonElement(MachinesRecord.serializer(), MachinesRecord(0, racks, members.map { entry(it, racks.indexOf(it.rack), it.draining) }))
-    }
-
-    private fun entry(m: Machine, rack: Int, aside: Boolean) = MachineEntry(m.name, m.endpoint, rack, m.hall, m.borrowed, aside)
+        return WireJson.encodeToJsonElement(
+            MachinesRecord.serializer(),
+            MachinesRecord(
+                0,
+                racks,
+                members.map {
+                    entry(it, racks.indexOf(it.rack), it.draining)
+                },
+            ),
+        )
+    }
+
+    private fun entry(
+        m: Machine,
+        rack: Int,
+        aside: Boolean,
+    ) = MachineEntry(m.name, m.endpoint, rack, m.hall, m.borrowed, aside)
 
     /** [machines] in order, in as few pieces as records have room for; each has room for every machine to be put aside. */
     private fun pieces(machines: Collection<Machine>): List<List<Machine>> {
@@ -173,13 +220,17 @@
     }
 
     /** With the comma after it. */
-    private fun entryBytes(m: Machine) = bytes(WireJson.encodeToJsonElement(MachineEntry.serializer(), entry(m, ANY_RACK, aside = true))) + 1
+    private fun entryBytes(m: Machine) =
+        bytes(WireJson.encodeToJsonElement(MachineEntry.serializer(), entry(m, ANY_RACK, aside = true))) + 1
 
     private fun rackBytes(rack: Rack) = bytes(WireJson.encodeToJsonElement(Rack.serializer(), rack)) + 1
 
     private companion object {
         /** Of a record without machines. */
-        val EMPTY_BYTES = bytes(WireJson.encodeToJsonElement(MachinesRecord.serializer(), MachinesRecord(0, emptyList(), emptyList())))
+        val EMPTY_BYTES =
+            bytes(
+                WireJson.encodeToJsonElement(MachinesRecord.serializer(), MachinesRecord(0, emptyList(), emptyList())),
+            )
 
         /** As long a number as the place of a machine's type can be. */
         const val ANY_RACK = 10
--- a/src/main/kotlin/ledgearch/core/MeteredTransport.kt
+++ b/src/main/kotlin/ledgearch/core/MeteredTransport.kt
@@ -10,14 +10,25 @@
     private val metrics: Metrics,
     private val now: Now,
 ) : Transport {
-    override fun call(address: String, method: String, target: String, body: String?, timeoutMs: Long, done: (Reply) -> Unit) {
-        val what = when {
-            address == outside.cloud -> "cloud"
-            address != outside.state -> "worker"
-            // A watch is answered when something changes: how long that took says nothing.
-            target.startsWith("/changes") -> return inner.call(address, method, target, body, timeoutMs, done)
-            else -> "state"
-        }
+    override fun call(
+        address: String,
+        method: String,
+        target: String,
+        body: String?,
+        timeoutMs: Long,
+        done: (Reply) -> Unit,
+    ) {
+        val what =
+            when {
+                address == outside.cloud -> "cloud"
+
+                address != outside.state -> "worker"
+
+                // A watch is answered when something changes: how long that took says nothing.
+                target.startsWith("/changes") -> return inner.call(address, method, target, body, timeoutMs, done)
+
+                else -> "state"
+            }
         val startedAt = now.steady
         inner.call(address, method, target, body, timeoutMs) { reply ->
             metrics.answered(what, reply.status, startedAt)
--- a/src/main/kotlin/ledgearch/core/Metrics.kt
+++ b/src/main/kotlin/ledgearch/core/Metrics.kt
@@ -6,11 +6,17 @@
 import org.HdrHistogram.IntCountsHistogram
 
 /** Counters, latencies and where the owner's time goes since the process began, as `GET /metrics` shows them. */
-internal class Metrics(private val now: Now, private val nanos: () -> Long) {
+internal class Metrics(
+    private val now: Now,
+    private val nanos: () -> Long,
+) {
     private val spent = LinkedHashMap<String, Long>()
 
     /** Does [work] and counts its time as spent on [what]. */
-    inline fun <T> spend(what: String, work: () -> T): T {
+    inline fun <T> spend(
+        what: String,
+        work: () -> T,
+    ): T {
         val began = nanos()
         val result = work()
         spent.merge(what, nanos() - began, Long::plus)
@@ -30,14 +36,24 @@
     private val counters = LinkedHashMap<String, Long>()
     private val latencies = LinkedHashMap<String, IntCountsHistogram>()
 
-    fun count(what: String, by: Long = 1) {
+    fun count(
+        what: String,
+        by: Long = 1,
+    ) {
         counters.merge(what, by, Long::plus)
     }
 
     /** An exchange of kind [what] that began at [startedAt] (steady ms) ended with [status]; 0: with no answer. */
-    fun answered(what: String, status: Int, startedAt: Long) {
+    fun answered(
+        what: String,
+        status: Int,
+        startedAt: Long,
+    ) {
         count("$what.$status")
-        latencies.getOrPut(what) { IntCountsHistogram(LONGEST_MS, DIGITS) }.recordValue((now.steady - startedAt).coerceIn(0, LONGEST_MS))
+        latencies
+            .getOrPut(what) {
+                IntCountsHistogram(LONGEST_MS, DIGITS)
+            }.recordValue((now.steady - startedAt).coerceIn(0, LONGEST_MS))
     }
 
     private val batches = IntCountsHistogram(LONGEST_US, DIGITS)
@@ -45,7 +61,10 @@
     private val gaps = IntCountsHistogram(LONGEST_MS, DIGITS)
 
     /** The owner worked off a batch in [micros] and left [waiting] commands in its queue. */
-    fun worked(micros: Long, waiting: Int) {
+    fun worked(
+        micros: Long,
+        waiting: Int,
+    ) {
         batches.recordValue(micros.coerceIn(0, LONGEST_US))
         queue.recordValue(waiting.toLong().coerceIn(0, Tuning.QUEUE.toLong()))
     }
@@ -53,13 +72,31 @@
     /** A tick came [gapMs] after the one before. */
     fun ticked(gapMs: Long) = gaps.recordValue(gapMs.coerceIn(0, LONGEST_MS))
 
-    fun report(node: String, token: Long, jobs: Int, machines: Int, tasks: Int) = MetricsReport(
-        node, token, jobs, machines, tasks, OwnerLoad(summary(batches), summary(queue), summary(gaps), spentMs()), counters.toSortedMap(),
+    fun report(
+        node: String,
+        token: Long,
+        jobs: Int,
+        machines: Int,
+        tasks: Int,
+    ) = MetricsReport(
+        node,
+        token,
+        jobs,
+        machines,
+        tasks,
+        OwnerLoad(summary(batches), summary(queue), summary(gaps), spentMs()),
+        counters.toSortedMap(),
         latencies.toSortedMap().mapValues { (_, h) -> summary(h) },
     )
 
     private fun summary(h: IntCountsHistogram) =
-        Summary(h.totalCount, h.getValueAtPercentile(50.0), h.getValueAtPercentile(90.0), h.getValueAtPercentile(99.0), h.maxValue)
+        Summary(
+            h.totalCount,
+            h.getValueAtPercentile(50.0),
+            h.getValueAtPercentile(90.0),
+            h.getValueAtPercentile(99.0),
+            h.maxValue,
+        )
 
     companion object {
         const val NANOS_PER_MS = 1_000_000L
@@ -98,4 +135,10 @@
 )
 
 @Serializable
-internal data class Summary(val count: Long, val p50: Long, val p90: Long, val p99: Long, val max: Long)
+internal data class Summary(
+    val count: Long,
+    val p50: Long,
+    val p90: Long,
+    val p99: Long,
+    val max: Long,
+)
--- a/src/main/kotlin/ledgearch/core/OwnTime.kt
+++ b/src/main/kotlin/ledgearch/core/OwnTime.kt
@@ -6,7 +6,10 @@
  * Whether this node keeps up. While it is behind, reports and answers wait to be read here: nobody was silent, and a
  * time-out may be this node's own.
  */
-internal class OwnTime(private val now: Now, private val metrics: Metrics) {
+internal class OwnTime(
+    private val now: Now,
+    private val metrics: Metrics,
+) {
     private var tickAt = 0L
     private var passAt = Long.MIN_VALUE / 2
 
@@ -35,7 +38,11 @@
      * would keep the node behind, and leave workers without answers.
      */
     fun mayPass(): Boolean {
-        val pause = maxOf(if (behind) Tuning.BEHIND_PASS_MS else Tuning.PASS_MS, minOf(passTook * Tuning.PASS_REST, Tuning.MOST_PASS_MS))
+        val pause =
+            maxOf(
+                if (behind) Tuning.BEHIND_PASS_MS else Tuning.PASS_MS,
+                minOf(passTook * Tuning.PASS_REST, Tuning.MOST_PASS_MS),
+            )
         if (now.steady - passAt < pause) return false
         passAt = now.steady
         return true
--- a/src/main/kotlin/ledgearch/core/Ranges.kt
+++ b/src/main/kotlin/ledgearch/core/Ranges.kt
@@ -18,7 +18,11 @@
     }
 
     /** Adds the ranges in [text] to [bits]; what makes no sense or is out of [limit] is left out. */
-    fun decode(text: String, bits: BitSet, limit: Int) {
+    fun decode(
+        text: String,
+        bits: BitSet,
+        limit: Int,
+    ) {
         for (part in text.split(',')) {
             val from = part.substringBefore('-').toIntOrNull() ?: continue
             val to = part.substringAfter('-').toIntOrNull() ?: continue
--- a/src/main/kotlin/ledgearch/core/Records.kt
+++ b/src/main/kotlin/ledgearch/core/Records.kt
@@ -12,12 +12,16 @@
 private val log = LoggerFactory.getLogger("ledgearch.state")
 
 /** A stored value as a record, or null when something else must have written it. */
-internal fun <T> decodeRecord(serializer: DeserializationStrategy<T>, value: JsonElement?): T? = try {
-    value?.let { WireJson.decodeFromJsonElement(serializer, it) }
-} catch (e: SerializationException) {
-    log.error("a record in the state service can't be read and is left alone: {}", e.message)
-    null
-}
+internal fun <T> decodeRecord(
+    serializer: DeserializationStrategy<T>,
+    value: JsonElement?,
+): T? =
+    try {
+        value?.let { WireJson.decodeFromJsonElement(serializer, it) }
+    } catch (e: SerializationException) {
+        log.error("a record in the state service can't be read and is left alone: {}", e.message)
+        null
+    }
 
 /** What the state service holds; every key of the service is named here. */
 internal object Keys {
@@ -33,35 +37,61 @@
     const val FINISHED = "f/"
 
     fun grant(block: Int) = "$GRANTS$block"
+
     fun silence(block: Int) = "$GRANTS$block/silence"
+
     fun job(id: String) = "$JOBS$id"
+
     fun final(id: String) = "$FINALS$id"
+
     fun machine(name: String) = "$MACHINES$name"
-    fun finished(id: String, chunk: Int) = "$FINISHED$id/$chunk"
+
+    fun finished(
+        id: String,
+        chunk: Int,
+    ) = "$FINISHED$id/$chunk"
 }
 
 /** An accepted, unfinished job. */
 @Serializable
-internal data class JobRecord(val spec: WorkRequest, val at: Long, val cancel: Boolean = false)
+internal data class JobRecord(
+    val spec: WorkRequest,
+    val at: Long,
+    val cancel: Boolean = false,
+)
 
 /** A job that is over, for ever. */
 @Serializable
-internal data class FinalRecord(val st: String, val n: Int = 0)
+internal data class FinalRecord(
+    val st: String,
+    val n: Int = 0,
+)
 
 /**
  * Who holds a block. The stamp of this record is the block's token. [over]: the token that it renews, 0 for a claim and in
  * records of earlier versions.
  */
 @Serializable
-internal data class GrantRecord(val node: String, val life: Long, val over: Long = 0)
+internal data class GrantRecord(
+    val node: String,
+    val life: Long,
+    val over: Long = 0,
+)
 
 /** A holder gave the block up at this time of day (ms), since it heard next to no machine. */
 @Serializable
-internal data class SilenceRecord(val node: String, val at: Long)
+internal data class SilenceRecord(
+    val node: String,
+    val at: Long,
+)
 
 /** Machines of a block, written before anything starts on them. */
 @Serializable
-internal data class MachinesRecord(val block: Int, val racks: List<Rack>, val machines: List<MachineEntry>)
+internal data class MachinesRecord(
+    val block: Int,
+    val racks: List<Rack>,
+    val machines: List<MachineEntry>,
+)
 
 /** The form of earlier versions: one machine a record, by its name. */
 @Serializable
@@ -72,7 +102,8 @@
     val borrowed: Boolean,
     val aside: Boolean = false,
 ) {
-    fun asOneOf(name: String) = MachinesRecord(0, listOf(rack), listOf(MachineEntry(name, endpoint, 0, hall, borrowed, aside)))
+    fun asOneOf(name: String) =
+        MachinesRecord(0, listOf(rack), listOf(MachineEntry(name, endpoint, 0, hall, borrowed, aside)))
 }
 
 /** One of them, with the place of its type among the record's. [aside]: it fails what it starts, and gets nothing new. */
@@ -88,8 +119,12 @@
 
 /** The finished tasks of one chunk of a job, as ranges: `0-3,7`. */
 @Serializable
-internal data class FinishedRecord(val r: String)
+internal data class FinishedRecord(
+    val r: String,
+)
 
 /** The last catalog seen, so that a restart while the cloud is out still knows the machine types. */
 @Serializable
-internal data class CatalogRecord(val racks: List<Rack>)
+internal data class CatalogRecord(
+    val racks: List<Rack>,
+)
--- a/src/main/kotlin/ledgearch/core/Replicas.kt
+++ b/src/main/kotlin/ledgearch/core/Replicas.kt
@@ -4,24 +4,35 @@
 import org.slf4j.LoggerFactory
 
 /** Replicas of services on machines that are to go. */
-internal class Replicas(private val now: Now, private val usable: (Machine) -> Boolean, private val stop: (Placement) -> Unit) {
+internal class Replicas(
+    private val now: Now,
+    private val usable: (Machine) -> Boolean,
+    private val stop: (Placement) -> Unit,
+) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
 
     /**
      * The replicas on [m] have settled, and others of [machines] have room for them and their images, in the same zone
      * where the zone matters: moved there, each is away for no longer than a start takes.
      */
-    fun canMove(m: Machine, machines: List<Machine>): Boolean {
+    fun canMove(
+        m: Machine,
+        machines: List<Machine>,
+    ): Boolean {
         val replicas = m.placements.values.filter { it.job?.standing == true && !it.exited }
         if (replicas.isEmpty()) return true
         val rooms = machines.filter { it !== m && usable(it) }.associateWith { it.roomLeft() }
         return replicas.all { p ->
             val job = p.job ?: return false
-            val settled = p.status == TaskStatus.RUNNING && now.steady - p.runningSince > Tuning.SETTLED_MS && p.stop == Stop.NONE
+            val settled =
+                p.status == TaskStatus.RUNNING && now.steady - p.runningSince > Tuning.SETTLED_MS && p.stop == Stop.NONE
             val anywhere = !job.spec.apart && !job.spec.samePlace
-            val target = rooms.entries.firstOrNull { (to, room) ->
-                settled && (anywhere || to.hall == m.hall) && to.allows(job) && to.imageDistance(job.spec.recipe) == 0 && room.fits(job)
-            }
+            val target =
+                rooms.entries.firstOrNull { (to, room) ->
+                    settled && (anywhere || to.hall == m.hall) && to.allows(job) &&
+                        to.imageDistance(job.spec.recipe) == 0 &&
+                        room.fits(job)
+                }
             target?.value?.take(job)
             target != null
         }
--- a/src/main/kotlin/ledgearch/core/Room.kt
+++ b/src/main/kotlin/ledgearch/core/Room.kt
@@ -4,24 +4,30 @@
 import kotlin.math.abs
 
 /** What is free of a machine's processors, accelerators and memory. */
-internal class Room(private val rack: Rack) {
+internal class Room(
+    private val rack: Rack,
+) {
     var cpus = rack.vcpus
         private set
     private var gpus = rack.accelerators
     private var memory = rack.memoryGb
 
-    fun copy() = Room(rack).also {
-        it.cpus = cpus
-        it.gpus = gpus
-        it.memory = memory
-    }
+    fun copy() =
+        Room(rack).also {
+            it.cpus = cpus
+            it.gpus = gpus
+            it.memory = memory
+        }
 
     fun take(job: Job?) = add(job, -1)
 
     fun give(job: Job?) = add(job, 1)
 
     /** A task of an unknown job may take as much as the machine has. */
-    private fun add(job: Job?, sign: Int) {
+    private fun add(
+        job: Job?,
+        sign: Int,
+    ) {
         val spec = job?.spec
         cpus += sign * (spec?.vcpus ?: rack.vcpus)
         gpus += sign * (spec?.accelerators ?: rack.accelerators)
@@ -29,9 +35,15 @@
     }
 
     /** How many tasks of [job] fit, at most [most]. */
-    fun count(job: Job, most: Int): Int {
+    fun count(
+        job: Job,
+        most: Int,
+    ): Int {
         val spec = job.spec
-        return minOf(tasks(cpus, spec.vcpus, gpus, spec.accelerators, most), tasks(memory, spec.memoryGb, 0.0, 0.0, most))
+        return minOf(
+            tasks(cpus, spec.vcpus, gpus, spec.accelerators, most),
+            tasks(memory, spec.memoryGb, 0.0, 0.0, most),
+        )
     }
 
     fun fits(job: Job): Boolean {
@@ -41,12 +53,25 @@
             spec.memoryGb <= memory + Machine.ROUNDING
     }
 
-    fun isAbout(other: Room) = listOf(cpus - other.cpus, gpus - other.gpus, memory - other.memory).all { abs(it) <= Machine.ROUNDING }
+    fun isAbout(other: Room) =
+        listOf(cpus - other.cpus, gpus - other.gpus, memory - other.memory).all {
+            abs(it) <=
+                Machine.ROUNDING
+        }
 
     companion object {
         /** How often [each] and [eachToo] fit into [free] and [freeToo], at most [most]. */
-        fun tasks(free: Double, each: Double, freeToo: Double, eachToo: Double, most: Int): Int {
-            fun by(have: Double, need: Double) = if (need > 0) (have + Machine.ROUNDING) / need else Double.MAX_VALUE
+        fun tasks(
+            free: Double,
+            each: Double,
+            freeToo: Double,
+            eachToo: Double,
+            most: Int,
+        ): Int {
+            fun by(
+                have: Double,
+                need: Double,
+            ) = if (need > 0) (have + Machine.ROUNDING) / need else Double.MAX_VALUE
             return minOf(by(free, each), by(freeToo, eachToo)).coerceIn(0.0, most.toDouble()).toInt()
         }
     }
--- a/src/main/kotlin/ledgearch/core/Silence.kt
+++ b/src/main/kotlin/ledgearch/core/Silence.kt
@@ -38,7 +38,16 @@
     fun drive() {
         if (now.steady < watchAt) return
         watchAt = now.steady + Tuning.WATCH_SILENCE_MS
-        val back = cutZones.update(machines.values) { if (it.inherited && !it.confirmed) false else !silentFor(it, Tuning.CUT_REPORTS) }
+        val back =
+            cutZones.update(machines.values) {
+                if (it.inherited &&
+                    !it.confirmed
+                ) {
+                    false
+                } else {
+                    !silentFor(it, Tuning.CUT_REPORTS)
+                }
+            }
         for (m in machines.values) m.overdue = silentFor(m, Tuning.OVERDUE_REPORTS)
         if (back.isNotEmpty()) machines.values.filter { it.hall in back }.forEach(::startAnew)
         releaseMissing()
@@ -77,28 +86,43 @@
      * Where most machines are missing, it takes the time in which every worker would have reported by itself to tell
      * that it is not this node, and as long as it is heard by some.
      */
-    private fun hearsEnough(confirmed: Int, all: Int) = confirmed > all * Tuning.MOST ||
-        (confirmed > all * Tuning.HEARD_SHARE && now.steady - maxOf(own.lateAt, election.grantedAt) > (reportMs * Tuning.CUT_REPORTS).toLong())
+    private fun hearsEnough(
+        confirmed: Int,
+        all: Int,
+    ) = confirmed > all * Tuning.MOST ||
+        (
+            confirmed > all * Tuning.HEARD_SHARE &&
+                now.steady - maxOf(own.lateAt, election.grantedAt) > (reportMs * Tuning.CUT_REPORTS).toLong()
+        )
 
     /**
      * Reports alone are no health: a machine that is heard, but that neither answers nor commands reach, would hold its
      * tasks for ever and be given more.
      */
     private fun releaseUnreached() {
-        val lost = courier.broken.filter {
-            !it.releasing && !mayComeBack(it) && it.probesFailed >= Tuning.PROBES && now.steady - it.brokenSince > (reportMs * Tuning.LOST_REPORTS).toLong()
-        }
+        val lost =
+            courier.broken.filter {
+                !it.releasing && !mayComeBack(it) && it.probesFailed >= Tuning.PROBES &&
+                    now.steady - it.brokenSince > (reportMs * Tuning.LOST_REPORTS).toLong()
+            }
         val mostBroken = courier.broken.size > machines.size * Tuning.MOST
         for (m in lost) {
             // Then it may be this node, for a time.
             if (mostBroken && now.steady - m.brokenSince < Tuning.PATH_FAULT_MS) continue
-            log.warn("machine {} is heard but not reached for {} ms; it is released", m.name, now.steady - m.brokenSince)
+            log.warn(
+                "machine {} is heard but not reached for {} ms; it is released",
+                m.name,
+                now.steady - m.brokenSince,
+            )
             release(m)
         }
     }
 
-    private fun silentFor(m: Machine, reports: Double) =
-        now.steady - maxOf(m.reportedAt, own.lateAt, election.grantedAt, cutZones.backAt(m.hall)) > (reportMs * reports).toLong()
+    private fun silentFor(
+        m: Machine,
+        reports: Double,
+    ) = now.steady - maxOf(m.reportedAt, own.lateAt, election.grantedAt, cutZones.backAt(m.hall)) >
+        (reportMs * reports).toLong()
 
     private fun watch() {
         val active = machines.values.filter { !it.releasing }
@@ -137,8 +161,9 @@
      * Its worker answers direct commands and reports to nobody here. Where most do so the fault may be this node's, and
      * they are kept for some time: a fleet is not given back for a fault on one path.
      */
-    private fun isMute(m: Machine) = m.confirmed && m.probesFailed == 0 && !m.pushBroken && m.heardAt > m.reportedAt &&
-        silentFor(m, Tuning.CUT_REPORTS) && now.steady - m.reportedAt < Tuning.PATH_FAULT_MS
+    private fun isMute(m: Machine) =
+        m.confirmed && m.probesFailed == 0 && !m.pushBroken && m.heardAt > m.reportedAt &&
+            silentFor(m, Tuning.CUT_REPORTS) && now.steady - m.reportedAt < Tuning.PATH_FAULT_MS
 
     /** The time that its notice gave is over, and it was not heard since. */
     private fun isTaken(m: Machine) =
@@ -148,21 +173,32 @@
      * [m] is overdue and answers no probe, while most others, and one of its zone, were heard since it was due: so it
      * is neither this node nor a zone that is cut off, and nothing is gained by waiting for more reports.
      */
-    private fun surelyLost(m: Machine, heard: Heard): Boolean {
+    private fun surelyLost(
+        m: Machine,
+        heard: Heard,
+    ): Boolean {
         if (m.releasing || !m.confirmed || m.probesFailed < Tuning.PROBES) return false
         val due = m.heardAt + (reportMs * Tuning.DUE_REPORTS).toLong()
         return heard.since(due) > heard.size * Tuning.MOST && heard.inZoneSince(m.hall, due)
     }
 
     /** When [machines] were last heard, ordered once: hundreds that are silent each ask how many others are not. */
-    private class Heard(machines: List<Machine>) {
+    private class Heard(
+        machines: List<Machine>,
+    ) {
         private val times = machines.map { it.heardAt }.sorted()
-        private val lastInZone = machines.groupingBy { it.hall }.fold(Long.MIN_VALUE) { last, m -> maxOf(last, m.heardAt) }
+        private val lastInZone =
+            machines.groupingBy { it.hall }.fold(
+                Long.MIN_VALUE,
+            ) { last, m -> maxOf(last, m.heardAt) }
         val size get() = times.size
 
         fun since(due: Long) = times.size - times.binarySearch { if (it > due) 1 else -1 }.inv()
 
-        fun inZoneSince(hall: String, due: Long) = (lastInZone[hall] ?: Long.MIN_VALUE) > due
+        fun inZoneSince(
+            hall: String,
+            due: Long,
+        ) = (lastInZone[hall] ?: Long.MIN_VALUE) > due
     }
 
     /**
--- a/src/main/kotlin/ledgearch/core/Takeover.kt
+++ b/src/main/kotlin/ledgearch/core/Takeover.kt
@@ -51,15 +51,28 @@
                 is ReadResult.Found -> {
                     toRead.removeFirst()
                     result.value.pairs.forEach { restore(prefix, it) }
-                    if (result.value.hasNext && result.value.pairs.isNotEmpty()) toRead.addFirst(prefix to result.value.pairs.last().key)
+                    if (result.value.hasNext && result.value.pairs.isNotEmpty()) {
+                        toRead.addFirst(
+                            prefix to
+                                result.value.pairs
+                                    .last()
+                                    .key,
+                        )
+                    }
                     if (toRead.none { it.first == Keys.MACHINES }) machinesRead = true
                 }
-                else -> retryAt = now.steady + Tuning.STATE_RETRY_MS
+
+                else -> {
+                    retryAt = now.steady + Tuning.STATE_RETRY_MS
+                }
             }
         }
     }
 
-    private fun restore(prefix: String, pair: KeyValue) {
+    private fun restore(
+        prefix: String,
+        pair: KeyValue,
+    ) {
         val name = pair.key.removePrefix(prefix)
         journal.read(pair.key, pair.stamp)
         if (prefix == Keys.MACHINES) {
@@ -68,7 +81,11 @@
             val id = name.substringBefore('/')
             val job = book.jobs[id]
             val record = decodeRecord(FinishedRecord.serializer(), pair.v)
-            if (job == null) journal.remove(pair.key) else if (record != null) job.restoreFinished(record.r, name.substringAfter('/').toIntOrNull() ?: 0)
+            if (job == null) {
+                journal.remove(pair.key)
+            } else if (record != null) {
+                job.restoreFinished(record.r, name.substringAfter('/').toIntOrNull() ?: 0)
+            }
         }
     }
 }
--- a/src/main/kotlin/ledgearch/core/TaskNews.kt
+++ b/src/main/kotlin/ledgearch/core/TaskNews.kt
@@ -22,7 +22,10 @@
     private val log = LoggerFactory.getLogger("ledgearch.core")
 
     /** [m] has told all tasks on it. */
-    fun listed(m: Machine, entries: List<PortionReport>) {
+    fun listed(
+        m: Machine,
+        entries: List<PortionReport>,
+    ) {
         for (entry in entries) {
             val known = m.placements.get(entry.`try`)
             val p = known ?: found(m, entry)
@@ -40,7 +43,10 @@
     }
 
     /** An attempt that an earlier holder started, or one of a job that is over. */
-    private fun found(m: Machine, entry: PortionReport): Placement {
+    private fun found(
+        m: Machine,
+        entry: PortionReport,
+    ): Placement {
         val id = entry.portion.substringBefore('/')
         val index = entry.portion.substringAfter('/', "").toIntOrNull() ?: -1
         val job = book.jobs[id]?.takeIf { index in 0 until it.spec.portions && !it.placements.containsKey(index) }
@@ -56,7 +62,10 @@
         return p
     }
 
-    private fun update(p: Placement, entry: PortionReport) {
+    private fun update(
+        p: Placement,
+        entry: PortionReport,
+    ) {
         val first = !p.seen
         p.seen = true
         val job = p.job
@@ -65,22 +74,34 @@
                 if (first && job != null) p.machine.touchImage(job.spec.recipe, job.spec.sizeGb)
                 p.status = TaskStatus.FETCHING
             }
-            PortionStates.RUNNING -> if (p.status != TaskStatus.RUNNING) {
-                p.runningSince = now.steady
-                p.status = TaskStatus.RUNNING
-                log.debug("{} try {} runs on {}", p.task, p.attempt, p.machine.name)
-                if (job != null) {
-                    p.machine.touchImage(job.spec.recipe, job.spec.sizeGb)
-                    // Hurried work goes where its image is.
-                    if (p.machine.fetched.add(job.spec.recipe)) changed()
+
+            PortionStates.RUNNING -> {
+                if (p.status != TaskStatus.RUNNING) {
+                    p.runningSince = now.steady
+                    p.status = TaskStatus.RUNNING
+                    log.debug("{} try {} runs on {}", p.task, p.attempt, p.machine.name)
+                    if (job != null) {
+                        p.machine.touchImage(job.spec.recipe, job.spec.sizeGb)
+                        // Hurried work goes where its image is.
+                        if (p.machine.fetched.add(job.spec.recipe)) changed()
+                    }
                 }
             }
-            PortionStates.SAVING -> p.status = TaskStatus.SAVING
-            PortionStates.EXITED -> if (!p.exited) exited(p, entry.cause)
+
+            PortionStates.SAVING -> {
+                p.status = TaskStatus.SAVING
+            }
+
+            PortionStates.EXITED -> {
+                if (!p.exited) exited(p, entry.cause)
+            }
         }
     }
 
-    private fun exited(p: Placement, cause: String?) {
+    private fun exited(
+        p: Placement,
+        cause: String?,
+    ) {
         p.status = TaskStatus.EXITED
         p.cause = cause
         changed()
@@ -97,20 +118,36 @@
                 job.errorMachines.forEach { name -> machines[name]?.let { blame(it, job) } }
                 job.errorMachines.clear()
                 if (!job.standing) {
-                    if (p.runningSince > 0 && !p.inherited && job.spec.stirS == 0.0) estimates.ran(job, (now.steady - p.runningSince) / 1000.0)
+                    if (p.runningSince > 0 && !p.inherited &&
+                        job.spec.stirS == 0.0
+                    ) {
+                        estimates.ran(job, (now.steady - p.runningSince) / 1000.0)
+                    }
                     job.finish(p.index)
                     if (!job.closed) journal.progress(job)
                     if (job.complete) journal.close(job, WorkStates.DONE)
                 }
             }
-            Causes.ERROR -> failedTask(m, job)
-            Causes.FULL, Causes.BUSY -> m.refusedUntil = now.steady + Tuning.REFUSED_MS
-            Causes.UNKNOWN -> job.notBefore = now.steady + Tuning.REFUSED_MS
+
+            Causes.ERROR -> {
+                failedTask(m, job)
+            }
+
+            Causes.FULL, Causes.BUSY -> {
+                m.refusedUntil = now.steady + Tuning.REFUSED_MS
+            }
+
+            Causes.UNKNOWN -> {
+                job.notBefore = now.steady + Tuning.REFUSED_MS
+            }
         }
         job.free(p)
     }
 
-    private fun failedTask(m: Machine, job: Job) {
+    private fun failedTask(
+        m: Machine,
+        job: Job,
+    ) {
         m.errorJobs.add(job.id)
         m.errorsInRow++
         job.errorMachines.add(m.name)
@@ -133,7 +170,10 @@
     }
 
     /** Puts [m] aside when several jobs failed on it in a row, or several tasks of one that is done elsewhere. */
-    private fun blame(m: Machine, job: Job) {
+    private fun blame(
+        m: Machine,
+        job: Job,
+    ) {
         val several = m.errorJobs.size >= Tuning.SICK_ERRORS
         val provenElsewhere = m.errorsInRow >= Tuning.SICK_ERRORS && job.id in m.errorJobs && !job.finished.isEmpty
         if (m.draining || !(several || provenElsewhere)) return
--- a/src/main/kotlin/ledgearch/core/Teams.kt
+++ b/src/main/kotlin/ledgearch/core/Teams.kt
@@ -6,8 +6,12 @@
 import kotlin.math.abs
 
 /** What each team's tasks may be using at most, and whether more may start. */
-internal class Teams(teams: List<Team>) {
-    private class Use(val team: Team) {
+internal class Teams(
+    teams: List<Team>,
+) {
+    private class Use(
+        val team: Team,
+    ) {
         var cpus = 0.0
         var gpus = 0.0
 
@@ -28,8 +32,9 @@
             keptGpus = 0.0
         }
 
-        fun isAbout(other: Use) = abs(cpus - other.cpus) <= Machine.ROUNDING && abs(gpus - other.gpus) <= Machine.ROUNDING &&
-            abs(keptCpus - other.keptCpus) <= Machine.ROUNDING && abs(keptGpus - other.keptGpus) <= Machine.ROUNDING
+        fun isAbout(other: Use) =
+            abs(cpus - other.cpus) <= Machine.ROUNDING && abs(gpus - other.gpus) <= Machine.ROUNDING &&
+                abs(keptCpus - other.keptCpus) <= Machine.ROUNDING && abs(keptGpus - other.keptGpus) <= Machine.ROUNDING
     }
 
     private val uses = teams.associate { it.name to Use(it) }
@@ -62,7 +67,10 @@
     }
 
     /** [p] comes ([sign] 1) or goes (-1); between the two it counts for its team's limit, stopped or not. */
-    fun count(p: Placement, sign: Int) {
+    fun count(
+        p: Placement,
+        sign: Int,
+    ) {
         val job = p.job ?: return countUnknown(p.machine.rack, sign)
         if (p.stop == Stop.NONE) goingOn[job.urgency] += sign
         val use = uses[job.spec.crew] ?: return
@@ -74,13 +82,19 @@
     }
 
     /** What [rack] holds could be anyone's. */
-    fun countUnknown(rack: Rack, sign: Int) {
+    fun countUnknown(
+        rack: Rack,
+        sign: Int,
+    ) {
         unknownCpus += sign * rack.vcpus
         unknownGpus += sign * rack.accelerators
     }
 
     /** [rack] may hold any task of a job that is older than this holder and whose tasks have not all been found. */
-    fun countHidden(rack: Rack, sign: Int) {
+    fun countHidden(
+        rack: Rack,
+        sign: Int,
+    ) {
         hiddenCpus += sign * rack.vcpus
         hiddenGpus += sign * rack.accelerators
     }
@@ -122,7 +136,8 @@
             if (m.inherited && !m.confirmed) fresh.countHidden(m.rack, 1)
             for (p in m.placements.values) if (!p.exited) fresh.count(p, 1)
         }
-        return abs(unknownCpus - fresh.unknownCpus) <= Machine.ROUNDING && abs(hiddenCpus - fresh.hiddenCpus) <= Machine.ROUNDING &&
+        return abs(unknownCpus - fresh.unknownCpus) <= Machine.ROUNDING &&
+            abs(hiddenCpus - fresh.hiddenCpus) <= Machine.ROUNDING &&
             goingOn.contentEquals(fresh.goingOn) &&
             uses.all { (name, use) -> fresh.uses[name]?.let(use::isAbout) == true }
     }
@@ -132,11 +147,15 @@
         val use = uses[job.spec.crew] ?: return false
         val cpus = use.cpus + unknownCpus + minOf(hiddenCpus, use.hiddenCpus)
         val gpus = use.gpus + unknownGpus + minOf(hiddenGpus, use.hiddenGpus)
-        return cpus + job.spec.vcpus <= use.team.cpusMax + Machine.ROUNDING && gpus + job.spec.accelerators <= use.team.gpusMax + Machine.ROUNDING
+        return cpus + job.spec.vcpus <= use.team.cpusMax + Machine.ROUNDING &&
+            gpus + job.spec.accelerators <= use.team.gpusMax + Machine.ROUNDING
     }
 
     /** [job] is within its team's guarantee, and the team may have [more] more of its tasks out of it. */
-    fun mayClaim(job: Job, more: Int): Boolean {
+    fun mayClaim(
+        job: Job,
+        more: Int,
+    ): Boolean {
         val use = uses[job.spec.crew] ?: return false
         return job.guaranteed &&
             use.keptCpus + more * job.spec.vcpus <= use.team.cpus + Machine.ROUNDING &&
@@ -148,22 +167,41 @@
      * stopped, or as good as [given] up: two teams near their guarantees would otherwise stop each other's tasks in turn
      * for ever.
      */
-    fun canSpare(job: Job, given: List<Job> = emptyList()): Boolean {
+    fun canSpare(
+        job: Job,
+        given: List<Job> = emptyList(),
+    ): Boolean {
         val use = uses[job.spec.crew] ?: return false
         val ours = given.filter { it.spec.crew == job.spec.crew }
         return use.keptCpus - job.spec.vcpus - ours.sumOf { it.spec.vcpus } >= use.team.cpus - Machine.ROUNDING &&
-            use.keptGpus - job.spec.accelerators - ours.sumOf { it.spec.accelerators } >= use.team.gpus - Machine.ROUNDING
+            use.keptGpus - job.spec.accelerators - ours.sumOf { it.spec.accelerators } >=
+            use.team.gpus - Machine.ROUNDING
     }
 
     /** How many more tasks of [job] its team's limit allows once what is being stopped is gone. */
     fun roomOnceStopped(job: Job): Int {
         val use = uses[job.spec.crew] ?: return 0
-        return Room.tasks(use.team.cpusMax - use.keptCpus, job.spec.vcpus, use.team.gpusMax - use.keptGpus, job.spec.accelerators, job.spec.portions)
+        return Room.tasks(
+            use.team.cpusMax - use.keptCpus,
+            job.spec.vcpus,
+            use.team.gpusMax - use.keptGpus,
+            job.spec.accelerators,
+            job.spec.portions,
+        )
     }
 
     /** How many more tasks of [job] its team's limit allows when [promised] processors more are spoken for. */
-    fun roomFor(job: Job, promised: Double = 0.0): Int {
+    fun roomFor(
+        job: Job,
+        promised: Double = 0.0,
+    ): Int {
         val use = uses[job.spec.crew] ?: return 0
-        return Room.tasks(use.team.cpusMax - use.cpus - promised, job.spec.vcpus, use.team.gpusMax - use.gpus, job.spec.accelerators, job.spec.portions)
+        return Room.tasks(
+            use.team.cpusMax - use.cpus - promised,
+            job.spec.vcpus,
+            use.team.gpusMax - use.gpus,
+            job.spec.accelerators,
+            job.spec.portions,
+        )
     }
 }
--- a/src/main/kotlin/ledgearch/core/placement/Candidates.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Candidates.kt
@@ -9,9 +9,16 @@
  * The machines with room for tasks of one job, ordered once; a machine that takes a task finds its new place. Of the
  * zones, the one with the fewest replicas comes first; other jobs are not spread.
  */
-internal class Candidates(private val job: Job, machines: List<Machine>, private val rate: (Choice) -> Unit) {
+internal class Candidates(
+    private val job: Job,
+    machines: List<Machine>,
+    private val rate: (Choice) -> Unit,
+) {
     /** A machine with what it is judged by, from the weightiest on; less is better. */
-    class Choice(val machine: Machine, val order: Int) {
+    class Choice(
+        val machine: Machine,
+        val order: Int,
+    ) {
         var image = 0
         var replicas = 0
         var kind = 0
@@ -21,7 +28,9 @@
         var free = 0.0
     }
 
-    private class Zone(val hall: String) {
+    private class Zone(
+        val hall: String,
+    ) {
         val choices = PriorityQueue(COMPARATOR)
         var replicas = 0
     }
@@ -43,7 +52,10 @@
     }
 
     /** The machine for the next task, which [start] places there; false when there is none. */
-    inline fun next(allowed: Zones, start: (Machine) -> Unit): Boolean {
+    inline fun next(
+        allowed: Zones,
+        start: (Machine) -> Unit,
+    ): Boolean {
         val choice = take(allowed) ?: return false
         start(choice.machine)
         putBack(choice)
@@ -56,7 +68,11 @@
             val top = zone.choices.peek() ?: continue
             if (!allowed.allows(zone.hall)) continue
             val other = best
-            if (other == null || zone.replicas < other.replicas || (zone.replicas == other.replicas && COMPARATOR.compare(top, other.choices.peek()) < 0)) best = zone
+            if (other == null || zone.replicas < other.replicas ||
+                (zone.replicas == other.replicas && COMPARATOR.compare(top, other.choices.peek()) < 0)
+            ) {
+                best = zone
+            }
         }
         return best?.choices?.poll()
     }
@@ -67,17 +83,18 @@
     }
 
     private companion object {
-        val COMPARATOR = Comparator<Choice> { a, b ->
-            when {
-                a.image != b.image -> a.image.compareTo(b.image)
-                a.replicas != b.replicas -> a.replicas.compareTo(b.replicas)
-                a.kind != b.kind -> a.kind.compareTo(b.kind)
-                a.distance != b.distance -> a.distance.compareTo(b.distance)
-                a.fetching != b.fetching -> a.fetching.compareTo(b.fetching)
-                a.room != b.room -> a.room.compareTo(b.room)
-                a.free != b.free -> a.free.compareTo(b.free)
-                else -> a.order.compareTo(b.order)
+        val COMPARATOR =
+            Comparator<Choice> { a, b ->
+                when {
+                    a.image != b.image -> a.image.compareTo(b.image)
+                    a.replicas != b.replicas -> a.replicas.compareTo(b.replicas)
+                    a.kind != b.kind -> a.kind.compareTo(b.kind)
+                    a.distance != b.distance -> a.distance.compareTo(b.distance)
+                    a.fetching != b.fetching -> a.fetching.compareTo(b.fetching)
+                    a.room != b.room -> a.room.compareTo(b.room)
+                    a.free != b.free -> a.free.compareTo(b.free)
+                    else -> a.order.compareTo(b.order)
+                }
             }
-        }
     }
 }
--- a/src/main/kotlin/ledgearch/core/placement/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Deadlines.kt
@@ -17,10 +17,11 @@
     private val dependentsOf: (Job) -> Collection<Job>,
 ) {
     /** For each class, the multiples of the deadline that its objectives ask for. */
-    private val multiples: Map<String, List<Double>> = objectives
-        .filter { it.kind == "deadline" && it.jobClass != null }
-        .groupBy({ it.jobClass.orEmpty() }, { it.times })
-        .mapValues { it.value.sorted() }
+    private val multiples: Map<String, List<Double>> =
+        objectives
+            .filter { it.kind == "deadline" && it.jobClass != null }
+            .groupBy({ it.jobClass.orEmpty() }, { it.times })
+            .mapValues { it.value.sorted() }
 
     private val known = HashMap<Job, List<Double>>()
     private var knownAt = Long.MIN_VALUE
@@ -34,14 +35,19 @@
         return latestEnds(job, Tuning.DEADLINE_LOOK_AHEAD)
     }
 
-    private fun latestEnds(job: Job, depth: Int): List<Double> {
+    private fun latestEnds(
+        job: Job,
+        depth: Int,
+    ): List<Double> {
         val own = ownDeadlines(job)
         val dependents = dependentsOf(job)
         if (dependents.isEmpty() || depth == 0) return own
         known[job]?.let { return it }
         // Also ends the search where a record claims a cycle.
         known[job] = own
-        val candidates = dependents.map { dependent -> latestEnds(dependent, depth - 1).map { it - estimates.seconds(dependent) } } + listOf(own)
+        val candidates =
+            dependents.map { dependent -> latestEnds(dependent, depth - 1).map { it - estimates.seconds(dependent) } } +
+                listOf(own)
         val earliest = candidates.filter { it.isNotEmpty() }.minByOrNull { it.first() }.orEmpty()
         known[job] = earliest
         return earliest
--- a/src/main/kotlin/ledgearch/core/placement/Estimates.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Estimates.kt
@@ -20,7 +20,10 @@
 
     private val seen = HashMap<String, Seen>()
 
-    fun ran(job: Job, seconds: Double) {
+    fun ran(
+        job: Job,
+        seconds: Double,
+    ) {
         job.runTime.add(seconds)
         if (job.spec.cookS <= 0 || seconds <= 0) return
         // Every job counts the same, however many tasks it has.
@@ -39,15 +42,18 @@
     }
 
     /** Processors that the running tasks of [jobs] free each second. */
-    fun freedASecond(jobs: Collection<Job>): Double = jobs.sumOf { job ->
-        if (job.runningCount == 0) 0.0 else job.runningCount * freedASecond(job)
-    }
+    fun freedASecond(jobs: Collection<Job>): Double =
+        jobs.sumOf { job ->
+            if (job.runningCount == 0) 0.0 else job.runningCount * freedASecond(job)
+        }
 
     /** The same of each zone. */
     fun freedASecondByZone(machines: Collection<Machine>): Map<String, Double> {
         val freed = HashMap<String, Double>()
-        for (m in machines) for (p in m.placements.values) {
-            if (p.status == TaskStatus.RUNNING) p.job?.let { freed.merge(m.hall, freedASecond(it), Double::plus) }
+        for (m in machines) {
+            for (p in m.placements.values) {
+                if (p.status == TaskStatus.RUNNING) p.job?.let { freed.merge(m.hall, freedASecond(it), Double::plus) }
+            }
         }
         return freed
     }
--- a/src/main/kotlin/ledgearch/core/placement/MachineQueue.kt
+++ b/src/main/kotlin/ledgearch/core/placement/MachineQueue.kt
@@ -5,15 +5,20 @@
 
 /** Load state of a machine by the length of its queue (section 2 of the paper). */
 internal enum class Band {
-    UNDERLOADED, MEDIUM, FULL, OVERLOADED;
+    UNDERLOADED,
+    MEDIUM,
+    FULL,
+    OVERLOADED,
+    ;
 
     companion object {
-        fun of(length: Int) = when {
-            length <= Tuning.TH_U -> UNDERLOADED
-            length <= Tuning.TH_F -> MEDIUM
-            length <= Tuning.TH_V -> FULL
-            else -> OVERLOADED
-        }
+        fun of(length: Int) =
+            when {
+                length <= Tuning.TH_U -> UNDERLOADED
+                length <= Tuning.TH_F -> MEDIUM
+                length <= Tuning.TH_V -> FULL
+                else -> OVERLOADED
+            }
     }
 }
 
--- a/src/main/kotlin/ledgearch/core/placement/Placer.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Placer.kt
@@ -38,7 +38,10 @@
     /** Machines held for starved jobs. */
     private val holds = HashMap<Job, Hold>()
 
-    private class Hold(val machine: Machine, val until: Long)
+    private class Hold(
+        val machine: Machine,
+        val until: Long,
+    )
 
     fun forget(job: Job) {
         bound.remove(job)?.forEach { it.unbind(job) }
@@ -70,7 +73,16 @@
         for ((_, sameUrgency) in open.groupBy { it.urgency }.toSortedMap()) {
             val ordered = ranking.order(sameUrgency)
             for (job in ordered) {
-                if (ranking.hurried(job)) startIn(job, usable.filter { it.imageDistance(job.spec.recipe) == 0 }) else startAnywhere(job, usable)
+                if (ranking.hurried(job)) {
+                    startIn(
+                        job,
+                        usable.filter {
+                            it.imageDistance(job.spec.recipe) == 0
+                        },
+                    )
+                } else {
+                    startAnywhere(job, usable)
+                }
             }
             startHurried(ordered.filter { it.pendingCount > 0 && ranking.hurried(it) }, usable, running)
             ordered.filterTo(waiting) { it.pendingCount > 0 }
@@ -84,26 +96,39 @@
      * Starved jobs come first, with a part of their tasks, so that what else waits goes on being served. Where there is
      * no room for one, a machine is held for it until there is: little tasks would take each piece of room that frees.
      */
-    private fun serveStarved(open: List<Job>, usable: List<Machine>): Set<Machine> {
+    private fun serveStarved(
+        open: List<Job>,
+        usable: List<Machine>,
+    ): Set<Machine> {
         val starved = open.filter { it.placements.isEmpty() && ranking.starved(it) }.sortedBy { it.readyAt }
         val held = HashSet<Machine>()
         for (job in starved) {
             val free = withoutHeld(held, usable)
             startAnywhere(job, free, leave = job.pendingCount - maxOf(1, job.pendingCount / Tuning.STARVED_PARTS))
             job.placements.values.forEach { it.spared = true }
-            if (job.placements.isEmpty() && teams.allows(job) && held.size < Tuning.HELD_AT_ONCE) hold(job, free)?.let { held.add(it) }
+            if (job.placements.isEmpty() && teams.allows(job) &&
+                held.size < Tuning.HELD_AT_ONCE
+            ) {
+                hold(job, free)?.let { held.add(it) }
+            }
         }
         if (starved.isEmpty()) holds.clear() else holds.keys.retainAll(starved.toSet())
         return held
     }
 
-    private fun withoutHeld(held: Set<Machine>, usable: List<Machine>) = if (held.isEmpty()) usable else usable.filter { it !in held }
+    private fun withoutHeld(
+        held: Set<Machine>,
+        usable: List<Machine>,
+    ) = if (held.isEmpty()) usable else usable.filter { it !in held }
 
     /**
      * The machine held for [job]: the same as before while it will do, else the one with most room that could take it. After
      * a while it is let go for a moment, since what runs there may go on for long and others wait beside its room.
      */
-    private fun hold(job: Job, free: List<Machine>): Machine? {
+    private fun hold(
+        job: Job,
+        free: List<Machine>,
+    ): Machine? {
         val before = holds[job]
         if (before != null && now.steady < before.until) {
             if (before.machine in free) return before.machine
@@ -111,9 +136,10 @@
             return null
         }
         val zones = Zones(job)
-        val m = free
-            .filter { it.allows(job) && zones.allows(it.hall) && it.couldHold(job) }
-            .minByOrNull { it.usedCpus } ?: return null
+        val m =
+            free
+                .filter { it.allows(job) && zones.allows(it.hall) && it.couldHold(job) }
+                .minByOrNull { it.usedCpus } ?: return null
         holds[job] = Hold(m, now.steady + Tuning.HOLD_MS)
         return m
     }
@@ -122,40 +148,59 @@
      * Hurried tasks for which room can't be made at once where their image is start anywhere, and before less urgent
      * work takes that room: the image is there for the next.
      */
-    private fun startHurried(jobs: List<Job>, usable: List<Machine>, running: List<Job>) {
+    private fun startHurried(
+        jobs: List<Job>,
+        usable: List<Machine>,
+        running: List<Job>,
+    ) {
         if (jobs.isEmpty()) return
         val placed = metrics.spend("hurried") { preemption.besideImages(jobs, usable, running) }
         for (job in jobs) startAnywhere(job, usable, leave = placed[job] ?: 0)
     }
 
     fun usable(m: Machine) =
-        m.durable && m.confirmed && !m.draining && !m.retiring && !m.releasing && !m.pushBroken && !m.overdue && m.probesFailed == 0 && m.recallAt == 0L && now.steady >= m.refusedUntil
+        m.durable && m.confirmed && !m.draining && !m.retiring && !m.releasing && !m.pushBroken && !m.overdue &&
+            m.probesFailed == 0 &&
+            m.recallAt == 0L &&
+            now.steady >= m.refusedUntil
 
-    private fun startAnywhere(job: Job, usable: List<Machine>, leave: Int = 0) {
+    private fun startAnywhere(
+        job: Job,
+        usable: List<Machine>,
+        leave: Int = 0,
+    ) {
         if (misfits.covers(job)) return
         val roomLeft = startIn(job, usable, leave)
         if (!roomLeft) misfits.add(job)
     }
 
     /** Starts what there is room for in [places], but for the last [leave] tasks; false when no room is left there. */
-    private fun startIn(job: Job, places: List<Machine>, leave: Int = 0): Boolean {
+    private fun startIn(
+        job: Job,
+        places: List<Machine>,
+        leave: Int = 0,
+    ): Boolean {
         if (job.pendingCount <= leave || !teams.allows(job)) return true
         val candidates = Candidates(job, places.filter { it.hasRoom(job) && it.allows(job) }, rating(job))
         val zones = Zones(job)
         while (job.pendingCount > leave && teams.allows(job)) {
             val index = job.nextPending() ?: break
-            val found = candidates.next(zones) { m ->
-                leaveQueue(job, m)
-                start(job, index, m)
-                zones.add(m.hall)
-            }
+            val found =
+                candidates.next(zones) { m ->
+                    leaveQueue(job, m)
+                    start(job, index, m)
+                    zones.add(m.hall)
+                }
             if (!found) break
         }
         return !candidates.isEmpty
     }
 
     /** A bound task that starts leaves the queue that it waited in, its machine's own if it can be. */
-    private fun leaveQueue(job: Job, m: Machine) {
+    private fun leaveQueue(
+        job: Job,
+        m: Machine,
+    ) {
         val queues = bound[job] ?: return
         if (queues.size < job.pendingCount) return
         val queue = if (m.queue in queues) m.queue else queues.first()
@@ -173,7 +218,14 @@
             c.distance = m.imageDistance(job.spec.recipe)
             if (job.standing) c.replicas = job.placements.values.count { it.machine === m }
             // A replica is up once its image is there; beside it, replicas keep apart as far as they can.
-            c.image = if (imageFirst) c.distance else if (job.standing) minOf(c.distance, 1) else hurriedImagesOn(m)
+            c.image =
+                if (imageFirst) {
+                    c.distance
+                } else if (job.standing) {
+                    minOf(c.distance, 1)
+                } else {
+                    hurriedImagesOn(m)
+                }
             c.kind = if (m.borrowed == spotFirst) 0 else 1
             c.fetching = if (c.distance == 2) m.fetching else 0
             // A job is late when any of its tasks is lost: on few spot machines it loses one less often.
@@ -184,7 +236,10 @@
 
     private fun hurriedImagesOn(m: Machine) = if (m.fetched.isEmpty()) 0 else hurriedImages.count { it in m.fetched }
 
-    private fun bindWaiting(waiting: List<Job>, usable: List<Machine>) {
+    private fun bindWaiting(
+        waiting: List<Job>,
+        usable: List<Machine>,
+    ) {
         var open = usable.count { it.queue.band != Band.OVERLOADED }
         val preferred = lists ?: PreferredLists(machines.values.filter { it.inService }).also { lists = it }
         // Where the homes and buddies of one job's tasks are overloaded, others for the same machines wait for the next pass.
@@ -202,7 +257,11 @@
     }
 
     /** Returns how many queues it filled. */
-    private fun bindRest(job: Job, usable: List<Machine>, preferred: PreferredLists): Int {
+    private fun bindRest(
+        job: Job,
+        usable: List<Machine>,
+        preferred: PreferredLists,
+    ): Int {
         val zones = Zones(job)
         val fitting = usable.filter { it.allows(job) && zones.allows(it.hall) }
         if (fitting.isEmpty()) return 0
@@ -210,11 +269,16 @@
         var filled = 0
         while (rest > 0) {
             val home = fitting[homeTurn++ % fitting.size]
-            val target = if (home.queue.band != Band.OVERLOADED) {
-                home
-            } else {
-                preferred.of(home).firstOrNull { usable(it) && it.queue.band == Band.UNDERLOADED && it.allows(job) && zones.allows(it.hall) } ?: return filled
-            }
+            val target =
+                if (home.queue.band != Band.OVERLOADED) {
+                    home
+                } else {
+                    preferred.of(home).firstOrNull {
+                        usable(it) && it.queue.band == Band.UNDERLOADED && it.allows(job) &&
+                            zones.allows(it.hall)
+                    }
+                        ?: return filled
+                }
             target.queue.bind(job)
             if (target.queue.band == Band.OVERLOADED) filled++
             bound.getOrPut(job) { ArrayDeque() }.addLast(target.queue)
@@ -223,7 +287,10 @@
         return filled
     }
 
-    private fun unbound(job: Job, queue: MachineQueue) {
+    private fun unbound(
+        job: Job,
+        queue: MachineQueue,
+    ) {
         val queues = bound[job] ?: return
         queues.remove(queue)
         if (queues.isEmpty()) bound.remove(job)
--- a/src/main/kotlin/ledgearch/core/placement/Preemption.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Preemption.kt
@@ -23,16 +23,28 @@
     private val stop: (Placement, Job) -> Unit,
 ) {
     /** A task that may be stopped, and what that costs: the same throughout a pass. */
-    private class Victim(val task: Placement, val job: Job, val missed: Int, val cost: Double)
+    private class Victim(
+        val task: Placement,
+        val job: Job,
+        val missed: Int,
+        val cost: Double,
+    )
 
     /** Room on a machine once what is being stopped there is gone, less what this pass has promised of it. */
-    private inner class Prospect(val machine: Machine) {
-        val room = machine.roomLeft().apply {
-            for (p in machine.placements.values) if (!p.exited && !p.goesOn) give(p.job)
-        }
+    private inner class Prospect(
+        val machine: Machine,
+    ) {
+        val room =
+            machine.roomLeft().apply {
+                for (p in machine.placements.values) if (!p.exited && !p.goesOn) give(p.job)
+            }
 
         /** What goes on here and is not spared, the cheapest to stop first. */
-        val victims: List<Victim> by lazy(LazyThreadSafetyMode.NONE) { machine.placements.values.mapNotNull(::victim).sortedBy { it.cost } }
+        val victims: List<Victim> by lazy(LazyThreadSafetyMode.NONE) {
+            machine.placements.values
+                .mapNotNull(::victim)
+                .sortedBy { it.cost }
+        }
     }
 
     private fun victim(p: Placement): Victim? {
@@ -40,24 +52,39 @@
         if (job == null || p.spared || !p.goesOn) return null
         val missed = missed(p)
         // Work that is as urgent as what it makes room for goes last, however little it has done.
-        return Victim(p, job, missed, spent(p) + missed * Tuning.WORTH_AIM + (Urgencies.ORDER.size - 1 - job.urgency) * Tuning.WORTH_URGENCY)
+        return Victim(
+            p,
+            job,
+            missed,
+            spent(p) + missed * Tuning.WORTH_AIM + (Urgencies.ORDER.size - 1 - job.urgency) * Tuning.WORTH_URGENCY,
+        )
     }
 
     /** Tasks whose stopping makes room on one machine, and what that costs. */
-    private class Offer(val prospect: Prospect, val victims: List<Placement>, val cost: Double)
+    private class Offer(
+        val prospect: Prospect,
+        val victims: List<Placement>,
+        val cost: Double,
+    )
 
     /**
      * [waiting]: jobs in serving order that found no room; [usable]: machines that may serve them; [running]: jobs with tasks
      * on machines, of which it is asked whether anything may be stopped before each machine is; [freesASecond]: processors
      * that running tasks free. Where that much frees soon, nothing is stopped for a job that has just come.
      */
-    fun pass(waiting: List<Job>, usable: List<Machine>, running: List<Job>, freesASecond: Double) {
+    fun pass(
+        waiting: List<Job>,
+        usable: List<Machine>,
+        running: List<Job>,
+        freesASecond: Double,
+    ) {
         var freed = freesASecond * Tuning.PATIENCE_S * Tuning.CHURN_COUNTED
-        val claimants = waiting.filter { job ->
-            val served = ranking.patient(job, Tuning.PATIENCE_S) && freed >= job.pendingCount * job.spec.vcpus
-            freed -= job.pendingCount * job.spec.vcpus
-            !served && (teams.anyLessUrgent(job) || mayClaim(job, 1))
-        }
+        val claimants =
+            waiting.filter { job ->
+                val served = ranking.patient(job, Tuning.PATIENCE_S) && freed >= job.pendingCount * job.spec.vcpus
+                freed -= job.pendingCount * job.spec.vcpus
+                !served && (teams.anyLessUrgent(job) || mayClaim(job, 1))
+            }
         if (claimants.isEmpty()) return
         claim(claimants, usable.map { Prospect(it) }, running, sparing = false)
     }
@@ -66,15 +93,27 @@
      * Room for [hurried] jobs on machines that have their image, at the cost of no other job's aims. Returns for each
      * job how many of its tasks get it at once.
      */
-    fun besideImages(hurried: List<Job>, usable: List<Machine>, running: List<Job>): Map<Job, Int> {
+    fun besideImages(
+        hurried: List<Job>,
+        usable: List<Machine>,
+        running: List<Job>,
+    ): Map<Job, Int> {
         val prospects = usable.filter { m -> hurried.any { m.imageDistance(it.spec.recipe) == 0 } }.map { Prospect(it) }
         return claim(hurried, prospects, running, sparing = true)
     }
 
-    private fun mayClaim(job: Job, tasks: Int) = ranking.claims(job) && teams.mayClaim(job, tasks)
+    private fun mayClaim(
+        job: Job,
+        tasks: Int,
+    ) = ranking.claims(job) && teams.mayClaim(job, tasks)
 
     /** Lets each job in turn find or make room for its tasks; returns how many of them each has got it for. */
-    private fun claim(waiting: List<Job>, prospects: List<Prospect>, running: List<Job>, sparing: Boolean): Map<Job, Int> {
+    private fun claim(
+        waiting: List<Job>,
+        prospects: List<Prospect>,
+        running: List<Job>,
+        sparing: Boolean,
+    ): Map<Job, Int> {
         val placed = HashMap<Job, Int>()
         // Tasks of each team that have got room here, in processors.
         val promised = HashMap<String, Double>()
@@ -83,18 +122,35 @@
         for (job in waiting) {
             val places = if (sparing) prospects.filter { it.machine.imageDistance(job.spec.recipe) == 0 } else prospects
             val zones = Zones(job)
-            val yielding by lazy(LazyThreadSafetyMode.NONE) { yielding(job, if (running.any { mayYield(job, it) }) prospects else emptyList()) }
+            val yielding by lazy(LazyThreadSafetyMode.NONE) {
+                yielding(job, if (running.any { mayYield(job, it) }) prospects else emptyList())
+            }
             var hunt: Hunt? = null
             var done = 0
             while (done < job.pendingCount) {
                 val cpus = promised[job.spec.crew] ?: 0.0
                 val guaranteed = mayClaim(job, 1 + if (job.spec.vcpus > 0) (cpus / job.spec.vcpus).toInt() else 0)
                 // What was tried in vain for one job is not tried again for another that may stop no more.
-                val tried = misfits.getOrPut(if (guaranteed) listOf(job.urgency, job.spec.crew) else listOf(job.urgency)) { Misfits() }
+                val tried =
+                    misfits.getOrPut(
+                        if (guaranteed) listOf(job.urgency, job.spec.crew) else listOf(job.urgency),
+                    ) { Misfits() }
                 val allowed = halls.filterTo(HashSet()) { zones.allows(it) }
                 if (!sparing && tried.covers(job, allowed)) break
                 val yields = if (done < teams.roomOnceStopped(job)) null else yielding.next() ?: break
-                val h = hunt?.takeIf { it.guaranteed == guaranteed } ?: Hunt(job, guaranteed, places, zones, sparing, running.any { mayStop(job, guaranteed, it) }).also { hunt = it }
+                val h =
+                    hunt?.takeIf { it.guaranteed == guaranteed }
+                        ?: Hunt(
+                            job,
+                            guaranteed,
+                            places,
+                            zones,
+                            sparing,
+                            running.any { mayStop(job, guaranteed, it) },
+                        ).also {
+                            hunt =
+                                it
+                        }
                 val prospect = h.next()
                 if (prospect == null) {
                     if (!sparing) tried.add(job, allowed)
@@ -116,22 +172,31 @@
     }
 
     /** The less urgent tasks of the same team, where its limit leaves no room for [job]; their places matter not. */
-    private fun yielding(job: Job, prospects: List<Prospect>): Yielding = Yielding(
-        prospects
-            .flatMap { at -> at.victims.filter { mayYield(job, it.job) }.map { at to it } }
-            .sortedBy { (_, v) -> v.cost }
-            .map { (at, v) -> at to v.task }
-            .iterator(),
-    )
+    private fun yielding(
+        job: Job,
+        prospects: List<Prospect>,
+    ): Yielding =
+        Yielding(
+            prospects
+                .flatMap { at -> at.victims.filter { mayYield(job, it.job) }.map { at to it } }
+                .sortedBy { (_, v) -> v.cost }
+                .map { (at, v) -> at to v.task }
+                .iterator(),
+        )
 
-    private class Yielding(private val rest: Iterator<Pair<Prospect, Placement>>) {
+    private class Yielding(
+        private val rest: Iterator<Pair<Prospect, Placement>>,
+    ) {
         fun next(): Pair<Prospect, Placement>? {
             while (rest.hasNext()) rest.next().let { if (it.second.goesOn) return it }
             return null
         }
     }
 
-    private fun mayYield(job: Job, other: Job) = other.spec.crew == job.spec.crew && other.urgency > job.urgency &&
+    private fun mayYield(
+        job: Job,
+        other: Job,
+    ) = other.spec.crew == job.spec.crew && other.urgency > job.urgency &&
         other.spec.vcpus >= job.spec.vcpus && other.spec.accelerators >= job.spec.accelerators
 
     /**
@@ -168,10 +233,11 @@
                 val p = roomy.poll()?.second ?: break
                 if (p.room.fits(job) && zones.allows(p.machine.hall)) return p
             }
-            val open = offers ?: PriorityQueue<Offer>(compareBy { it.cost }).also { all ->
-                offers = all
-                if (mayStopAny) allowed.forEach { addOffer(all, it) }
-            }
+            val open =
+                offers ?: PriorityQueue<Offer>(compareBy { it.cost }).also { all ->
+                    offers = all
+                    if (mayStopAny) allowed.forEach { addOffer(all, it) }
+                }
             while (true) {
                 val offer = open.poll() ?: return null
                 val prospect = offer.prospect
@@ -190,17 +256,29 @@
             }
         }
 
-        private fun addOffer(to: PriorityQueue<Offer>, p: Prospect) {
+        private fun addOffer(
+            to: PriorityQueue<Offer>,
+            p: Prospect,
+        ) {
             offer(p)?.let { to.add(it) }
         }
 
         private fun offer(p: Prospect): Offer? {
             val victims = victims(job, guaranteed, p, sparing) ?: return null
-            return Offer(p, victims.map { it.task }, victims.sumOf { it.cost } + p.machine.imageDistance(job.spec.recipe) * Tuning.WORTH_IMAGE)
+            return Offer(
+                p,
+                victims.map { it.task },
+                victims.sumOf { it.cost } + p.machine.imageDistance(job.spec.recipe) * Tuning.WORTH_IMAGE,
+            )
         }
     }
 
-    private fun victims(job: Job, guaranteed: Boolean, prospect: Prospect, sparing: Boolean): List<Victim>? {
+    private fun victims(
+        job: Job,
+        guaranteed: Boolean,
+        prospect: Prospect,
+        sparing: Boolean,
+    ): List<Victim>? {
         val room = prospect.room
         var chosen: ArrayList<Victim>? = null
         for (v in prospect.victims) {
@@ -219,13 +297,19 @@
     }
 
     /** What is stopped must come after [job] in serving order: else it would be started again and stopped again for ever. */
-    private fun mayStop(job: Job, guaranteed: Boolean, victim: Job): Boolean =
+    private fun mayStop(
+        job: Job,
+        guaranteed: Boolean,
+        victim: Job,
+    ): Boolean =
         victim.urgency > job.urgency ||
             (guaranteed && victim.urgency == job.urgency && isSpareOfOtherTeam(job, victim))
 
     /** [victim] runs beyond the guarantee of another team than the one of [job], and that team can spare it. */
-    private fun isSpareOfOtherTeam(job: Job, victim: Job): Boolean =
-        !victim.guaranteed && victim.spec.crew != job.spec.crew && !victim.standing && teams.canSpare(victim)
+    private fun isSpareOfOtherTeam(
+        job: Job,
+        victim: Job,
+    ): Boolean = !victim.guaranteed && victim.spec.crew != job.spec.crew && !victim.standing && teams.canSpare(victim)
 
     /** Aims that the job of [p] meets only if [p] goes on; none if other tasks of it wait to be started anyway. */
     private fun missed(p: Placement): Int {
@@ -236,6 +320,7 @@
 
     private fun spent(p: Placement): Double {
         val since = if (p.status == TaskStatus.RUNNING) p.runningSince else p.decidedAt
-        return (now.steady - since) / 1000.0 * (p.job?.spec?.vcpus ?: 0.0) + (if (p.status == TaskStatus.RUNNING) Tuning.WORTH_STARTED else 0.0)
+        return (now.steady - since) / 1000.0 * (p.job?.spec?.vcpus ?: 0.0) +
+            (if (p.status == TaskStatus.RUNNING) Tuning.WORTH_STARTED else 0.0)
     }
 }
--- a/src/main/kotlin/ledgearch/core/placement/PreferredLists.kt
+++ b/src/main/kotlin/ledgearch/core/placement/PreferredLists.kt
@@ -8,8 +8,13 @@
  * choice of each is the machine a fixed number of places further on, the same for all. So every machine is the
  * k-th choice of exactly one other, and overloaded machines do not dump their tasks on the same buddy.
  */
-internal class PreferredLists(machines: Collection<Machine>) {
-    private class Place(val ring: List<Machine>, val at: Int)
+internal class PreferredLists(
+    machines: Collection<Machine>,
+) {
+    private class Place(
+        val ring: List<Machine>,
+        val at: Int,
+    )
 
     private val places = HashMap<Machine, Place>()
 
--- a/src/main/kotlin/ledgearch/core/placement/Ranking.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Ranking.kt
@@ -17,10 +17,11 @@
     private val now: Now,
     private val deadlines: Deadlines,
 ) {
-    private val finishWithin: Map<String, List<Double>> = objectives
-        .filter { it.kind == "finished" && it.jobClass != null && it.withinS != null }
-        .groupBy({ it.jobClass.orEmpty() }, { it.withinS ?: 0.0 })
-        .mapValues { it.value.sorted() }
+    private val finishWithin: Map<String, List<Double>> =
+        objectives
+            .filter { it.kind == "finished" && it.jobClass != null && it.withinS != null }
+            .groupBy({ it.jobClass.orEmpty() }, { it.withinS ?: 0.0 })
+            .mapValues { it.value.sorted() }
     private val startWithin: Map<String, Double> = objectives.startWithinS()
 
     /** The job's class is to start sooner than an image can be fetched, and it is not too late for that. */
@@ -29,7 +30,12 @@
         return within < job.spec.sizeGb * Tuning.FETCH_S_PER_GB && age(job) < within
     }
 
-    private val guaranteeWithin: Double? = objectives.filter { it.kind == "guarantee" }.mapNotNull { it.withinS }.minOrNull()
+    private val guaranteeWithin: Double? =
+        objectives
+            .filter {
+                it.kind == "guarantee"
+            }.mapNotNull { it.withinS }
+            .minOrNull()
 
     /**
      * Work within a guarantee claims room from other teams' surplus only once half the time in which it is to start, less
@@ -41,7 +47,10 @@
     }
 
     /** An array that came less than [seconds] ago, and half the time in which it is to start is not over. */
-    fun patient(job: Job, seconds: Double) = !job.standing && age(job) < minOf(seconds, (startWithin[job.spec.menu] ?: Double.MAX_VALUE) / 2)
+    fun patient(
+        job: Job,
+        seconds: Double,
+    ) = !job.standing && age(job) < minOf(seconds, (startWithin[job.spec.menu] ?: Double.MAX_VALUE) / 2)
 
     /**
      * No task of the job was started for so long that it goes before all others. Without this bound a steady stream of
@@ -49,26 +58,38 @@
      */
     fun starved(job: Job) = job.unservedMs(now.wall) > Tuning.STARVED_MS
 
-    private class Rank(val job: Job, val lateness: Int, val cost: Double)
+    private class Rank(
+        val job: Job,
+        val lateness: Int,
+        val cost: Double,
+    )
 
     /** Jobs of one urgency, first to be served first. */
-    fun order(jobs: List<Job>): List<Job> = jobs
-        .map { Rank(it, lateness(it), cost(it)) }
-        .sortedWith(compareBy({ !it.job.guaranteed }, { it.lateness }, { it.cost }, { it.job.id }))
-        .map { it.job }
+    fun order(jobs: List<Job>): List<Job> =
+        jobs
+            .map { Rank(it, lateness(it), cost(it)) }
+            .sortedWith(compareBy({ !it.job.guaranteed }, { it.lateness }, { it.cost }, { it.job.id }))
+            .map { it.job }
 
     /** How many of its aims the job can't meet any more even if it started now. */
     fun lateness(job: Job): Int = if (job.standing) 0 else missed(job, age(job) + estimates.seconds(job))
 
     /** How many more aims [job] misses when a task that has run for [ranS] starts again. */
-    fun missedByRestart(job: Job, ranS: Double): Int {
+    fun missedByRestart(
+        job: Job,
+        ranS: Double,
+    ): Int {
         if (job.standing) return 0
         val end = age(job) + estimates.seconds(job)
         return missed(job, end) - missed(job, end - ranS)
     }
 
     /** How many more aims [job], whose tasks take [seconds], misses when its end is put off by [delay] seconds. */
-    fun missedByLoss(job: Job, seconds: Double, delay: Double): Int {
+    fun missedByLoss(
+        job: Job,
+        seconds: Double,
+        delay: Double,
+    ): Int {
         if (job.standing) return 0
         val end = seconds + if (job.placements.isEmpty()) age(job) else 0.0
         return missed(job, end + delay) - missed(job, end)
@@ -77,7 +98,10 @@
     private fun age(job: Job) = (now.wall - job.readyAt) / 1000.0
 
     /** [end]: seconds after the job could start. */
-    private fun missed(job: Job, end: Double): Int {
+    private fun missed(
+        job: Job,
+        end: Double,
+    ): Int {
         var missed = 0
         finishWithin[job.spec.menu]?.forEach { if (end > it) missed++ }
         val endsAt = job.readyAt / 1000.0 + end
--- a/src/main/kotlin/ledgearch/core/placement/Reliability.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Reliability.kt
@@ -6,7 +6,10 @@
 import kotlin.math.exp
 
 /** How often spot machines are lost, from what was seen, and what that means for a job. */
-internal class Reliability(private val estimates: Estimates, private val ranking: Ranking) {
+internal class Reliability(
+    private val estimates: Estimates,
+    private val ranking: Ranking,
+) {
     private var hours = Tuning.LOSS_PRIOR_HOURS
     private var losses = Tuning.LOSS_PRIOR_HOURS * Tuning.LOSS_PRIOR_RATE
     private var countedAt = 0L
@@ -16,7 +19,10 @@
     private var windowAt = Long.MIN_VALUE / 2
     private var windowLeft = 0.0
 
-    fun count(machines: Collection<Machine>, nowMs: Long) {
+    fun count(
+        machines: Collection<Machine>,
+        nowMs: Long,
+    ) {
         spotMachines = machines.count { it.borrowed }
         if (countedAt != 0L) hours += spotMachines * (nowMs - countedAt) / MS_PER_HOUR
         countedAt = nowMs
@@ -26,11 +32,16 @@
      * Hundreds lost at once, with a zone or a wave of takings, are one event: counted one by one they would look like a
      * rate of loss and move all work off spot machines for the rest of the day.
      */
-    fun lost(m: Machine, nowMs: Long) {
+    fun lost(
+        m: Machine,
+        nowMs: Long,
+    ) {
         if (!m.borrowed) return
         if (nowMs - windowAt > Tuning.LOSS_WINDOW_MS) {
             windowAt = nowMs
-            windowLeft = Tuning.LOSSES_ALONE + Tuning.LOSSES_TIMES * losses / hours * spotMachines * Tuning.LOSS_WINDOW_MS / MS_PER_HOUR
+            windowLeft =
+                Tuning.LOSSES_ALONE +
+                Tuning.LOSSES_TIMES * losses / hours * spotMachines * Tuning.LOSS_WINDOW_MS / MS_PER_HOUR
         }
         if (windowLeft < 1.0) return
         windowLeft -= 1.0
@@ -40,7 +51,8 @@
     /** More likely than not the job would lose a task on spot machines, and be late by as much as it had run. */
     private fun spotIsRisky(job: Job): Boolean = expectedLosses(job) > Tuning.EXPECTED_LOSSES
 
-    private fun expectedLosses(job: Job) = losses / hours * estimates.seconds(job) / SECONDS_PER_HOUR * (job.spec.portions - job.finishedCount)
+    private fun expectedLosses(job: Job) =
+        losses / hours * estimates.seconds(job) / SECONDS_PER_HOUR * (job.spec.portions - job.finishedCount)
 
     /** Risky jobs that ordinary machines have room for, as last chosen. */
     private val sheltered = HashSet<Job>()
@@ -54,12 +66,21 @@
      * whole, so a share of each would help none: jobs are taken whole, first those that gain most by what they take up.
      * One that would meet its aims all the same gains nothing.
      */
-    fun shelter(jobs: Collection<Job>, machines: Collection<Machine>, reserved: Double) {
+    fun shelter(
+        jobs: Collection<Job>,
+        machines: Collection<Machine>,
+        reserved: Double,
+    ) {
         sheltered.clear()
         exposed.clear()
-        var room = machines.sumOf { if (it.borrowed || !it.inService) 0.0 else it.rack.vcpus } - reserved -
-            jobs.sumOf { if (it.spec.borrowed) 0.0 else cpus(it) }
-        val gains = jobs.filter { it.spec.borrowed && !it.complete && spotIsRisky(it) }.map { it to gain(it) }.filter { it.second > 0 }
+        var room =
+            machines.sumOf { if (it.borrowed || !it.inService) 0.0 else it.rack.vcpus } - reserved -
+                jobs.sumOf { if (it.spec.borrowed) 0.0 else cpus(it) }
+        val gains =
+            jobs.filter { it.spec.borrowed && !it.complete && spotIsRisky(it) }.map { it to gain(it) }.filter {
+                it.second >
+                    0
+            }
         for ((job, _) in gains.sortedByDescending { it.second }) {
             val cpus = cpus(job)
             exposed.add(job)
@@ -74,12 +95,24 @@
     /** How many fewer aims the job is likely to miss, by the processor time that it takes. */
     private fun gain(job: Job): Double {
         val seconds = estimates.seconds(job)
-        val missed = (if (job.runTime.tasks > 0) Tuning.RUN_TIMES_KNOWN else Tuning.RUN_TIMES_GUESSED).map { missedOnSpot(job, seconds * it) }.average()
+        val missed =
+            (
+                if (job.runTime.tasks >
+                    0
+                ) {
+                    Tuning.RUN_TIMES_KNOWN
+                } else {
+                    Tuning.RUN_TIMES_GUESSED
+                }
+            ).map { missedOnSpot(job, seconds * it) }.average()
         return missed / (cpus(job) * seconds).coerceAtLeast(1.0)
     }
 
     /** Aims that the job is likely to miss on spot machines if its tasks take [seconds]. */
-    private fun missedOnSpot(job: Job, seconds: Double): Double {
+    private fun missedOnSpot(
+        job: Job,
+        seconds: Double,
+    ): Double {
         val lossesATask = losses / hours * seconds / SECONDS_PER_HOUR
         val expected = lossesATask * (job.spec.portions - job.finishedCount)
         // Lost tasks put off the end: the last of them, and the last lost once more, and so on.
--- a/src/main/kotlin/ledgearch/fleet/Demand.kt
+++ b/src/main/kotlin/ledgearch/fleet/Demand.kt
@@ -8,11 +8,19 @@
 import ledgearch.wire.Rack
 
 /** Room that is on its way: a rented machine that has not reported yet. */
-internal class Supply(private val rack: Rack, private val hall: String, private val borrowed: Boolean) {
+internal class Supply(
+    private val rack: Rack,
+    private val hall: String,
+    private val borrowed: Boolean,
+) {
     private val room = Room(rack)
 
     /** Takes as many of [tasks] of [job] as fit here and in its [zones]; returns how many. */
-    fun take(job: Job, tasks: Int, zones: Zones): Int {
+    fun take(
+        job: Job,
+        tasks: Int,
+        zones: Zones,
+    ): Int {
         if (!job.allows(rack, hall, borrowed)) return 0
         val most = zones.room(hall, tasks)
         var taken = 0
@@ -26,12 +34,23 @@
 }
 
 /** Tasks of a job that wait although their team may run them: room is missing. */
-internal class Demand(val job: Job, private val tasks: Int) {
+internal class Demand(
+    val job: Job,
+    private val tasks: Int,
+) {
     /** Where its tasks are or are planned to be. */
     val zones = Zones(job)
 
     /** The one zone that its tasks may be in, or null where there are several. */
-    val onlyZone: String? = job.spec.hall ?: if (job.spec.samePlace) job.placements.values.firstOrNull()?.machine?.hall else null
+    val onlyZone: String? =
+        job.spec.hall ?: if (job.spec.samePlace) {
+            job.placements.values
+                .firstOrNull()
+                ?.machine
+                ?.hall
+        } else {
+            null
+        }
 
     fun unmetBy(supplies: List<Supply>): Int {
         var left = tasks
@@ -43,7 +62,11 @@
     }
 
     companion object {
-        fun of(jobs: Collection<Job>, holder: Holder, now: Now): List<Demand> {
+        fun of(
+            jobs: Collection<Job>,
+            holder: Holder,
+            now: Now,
+        ): List<Demand> {
             val perTeam = HashMap<String, Double>()
             return jobs
                 .filter { it.startable(now.steady) }
--- a/src/main/kotlin/ledgearch/fleet/Fleet.kt
+++ b/src/main/kotlin/ledgearch/fleet/Fleet.kt
@@ -33,7 +33,11 @@
     private val now: Now,
     private val journal: () -> Journal,
 ) {
-    private data class Pool(val rack: Rack, val hall: String, val borrowed: Boolean) {
+    private data class Pool(
+        val rack: Rack,
+        val hall: String,
+        val borrowed: Boolean,
+    ) {
         val price: Double get() = price(rack, borrowed)
     }
 
@@ -47,7 +51,10 @@
         }
     }
 
-    private class Booting(val pool: Pool, val since: Long)
+    private class Booting(
+        val pool: Pool,
+        val since: Long,
+    )
 
     private val log = LoggerFactory.getLogger("ledgearch.fleet")
     private val address = settings.outside.cloud
@@ -112,7 +119,11 @@
             catalogAt = now.steady + if (racks == null) Tuning.CLOUD_RETRY_MS else Tuning.CATALOG_MS
             if (racks.isNullOrEmpty()) return@call
             val known = book().racks
-            if (known.keys != racks.mapTo(HashSet()) { it.label } && election().holding) journal().catalog(CatalogRecord(racks))
+            if (known.keys != racks.mapTo(HashSet()) { it.label } &&
+                election().holding
+            ) {
+                journal().catalog(CatalogRecord(racks))
+            }
             book().setRacks(racks)
         }
     }
@@ -161,7 +172,10 @@
         listPage(holder, "")
     }
 
-    private fun listPage(holder: Holder, since: String) {
+    private fun listPage(
+        holder: Holder,
+        since: String,
+    ) {
         call("GET", "/hosts?since=$since&limit=500", null) { reply ->
             listBusy = false
             val list = parse(reply) { WireJson.decodeFromString(StoveList.serializer(), it) } ?: return@call
@@ -174,7 +188,10 @@
         }
     }
 
-    private fun listed(holder: Holder, stove: ListedStove) {
+    private fun listed(
+        holder: Holder,
+        stove: ListedStove,
+    ) {
         val m = holder.machines[stove.ref]
         if (stove.ref in returned || stove.ref in toRelease) return
         when (stove.status) {
@@ -183,23 +200,33 @@
                 toRelease.add(stove.ref)
                 m?.let(holder::machineGone)
             }
-            "booting" -> if (m == null) {
-                val rack = book().racks[stove.rack] ?: return
-                val patience = rack.startupS * Tuning.BOOT_PATIENCE
-                if (stove.heldS > patience) {
-                    log.info("machine {} does not come up; it is returned", stove.ref)
-                    booting.remove(stove.ref)
-                    toRelease.add(stove.ref)
-                } else if (stove.ref !in booting) {
-                    booting[stove.ref] = Booting(Pool(rack, stove.hall, stove.borrowed), now.steady - (stove.heldS * 1000).toLong())
+
+            "booting" -> {
+                if (m == null) {
+                    val rack = book().racks[stove.rack] ?: return
+                    val patience = rack.startupS * Tuning.BOOT_PATIENCE
+                    if (stove.heldS > patience) {
+                        log.info("machine {} does not come up; it is returned", stove.ref)
+                        booting.remove(stove.ref)
+                        toRelease.add(stove.ref)
+                    } else if (stove.ref !in booting) {
+                        booting[stove.ref] =
+                            Booting(Pool(rack, stove.hall, stove.borrowed), now.steady - (stove.heldS * 1000).toLong())
+                    }
                 }
             }
-            else -> if (m == null) unheard(holder, stove)
+
+            else -> {
+                if (m == null) unheard(holder, stove)
+            }
         }
     }
 
     /** A machine that is up but whose worker reaches no controller is of no use, and nobody waits for it as for one that boots. */
-    private fun unheard(holder: Holder, stove: ListedStove) {
+    private fun unheard(
+        holder: Holder,
+        stove: ListedStove,
+    ) {
         val since = unheard.getOrPut(stove.ref) { now.steady }
         if (now.steady - since < Tuning.UNHEARD_MS || holder.isCutOff(stove.hall)) return
         log.info("machine {} is up and does not report; it is returned", stove.ref)
@@ -210,7 +237,9 @@
 
     private fun plan(holder: Holder) {
         for ((name, b) in booting.entries.toList()) {
-            if (now.steady - b.since > b.pool.rack.startupS * 1000 * Tuning.BOOT_PATIENCE + listLagMs && !isScouting(holder, name, b)) {
+            if (now.steady - b.since > b.pool.rack.startupS * 1000 * Tuning.BOOT_PATIENCE + listLagMs &&
+                !isScouting(holder, name, b)
+            ) {
                 booting.remove(name)
                 toRelease.add(name)
             }
@@ -232,9 +261,17 @@
     }
 
     /** Rents for what waits, less what running tasks will free before it is late or a machine could be up. */
-    private fun rentFor(holder: Holder, needs: List<Demand>, churn: Double) {
+    private fun rentFor(
+        holder: Holder,
+        needs: List<Demand>,
+        churn: Double,
+    ) {
         if (now.steady < rentRetryAt) return
-        val coming = booting.values.filter { !holder.isCutOff(it.pool.hall) }.map { Supply(it.pool.rack, it.pool.hall, it.pool.borrowed) }.toMutableList()
+        val coming =
+            booting.values
+                .filter { !holder.isCutOff(it.pool.hall) }
+                .map { Supply(it.pool.rack, it.pool.hall, it.pool.borrowed) }
+                .toMutableList()
         val planned = LinkedHashMap<Pool, Int>()
         val mayRent = minOf(Tuning.RENT_AT_ONCE, settings.operator.maxMachines - holder.machines.size - booting.size)
         var freed = 0.0
@@ -248,7 +285,10 @@
                 // Where only dear machines are left to rent, all that frees before one could be up is counted on.
                 val dear = isDear(need.job, cheapest(holder, need, planned))
                 val within = if (dear) startup else holder.reserve.startWithinS(need.job, startup)
-                val soon = (need.onlyZone?.let { churnIn[it] ?: 0.0 } ?: churn) * within * (if (dear) 1.0 else Tuning.CHURN_COUNTED) - freed
+                val soon =
+                    (need.onlyZone?.let { churnIn[it] ?: 0.0 } ?: churn) * within *
+                        (if (dear) 1.0 else Tuning.CHURN_COUNTED) -
+                        freed
                 val served = minOf(left, (soon / spec.vcpus).toInt().coerceAtLeast(0))
                 left -= served
                 freed += served * spec.vcpus
@@ -264,64 +304,121 @@
             }
         }
         if (needs.isNotEmpty() && log.isDebugEnabled) {
-            log.debug("{} jobs wait for room; churn {} a second, {} machines coming, planned {}", needs.size, churn, booting.size, planned.values.sum())
+            log.debug(
+                "{} jobs wait for room; churn {} a second, {} machines coming, planned {}",
+                needs.size,
+                churn,
+                booting.size,
+                planned.values.sum(),
+            )
         }
         for ((pool, count) in planned) if (key(pool) !in renting && bucket.has(1)) rent(pool, minOf(count, MAX_RENT))
     }
 
     /** Not in a zone that is cut off: what is rented there can't be reached, and no more than a scout is. */
-    private fun cheapest(holder: Holder, need: Demand, planned: Map<Pool, Int>): Pool? {
+    private fun cheapest(
+        holder: Holder,
+        need: Demand,
+        planned: Map<Pool, Int>,
+    ): Pool? {
         val pools = pools(need.job).filter { need.zones.allows(it.hall) }
-        return pools.filter { !holder.isCutOff(it.hall) }.ifEmpty { pools.filter { mayScout(holder, it.hall, planned) } }
+        return pools
+            .filter { !holder.isCutOff(it.hall) }
+            .ifEmpty { pools.filter { mayScout(holder, it.hall, planned) } }
             .filter { now.steady >= (exhausted[key(it)] ?: Long.MIN_VALUE) }
-            .minWithOrNull(compareBy({ it.price }, { p -> booting.values.count { it.pool.hall == p.hall } + (planned[p] ?: 0) }))
+            .minWithOrNull(
+                compareBy({ it.price }, { p ->
+                    booting.values.count { it.pool.hall == p.hall } +
+                        (planned[p] ?: 0)
+                }),
+            )
     }
 
     /** It is up in a zone that is cut off, and its first report will tell that the zone is back. */
-    private fun isScouting(holder: Holder, name: String, b: Booting) =
-        holder.isCutOff(b.pool.hall) && unheard[name].let { it != null && now.steady - it < Tuning.CUT_ZONE_MS }
+    private fun isScouting(
+        holder: Holder,
+        name: String,
+        b: Booting,
+    ) = holder.isCutOff(b.pool.hall) && unheard[name].let { it != null && now.steady - it < Tuning.CUT_ZONE_MS }
 
     /**
      * No machine is left in the zone that would tell when it is heard again: one is rented, for work that can go nowhere
      * else.
      */
-    private fun mayScout(holder: Holder, hall: String, planned: Map<Pool, Int>) =
-        booting.values.none { it.pool.hall == hall } && planned.keys.none { it.hall == hall } && renting.none { "/$hall/" in it } &&
-            holder.machines.values.none { it.hall == hall && !it.releasing }
-
-    private fun pools(job: Job): List<Pool> {
-        return book().racks.values
+    private fun mayScout(
+        holder: Holder,
+        hall: String,
+        planned: Map<Pool, Int>,
+    ) = booting.values.none { it.pool.hall == hall } && planned.keys.none { it.hall == hall } &&
+        renting.none { "/$hall/" in it } &&
+        holder.machines.values.none { it.hall == hall && !it.releasing }
+
+    private fun pools(job: Job): List<Pool> =
+        book()
+            .racks.values
             .filter { Room(it).fits(job) }
             .flatMap { rack -> rack.halls.flatMap { hall -> listOf(Pool(rack, hall, true), Pool(rack, hall, false)) } }
             .filter { settings.operator.spot || !it.borrowed }
             .filter { job.allows(it.rack, it.hall, it.borrowed) }
-    }
 
     /** [pool] costs this job much more than the cheapest machine that it may use. */
-    private fun isDear(job: Job, pool: Pool?): Boolean {
+    private fun isDear(
+        job: Job,
+        pool: Pool?,
+    ): Boolean {
         val least = pools(job).minOfOrNull { it.price } ?: return false
         return pool != null && pool.price > least * Tuning.DEAR
     }
 
     private fun key(p: Pool) = "${p.rack.label}/${p.hall}/${p.borrowed}"
 
-    private fun rent(pool: Pool, count: Int) {
+    private fun rent(
+        pool: Pool,
+        count: Int,
+    ) {
         renting.add(key(pool))
         // The token is this grant's alone, so no other node and no later life of this one ever uses the name again.
         val booking = "b-${election().token}-${++bookingSeq}"
-        val body = WireJson.encodeToString(RentRequest.serializer(), RentRequest(booking, pool.rack.label, pool.hall, pool.borrowed, count))
+        val body =
+            WireJson.encodeToString(
+                RentRequest.serializer(),
+                RentRequest(booking, pool.rack.label, pool.hall, pool.borrowed, count),
+            )
         call("POST", "/hosts", body) { reply ->
             renting.remove(key(pool))
             when (reply.status) {
                 200 -> {
-                    val names = parse(reply) { WireJson.decodeFromString(StoveNames.serializer(), it) }?.stoves.orEmpty()
-                    log.info("rented {} of {} {} in {}{}", names.size, count, pool.rack.label, pool.hall, if (pool.borrowed) " (spot)" else "")
+                    val names =
+                        parse(
+                            reply,
+                        ) { WireJson.decodeFromString(StoveNames.serializer(), it) }?.stoves.orEmpty()
+                    log.info(
+                        "rented {} of {} {} in {}{}",
+                        names.size,
+                        count,
+                        pool.rack.label,
+                        pool.hall,
+                        if (pool.borrowed) " (spot)" else "",
+                    )
                     for (name in names) booting.putIfAbsent(name, Booting(pool, now.steady))
                     if (names.size < count) exhausted[key(pool)] = now.steady + Tuning.NO_CAPACITY_MS
                 }
-                503 -> if ("no capacity" in reply.body) exhausted[key(pool)] = now.steady + Tuning.NO_CAPACITY_MS else rentRetryAt = now.steady + Tuning.CLOUD_RETRY_MS
+
+                503 -> {
+                    if ("no capacity" in
+                        reply.body
+                    ) {
+                        exhausted[key(pool)] = now.steady + Tuning.NO_CAPACITY_MS
+                    } else {
+                        rentRetryAt =
+                            now.steady + Tuning.CLOUD_RETRY_MS
+                    }
+                }
+
                 // Without an answer machines may have been rented; they show in the list and in their reports.
-                else -> rentRetryAt = now.steady + Tuning.CLOUD_RETRY_MS
+                else -> {
+                    rentRetryAt = now.steady + Tuning.CLOUD_RETRY_MS
+                }
             }
         }
     }
@@ -348,56 +445,87 @@
     }
 
     /** Machines are emptied for good, the dearest first, as long as what is left holds the load and the reserve. */
-    private fun retire(holder: Holder, churn: Double) {
+    private fun retire(
+        holder: Holder,
+        churn: Double,
+    ) {
         if (now.steady - retiredAt < Tuning.RETIRE_MS) return
         retiredAt = now.steady
         while (retireOne(holder, churn)) Unit
     }
 
-    private fun retireOne(holder: Holder, churn: Double): Boolean {
+    private fun retireOne(
+        holder: Holder,
+        churn: Double,
+    ): Boolean {
         val active = holder.machines.values.filter { it.inService }
         val capacity = active.sumOf { it.rack.vcpus }
         val used = load.value
         val ordinary = active.sumOf { if (it.borrowed) 0.0 else it.rack.vcpus }
         val reserve = holder.reserve.cpus(churn, bootS())
         val fixed = active.filter { !it.borrowed }.groupingBy { it.hall }.eachCount()
-        val m = active
-            .filter { c -> now.steady - c.knownSince > Tuning.KEEP_MS }
-            .filter { capacity - it.rack.vcpus >= used + reserve }
-            .filter { c -> c.borrowed || ordinary - c.rack.vcpus >= ordinaryLoad.value }
-            .filter { c -> c.borrowed || (fixed[c.hall] ?: 0) > 1 }
-            .sortedWith(compareBy({ -price(it.rack, it.borrowed) }, { it.usedCpus }))
-            .firstOrNull { holder.replicas.canMove(it, active) } ?: return false
+        val m =
+            active
+                .filter { c -> now.steady - c.knownSince > Tuning.KEEP_MS }
+                .filter { capacity - it.rack.vcpus >= used + reserve }
+                .filter { c -> c.borrowed || ordinary - c.rack.vcpus >= ordinaryLoad.value }
+                .filter { c -> c.borrowed || (fixed[c.hall] ?: 0) > 1 }
+                .sortedWith(compareBy({ -price(it.rack, it.borrowed) }, { it.usedCpus }))
+                .firstOrNull { holder.replicas.canMove(it, active) } ?: return false
         m.retiring = true
-        log.info("machine {} is not needed: {} of {} processors used, {} to spare", m.name, used.toInt(), capacity.toInt(), reserve.toInt())
+        log.info(
+            "machine {} is not needed: {} of {} processors used, {} to spare",
+            m.name,
+            used.toInt(),
+            capacity.toInt(),
+            reserve.toInt(),
+        )
         // Replicas of several machines would move to the same room, and some wait for their image elsewhere.
         return !holder.replicas.move(m)
     }
 
     /** What the tasks of [job] take if they belong on ordinary machines: they may not or should not run on spot. */
-    private fun ordinaryCpus(holder: Holder, job: Job): Double =
-        if (!holder.reliability.wantsOrdinary(job)) 0.0 else job.placements.size * job.spec.vcpus
+    private fun ordinaryCpus(
+        holder: Holder,
+        job: Job,
+    ): Double = if (!holder.reliability.wantsOrdinary(job)) 0.0 else job.placements.size * job.spec.vcpus
 
     /** Seconds until a machine of the quickest type is up. */
     fun bootS() = book().racks.values.minOfOrNull { it.startupS } ?: 0.0
 
-    private fun call(method: String, target: String, body: String?, done: (Reply) -> Unit) {
+    private fun call(
+        method: String,
+        target: String,
+        body: String?,
+        done: (Reply) -> Unit,
+    ) {
         bucket.take(1)
         transport.call(address, method, target, body, Tuning.CLOUD_MS, done)
     }
 
-    private inline fun <T> parse(reply: Reply, decode: (String) -> T): T? = if (reply.status != 200) null else try {
-        decode(reply.body)
-    } catch (e: SerializationException) {
-        log.warn("the cloud's answer makes no sense: {}", e.message)
-        null
-    }
+    private inline fun <T> parse(
+        reply: Reply,
+        decode: (String) -> T,
+    ): T? =
+        if (reply.status != 200) {
+            null
+        } else {
+            try {
+                decode(reply.body)
+            } catch (e: SerializationException) {
+                log.warn("the cloud's answer makes no sense: {}", e.message)
+                null
+            }
+        }
 
     private companion object {
         const val MAX_RELEASE = 100
         const val MAX_RENT = 50
 
         /** Of a processor for an hour. */
-        fun price(rack: Rack, borrowed: Boolean) = (if (borrowed) rack.lowPrice else rack.hourly) / rack.vcpus
+        fun price(
+            rack: Rack,
+            borrowed: Boolean,
+        ) = (if (borrowed) rack.lowPrice else rack.hourly) / rack.vcpus
     }
 }
--- a/src/main/kotlin/ledgearch/fleet/Reserve.kt
+++ b/src/main/kotlin/ledgearch/fleet/Reserve.kt
@@ -12,8 +12,13 @@
  * How much room to keep ahead of demand. A class whose users ask for starts within a time finds room in two ways:
  * what running tasks free within that time, and what is kept free. Machines boot too slowly to help.
  */
-internal class Reserve(settings: Settings, private val now: Now) {
-    private class Arrivals(val ordinary: Boolean) {
+internal class Reserve(
+    settings: Settings,
+    private val now: Now,
+) {
+    private class Arrivals(
+        val ordinary: Boolean,
+    ) {
         /** Jobs, processors and squared processors that came of late; what came long ago has faded. */
         var jobs = 0.0
         var cpus = 0.0
@@ -52,13 +57,19 @@
         }
     }
 
-    fun startWithinS(job: Job, otherwise: Double): Double = minOf(withinS[job.spec.menu] ?: otherwise, otherwise)
+    fun startWithinS(
+        job: Job,
+        otherwise: Double,
+    ): Double = minOf(withinS[job.spec.menu] ?: otherwise, otherwise)
 
     /**
      * Processors to keep free: what the classes that can't wait for a machine to boot are likely to bring within a
      * boot time ([bootS]), less what frees within the time that they can wait.
      */
-    fun cpus(churn: Double, bootS: Double): Double {
+    fun cpus(
+        churn: Double,
+        bootS: Double,
+    ): Double {
         val (processors, within) = expected(bootS) { true }
         return if (processors == 0.0) 0.0 else (processors - churn * within * Tuning.CHURN_COUNTED).coerceAtLeast(0.0)
     }
@@ -66,7 +77,10 @@
     /** Processors of ordinary machines that classes which may go nowhere else are likely to need within a boot time. */
     fun ordinaryCpus(bootS: Double): Double = expected(bootS) { it.ordinary }.first
 
-    private fun expected(bootS: Double, counted: (Arrivals) -> Boolean): Pair<Double, Double> {
+    private fun expected(
+        bootS: Double,
+        counted: (Arrivals) -> Boolean,
+    ): Pair<Double, Double> {
         var expected = 0.0
         var variance = 0.0
         var within = Double.MAX_VALUE
--- a/src/main/kotlin/ledgearch/http/Connections.kt
+++ b/src/main/kotlin/ledgearch/http/Connections.kt
@@ -1,7 +1,9 @@
 package ledgearch.http
 
 /** A caller's connection. */
-internal class Connection(val socket: AutoCloseable) {
+internal class Connection(
+    val socket: AutoCloseable,
+) {
     /** Its last request was one whose sender is to stay. */
     var isKept = false
     var unusedSince = 0L
@@ -12,7 +14,10 @@
  * The connections open at one time. When they are as many as there may be, one that is not in use makes room: sockets run
  * out as hundreds of workers come at once, while users and the dead still hold theirs.
  */
-internal class Connections(private val most: Int, private val staleMs: Long) {
+internal class Connections(
+    private val most: Int,
+    private val staleMs: Long,
+) {
     /** Those that wait for a request, the one unused longest first. */
     private val unused = LinkedHashSet<Connection>()
     private val unusedKept = LinkedHashSet<Connection>()
@@ -24,7 +29,10 @@
         open++
     }
 
-    fun unused(c: Connection, nowMs: Long) {
+    fun unused(
+        c: Connection,
+        nowMs: Long,
+    ) {
         c.unusedSince = nowMs
         if (c.isOpen) (if (c.isKept) unusedKept else unused).add(c)
     }
@@ -45,7 +53,9 @@
     /** Whether one more may be opened, if need be in place of one that is not in use. */
     fun makeRoom(nowMs: Long): Boolean {
         if (open < most) return true
-        val given = unused.firstOrNull() ?: unusedKept.firstOrNull()?.takeIf { nowMs - it.unusedSince > staleMs } ?: return false
+        val given =
+            unused.firstOrNull() ?: unusedKept.firstOrNull()?.takeIf { nowMs - it.unusedSince > staleMs }
+                ?: return false
         close(given)
         return true
     }
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -10,8 +10,15 @@
 import java.nio.channels.AsynchronousSocketChannel
 
 /** Calls to others over kept-alive connections, a small pool for each address. Used from one thread only. */
-internal class HttpClient(private val group: AsynchronousChannelGroup, private val maxOpen: Int = Int.MAX_VALUE) {
-    private class Pooled(val channel: AsynchronousSocketChannel, val reader: MessageReader, var idleSince: Long)
+internal class HttpClient(
+    private val group: AsynchronousChannelGroup,
+    private val maxOpen: Int = Int.MAX_VALUE,
+) {
+    private class Pooled(
+        val channel: AsynchronousSocketChannel,
+        val reader: MessageReader,
+        var idleSince: Long,
+    )
 
     /** The addresses that have unused connections, the one used longest ago first. */
     private val idle = LinkedHashMap<String, ArrayDeque<Pooled>>()
@@ -22,7 +29,13 @@
         private set
 
     /** One exchange. Never repeated here: only the caller knows whether a repeat is safe. */
-    suspend fun call(address: String, method: String, target: String, body: String?, timeoutMs: Long): Reply {
+    suspend fun call(
+        address: String,
+        method: String,
+        target: String,
+        body: String?,
+        timeoutMs: Long,
+    ): Reply {
         var connection: Pooled? = null
         var reusable = false
         try {
@@ -71,7 +84,10 @@
         return null
     }
 
-    private fun put(address: String, c: Pooled) {
+    private fun put(
+        address: String,
+        c: Pooled,
+    ) {
         c.idleSince = System.nanoTime() / 1_000_000
         val list = idle.remove(address) ?: ArrayDeque()
         list.addLast(c)
@@ -104,7 +120,10 @@
         open++
         makeRoom()
         try {
-            withTimeoutOrNull(Tuning.CONNECT_MS) { channel.connectTo(parseAddress(address)); true }
+            withTimeoutOrNull(Tuning.CONNECT_MS) {
+                channel.connectTo(parseAddress(address))
+                true
+            }
                 ?: throw IOException("no connection")
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
         } catch (e: Exception) {
@@ -114,10 +133,27 @@
         return Pooled(channel, MessageReader(Tuning.MAX_RESPONSE), 0)
     }
 
-    private suspend fun send(c: Pooled, address: String, method: String, target: String, body: String?) {
-        val text = StringBuilder(160).append(method).append(' ').append(target).append(" HTTP/1.1\r\nHost: ").append(address).append("\r\n")
+    private suspend fun send(
+        c: Pooled,
+        address: String,
+        method: String,
+        target: String,
+        body: String?,
+    ) {
+        val text =
+            StringBuilder(160)
+                .append(method)
+                .append(' ')
+                .append(target)
+                .append(" HTTP/1.1\r\nHost: ")
+                .append(address)
+                .append("\r\n")
         val bytes = body?.toByteArray()
-        if (bytes != null) text.append("Content-Type: application/json\r\nContent-Length: ").append(bytes.size).append("\r\n")
+        if (bytes !=
+            null
+        ) {
+            text.append("Content-Type: application/json\r\nContent-Length: ").append(bytes.size).append("\r\n")
+        }
         val head = text.append("\r\n").toString().toByteArray(Charsets.ISO_8859_1)
         val out = ByteBuffer.allocate(head.size + (bytes?.size ?: 0)).put(head)
         bytes?.let { out.put(it) }
@@ -130,7 +166,11 @@
             val head = c.reader.head()
             val body = if (head != null) c.reader.body() else null
             if (head != null && body != null) {
-                val status = head.startLine.split(' ').getOrNull(1)?.toIntOrNull() ?: throw BadMessage(400, "bad status line")
+                val status =
+                    head.startLine
+                        .split(' ')
+                        .getOrNull(1)
+                        ?.toIntOrNull() ?: throw BadMessage(400, "bad status line")
                 return Reply(status, body) to (!head.close && c.reader.isEmpty)
             }
             buffer.clear()
--- a/src/main/kotlin/ledgearch/http/HttpServer.kt
+++ b/src/main/kotlin/ledgearch/http/HttpServer.kt
@@ -61,18 +61,22 @@
 
     private fun nowMs() = System.nanoTime() / 1_000_000
 
-    private suspend fun serve(channel: AsynchronousSocketChannel, connection: Connection) {
+    private suspend fun serve(
+        channel: AsynchronousSocketChannel,
+        connection: Connection,
+    ) {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
         val reader = MessageReader(Tuning.MAX_BODY)
         val buffer = ByteBuffer.allocate(Tuning.READ_BUFFER)
         while (true) {
-            val request = try {
-                nextRequest(channel, connection, reader, buffer) ?: return
-            } catch (e: BadMessage) {
-                log.debug("bad request: {}", e.message)
-                send(channel, Response(e.status, """{"error":"${e.message}"}"""), keepAlive = false)
-                return
-            }
+            val request =
+                try {
+                    nextRequest(channel, connection, reader, buffer) ?: return
+                } catch (e: BadMessage) {
+                    log.debug("bad request: {}", e.message)
+                    send(channel, Response(e.status, """{"error":"${e.message}"}"""), keepAlive = false)
+                    return
+                }
             connection.isKept = isKept(request)
             val response = handler(request)
             send(channel, response, request.keepAlive)
@@ -81,7 +85,10 @@
     }
 
     private suspend fun nextRequest(
-        channel: AsynchronousSocketChannel, connection: Connection, reader: MessageReader, buffer: ByteBuffer,
+        channel: AsynchronousSocketChannel,
+        connection: Connection,
+        reader: MessageReader,
+        buffer: ByteBuffer,
     ): Request? {
         var startedAt = if (reader.isEmpty) 0L else System.nanoTime()
         if (startedAt == 0L) connections.unused(connection, nowMs())
@@ -90,14 +97,19 @@
             val body = if (head != null) reader.body() else null
             if (head != null && body != null) {
                 val parts = head.startLine.split(' ')
-                if (parts.size != 3 || !parts[2].startsWith("HTTP/1.") || !parts[1].startsWith("/")) throw BadMessage(400, "bad request line")
+                if (parts.size != 3 || !parts[2].startsWith("HTTP/1.") ||
+                    !parts[1].startsWith("/")
+                ) {
+                    throw BadMessage(400, "bad request line")
+                }
                 return Request(parts[0], parts[1], body, !head.close)
             }
-            val timeout = if (startedAt == 0L) {
-                Tuning.IDLE_MS
-            } else {
-                Tuning.SLOW_REQUEST_MS - (System.nanoTime() - startedAt) / 1_000_000
-            }
+            val timeout =
+                if (startedAt == 0L) {
+                    Tuning.IDLE_MS
+                } else {
+                    Tuning.SLOW_REQUEST_MS - (System.nanoTime() - startedAt) / 1_000_000
+                }
             if (timeout <= 0) throw BadMessage(408, "request too slow")
             buffer.clear()
             val n = channel.readSome(buffer, timeout)
@@ -110,29 +122,46 @@
         }
     }
 
-    private suspend fun send(channel: AsynchronousSocketChannel, response: Response, keepAlive: Boolean) {
+    private suspend fun send(
+        channel: AsynchronousSocketChannel,
+        response: Response,
+        keepAlive: Boolean,
+    ) {
         val body = response.body.toByteArray()
-        val head = StringBuilder(128)
-            .append("HTTP/1.1 ").append(response.status).append(' ').append(reason(response.status)).append("\r\n")
-            .append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
+        val head =
+            StringBuilder(128)
+                .append("HTTP/1.1 ")
+                .append(response.status)
+                .append(' ')
+                .append(reason(response.status))
+                .append("\r\n")
+                .append("Content-Type: application/json\r\nContent-Length: ")
+                .append(body.size)
+                .append("\r\n")
         response.retryAfterS?.let { head.append("Retry-After: ").append(it).append("\r\n") }
         if (!keepAlive) head.append("Connection: close\r\n")
         head.append("\r\n")
         val headBytes = head.toString().toByteArray(Charsets.ISO_8859_1)
-        val out = ByteBuffer.allocate(headBytes.size + body.size).put(headBytes).put(body).flip()
+        val out =
+            ByteBuffer
+                .allocate(headBytes.size + body.size)
+                .put(headBytes)
+                .put(body)
+                .flip()
         channel.writeAll(out, Tuning.WRITE_MS)
     }
 
-    private fun reason(status: Int) = when (status) {
-        200 -> "OK"
-        201 -> "Created"
-        400 -> "Bad Request"
-        404 -> "Not Found"
-        405 -> "Method Not Allowed"
-        421 -> "Misdirected Request"
-        422 -> "Unprocessable Content"
-        429 -> "Too Many Requests"
-        503 -> "Service Unavailable"
-        else -> "Status"
-    }
+    private fun reason(status: Int) =
+        when (status) {
+            200 -> "OK"
+            201 -> "Created"
+            400 -> "Bad Request"
+            404 -> "Not Found"
+            405 -> "Method Not Allowed"
+            421 -> "Misdirected Request"
+            422 -> "Unprocessable Content"
+            429 -> "Too Many Requests"
+            503 -> "Service Unavailable"
+            else -> "Status"
+        }
 }
--- a/src/main/kotlin/ledgearch/http/MessageReader.kt
+++ b/src/main/kotlin/ledgearch/http/MessageReader.kt
@@ -4,13 +4,20 @@
 import java.io.ByteArrayOutputStream
 
 /** The head of a message: its first line and the few header fields that matter here. */
-internal class Head(val startLine: String, val contentLength: Int, val chunked: Boolean, val close: Boolean)
+internal class Head(
+    val startLine: String,
+    val contentLength: Int,
+    val chunked: Boolean,
+    val close: Boolean,
+)
 
 /**
  * An incremental HTTP/1.1 reader over one growing buffer. Bytes are appended as they come, in any splits;
  * [head] and [body] return null until enough is there. The buffer never exceeds head and body limits.
  */
-internal class MessageReader(private val maxBody: Int) {
+internal class MessageReader(
+    private val maxBody: Int,
+) {
     private var bytes = ByteArray(Tuning.READ_BUFFER)
     private var end = 0
     private var scanned = 0
@@ -21,7 +28,10 @@
 
     val isEmpty: Boolean get() = end == 0
 
-    fun append(source: ByteArray, length: Int) {
+    fun append(
+        source: ByteArray,
+        length: Int,
+    ) {
         if (end + length > bytes.size) {
             bytes = bytes.copyOf(maxOf(bytes.size * 2, end + length))
         }
@@ -32,7 +42,9 @@
     fun head(): Head? {
         head?.let { return it }
         while (scanned + 3 < end) {
-            if (bytes[scanned] == CR && bytes[scanned + 1] == LF && bytes[scanned + 2] == CR && bytes[scanned + 3] == LF) {
+            if (bytes[scanned] == CR && bytes[scanned + 1] == LF && bytes[scanned + 2] == CR &&
+                bytes[scanned + 3] == LF
+            ) {
                 bodyStart = scanned + 4
                 return parseHead(String(bytes, 0, scanned, Charsets.ISO_8859_1)).also { head = it }
             }
@@ -58,9 +70,13 @@
         if (chunkAt < 0) chunkAt = bodyStart
         while (true) {
             val lineEnd = findLineEnd(chunkAt) ?: return null
-            val size = String(bytes, chunkAt, lineEnd - chunkAt, Charsets.ISO_8859_1)
-                .substringBefore(';').trim().takeIf { text -> text.isNotEmpty() && text.all { it in HEX } }
-                ?.let { it.toIntOrNull(16) ?: throw BadMessage(413, "body too large") } ?: throw BadMessage(400, "bad chunk size")
+            val size =
+                String(bytes, chunkAt, lineEnd - chunkAt, Charsets.ISO_8859_1)
+                    .substringBefore(';')
+                    .trim()
+                    .takeIf { text -> text.isNotEmpty() && text.all { it in HEX } }
+                    ?.let { it.toIntOrNull(16) ?: throw BadMessage(413, "body too large") }
+                    ?: throw BadMessage(400, "bad chunk size")
             if (chunks.size() + size > maxBody) throw BadMessage(413, "body too large")
             val next = lineEnd + 2 + size + 2
             if (end < next) return null
@@ -108,11 +124,15 @@
                     if (length != null && length != announced) throw BadMessage(400, "two content lengths")
                     length = announced
                 }
+
                 "transfer-encoding" -> {
                     if (!value.equals("chunked", ignoreCase = true)) throw BadMessage(501, "unknown transfer encoding")
                     chunked = true
                 }
-                "connection" -> if (value.equals("close", ignoreCase = true)) close = true
+
+                "connection" -> {
+                    if (value.equals("close", ignoreCase = true)) close = true
+                }
             }
         }
         // Two ways to find the end of a message, and they may differ: where it ends must not be a guess.
