--- a/src/main/kotlin/ledgearch/http/Nio.kt
+++ b/src/main/kotlin/ledgearch/http/Nio.kt
@@ -19,8 +19,15 @@
 
 /** NIO.2 completion handlers as suspending calls. */
 private class Resume<T> : CompletionHandler<T, CancellableContinuation<T>> {
-    override fun completed(result: T, continuation: CancellableContinuation<T>) = continuation.resume(result)
-    override fun failed(cause: Throwable, continuation: CancellableContinuation<T>) = continuation.resumeWithException(cause)
+    override fun completed(
+        result: T,
+        continuation: CancellableContinuation<T>,
+    ) = continuation.resume(result)
+
+    override fun failed(
+        cause: Throwable,
+        continuation: CancellableContinuation<T>,
+    ) = continuation.resumeWithException(cause)
 }
 
 private val resumeInt = Resume<Int>()
@@ -28,10 +35,15 @@
 private val resumeVoid = Resume<Void?>()
 
 private suspend fun AsynchronousServerSocketChannel.acceptNext(): AsynchronousSocketChannel =
-    suspendCancellableCoroutine { accept(it, resumeChannel) }
+    suspendCancellableCoroutine {
+        accept(it, resumeChannel)
+    }
 
 /** Listens on [address] at once (throws when it is taken). */
-internal fun listenOn(address: String, group: AsynchronousChannelGroup): AsynchronousServerSocketChannel =
+internal fun listenOn(
+    address: String,
+    group: AsynchronousChannelGroup,
+): AsynchronousServerSocketChannel =
     AsynchronousServerSocketChannel.open(group).apply {
         setOption(StandardSocketOptions.SO_REUSEADDR, true)
         bind(parseAddress(address), Tuning.ACCEPT_BACKLOG)
@@ -56,13 +68,19 @@
     }
 }
 
-internal suspend fun AsynchronousSocketChannel.readSome(buffer: ByteBuffer, timeoutMs: Long): Int =
+internal suspend fun AsynchronousSocketChannel.readSome(
+    buffer: ByteBuffer,
+    timeoutMs: Long,
+): Int =
     suspendCancellableCoroutine {
         it.invokeOnCancellation { closeQuietly() }
         read(buffer, timeoutMs, TimeUnit.MILLISECONDS, it, resumeInt)
     }
 
-internal suspend fun AsynchronousSocketChannel.writeAll(buffer: ByteBuffer, timeoutMs: Long) {
+internal suspend fun AsynchronousSocketChannel.writeAll(
+    buffer: ByteBuffer,
+    timeoutMs: Long,
+) {
     while (buffer.hasRemaining()) {
         suspendCancellableCoroutine<Int> {
             it.invokeOnCancellation { closeQuietly() }
--- a/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
+++ b/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
@@ -12,13 +12,19 @@
 /** What is known of the jobs that a submission names as awaited. */
 internal sealed interface AwaitedResult {
     /** Every one of them was accepted; [ended] are the final records that were read on the way. */
-    class AllAccepted(val ended: Map<String, FinalRecord>) : AwaitedResult
+    class AllAccepted(
+        val ended: Map<String, FinalRecord>,
+    ) : AwaitedResult
 
     /** [job] was never accepted by any node. */
-    class NeverAccepted(val job: String) : AwaitedResult
+    class NeverAccepted(
+        val job: String,
+    ) : AwaitedResult
 
     /** [job] is a service, which is never done. */
-    class IsService(val job: String) : AwaitedResult
+    class IsService(
+        val job: String,
+    ) : AwaitedResult
 
     /** The state service gave no conclusive answer. */
     data object Unknown : AwaitedResult
@@ -29,11 +35,21 @@
  * was not needs a reading: a job moves from its open record to its final one in one transaction, so a job whose open record
  * and then whose final record are absent had not been accepted when the first was read.
  */
-internal class AwaitedJobs(private val book: Book, private val state: StateClient) {
+internal class AwaitedJobs(
+    private val book: Book,
+    private val state: StateClient,
+) {
     /** Looks at [ids] one after the other. */
-    fun check(ids: List<String>, done: (AwaitedResult) -> Unit) = check(ids, HashMap(), done)
+    fun check(
+        ids: List<String>,
+        done: (AwaitedResult) -> Unit,
+    ) = check(ids, HashMap(), done)
 
-    private fun check(ids: List<String>, ended: HashMap<String, FinalRecord>, done: (AwaitedResult) -> Unit) {
+    private fun check(
+        ids: List<String>,
+        ended: HashMap<String, FinalRecord>,
+        done: (AwaitedResult) -> Unit,
+    ) {
         for ((index, id) in ids.withIndex()) {
             val job = book.jobs[id]
             if (job?.standing == true) return done(AwaitedResult.IsService(id))
@@ -46,25 +62,34 @@
         done(AwaitedResult.AllAccepted(ended))
     }
 
-    private fun readOpen(id: String, done: (AwaitedResult) -> Unit, accepted: (FinalRecord?) -> Unit) =
-        state.get(Keys.job(id), Lane.ORDINARY) { result ->
-            when (result) {
-                is ReadResult.Found -> accepted(null)
-                ReadResult.Absent -> readOver(id, done, accepted)
-                ReadResult.Failed -> done(AwaitedResult.Unknown)
-            }
+    private fun readOpen(
+        id: String,
+        done: (AwaitedResult) -> Unit,
+        accepted: (FinalRecord?) -> Unit,
+    ) = state.get(Keys.job(id), Lane.ORDINARY) { result ->
+        when (result) {
+            is ReadResult.Found -> accepted(null)
+            ReadResult.Absent -> readOver(id, done, accepted)
+            ReadResult.Failed -> done(AwaitedResult.Unknown)
         }
+    }
 
-    private fun readOver(id: String, done: (AwaitedResult) -> Unit, accepted: (FinalRecord?) -> Unit) =
-        state.get(Keys.final(id), Lane.ORDINARY) { result ->
-            when (result) {
-                is ReadResult.Found -> remember(id, result)?.let(accepted) ?: done(AwaitedResult.Unknown)
-                ReadResult.Absent -> done(AwaitedResult.NeverAccepted(id))
-                ReadResult.Failed -> done(AwaitedResult.Unknown)
-            }
+    private fun readOver(
+        id: String,
+        done: (AwaitedResult) -> Unit,
+        accepted: (FinalRecord?) -> Unit,
+    ) = state.get(Keys.final(id), Lane.ORDINARY) { result ->
+        when (result) {
+            is ReadResult.Found -> remember(id, result)?.let(accepted) ?: done(AwaitedResult.Unknown)
+            ReadResult.Absent -> done(AwaitedResult.NeverAccepted(id))
+            ReadResult.Failed -> done(AwaitedResult.Unknown)
         }
+    }
 
-    private fun remember(id: String, result: ReadResult<KeyValue>): FinalRecord? {
+    private fun remember(
+        id: String,
+        result: ReadResult<KeyValue>,
+    ): FinalRecord? {
         val stored = result as? ReadResult.Found ?: return null
         val record = decodeRecord(FinalRecord.serializer(), stored.value.v) ?: return null
         book.rememberFinal(id, record)
--- a/src/main/kotlin/ledgearch/intake/Submitted.kt
+++ b/src/main/kotlin/ledgearch/intake/Submitted.kt
@@ -16,38 +16,48 @@
 import ledgearch.wire.WorkRequest
 
 /** A submission that is malformed; answered with 400. */
-internal class Malformed(message: String) : Exception(message, null, false, false)
+internal class Malformed(
+    message: String,
+) : Exception(message, null, false, false)
 
 /** What was submitted: an object that names a job, the rest of it not yet looked at. */
-internal class Submitted private constructor(val id: String, private val json: JsonObject) {
+internal class Submitted private constructor(
+    val id: String,
+    private val json: JsonObject,
+) {
     /** Read field by field, so that every wrong type is told by name. Only what may be null may be left out. */
     fun request(): WorkRequest {
-        val request = WorkRequest(
-            ref = id,
-            menu = text("menu"),
-            crew = text("crew"),
-            shape = text("shape"),
-            urgency = text("urgency"),
-            portions = count("portions", 1, MAX_TASKS),
-            vcpus = amount("vcpus"),
-            accelerators = amount("accelerators"),
-            memoryGb = amount("memoryGb"),
-            racks = textsOrNull("racks"),
-            hall = textOrNull("hall"),
-            samePlace = flag("samePlace"),
-            apart = flag("apart"),
-            borrowed = flag("borrowed"),
-            recipe = text("recipe"),
-            sizeGb = amount("sizeGb"),
-            cookS = amount("cookS"),
-            stirS = amount("stirS"),
-            plateS = amount("plateS"),
-            serveS = amountOrNull("serveS"),
-            awaits = awaitedOrNull(),
-        )
+        val request =
+            WorkRequest(
+                ref = id,
+                menu = text("menu"),
+                crew = text("crew"),
+                shape = text("shape"),
+                urgency = text("urgency"),
+                portions = count("portions", 1, MAX_TASKS),
+                vcpus = amount("vcpus"),
+                accelerators = amount("accelerators"),
+                memoryGb = amount("memoryGb"),
+                racks = textsOrNull("racks"),
+                hall = textOrNull("hall"),
+                samePlace = flag("samePlace"),
+                apart = flag("apart"),
+                borrowed = flag("borrowed"),
+                recipe = text("recipe"),
+                sizeGb = amount("sizeGb"),
+                cookS = amount("cookS"),
+                stirS = amount("stirS"),
+                plateS = amount("plateS"),
+                serveS = amountOrNull("serveS"),
+                awaits = awaitedOrNull(),
+            )
         if (request.shape !in Shapes.ALL) throw Malformed("shape: must be one of ${Shapes.ALL}")
         if (request.urgency !in Urgencies.ORDER) throw Malformed("urgency: must be one of ${Urgencies.ORDER}")
-        if (request.vcpus <= 0 && request.accelerators <= 0 && request.memoryGb <= 0) throw Malformed("vcpus: a task must take something")
+        if (request.vcpus <= 0 && request.accelerators <= 0 &&
+            request.memoryGb <= 0
+        ) {
+            throw Malformed("vcpus: a task must take something")
+        }
         return request
     }
 
@@ -74,7 +84,10 @@
         return ids.ifEmpty { null }
     }
 
-    private fun string(name: String, element: JsonElement): String {
+    private fun string(
+        name: String,
+        element: JsonElement,
+    ): String {
         val p = element as? JsonPrimitive
         if (p == null || !p.isString || p.content.isEmpty()) throw Malformed("$name: must be a string")
         return p.content
@@ -82,10 +95,15 @@
 
     private fun flag(name: String): Boolean {
         val v = value(name) ?: missing(name)
-        return (v as? JsonPrimitive)?.takeIf { !it.isString }?.booleanOrNull ?: throw Malformed("$name: must be true or false")
+        return (v as? JsonPrimitive)?.takeIf { !it.isString }?.booleanOrNull
+            ?: throw Malformed("$name: must be true or false")
     }
 
-    private fun count(name: String, least: Int, most: Int): Int {
+    private fun count(
+        name: String,
+        least: Int,
+        most: Int,
+    ): Int {
         val n = (number(name) ?: missing(name)).longOrNull ?: throw Malformed("$name: must be an integer")
         if (n < least || n > most) throw Malformed("$name: must be from $least to $most")
         return n.toInt()
@@ -115,11 +133,12 @@
 
         fun read(body: String): Submitted {
             if (depth(body) > Tuning.SUBMISSION_DEPTH) throw Malformed("too deep")
-            val json = try {
-                WireJson.parseToJsonElement(body) as? JsonObject ?: throw Malformed("not an object")
-            } catch (_: SerializationException) {
-                throw Malformed("not JSON")
-            }
+            val json =
+                try {
+                    WireJson.parseToJsonElement(body) as? JsonObject ?: throw Malformed("not an object")
+                } catch (_: SerializationException) {
+                    throw Malformed("not JSON")
+                }
             val id = (json["ref"] as? JsonPrimitive)?.takeIf { it.isString }?.content ?: throw Malformed("ref: missing")
             if (!Validation.isJobId(id)) throw Malformed("ref: not a job id")
             return Submitted(id, json)
--- a/src/main/kotlin/ledgearch/intake/Validation.kt
+++ b/src/main/kotlin/ledgearch/intake/Validation.kt
@@ -12,16 +12,21 @@
     fun isJobId(text: String) = JOB_ID.matches(text)
 
     /** Why the job can never run, or null. */
-    fun impossible(r: WorkRequest, team: Team?, racks: Collection<Rack>): String? {
+    fun impossible(
+        r: WorkRequest,
+        team: Team?,
+        racks: Collection<Rack>,
+    ): String? {
         if (team == null) return "unknown crew"
         val counted = if (r.shape == Shapes.STANDING) r.portions else 1
         if (r.vcpus * counted > team.cpusMax + Machine.ROUNDING) return "more vcpus than the crew's limit"
         if (r.accelerators * counted > team.gpusMax + Machine.ROUNDING) return "more accelerators than the crew's limit"
-        val fits = racks.any { rack ->
-            (r.racks == null || rack.label in r.racks) &&
-                (r.hall == null || r.hall in rack.halls) &&
-                r.vcpus <= rack.vcpus && r.accelerators <= rack.accelerators && r.memoryGb <= rack.memoryGb
-        }
+        val fits =
+            racks.any { rack ->
+                (r.racks == null || rack.label in r.racks) &&
+                    (r.hall == null || r.hall in rack.halls) &&
+                    r.vcpus <= rack.vcpus && r.accelerators <= rack.accelerators && r.memoryGb <= rack.memoryGb
+            }
         return if (fits) null else "fits no allowed rack"
     }
 }
--- a/src/main/kotlin/ledgearch/mesh/Frames.kt
+++ b/src/main/kotlin/ledgearch/mesh/Frames.kt
@@ -4,10 +4,17 @@
 import okio.ByteString
 
 /** What is shown to users of an open job: how many of its tasks are done and how many run. */
-internal data class Progress(val job: String, val done: Int, val running: Int)
+internal data class Progress(
+    val job: String,
+    val done: Int,
+    val running: Int,
+)
 
 /** What the holder tells the others at one time. [served]: the state service answers it; null when it does not say. */
-internal class HolderNews(val progress: List<Progress>, val served: Boolean?)
+internal class HolderNews(
+    val progress: List<Progress>,
+    val served: Boolean?,
+)
 
 /**
  * What the holder tells the other controllers. No rule depends on it, and nothing in it is durable. A frame is a length
@@ -20,7 +27,11 @@
         news.served?.let { body.writeByte(0).writeInt(if (it) 1 else 0).writeInt(0) }
         for (p in news.progress) {
             val id = p.job.toByteArray()
-            body.writeByte(id.size).write(id).writeInt(p.done).writeInt(p.running)
+            body
+                .writeByte(id.size)
+                .write(id)
+                .writeInt(p.done)
+                .writeInt(p.running)
         }
         return Buffer().writeInt(body.size.toInt()).apply { writeAll(body) }.readByteString()
     }
@@ -47,4 +58,6 @@
     private const val MAX_FRAME = 1 shl 20
 }
 
-internal class MalformedFrame(message: String) : Exception(message, null, false, false)
+internal class MalformedFrame(
+    message: String,
+) : Exception(message, null, false, false)
--- a/src/main/kotlin/ledgearch/mesh/MeshLinks.kt
+++ b/src/main/kotlin/ledgearch/mesh/MeshLinks.kt
@@ -90,7 +90,11 @@
         while (true) {
             val channel = AsynchronousSocketChannel.open(group)
             try {
-                val connected = withTimeoutOrNull(Tuning.CONNECT_MS) { channel.connectTo(parseAddress(address)); true }
+                val connected =
+                    withTimeoutOrNull(Tuning.CONNECT_MS) {
+                        channel.connectTo(parseAddress(address))
+                        true
+                    }
                 if (connected != null) {
                     refusals = 0
                     read(channel)
--- a/src/main/kotlin/ledgearch/state/StateClient.kt
+++ b/src/main/kotlin/ledgearch/state/StateClient.kt
@@ -19,9 +19,13 @@
 import org.slf4j.LoggerFactory
 
 internal sealed interface TxnResult {
-    data class Ok(val edition: Long) : TxnResult
+    data class Ok(
+        val edition: Long,
+    ) : TxnResult
 
-    data class Conflict(val failed: List<String>) : TxnResult
+    data class Conflict(
+        val failed: List<String>,
+    ) : TxnResult
 
     /** Surely not executed, and nothing to be gained by asking again at once: an outage, or no budget left. */
     data object Refused : TxnResult
@@ -38,7 +42,9 @@
 
 /** What a read brought; [Failed] says nothing about the store. */
 internal sealed interface ReadResult<out T> {
-    data class Found<T>(val value: T) : ReadResult<T>
+    data class Found<T>(
+        val value: T,
+    ) : ReadResult<T>
 
     data object Absent : ReadResult<Nothing>
 
@@ -95,11 +101,12 @@
     /** The holder of the block writes most and gets the larger part of the budget. */
     fun share(holder: Boolean) {
         isHolder = holder
-        val part = when {
-            nodes <= 1 -> 1.0
-            holder -> Tuning.HOLDER_SHARE
-            else -> (1 - Tuning.HOLDER_SHARE) / (nodes - 1)
-        }
+        val part =
+            when {
+                nodes <= 1 -> 1.0
+                holder -> Tuning.HOLDER_SHARE
+                else -> (1 - Tuning.HOLDER_SHARE) / (nodes - 1)
+            }
         requests.perSecond = (if (lowered) limits.lowerRps else limits.rps) * Tuning.BUDGET_USED * part
         writes.perSecond = (if (lowered) limits.lowerWriteRps else limits.writeRps) * Tuning.BUDGET_USED * part
     }
@@ -113,33 +120,87 @@
         val byWrites = changes > 0 && limits.lowerWriteRps < limits.writeRps
         if (lowered || !(byWrites || limits.lowerRps < limits.rps)) return
         lowered = true
-        log.info("the state service's limits seem to be lowered; {} changes a second are planned for", limits.lowerWriteRps)
+        log.info(
+            "the state service's limits seem to be lowered; {} changes a second are planned for",
+            limits.lowerWriteRps,
+        )
         share(isHolder)
     }
 
     val maxChanges: Int get() = limits.safeTxnOps
     val maxConditions: Int get() = limits.safeTxnOps * 4
 
-    fun txn(conditions: List<Condition>, changes: List<Change>, lane: Lane, done: (TxnResult) -> Unit) {
+    fun txn(
+        conditions: List<Condition>,
+        changes: List<Change>,
+        lane: Lane,
+        done: (TxnResult) -> Unit,
+    ) {
         val body = WireJson.encodeToString(Txn.serializer(), Txn(conditions, changes))
-        enqueue(lane, changes.size, "POST", "/txn", body, if (changes.isEmpty()) Tuning.COMPARE_MS else Tuning.TXN_MS) { reply ->
-            if (reply.status != 200) log.debug("transaction of {} changes got {} {}", changes.size, reply.status, reply.body)
+        enqueue(
+            lane,
+            changes.size,
+            "POST",
+            "/txn",
+            body,
+            if (changes.isEmpty()) Tuning.COMPARE_MS else Tuning.TXN_MS,
+        ) { reply ->
+            if (reply.status !=
+                200
+            ) {
+                log.debug("transaction of {} changes got {} {}", changes.size, reply.status, reply.body)
+            }
             done(
                 when (reply.status) {
-                    200 -> parse(reply) { WireJson.decodeFromString(TxnReply.serializer(), it) }?.let { TxnResult.Ok(it.edition) } ?: TxnResult.Unknown
-                    409 -> parse(reply) { WireJson.decodeFromString(TxnReply.serializer(), it) }?.let { TxnResult.Conflict(it.failed) } ?: TxnResult.Refused
-                    400 -> if ("no such lease" in reply.body) TxnResult.NoLease else TxnResult.TooLarge
-                    0 -> TxnResult.Unknown
-                    else -> TxnResult.Refused
+                    200 -> {
+                        parse(
+                            reply,
+                        ) { WireJson.decodeFromString(TxnReply.serializer(), it) }?.let { TxnResult.Ok(it.edition) }
+                            ?: TxnResult.Unknown
+                    }
+
+                    409 -> {
+                        parse(
+                            reply,
+                        ) {
+                            WireJson.decodeFromString(
+                                TxnReply.serializer(),
+                                it,
+                            )
+                        }?.let { TxnResult.Conflict(it.failed) }
+                            ?: TxnResult.Refused
+                    }
+
+                    400 -> {
+                        if ("no such lease" in reply.body) TxnResult.NoLease else TxnResult.TooLarge
+                    }
+
+                    0 -> {
+                        TxnResult.Unknown
+                    }
+
+                    else -> {
+                        TxnResult.Refused
+                    }
                 },
             )
         }
     }
 
-    fun get(key: String, lane: Lane, done: (ReadResult<KeyValue>) -> Unit) =
-        enqueue(lane, 0, "GET", "/keys/$key", null, Tuning.STATE_MS) { read(it, done) { text -> WireJson.decodeFromString(KeyValue.serializer(), text) } }
+    fun get(
+        key: String,
+        lane: Lane,
+        done: (ReadResult<KeyValue>) -> Unit,
+    ) = enqueue(lane, 0, "GET", "/keys/$key", null, Tuning.STATE_MS) {
+        read(it, done) { text -> WireJson.decodeFromString(KeyValue.serializer(), text) }
+    }
 
-    fun list(prefix: String, since: String?, lane: Lane, done: (ReadResult<KeyPage>) -> Unit) {
+    fun list(
+        prefix: String,
+        since: String?,
+        lane: Lane,
+        done: (ReadResult<KeyPage>) -> Unit,
+    ) {
         val after = if (since == null) "" else "&since=$since"
         enqueue(lane, 0, "GET", "/keys?under=$prefix$after&limit=${Tuning.PAGE}", null, Tuning.STATE_PAGE_MS) {
             read(it, done) { text -> WireJson.decodeFromString(KeyPage.serializer(), text) }
@@ -147,27 +208,54 @@
     }
 
     fun openLease(done: (Long?) -> Unit) =
-        enqueue(Lane.VITAL, 0, "POST", "/leases", WireJson.encodeToString(LeaseRequest.serializer(), LeaseRequest(Tuning.LEASE_MS)), Tuning.STATE_MS) { reply ->
-            done(if (reply.status == 200) parse(reply) { WireJson.decodeFromString(LeaseReply.serializer(), it).permit } else null)
-        }
-
-    /** [done] gets true when renewed, false when the lease is gone, null when nothing is known. */
-    fun touch(permit: Long, done: (Boolean?) -> Unit) =
-        enqueue(Lane.VITAL, 0, "POST", "/leases/$permit/touch", "{}", Tuning.STATE_MS) { reply ->
+        enqueue(
+            Lane.VITAL,
+            0,
+            "POST",
+            "/leases",
+            WireJson.encodeToString(LeaseRequest.serializer(), LeaseRequest(Tuning.LEASE_MS)),
+            Tuning.STATE_MS,
+        ) { reply ->
             done(
-                when (reply.status) {
-                    200 -> true
-                    404 -> false
-                    else -> null
+                if (reply.status ==
+                    200
+                ) {
+                    parse(reply) { WireJson.decodeFromString(LeaseReply.serializer(), it).permit }
+                } else {
+                    null
                 },
             )
         }
 
+    /** [done] gets true when renewed, false when the lease is gone, null when nothing is known. */
+    fun touch(
+        permit: Long,
+        done: (Boolean?) -> Unit,
+    ) = enqueue(Lane.VITAL, 0, "POST", "/leases/$permit/touch", "{}", Tuning.STATE_MS) { reply ->
+        done(
+            when (reply.status) {
+                200 -> true
+                404 -> false
+                else -> null
+            },
+        )
+    }
+
     /** [done] gets [ReadResult.Absent] when [since] is too old for the service. */
-    fun watch(prefix: String, since: Long, done: (ReadResult<NewsPage>) -> Unit) =
-        enqueue(Lane.VITAL, 0, "GET", "/changes?under=$prefix&since=$since&blockMs=${Tuning.WATCH_MS}", null, Tuning.WATCH_MS + Tuning.WATCH_GRACE_MS) {
-            read(it, done) { text -> WireJson.decodeFromString(NewsPage.serializer(), text) }
-        }
+    fun watch(
+        prefix: String,
+        since: Long,
+        done: (ReadResult<NewsPage>) -> Unit,
+    ) = enqueue(
+        Lane.VITAL,
+        0,
+        "GET",
+        "/changes?under=$prefix&since=$since&blockMs=${Tuning.WATCH_MS}",
+        null,
+        Tuning.WATCH_MS + Tuning.WATCH_GRACE_MS,
+    ) {
+        read(it, done) { text -> WireJson.decodeFromString(NewsPage.serializer(), text) }
+    }
 
     /** Sends what the budget allows; called after every batch and on every tick. */
     fun pump() {
@@ -198,11 +286,15 @@
                             lastAnswer = now.steady
                             refuses = false
                         }
+
                         503 -> {
                             refuses = true
                             refusedUntil = now.steady + Tuning.STATE_RETRY_MS
                         }
-                        429 -> overRate(next.writes)
+
+                        429 -> {
+                            overRate(next.writes)
+                        }
                     }
                     next.done(reply)
                 }
@@ -210,11 +302,23 @@
         }
     }
 
-    private fun enqueue(lane: Lane, writes: Int, method: String, target: String, body: String?, timeoutMs: Long, done: (Reply) -> Unit) {
+    private fun enqueue(
+        lane: Lane,
+        writes: Int,
+        method: String,
+        target: String,
+        body: String?,
+        timeoutMs: Long,
+        done: (Reply) -> Unit,
+    ) {
         lanes.getValue(lane).addLast(Waiting(writes, now.steady, method, target, body, timeoutMs, done))
     }
 
-    private inline fun <T> read(reply: Reply, done: (ReadResult<T>) -> Unit, decode: (String) -> T) = done(
+    private inline fun <T> read(
+        reply: Reply,
+        done: (ReadResult<T>) -> Unit,
+        decode: (String) -> T,
+    ) = done(
         when (reply.status) {
             200 -> parse(reply, decode)?.let { ReadResult.Found(it) } ?: ReadResult.Failed
             404, 410 -> ReadResult.Absent
@@ -222,9 +326,13 @@
         },
     )
 
-    private inline fun <T> parse(reply: Reply, decode: (String) -> T): T? = try {
-        decode(reply.body)
-    } catch (_: SerializationException) {
-        null
-    }
+    private inline fun <T> parse(
+        reply: Reply,
+        decode: (String) -> T,
+    ): T? =
+        try {
+            decode(reply.body)
+        } catch (_: SerializationException) {
+            null
+        }
 }
--- a/src/main/kotlin/ledgearch/state/TokenBucket.kt
+++ b/src/main/kotlin/ledgearch/state/TokenBucket.kt
@@ -1,7 +1,9 @@
 package ledgearch.state
 
 /** Permits that refill steadily, with bursts of one second's worth. */
-internal class TokenBucket(var perSecond: Double) {
+internal class TokenBucket(
+    var perSecond: Double,
+) {
     private var level = perSecond
     private var at = Long.MIN_VALUE
 
--- a/src/main/kotlin/ledgearch/wire/Cloud.kt
+++ b/src/main/kotlin/ledgearch/wire/Cloud.kt
@@ -18,13 +18,23 @@
 )
 
 @Serializable
-data class Catalog(val racks: List<Rack>)
+data class Catalog(
+    val racks: List<Rack>,
+)
 
 @Serializable
-data class RentRequest(val booking: String, val rack: String, val hall: String, val borrowed: Boolean, val howMany: Int)
+data class RentRequest(
+    val booking: String,
+    val rack: String,
+    val hall: String,
+    val borrowed: Boolean,
+    val howMany: Int,
+)
 
 @Serializable
-data class StoveNames(val stoves: List<String> = emptyList())
+data class StoveNames(
+    val stoves: List<String> = emptyList(),
+)
 
 @Serializable
 data class ListedStove(
@@ -38,4 +48,7 @@
 )
 
 @Serializable
-data class StoveList(val stoves: List<ListedStove> = emptyList(), val hasNext: Boolean = false)
+data class StoveList(
+    val stoves: List<ListedStove> = emptyList(),
+    val hasNext: Boolean = false,
+)
--- a/src/main/kotlin/ledgearch/wire/Users.kt
+++ b/src/main/kotlin/ledgearch/wire/Users.kt
@@ -31,10 +31,17 @@
 
 /** The state of a job as told to its user. */
 @Serializable
-data class WorkStatus(val ref: String, val status: String, val done: Int? = null, val running: Int? = null)
+data class WorkStatus(
+    val ref: String,
+    val status: String,
+    val done: Int? = null,
+    val running: Int? = null,
+)
 
 @Serializable
-data class ErrorBody(val error: String)
+data class ErrorBody(
+    val error: String,
+)
 
 object Shapes {
     const val SWEEP = "sweep"
--- a/src/main/kotlin/ledgearch/wire/Workers.kt
+++ b/src/main/kotlin/ledgearch/wire/Workers.kt
@@ -28,16 +28,30 @@
 )
 
 @Serializable
-data class Order(val verb: String, val portion: String, val `try`: Long, val cooldownS: Double? = null)
+data class Order(
+    val verb: String,
+    val portion: String,
+    val `try`: Long,
+    val cooldownS: Double? = null,
+)
 
 @Serializable
-data class CheckInReply(val baton: Long, val orders: List<Order>)
+data class CheckInReply(
+    val baton: Long,
+    val orders: List<Order>,
+)
 
 @Serializable
-data class OrdersRequest(val baton: Long, val shift: Long, val orders: List<Order>)
+data class OrdersRequest(
+    val baton: Long,
+    val shift: Long,
+    val orders: List<Order>,
+)
 
 @Serializable
-data class Misdirected(val chef: String? = null)
+data class Misdirected(
+    val chef: String? = null,
+)
 
 object Verbs {
     const val START = "start"
