--- a/src/main/kotlin/ledgearch/cli/WarmUp.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUp.kt
@@ -6,19 +6,22 @@
 import java.nio.file.Files
 
 /**
- * Run by the build to record which classes a starting controller loads, for the class-data-sharing archive:
- * a controller is started on loopback with nothing behind it, left alone for a moment and ended.
+ * Run by the build to record which classes a controller loads after a restart, for the class-data-sharing archive: one is
+ * started on loopback with stand-ins of all that it talks to, serves them for a moment and ends.
  */
 internal fun warmUp(): Int {
     val file = Files.createTempFile("ledgearch", ".json")
     try {
-        val ports = List(4) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort } }
+        val ports = List(5) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort } }
         Files.writeString(
             file,
             """
-            {"node":"a","area":"z","listen":"127.0.0.1:${ports[0]}","mesh_addr":"127.0.0.1:${ports[1]}","members":[],
+            {"node":"a","area":"z","listen":"127.0.0.1:${ports[0]}","mesh_addr":"127.0.0.1:${ports[1]}",
+             "members":[{"node":"b","area":"z","addr":"127.0.0.1:${ports[4]}"}],
              "outside":{"cloud":"127.0.0.1:${ports[2]}","state":"127.0.0.1:${ports[3]}"},
-             "deployment":{"zones":["z"],"teams":[{"name":"t","cpus":1.0,"cpus_max":2.0}],
+             "deployment":{"zones":["z"],"teams":[{"name":"t","cpus":4.0,"cpus_max":16.0}],
+              "objectives":[{"kind":"wait","class":"m","within_s":1.0,"share":0.9},
+               {"kind":"deadline","class":"m","share":0.9},{"kind":"finished","class":"m","within_s":60.0,"share":0.9}],
               "workers":{"report_s":3.0,"lease_s":14.0,"cancel_s":39.0},
               "state":{"rps":100.0,"write_rps":25.0,"value_kb":8.0,"txn_ops":16},"cloud":{"rps":1.5,"list_lag_s":8.0}}}
             """.trimIndent(),
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -3,17 +3,31 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Dispatchers
 import kotlinx.coroutines.asCoroutineDispatcher
+import kotlinx.coroutines.delay
 import kotlinx.coroutines.runBlocking
 import ledgearch.config.Settings
 import ledgearch.http.HttpClient
 import ledgearch.http.HttpServer
+import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
+import ledgearch.wire.Causes
+import ledgearch.wire.CheckIn
+import ledgearch.wire.CheckInReply
+import ledgearch.wire.Order
+import ledgearch.wire.OrdersRequest
+import ledgearch.wire.PortionReport
+import ledgearch.wire.PortionStates
+import ledgearch.wire.Verbs
+import ledgearch.wire.WireJson
 import java.nio.channels.AsynchronousChannelGroup
 import java.util.concurrent.ScheduledThreadPoolExecutor
 import kotlin.system.exitProcess
 
-/** The least of a cloud, a state service and a user that makes a starting controller load what it needs. */
+/**
+ * The least of a cloud, a state service, a worker and a user that makes a starting controller do once what it does after a
+ * restart: it reads stored jobs and a machine, takes the block, confirms the machine, starts tasks and sees them end.
+ */
 internal class WarmUpServices(
     private val settings: Settings,
 ) {
@@ -22,71 +36,137 @@
     private val group = AsynchronousChannelGroup.withThreadPool(executor)
     private var edition = 10L
 
+    /** The worker's tasks, the highest token that it has seen, and the number of its last message. */
+    private val tasks = LinkedHashMap<String, PortionReport>()
+    private var token = 0L
+    private var sequence = 0L
+
     fun play() {
         HttpServer(scope, group, 10, handler = ::state).start(settings.outside.state)
-        HttpServer(scope, group, 10, handler = ::cloud).start(settings.outside.cloud)
+        HttpServer(scope, group, 10, handler = ::cloudOrWorker).start(settings.outside.cloud)
         Daemon(settings).start()
         val client = HttpClient(group)
         runBlocking(Dispatchers.Unconfined) {
             repeat(ROUNDS) { round ->
                 Thread.sleep(STEP_MS)
-                client.call(settings.listen, "GET", "/up", null, STEP_MS * 10)
-                client.call(settings.listen, "POST", "/work", job(round), STEP_MS * 10)
-                client.call(settings.listen, "GET", "/work/job-$round", null, STEP_MS * 10)
-                client.call(settings.listen, "POST", "/checkin", report(round + 1), STEP_MS * 10)
+                client.call(settings.listen, "GET", "/up", null, TIMEOUT_MS)
+                client.call(settings.listen, "POST", "/work", job("job-$round", ""), TIMEOUT_MS)
+                client.call(settings.listen, "POST", "/work", job("job-1$round", AWAITED), TIMEOUT_MS)
+                client.call(settings.listen, "GET", "/work/job-$round", null, TIMEOUT_MS)
+                reportOnce(client)
             }
+            client.call(settings.listen, "POST", "/work/job-0/withdraw", "", TIMEOUT_MS)
         }
         exitProcess(0)
     }
 
-    private suspend fun state(request: Request): Response =
-        when {
-            request.path.startsWith("/leases") -> {
-                Response(200, """{"permit":7}""")
-            }
+    private suspend fun reportOnce(client: HttpClient) {
+        val reply = client.call(settings.listen, "POST", "/checkin", report(), TIMEOUT_MS)
+        tasks.replaceAll { _, task -> task.copy(status = PortionStates.EXITED, cause = Causes.DONE) }
+        if (reply.status == OK) carryOut(reply)
+    }
 
-            request.path == "/txn" -> {
-                Response(200, """{"edition":${++edition}}""")
-            }
+    private fun carryOut(reply: Reply) {
+        val answer = WireJson.decodeFromString(CheckInReply.serializer(), reply.body)
+        carryOut(answer.baton, answer.orders)
+    }
 
-            request.path == "/changes" -> {
-                kotlinx.coroutines.delay(STEP_MS)
-                Response(200, """{"edition":$edition,"news":[]}""")
+    private fun carryOut(
+        seenToken: Long,
+        orders: List<Order>,
+    ) {
+        token = maxOf(token, seenToken)
+        for (order in orders) {
+            when (order.verb) {
+                Verbs.START -> tasks[order.portion] = PortionReport(order.portion, order.`try`, PortionStates.RUNNING)
+                else -> tasks.remove(order.portion)
             }
+        }
+    }
 
-            else -> {
-                Response(200, """{"pairs":[],"hasNext":false,"edition":$edition}""")
-            }
+    private fun report(): String {
+        val report =
+            CheckIn(
+                stove = MACHINE,
+                endpoint = settings.outside.cloud,
+                rack = "r",
+                hall = "z",
+                shift = 1,
+                ticket = ++sequence,
+                baton = token,
+                portions = tasks.values.toList(),
+            )
+        return WireJson.encodeToString(CheckIn.serializer(), report)
+    }
+
+    private suspend fun state(request: Request): Response {
+        val path = request.path
+        return when {
+            path.startsWith("/leases") -> Response(OK, """{"permit":7}""")
+            path == "/txn" -> Response(OK, """{"edition":${++edition}}""")
+            path == "/changes" -> changes()
+            path == "/keys" -> Response(OK, page(request.target))
+            else -> Response(NOT_FOUND, """{"edition":$edition}""")
         }
+    }
 
-    private suspend fun cloud(request: Request): Response =
-        when (request.path) {
-            "/catalog" -> {
-                Response(
-                    200,
-                    """{"racks":[{"label":"r","vcpus":8,"memoryGb":16,"localGb":35,
-                        "fetchGbPerS":0.3,"hourly":0.5,"lowPrice":0.2,"startupS":15,"halls":["z"]}]}""",
-                )
-            }
+    private suspend fun changes(): Response {
+        delay(STEP_MS)
+        val final = """{"put":"w/d/job-900","v":{"st":"done","n":2},"stamp":${++edition}}"""
+        val opened = """{"put":"w/j/job-902","v":{"spec":${job("job-902", "")},"at":1},"stamp":$edition}"""
+        return Response(OK, """{"edition":$edition,"news":[$final,$opened]}""")
+    }
 
-            else -> {
-                Response(200, """{"stoves":[],"hasNext":false}""")
+    /** One stored record of each kind that a starting controller or a new leader reads. */
+    private fun page(target: String): String {
+        val pair =
+            when {
+                "w/c" in target -> """{"key":"w/c","v":{"racks":[$MACHINE_TYPE]},"stamp":1}"""
+                "w/j/" in target -> """{"key":"w/j/job-900","v":{"spec":${job("job-900", "")},"at":1},"stamp":2}"""
+                "m/" in target -> machineRecord()
+                "f/" in target -> """{"key":"f/job-900/0","v":{"r":"0"},"stamp":4}"""
+                else -> ""
             }
+        return """{"pairs":[$pair],"hasNext":false,"edition":$edition}"""
+    }
+
+    private fun machineRecord(): String {
+        val place = """"endpoint":"${settings.outside.cloud}","rack":0,"hall":"z","borrowed":false"""
+        val machine = """{"name":"$MACHINE",$place}"""
+        return """{"key":"m/$MACHINE","v":{"block":0,"racks":[$MACHINE_TYPE],"machines":[$machine]},"stamp":3}"""
+    }
+
+    private suspend fun cloudOrWorker(request: Request): Response =
+        when (request.path) {
+            "/catalog" -> Response(OK, """{"racks":[$MACHINE_TYPE]}""")
+            "/orders" -> orders(request)
+            else -> Response(OK, """{"stoves":[],"hasNext":false}""")
         }
 
-    private fun job(n: Int) =
-        """{"ref":"job-$n","menu":"m","crew":"t","shape":"sweep","urgency":"urgent","portions":2,
+    private fun orders(request: Request): Response {
+        val command = WireJson.decodeFromString(OrdersRequest.serializer(), request.body)
+        carryOut(command.baton, command.orders)
+        return Response(OK, report())
+    }
+
+    private fun job(
+        id: String,
+        more: String,
+    ) = """{"ref":"$id","menu":"m","crew":"t","shape":"sweep","urgency":"urgent","portions":2,
             "vcpus":1.0,"accelerators":0.0,
             "memoryGb":1.0,"recipe":"i","sizeGb":1.0,"samePlace":false,"apart":false,"borrowed":true,
-            "cookS":20.0,"stirS":0.0,"plateS":0.0,"serveS":90.0}"""
-
-    private fun report(n: Int) =
-        """{"stove":"host-1","endpoint":"${settings.outside.cloud}","rack":"r","hall":"z",
-            "shift":1,"ticket":$n,"baton":11,
-            "portions":[{"portion":"job-900/0","try":1,"status":"running"}]}"""
+            "cookS":20.0,"stirS":0.0,"plateS":0.0,"serveS":90.0$more}"""
 
     private companion object {
-        const val ROUNDS = 8
+        const val ROUNDS = 10
         const val STEP_MS = 100L
+        const val TIMEOUT_MS = 1_000L
+        const val OK = 200
+        const val NOT_FOUND = 404
+        const val MACHINE = "host-1"
+        const val AWAITED = ""","awaits":["job-900","job-902"]"""
+        const val MACHINE_TYPE =
+            """{"label":"r","vcpus":8,"memoryGb":16,"localGb":35,"fetchGbPerS":0.3,"hourly":0.5,""" +
+                """"lowPrice":0.2,"startupS":15,"halls":["z"]}"""
     }
 }
