--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -316,8 +316,8 @@
     /** ms. A poll is waited for 2 s by its user. */
     const val POLL_MS = 1_500L
 
-    /** ms. A withdrawal waits this long for the leader, then the user is told to come back. */
-    const val WITHDRAW_MS = 3_000L
+    /** ms. A cancellation waits this long for the leader, then the user is told to come back. */
+    const val CANCEL_MS = 3_000L
 
     /**
      * Objects and arrays within one another. A submission needs two; the parser's own calls nest as deep, and its stack
@@ -328,11 +328,11 @@
     /** Requests. Waiting for the state service at one time; beyond it users are told to come back at once. */
     const val INTAKE_BACKLOG = 512
 
-    /** Reads. Of final records of awaited jobs, under way at one time: a new leader's other reads go on beside them. */
+    /** Reads. Of final records of dependencys, under way at one time: a new leader's other reads go on beside them. */
     const val DEPENDENCY_READS = 6
 
     /**
-     * ms. Until the final record of an awaited job that was not found is read again: its open record is on its way
+     * ms. Until the final record of an dependency that was not found is read again: its open record is on its way
      * here.
      */
     const val DEPENDENCY_READ_MS = 1_000L
@@ -454,7 +454,7 @@
     const val ATTEMPTS_PER_TERM = 1L shl (ATTEMPT_BITS - 1)
 
     /** Orders. In one message, of at most 64 KiB: an order takes some 80 bytes, more with long names. */
-    const val ORDERS_AT_ONCE = 400
+    const val COMMANDS_AT_ONCE = 400
 
     /** Tasks. On one machine, so that its report, some 110 bytes a task, stays under 64 KiB. */
     const val MACHINE_TASKS = 400
@@ -543,7 +543,7 @@
     const val WORTH_AIM = 500.0
 
     /** Processor seconds. More than any task's work, so that the least urgent is always stopped first. */
-    const val WORTH_URGENCY = 1e6
+    const val WORTH_PRIORITY = 1e6
 
     /** Share of a job's tasks' worth of work that a second of waiting makes up for. */
     const val AGE_CREDIT = 0.25
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -8,8 +8,8 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import ledgearch.Tuning
 import ledgearch.config.Settings
-import ledgearch.core.Command
 import ledgearch.core.Controller
+import ledgearch.core.OwnerCommand
 import ledgearch.core.Transport
 import ledgearch.http.EventLoop
 import ledgearch.http.HttpClient
@@ -103,7 +103,7 @@
 
     private suspend fun handle(request: Request): Response {
         val answer = PendingResponse()
-        val command = Command.Serve(request, answer::complete)
+        val command = OwnerCommand.Serve(request, answer::complete)
         if (request.path in FIRST) {
             queue.put(command)
         } else if (!queue.offer(command)) {
@@ -112,7 +112,7 @@
         return answer.await()
     }
 
-    private fun work(batch: List<Command>) {
+    private fun work(batch: List<OwnerCommand>) {
         val began = System.nanoTime()
         controller.run(began / 1_000_000, System.currentTimeMillis(), batch)
         controller.worked((System.nanoTime() - began) / 1000, queue.waiting)
@@ -122,11 +122,11 @@
     private val tooBusy = errorResponse(503, "too many requests").copy(retryAfterS = settings.operator.retryAfterS)
 
     private inner class OwnerEvents : MeshEvents {
-        override suspend fun news(news: LeaderStatus) = queue.put(Command.News(news))
+        override suspend fun news(news: LeaderStatus) = queue.put(OwnerCommand.News(news))
 
-        override suspend fun standby(event: StandbyEvent) = queue.put(Command.Standby(event))
+        override suspend fun standby(event: StandbyEvent) = queue.put(OwnerCommand.Standby(event))
 
-        override suspend fun refused(address: String) = queue.put(Command.PeerRefused(address))
+        override suspend fun refused(address: String) = queue.put(OwnerCommand.PeerRefused(address))
     }
 
     private inner class SocketTransport : Transport {
@@ -140,7 +140,7 @@
         ) {
             scope.launch {
                 val reply = client.call(address, method, target, body, timeoutMs)
-                queue.put(Command.Answered(reply, done))
+                queue.put(OwnerCommand.Answered(reply, done))
             }
         }
     }
--- a/src/main/kotlin/ledgearch/cli/OwnerLoop.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerLoop.kt
@@ -1,14 +1,14 @@
 package ledgearch.cli
 
 import ledgearch.Tuning
-import ledgearch.core.Command
+import ledgearch.core.OwnerCommand
 
 /** Takes the owner's commands from its queue in batches; it ends only with the process. */
 internal class OwnerLoop(
     private val queue: OwnerQueue,
     private val crash: Crash,
     /** Works off a batch. */
-    private val work: (List<Command>) -> Unit,
+    private val work: (List<OwnerCommand>) -> Unit,
 ) {
     /** Whatever leaves the loop ends the process: without its owner it would only look alive. */
     suspend fun run() {
@@ -20,7 +20,7 @@
     }
 
     private suspend fun workForEver() {
-        val batch = ArrayList<Command>(Tuning.BATCH)
+        val batch = ArrayList<OwnerCommand>(Tuning.BATCH)
         while (true) {
             batch.clear()
             queue.take(batch)
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -16,14 +16,14 @@
 import ledgearch.mesh.MeshLinks
 import ledgearch.mesh.Progress
 import ledgearch.standby.StandbyEvent
-import ledgearch.wire.Causes
-import ledgearch.wire.CheckIn
-import ledgearch.wire.CheckInReply
-import ledgearch.wire.Order
-import ledgearch.wire.OrdersRequest
-import ledgearch.wire.PortionReport
-import ledgearch.wire.PortionStates
-import ledgearch.wire.Verbs
+import ledgearch.wire.CommandKind
+import ledgearch.wire.CommandRequest
+import ledgearch.wire.ExitCause
+import ledgearch.wire.Heartbeat
+import ledgearch.wire.HeartbeatReply
+import ledgearch.wire.TaskCommand
+import ledgearch.wire.TaskReport
+import ledgearch.wire.TaskState
 import ledgearch.wire.WireJson
 import java.nio.channels.AsynchronousChannelGroup
 import java.util.concurrent.ScheduledThreadPoolExecutor
@@ -46,7 +46,7 @@
     private var peerLeads = true
 
     /** The worker's tasks, the highest token that it has seen, and the number of its last message. */
-    private val tasks = LinkedHashMap<String, PortionReport>()
+    private val tasks = LinkedHashMap<String, TaskReport>()
     private var token = 0L
     private var sequence = 0L
 
@@ -75,41 +75,41 @@
 
     private suspend fun reportOnce(client: HttpClient) {
         val reply = client.call(settings.listen, "POST", "/checkin", report(), TIMEOUT_MS)
-        tasks.replaceAll { _, task -> task.copy(status = PortionStates.EXITED, cause = Causes.DONE) }
+        tasks.replaceAll { _, task -> task.copy(state = TaskState.EXITED, cause = ExitCause.DONE) }
         if (reply.status == OK) carryOut(reply)
     }
 
     private fun carryOut(reply: Reply) {
-        val answer = WireJson.decodeFromString(CheckInReply.serializer(), reply.body)
-        carryOut(answer.token, answer.orders)
+        val answer = WireJson.decodeFromString(HeartbeatReply.serializer(), reply.body)
+        carryOut(answer.token, answer.commands)
     }
 
     private fun carryOut(
         seenToken: Long,
-        orders: List<Order>,
+        commands: List<TaskCommand>,
     ) {
         token = maxOf(token, seenToken)
-        for (order in orders) {
-            when (order.verb) {
-                Verbs.START -> tasks[order.portion] = PortionReport(order.portion, order.attempt, PortionStates.RUNNING)
-                else -> tasks.remove(order.portion)
+        for (order in commands) {
+            when (order.kind) {
+                CommandKind.START -> tasks[order.taskId] = TaskReport(order.taskId, order.attempt, TaskState.RUNNING)
+                else -> tasks.remove(order.taskId)
             }
         }
     }
 
     private fun report(): String {
         val report =
-            CheckIn(
+            Heartbeat(
                 machine = MACHINE,
                 endpoint = settings.outside.cloud,
-                rack = "r",
+                machineType = "r",
                 zone = "z",
-                session = 1,
+                incarnation = 1,
                 sequence = ++sequence,
                 token = token,
-                portions = tasks.values.toList(),
+                tasks = tasks.values.toList(),
             )
-        return WireJson.encodeToString(CheckIn.serializer(), report)
+        return WireJson.encodeToString(Heartbeat.serializer(), report)
     }
 
     private suspend fun state(request: Request): Response {
@@ -157,13 +157,13 @@
     private suspend fun cloudOrWorker(request: Request): Response =
         when (request.path) {
             "/catalog" -> Response(OK, """{"racks":[$MACHINE_TYPE]}""")
-            "/orders" -> orders(request)
+            "/orders" -> commands(request)
             else -> Response(OK, """{"stoves":[$LISTED_MACHINE],"hasNext":false}""")
         }
 
-    private fun orders(request: Request): Response {
-        val command = WireJson.decodeFromString(OrdersRequest.serializer(), request.body)
-        carryOut(command.token, command.orders)
+    private fun commands(request: Request): Response {
+        val command = WireJson.decodeFromString(CommandRequest.serializer(), request.body)
+        carryOut(command.token, command.commands)
         return Response(OK, report())
     }
 
--- a/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
@@ -4,10 +4,10 @@
 import ledgearch.Tuning
 import ledgearch.http.Reply
 import ledgearch.leader.Election
-import ledgearch.wire.CheckIn
-import ledgearch.wire.Order
-import ledgearch.wire.OrdersRequest
-import ledgearch.wire.Verbs
+import ledgearch.wire.CommandKind
+import ledgearch.wire.CommandRequest
+import ledgearch.wire.Heartbeat
+import ledgearch.wire.TaskCommand
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
@@ -21,7 +21,7 @@
     private val callsAtOnce: Int,
     private val dueMs: Long,
     private val isHere: (Machine) -> Boolean,
-    private val heard: (Machine, CheckIn) -> Unit,
+    private val heard: (Machine, Heartbeat) -> Unit,
     private val begunAnew: (Machine) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
@@ -60,32 +60,36 @@
     }
 
     /** Everything the worker should still be told; each order may be repeated without harm until it shows. */
-    fun orders(m: Machine): List<Order> {
+    fun commands(m: Machine): List<TaskCommand> {
         if (!m.durable || !m.confirmed) return emptyList()
-        val halts = ArrayList<Order>()
-        val starts = ArrayList<Order>()
-        for (p in m.placements.values) {
+        val halts = ArrayList<TaskCommand>()
+        val starts = ArrayList<TaskCommand>()
+        for (p in m.attempts.values) {
             when {
                 p.exited -> {
-                    if (p.clearable && p.settled(m.reportSequence)) halts.add(Order(Verbs.CLEAR, p.task, p.attempt))
+                    if (p.clearable &&
+                        p.settled(m.reportSequence)
+                    ) {
+                        halts.add(TaskCommand(CommandKind.CLEAR, p.taskId, p.number))
+                    }
                 }
 
-                p.stop != Stop.NONE -> {
-                    val grace = if (p.stop == Stop.SAVE_FIRST) p.job?.spec?.plateS ?: 0.0 else 0.0
-                    if (p.status != TaskStatus.SAVING ||
+                p.stop != StopMode.NONE -> {
+                    val grace = if (p.stop == StopMode.CHECKPOINT_FIRST) p.job?.spec?.checkpointS ?: 0.0 else 0.0
+                    if (p.state != AttemptState.SAVING ||
                         grace == 0.0
                     ) {
-                        halts.add(Order(Verbs.HALT, p.task, p.attempt, grace))
+                        halts.add(TaskCommand(CommandKind.STOP, p.taskId, p.number, grace))
                     }
                 }
 
                 !p.seen -> {
-                    starts.add(Order(Verbs.START, p.task, p.attempt))
+                    starts.add(TaskCommand(CommandKind.START, p.taskId, p.number))
                 }
             }
         }
         // A message has a size that it may not pass; what is left over goes with the next one.
-        return (halts + starts).take(Tuning.ORDERS_AT_ONCE)
+        return (halts + starts).take(Tuning.COMMANDS_AT_ONCE)
     }
 
     fun drive() {
@@ -97,7 +101,7 @@
                 push(m)
             }
         }
-        lossy.removeIf { m -> m.placements.values.none { it.lostToken != 0L } }
+        lossy.removeIf { m -> m.attempts.values.none { it.lostToken != 0L } }
         if (lossy.any { !it.pushBroken }) election.bump()
     }
 
@@ -121,9 +125,9 @@
     }
 
     private fun push(m: Machine) {
-        val list = orders(m)
+        val list = commands(m)
         if (list.isEmpty()) return
-        val started = list.filter { it.verb == Verbs.START }.mapNotNull { m.placements.get(it.attempt) }
+        val started = list.filter { it.kind == CommandKind.START }.mapNotNull { m.attempts.get(it.attempt) }
         started.forEach { it.pushOpen = true }
         m.pushing = true
         callsOpen++
@@ -142,24 +146,24 @@
             // A time-out of our own, while this node was behind with its work, says nothing about the machine.
             if (answer == null && !stalls.wasBehindSince(sentAt)) missed(m)
             if (answer != null && isHere(m)) heard(m, answer)
-            if (list.size == Tuning.ORDERS_AT_ONCE) want(m)
+            if (list.size == Tuning.COMMANDS_AT_ONCE) want(m)
         }
     }
 
     /** [done] gets the machine's report, or null when it did not answer. */
     private fun direct(
         m: Machine,
-        list: List<Order>,
+        list: List<TaskCommand>,
         timeoutMs: Long,
-        done: (CheckIn?) -> Unit,
+        done: (Heartbeat?) -> Unit,
     ) {
         val mine = term
         val body =
             WireJson.encodeToString(
-                OrdersRequest.serializer(),
-                OrdersRequest(election.token, m.sessionToName, list),
+                CommandRequest.serializer(),
+                CommandRequest(election.token, m.incarnationToName, list),
             )
-        val session = m.session
+        val incarnation = m.incarnation
         val sequence = m.sequence
         val sentAt = now.steady
         // Over a slow link answers are awaited for as long as the last one took and half as long again.
@@ -180,7 +184,7 @@
             // Numbers only grow, and this answer was made after the request: they have begun anew, and the worker with
             // them.
             if (answer != null && isHere(m) &&
-                (answer.session < session || (answer.session == session && answer.sequence <= sequence))
+                (answer.incarnation < incarnation || (answer.incarnation == incarnation && answer.sequence <= sequence))
             ) {
                 begunAnew(m)
             }
@@ -204,7 +208,7 @@
             now.steady + Tuning.PROBE_MS * (1 + (m.probesFailed - Tuning.PROBES).coerceIn(0, Tuning.MOST_PROBE_PAUSES))
         probesOpen++
         val sentAt = now.steady
-        val session = m.session
+        val incarnation = m.incarnation
         direct(
             m,
             emptyList(),
@@ -221,7 +225,7 @@
                 return@direct
             }
             if (isHere(m)) heard(m, answer)
-            if (isHere(m) && !m.confirmed && m.session != session) probe(m, again = true)
+            if (isHere(m) && !m.confirmed && m.incarnation != incarnation) probe(m, again = true)
         }
     }
 
@@ -233,9 +237,9 @@
     private fun reportsByItself(m: Machine) =
         stalls.isBehind && m.inherited && !m.returningHint && now.steady - m.knownSince < dueMs
 
-    private fun parse(reply: Reply): CheckIn? =
+    private fun parse(reply: Reply): Heartbeat? =
         try {
-            WireJson.decodeFromString(CheckIn.serializer(), reply.body)
+            WireJson.decodeFromString(Heartbeat.serializer(), reply.body)
         } catch (e: SerializationException) {
             log.warn("a worker's answer makes no sense: {}", e.message)
             null
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -19,45 +19,46 @@
 import ledgearch.standby.StandbyEvent
 import ledgearch.standby.WarmStandby
 import ledgearch.state.StateClient
-import ledgearch.wire.CheckIn
-import ledgearch.wire.CheckInReply
 import ledgearch.wire.Condition
-import ledgearch.wire.Misdirected
+import ledgearch.wire.Heartbeat
+import ledgearch.wire.HeartbeatReply
+import ledgearch.wire.Priority
+import ledgearch.wire.Redirect
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
 
 /** What the owner is asked to do. */
-internal sealed interface Command {
+internal sealed interface OwnerCommand {
     class Serve(
         val request: Request,
         val respond: (Response) -> Unit,
-    ) : Command
+    ) : OwnerCommand
 
     /** The leader tells how its jobs go. */
     class News(
         val news: LeaderStatus,
-    ) : Command
+    ) : OwnerCommand
 
     /** News of a decision stream between the leader and a standby. */
     class Standby(
         val event: StandbyEvent,
-    ) : Command
+    ) : OwnerCommand
 
     /** The controller at this mesh address refuses connections after one of its own ended. */
     class PeerRefused(
         val address: String,
-    ) : Command
+    ) : OwnerCommand
 
     /** Time has passed; [queuedAt]: when this was put in line (steady ms). */
     class Tick(
         val queuedAt: Long,
-    ) : Command
+    ) : OwnerCommand
 
     class Answered(
         val reply: Reply,
         val done: (Reply) -> Unit,
-    ) : Command
+    ) : OwnerCommand
 }
 
 /**
@@ -118,7 +119,7 @@
     fun run(
         steadyMs: Long,
         wallMs: Long,
-        commands: List<Command>,
+        commands: List<OwnerCommand>,
     ) {
         now.steady = steadyMs
         now.wall = wallMs
@@ -135,30 +136,30 @@
         logLoad()
     }
 
-    private fun carryOut(command: Command) {
+    private fun carryOut(command: OwnerCommand) {
         when (command) {
-            is Command.Serve -> {
+            is OwnerCommand.Serve -> {
                 val kind = if (command.request.path == "/checkin") "reports" else "requests"
                 metrics.spend(kind) { serve(command.request, command.respond) }
             }
 
-            is Command.Answered -> {
+            is OwnerCommand.Answered -> {
                 metrics.spend("answers") { command.done(command.reply) }
             }
 
-            is Command.News -> {
+            is OwnerCommand.News -> {
                 heard(command.news)
             }
 
-            is Command.Standby -> {
+            is OwnerCommand.Standby -> {
                 standby?.handle(command.event, jobStore.grant?.node?.let { members[it] })
             }
 
-            is Command.PeerRefused -> {
+            is OwnerCommand.PeerRefused -> {
                 members.entries.firstOrNull { it.value == command.address }?.let { election.challenge(it.key) }
             }
 
-            is Command.Tick -> {
+            is OwnerCommand.Tick -> {
                 stalls.ticked(command.queuedAt)
             }
         }
@@ -224,7 +225,7 @@
                 if (request.method ==
                     "POST"
                 ) {
-                    checkIn(request.body, measured("checkin", respond))
+                    heartbeat(request.body, measured("checkin", respond))
                 } else {
                     respond(errorResponse(405, "use POST"))
                 }
@@ -258,7 +259,7 @@
             jobStore.jobs.size,
             leader.machines.size,
             leader.machines.values.sumOf {
-                it.placements.size
+                it.attempts.size
             },
             standby?.report(election.holding),
             if (election.holding) leader.recovery?.report() else null,
@@ -276,36 +277,41 @@
      * and everyone else told at once when to come back.
      */
     private fun healthy() =
-        jobStore.loaded && jobStore.racks.isNotEmpty() &&
+        jobStore.loaded && jobStore.machineTypes.isNotEmpty() &&
             (
                 now.steady - state.lastAnswer < Tuning.STATE_SILENT_MS ||
                     now.steady - leaderUnservedAt < Tuning.OUTAGE_HEARD_MS
             )
 
-    private fun checkIn(
+    private fun heartbeat(
         body: String,
         respond: (Response) -> Unit,
     ) {
         if (!election.holding) return respond(elsewhere())
         val report =
             try {
-                WireJson.decodeFromString(CheckIn.serializer(), body)
+                WireJson.decodeFromString(Heartbeat.serializer(), body)
             } catch (e: IllegalArgumentException) {
                 respond(errorResponse(400, "not a report"))
                 return
             }
-        val orders = leader.report(report) ?: return respond(elsewhere())
-        respond(Response(200, WireJson.encodeToString(CheckInReply.serializer(), CheckInReply(election.token, orders))))
+        val commands = leader.report(report) ?: return respond(elsewhere())
+        respond(
+            Response(
+                200,
+                WireJson.encodeToString(HeartbeatReply.serializer(), HeartbeatReply(election.token, commands)),
+            ),
+        )
     }
 
     private fun elsewhere(): Response {
         val other = jobStore.grant?.node
         if (other == null || other == node) return errorResponse(503, "no leader is known")
-        return Response(421, WireJson.encodeToString(Misdirected.serializer(), Misdirected(other)))
+        return Response(421, WireJson.encodeToString(Redirect.serializer(), Redirect(other)))
     }
 
     /** ms from this leader's grant until every recorded machine was confirmed; null before, and on other nodes. */
-    val takeoverMs: Long? get() = leader.takeoverMs
+    val failoverMs: Long? get() = leader.failoverMs
 
     /** Null unless the operators have switched it on. */
     val zoneRecovery: ZoneRecovery? get() = leader.recovery
@@ -325,27 +331,23 @@
 
         override fun jobChanged(job: Job) = leader.jobChanged(job)
 
-        override fun jobClosed(
-            job: Job?,
-            id: String,
-            state: String,
-        ) {
-            job?.let(leader::jobClosed)
-            intake.closed(id)
+        override fun jobClosed(job: Job) {
+            leader.jobClosed(job)
+            intake.closed(job.id)
         }
 
-        override fun racksChanged() = leader.changed()
+        override fun machineTypesChanged() = leader.changed()
     }
 
     private inner class DependencyEvents : DependencyListener {
         override fun released(job: Job) = leader.jobReleased(job)
 
-        override fun dependencyWithdrawn(job: Job) = leader.jobWithdrawnWithDependency(job)
+        override fun dependencyCancelled(job: Job) = leader.jobCancelledWithDependency(job)
 
-        override fun urgencyChanged(
+        override fun priorityChanged(
             job: Job,
-            urgency: Int,
-        ) = leader.urgencyChanged(job, urgency)
+            priority: Priority,
+        ) = leader.priorityChanged(job, priority)
     }
 
     private inner class ElectionEvents : ElectionListener {
--- a/src/main/kotlin/ledgearch/core/Takeover.kt
+++ b/src/main/kotlin/ledgearch/core/Failover.kt
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory
 
 /** What a new leader reads before it acts: the machines of the block, then the finished tasks of open jobs. */
-internal class Takeover(
+internal class Failover(
     private val state: StateClient,
     private val jobStore: JobStore,
     private val recordWriter: RecordWriter,
--- a/src/main/kotlin/ledgearch/core/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/core/FailureDetector.kt
@@ -21,7 +21,7 @@
     private val recovery: ZoneRecovery?,
     /** The zones of the controllers that held the block of late. */
     private val areasBefore: () -> Set<String>,
-    private val sessionEnded: (Machine) -> Unit,
+    private val incarnationEnded: (Machine) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
     private val reportMs = (times.reportS * 1000).toLong()
@@ -160,7 +160,8 @@
 
     /** The time that its notice gave is over, and it was not heard since. */
     private fun isTaken(m: Machine) =
-        m.confirmed && m.recallAt != 0L && m.heardAt < m.recallAt && now.steady > m.recallAt + Tuning.TAKEN_MARGIN_MS
+        m.confirmed && m.preemptionAt != 0L && m.heardAt < m.preemptionAt &&
+            now.steady > m.preemptionAt + Tuning.TAKEN_MARGIN_MS
 
     /**
      * [m] is overdue and answers no probe, while most others, and one of its zone, were heard since it was due: so it
@@ -199,10 +200,10 @@
      * [Machine.answeredAt] if the grant was still this node's after the lease ended.
      */
     private fun leaseRanOut(m: Machine) {
-        if (!m.confirmed || m.placements.isEmpty()) return
+        if (!m.confirmed || m.attempts.isEmpty()) return
         val end = m.answeredAt + (leaseMs * Tuning.DRIFT).toLong() + Tuning.LEASE_MARGIN_MS
         if (now.steady <= end || election.verifiedAt <= end) return
         log.info("machine {}: its lease has run out", m.name)
-        sessionEnded(m)
+        incarnationEnded(m)
     }
 }
--- a/src/main/kotlin/ledgearch/core/Job.kt
+++ b/src/main/kotlin/ledgearch/core/Job.kt
@@ -2,10 +2,10 @@
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
 import ledgearch.mesh.Progress
-import ledgearch.wire.Rack
-import ledgearch.wire.Shapes
-import ledgearch.wire.Urgencies
-import ledgearch.wire.WorkRequest
+import ledgearch.wire.JobKind
+import ledgearch.wire.JobSpec
+import ledgearch.wire.MachineType
+import ledgearch.wire.Priority
 import java.util.BitSet
 
 /** An open job: the durable part known to every node, and what its block's leader knows of its tasks. */
@@ -13,27 +13,27 @@
     var record: JobRecord,
     var stamp: Long,
 ) {
-    val spec: WorkRequest get() = record.spec
-    val id: String get() = spec.ref
-    val standing: Boolean = spec.shape == Shapes.STANDING
+    val spec: JobSpec get() = record.spec
+    val id: String get() = spec.id
+    val isService: Boolean = spec.kind == JobKind.SERVICE
 
-    /** Place of the submitted urgency in the order of urgencies, 0 being the most urgent. */
-    val ownUrgency: Int = Urgencies.ORDER.indexOf(spec.urgency)
+    /** Place of the submitted priority in the order of priorities, 0 being the most urgent. */
+    val ownPriority: Priority = spec.priority
 
-    /** The urgency that it is served with: that of the most urgent open job that depends on it, if that is higher. */
-    var urgency: Int = ownUrgency
+    /** The priority that it is served with: that of the most urgent open job that depends on it, if that is higher. */
+    var priority: Priority = ownPriority
 
     /** Jobs that have to be done before this one starts and are not known to be. */
     val unfinishedDependencies = LinkedHashSet<String>()
 
-    /** A job that it depends on, directly or through others, was withdrawn: it never starts and is withdrawn too. */
-    var dependencyWithdrawn = false
+    /** A job that it depends on, directly or through others, was cancelled: it never starts and is cancelled too. */
+    var dependencyCancelled = false
 
     /** Wall ms from which its waiting counts: its submission, or the end of the last job that it depends on. */
     var readyAt = record.at
 
-    /** It has to wait for other jobs, or was withdrawn with one of them. */
-    val waitsForOthers: Boolean get() = dependencyWithdrawn || unfinishedDependencies.isNotEmpty()
+    /** It has to wait for other jobs, or was cancelled with one of them. */
+    val waitsForOthers: Boolean get() = dependencyCancelled || unfinishedDependencies.isNotEmpty()
 
     /** Tasks that are finished, durable or not yet. */
     val finished = BitSet()
@@ -49,7 +49,7 @@
     /** Tasks finished or possibly on a machine, and how many those are. */
     private val taken = BitSet()
     private var takenCount = 0
-    val placements = Int2ObjectOpenHashMap<Placement>()
+    val attempts = Int2ObjectOpenHashMap<TaskAttempt>()
 
     /**
      * No machine that the present leader has not confirmed can have a task of this job: it was accepted under
@@ -92,30 +92,31 @@
 
     /** Its tasks may run on machines of this type, zone and kind. */
     fun allows(
-        rack: Rack,
+        machineType: MachineType,
         zone: String,
-        borrowed: Boolean,
+        spot: Boolean,
     ): Boolean {
         val spec = spec
-        return (spec.racks == null || rack.label in spec.racks) && (spec.zone == null || spec.zone == zone) &&
-            (spec.borrowed || !borrowed)
+        return (spec.machineTypes == null || machineType.name in spec.machineTypes) &&
+            (spec.zone == null || spec.zone == zone) &&
+            (spec.allowsSpot || !spot)
     }
 
-    val complete: Boolean get() = !standing && finishedCount == spec.portions
+    val complete: Boolean get() = !isService && finishedCount == spec.taskCount
     var runningCount = 0
-    val pendingCount: Int get() = spec.portions - takenCount
+    val pendingCount: Int get() = spec.taskCount - takenCount
 
-    fun nextPending(from: Int = 0): Int? = taken.nextClearBit(from).takeIf { it < spec.portions }
+    fun nextPending(from: Int = 0): Int? = taken.nextClearBit(from).takeIf { it < spec.taskCount }
 
-    fun place(p: Placement) {
-        placements.put(p.index, p)
+    fun place(p: TaskAttempt) {
+        attempts.put(p.index, p)
         take(p.index)
     }
 
     /** The task [p] was placed for is on no machine any more. */
-    fun free(p: Placement) {
-        if (placements.get(p.index) !== p) return
-        placements.remove(p.index)
+    fun free(p: TaskAttempt) {
+        if (attempts.get(p.index) !== p) return
+        attempts.remove(p.index)
         if (!finished.get(p.index) && taken.get(p.index)) {
             taken.clear(p.index)
             takenCount--
@@ -139,7 +140,7 @@
         ranges: String,
         chunk: Int,
     ) {
-        Ranges.decode(ranges, finished, spec.portions)
+        Ranges.decode(ranges, finished, spec.taskCount)
         taken.or(finished)
         takenCount = taken.cardinality()
         finishedCount = finished.cardinality()
@@ -156,7 +157,7 @@
         taken.clear()
         takenCount = 0
         runningCount = 0
-        placements.clear()
+        attempts.clear()
         trusted = false
         closing = false
         notBefore = Long.MIN_VALUE
--- a/src/main/kotlin/ledgearch/core/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/core/JobDependencies.kt
@@ -1,20 +1,21 @@
 package ledgearch.core
 
 import ledgearch.Tuning
-import ledgearch.wire.WorkStates
+import ledgearch.wire.JobState
+import ledgearch.wire.Priority
 
 /** Told when the state of a job's dependencies has changed. */
 internal interface DependencyListener {
     /** Every job that [job] depends on is done: its tasks may start. */
     fun released(job: Job)
 
-    /** A job that [job] depends on, directly or through others, was withdrawn: no task of [job] ever starts. */
-    fun dependencyWithdrawn(job: Job)
+    /** A job that [job] depends on, directly or through others, was cancelled: no task of [job] ever starts. */
+    fun dependencyCancelled(job: Job)
 
-    /** The urgency of [job] has to become [urgency], that of the most urgent job that depends on it. */
-    fun urgencyChanged(
+    /** The priority of [job] has to become [priority], that of the most urgent job that depends on it. */
+    fun priorityChanged(
         job: Job,
-        urgency: Int,
+        priority: Priority,
     )
 }
 
@@ -22,7 +23,7 @@
  * Which open jobs depend on which others, on every node.
  *
  * Whether a job may start is derived from the final records of the jobs that it depends on and is not stored anywhere.
- * Final records are permanent, so a release and a withdrawal are permanent too, and every node and every later leader
+ * Final records are permanent, so a release and a cancellation are permanent too, and every node and every later leader
  * derives the same. That a job is absent from the open jobs or from a cache proves nothing: then its final record is
  * read.
  *
@@ -47,14 +48,14 @@
 
     /** [job] was accepted and has become known here. */
     fun opened(job: Job) {
-        for (id in job.spec.awaits.orEmpty()) {
-            if (finalOf(id)?.st == WorkStates.DONE) continue
+        for (id in job.spec.dependsOn.orEmpty()) {
+            if (finalOf(id)?.state == JobState.DONE) continue
             job.unfinishedDependencies.add(id)
             dependents.getOrPut(id) { LinkedHashSet() }.add(job)
         }
-        if (job.unfinishedDependencies.any(::isWithdrawn)) withdraw(job)
+        if (job.unfinishedDependencies.any(::isCancelled)) cancel(job)
         // Where copies are filled out of order, jobs that depend on this one may be known already.
-        updateUrgency(job.unfinishedDependencies + job.id)
+        updatePriority(job.unfinishedDependencies + job.id)
     }
 
     /** The job [id] is over. */
@@ -63,16 +64,20 @@
         record: FinalRecord,
     ) {
         val waiting = dependents[id] ?: return
-        when (record.st) {
-            WorkStates.DONE -> {
+        when (record.state) {
+            JobState.DONE -> {
                 dependents.remove(id)
                 readAgainAt.remove(id)
                 waiting.forEach { finished(it, id) }
             }
 
-            WorkStates.WITHDRAWN -> {
+            JobState.CANCELLED -> {
                 readAgainAt.remove(id)
-                waiting.toList().forEach(::withdraw)
+                waiting.toList().forEach(::cancel)
+            }
+
+            JobState.PENDING, JobState.RUNNING -> {
+                Unit
             }
         }
     }
@@ -87,7 +92,7 @@
                 readAgainAt.remove(id)
             }
         }
-        updateUrgency(job.unfinishedDependencies)
+        updatePriority(job.unfinishedDependencies)
     }
 
     /** Reads the final records of dependencies that are neither open nor known to be over, a few at a time. */
@@ -120,8 +125,8 @@
     /** The open jobs that name [job] as awaited. */
     fun dependentsOf(job: Job): Collection<Job> = dependents[job.id].orEmpty()
 
-    private fun isWithdrawn(id: String) =
-        finalOf(id)?.st == WorkStates.WITHDRAWN || openJobs[id]?.dependencyWithdrawn == true
+    private fun isCancelled(id: String) =
+        finalOf(id)?.state == JobState.CANCELLED || openJobs[id]?.dependencyCancelled == true
 
     private fun finished(
         job: Job,
@@ -134,13 +139,13 @@
     }
 
     /** [first] and every job that depends on it. */
-    private fun withdraw(first: Job) {
+    private fun cancel(first: Job) {
         val toWithdraw = ArrayDeque(listOf(first))
         while (toWithdraw.isNotEmpty()) {
             val job = toWithdraw.removeFirst()
-            if (job.dependencyWithdrawn) continue
-            job.dependencyWithdrawn = true
-            listener.dependencyWithdrawn(job)
+            if (job.dependencyCancelled) continue
+            job.dependencyCancelled = true
+            listener.dependencyCancelled(job)
             dependents[job.id]?.let(toWithdraw::addAll)
         }
     }
@@ -153,16 +158,16 @@
 
     // --- Urgency ------------------------------------------------------------------------------------------------
 
-    /** Works out anew the urgency of the open jobs among [ids] and, where it changes, of all that they depend on. */
-    private fun updateUrgency(ids: Collection<String>) {
+    /** Works out anew the priority of the open jobs among [ids] and, where it changes, of all that they depend on. */
+    private fun updatePriority(ids: Collection<String>) {
         val toLookAt = ArrayDeque(ids)
         while (toLookAt.isNotEmpty()) {
             val id = toLookAt.removeFirst()
             val job = openJobs[id] ?: continue
-            val ofDependents = dependents[id]?.minOfOrNull { it.urgency } ?: job.ownUrgency
-            val urgency = minOf(job.ownUrgency, ofDependents)
-            if (urgency == job.urgency) continue
-            listener.urgencyChanged(job, urgency)
+            val ofDependents = dependents[id]?.minOfOrNull { it.priority } ?: job.ownPriority
+            val priority = minOf(job.ownPriority, ofDependents)
+            if (priority == job.priority) continue
+            listener.priorityChanged(job, priority)
             toLookAt.addAll(job.unfinishedDependencies)
         }
     }
--- a/src/main/kotlin/ledgearch/core/JobStore.kt
+++ b/src/main/kotlin/ledgearch/core/JobStore.kt
@@ -6,8 +6,8 @@
 import ledgearch.state.ReadResult
 import ledgearch.state.StateClient
 import ledgearch.wire.KeyValue
+import ledgearch.wire.MachineType
 import ledgearch.wire.News
-import ledgearch.wire.Rack
 import org.slf4j.LoggerFactory
 
 /** What changed in the watched part of the state service. */
@@ -18,13 +18,9 @@
 
     fun jobChanged(job: Job)
 
-    fun jobClosed(
-        job: Job?,
-        id: String,
-        state: String,
-    )
+    fun jobClosed(job: Job)
 
-    fun racksChanged()
+    fun machineTypesChanged()
 }
 
 /**
@@ -46,7 +42,7 @@
     /** Reads single jobs past the watch. */
     val records = JobRecordReader(state, ::rememberFinal)
     val dependencies = JobDependencies(records, now, jobs, ::final, dependencyListener)
-    var racks: Map<String, Rack> = emptyMap()
+    var machineTypes: Map<String, MachineType> = emptyMap()
         private set
     var grant: GrantRecord? = null
         private set
@@ -81,17 +77,14 @@
         record: FinalRecord,
     ) {
         finals[id] = record
-        close(id, record.st)
+        close(id)
         dependencies.ended(id, record)
     }
 
-    private fun close(
-        id: String,
-        finalState: String,
-    ) {
+    private fun close(id: String) {
         val job = jobs.remove(id) ?: return
         dependencies.closed(job)
-        listener.jobClosed(job, id, finalState)
+        listener.jobClosed(job)
     }
 
     /** Reads or watches on whenever neither is under way. */
@@ -110,7 +103,7 @@
         record: JobRecord,
         stamp: Long,
     ) {
-        if (!isPast(record.spec.ref, stamp)) put(record, stamp)
+        if (!isPast(record.spec.id, stamp)) put(record, stamp)
     }
 
     /**
@@ -125,7 +118,7 @@
         record: JobRecord,
         stamp: Long,
     ) {
-        val id = record.spec.ref
+        val id = record.spec.id
         val known = jobs[id]
         when {
             known == null -> {
@@ -194,7 +187,7 @@
         val listed = listing.jobs.mapTo(HashSet()) { it.key.removePrefix(Keys.JOBS) }
         // Jobs that are open here and not listed are over, or were accepted after the listing began.
         val gone = jobs.values.filter { it.id !in listed && it.stamp <= listing.firstEdition }
-        for (job in gone) close(job.id, UNKNOWN_STATE)
+        for (job in gone) close(job.id)
         setSilence(listing.silence?.v)
         setGrant(listing.grant?.v, listing.grant?.stamp ?: 0)
         listing.catalog?.v?.let { setCatalog(it) }
@@ -283,7 +276,7 @@
                 removed.startsWith(Keys.JOBS) -> {
                     val id = removed.removePrefix(Keys.JOBS)
                     val job = jobs[id]
-                    if (job != null && news.stamp > job.stamp) close(id, UNKNOWN_STATE)
+                    if (job != null && news.stamp > job.stamp) close(id)
                 }
 
                 removed == Keys.grant(0) && news.stamp > grantStamp -> {
@@ -300,7 +293,7 @@
         stamp: Long,
     ) {
         val record = decodeRecord(JobRecord.serializer(), value) ?: return
-        if (key != Keys.job(record.spec.ref)) return
+        if (key != Keys.job(record.spec.id)) return
         put(record, stamp)
     }
 
@@ -326,16 +319,11 @@
     }
 
     private fun setCatalog(value: JsonElement) {
-        decodeRecord(CatalogRecord.serializer(), value)?.let { setRacks(it.racks) }
-    }
-
-    fun setRacks(list: List<Rack>) {
-        racks = list.associateBy { it.label }
-        listener.racksChanged()
+        decodeRecord(CatalogRecord.serializer(), value)?.let { setMachineTypes(it.machineTypes) }
     }
 
-    private companion object {
-        /** The final state of a job that is over is not known here. */
-        const val UNKNOWN_STATE = ""
+    fun setMachineTypes(list: List<MachineType>) {
+        machineTypes = list.associateBy { it.name }
+        listener.machineTypesChanged()
     }
 }
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -13,12 +13,13 @@
 import ledgearch.fleet.Reserve
 import ledgearch.leader.Election
 import ledgearch.recovery.ZoneRecovery
-import ledgearch.standby.TakeoverHints
+import ledgearch.standby.FailoverHints
 import ledgearch.state.StateClient
-import ledgearch.wire.CheckIn
-import ledgearch.wire.Order
-import ledgearch.wire.Verbs
-import ledgearch.wire.WorkStates
+import ledgearch.wire.CommandKind
+import ledgearch.wire.Heartbeat
+import ledgearch.wire.JobState
+import ledgearch.wire.Priority
+import ledgearch.wire.TaskCommand
 import org.slf4j.LoggerFactory
 
 /**
@@ -89,16 +90,16 @@
             recovery,
             ::areasBefore,
         ) {
-            newSession(
+            newIncarnation(
                 it,
-                it.session + 1,
+                it.incarnation + 1,
             )
         }
 
     /** The first token of this term: a worker that has seen it no longer follows any earlier leader. */
     private var term = 0L
     private var attemptSeq = 0L
-    private val takeover = Takeover(state, jobStore, recordWriter, teams, now, ::joinFromRecord)
+    private val failover = Failover(state, jobStore, recordWriter, teams, now, ::joinFromRecord)
     private val tasks =
         TaskStatusHandler(jobStore, machines, estimates, recordWriter, metrics, now, dispatcher::want, ::changed) {
             recovery?.lost(it)
@@ -106,7 +107,7 @@
     val replicas = Replicas(now, placer::usable) { stop(it) }
 
     /** What a replica of the replaced leader's state suggests; it proves nothing. */
-    private var hints: TakeoverHints? = null
+    private var hints: FailoverHints? = null
 
     /** The records of the block are read; from here on machines are confirmed and tasks placed. */
     var ready = false
@@ -114,7 +115,7 @@
     private var allConfirmedLogged = false
 
     /** ms from the grant until every recorded machine was confirmed; null before. */
-    var takeoverMs: Long? = null
+    var failoverMs: Long? = null
         private set
     private var dirty = true
     private var passAt = Long.MIN_VALUE / 2
@@ -122,7 +123,7 @@
     private var guaranteesDirty = true
 
     /**
-     * Machines whose worker has not confirmed the token, and jobs that are to be withdrawn: cancelled, or after such a
+     * Machines whose worker has not confirmed the token, and jobs that are to be cancelled: cancelled, or after such a
      * one.
      */
     private val unconfirmed = LinkedHashSet<Machine>()
@@ -130,18 +131,18 @@
 
     fun begin(
         token: Long,
-        takeoverHints: TakeoverHints? = null,
+        failoverHints: FailoverHints? = null,
     ) {
         end()
-        hints = takeoverHints
+        hints = failoverHints
         term = token
         attemptSeq = 0
         for (job in jobStore.jobs.values) {
             job.trusted = job.stamp > term && !job.record.cancel
-            if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
+            if (job.record.cancel || job.dependencyCancelled) cancelled.add(job)
         }
         guaranteesDirty = true
-        takeover.begin()
+        failover.begin()
         recovery?.begin()
         state.share(leader = true)
     }
@@ -151,7 +152,7 @@
         hints = null
         ready = false
         allConfirmedLogged = false
-        takeoverMs = null
+        failoverMs = null
         machines.clear()
         unconfirmed.clear()
         cancelled.clear()
@@ -159,7 +160,7 @@
         failureDetector.clear()
         placer.clear()
         teams.clear()
-        takeover.clear()
+        failover.clear()
         recordWriter.clear()
         recovery?.end()
         for (job in jobStore.jobs.values) job.forgetLeaderState()
@@ -172,19 +173,19 @@
         log.debug(
             "{} opened: {} {} tasks of {} processors for {}, estimate {} s, image {} of {} GB",
             job.id,
-            job.spec.portions,
+            job.spec.taskCount,
             job.spec.jobClass,
             job.spec.vcpus,
             job.spec.team,
-            job.spec.cookS,
+            job.spec.estimatedRunS,
             job.spec.image,
-            job.spec.sizeGb,
+            job.spec.imageGb,
         )
         if (term == 0L) return
         // Accepted after the grant: no earlier leader can have learnt of it while it still held the block.
         // Of a cancelled one only the mark may be so new.
         job.trusted = if (job.record.cancel) allConfirmedLogged else job.stamp > term
-        if (job.record.cancel || job.dependencyWithdrawn) cancelled.add(job)
+        if (job.record.cancel || job.dependencyCancelled) cancelled.add(job)
         guaranteesDirty = true
         dirty = true
     }
@@ -198,19 +199,19 @@
         dirty = true
     }
 
-    /** A job that [job] depends on was withdrawn. */
-    fun jobWithdrawnWithDependency(job: Job) {
+    /** A job that [job] depends on was cancelled. */
+    fun jobCancelledWithDependency(job: Job) {
         if (term != 0L) cancelled.add(job)
     }
 
-    /** Attempts are counted by urgency, so those of [job] are taken out of the counts while it changes. */
-    fun urgencyChanged(
+    /** Attempts are counted by priority, so those of [job] are taken out of the counts while it changes. */
+    fun priorityChanged(
         job: Job,
-        urgency: Int,
+        priority: Priority,
     ) {
-        val attempts = machines.values.flatMap { m -> m.placements.values.filter { it.job === job } }
+        val attempts = machines.values.flatMap { m -> m.attempts.values.filter { it.job === job } }
         attempts.forEach { it.machine.count(it, -1) }
-        job.urgency = urgency
+        job.priority = priority
         attempts.forEach { it.machine.count(it, 1) }
         dirty = true
     }
@@ -240,7 +241,7 @@
     private fun takeOver() {
         // Jobs accepted before the grant are in the job store once the watch has passed the grant.
         if (jobStore.revision < term) return
-        takeover.drive {
+        failover.drive {
             useHints()
             ready = true
             dirty = true
@@ -276,12 +277,12 @@
     // --- News from workers ------------------------------------------------------------------------------------
 
     /** Null when this node may not answer for the block. */
-    fun report(report: CheckIn): List<Order>? {
+    fun report(report: Heartbeat): List<TaskCommand>? {
         if (report.token > election.token) {
             election.lose("a worker has seen token ${report.token}")
             return null
         }
-        if (!takeover.machinesRead) return emptyList()
+        if (!failover.machinesRead) return emptyList()
         val m = machines[report.machine] ?: adopt(report) ?: return emptyList()
         // A copy that comes late: its answer reaches no worker that would take it, so it renews no lease, and what it
         // tells is old.
@@ -290,22 +291,22 @@
         // carried out, its tasks are on it and must be stopped like any others.
         m.answeredAt = now.steady
         hear(m, report, isReport = true)
-        if (report.session != m.session || !ready) return emptyList()
+        if (report.incarnation != m.incarnation || !ready) return emptyList()
         // The orders are carried out or dropped before the worker's next report.
-        val orders = dispatcher.orders(m)
-        for (order in orders) {
-            val p = if (order.verb == Verbs.START) m.placements.get(order.attempt) else null
+        val commands = dispatcher.commands(m)
+        for (order in commands) {
+            val p = if (order.kind == CommandKind.START) m.attempts.get(order.attempt) else null
             if (p != null) p.sentInReplyTo = maxOf(p.sentInReplyTo, report.sequence)
         }
-        return orders
+        return commands
     }
 
     /** A worker waits for the answer to its last report only, and not for long. */
     private fun isCopy(
         m: Machine,
-        report: CheckIn,
-    ) = report.session < m.session || (
-        report.session == m.session &&
+        report: Heartbeat,
+    ) = report.incarnation < m.incarnation || (
+        report.incarnation == m.incarnation &&
             (
                 report.sequence < m.reportSequence ||
                     (report.sequence == m.reportSequence && now.steady - m.reportAt > Tuning.ANSWER_AWAITED_MS)
@@ -315,7 +316,7 @@
     /** A worker's answer to a direct command. */
     private fun answered(
         m: Machine,
-        answer: CheckIn,
+        answer: Heartbeat,
     ) {
         if (answer.token >
             election.token
@@ -337,10 +338,10 @@
     }
 
     /** A machine without a record: nothing was ever started on it, since the record comes first. */
-    private fun adopt(report: CheckIn): Machine? {
-        val rack = jobStore.racks[report.rack] ?: return null
+    private fun adopt(report: Heartbeat): Machine? {
+        val machineType = jobStore.machineTypes[report.machineType] ?: return null
         if (fleet.isReturned(report.machine)) return null
-        val m = Machine(report.machine, report.endpoint, rack, report.zone, report.borrowed, now.steady, teams)
+        val m = Machine(report.machine, report.endpoint, machineType, report.zone, report.spot, now.steady, teams)
         m.answeredAt = now.steady
         metrics.count("machine.joined")
         join(m)
@@ -348,20 +349,20 @@
         log.info(
             "machine {} ({}, {}{}) joins the block",
             m.name,
-            m.rack.label,
+            m.machineType.name,
             m.zone,
-            if (m.borrowed) ", spot" else "",
+            if (m.spot) ", spot" else "",
         )
         return m
     }
 
     private fun hear(
         m: Machine,
-        report: CheckIn,
+        report: Heartbeat,
         isReport: Boolean,
     ) {
-        if (report.session < m.session) return
-        if (report.session > m.session) newSession(m, report.session)
+        if (report.incarnation < m.incarnation) return
+        if (report.incarnation > m.incarnation) newIncarnation(m, report.incarnation)
         // The first word of a session: it began before, and has a whole lease from then on without any answer of ours.
         if (m.sequence == 0L) m.answeredAt = now.steady
         // Of a machine that has not confirmed the token, a report without it may be a copy as old as an earlier leader.
@@ -379,11 +380,12 @@
         m.sequence = report.sequence
         if (current) m.heardAt = now.steady
         if (!m.pushBroken && m.confirmed) m.probesFailed = 0
-        m.recallAt = if (report.recallS == null) 0 else now.steady + (report.recallS * 1000).toLong()
+        m.preemptionAt =
+            if (report.preemptionNoticeS == null) 0 else now.steady + (report.preemptionNoticeS * 1000).toLong()
         if (report.token > m.token) {
             m.token = report.token
             if (report.token == election.token && m.confirmed) dispatcher.reached(m)
-            for (p in m.placements.values) if (p.lostToken in 1 until m.token) p.lostToken = 0
+            for (p in m.attempts.values) if (p.lostToken in 1 until m.token) p.lostToken = 0
         }
         if (!m.confirmed) {
             // One without a record is shown the token directly: the report may be a copy, and the machine gone.
@@ -398,8 +400,8 @@
             m.reportedAt = now.steady
             dirty = true
         }
-        tasks.listed(m, report.portions)
-        if (m.recallAt != 0L) leave(m)
+        tasks.listed(m, report.tasks)
+        if (m.preemptionAt != 0L) leave(m)
     }
 
     /**
@@ -407,30 +409,30 @@
      * anew elsewhere without waiting for the end.
      */
     private fun leave(m: Machine) {
-        val left = (m.recallAt - now.steady) / 1000.0
-        for (p in m.placements.values) {
+        val left = (m.preemptionAt - now.steady) / 1000.0
+        for (p in m.attempts.values) {
             val job = p.job
             if (job == null || !p.goesOn) continue
-            val ran = if (p.status == TaskStatus.RUNNING) (now.steady - p.runningSince) / 1000.0 else 0.0
-            if (!job.standing && job.spec.stirS == 0.0 && estimates.seconds(job) - ran <= left) continue
+            val ran = if (p.state == AttemptState.RUNNING) (now.steady - p.runningSince) / 1000.0 else 0.0
+            if (!job.isService && job.spec.checkpointIntervalS == 0.0 && estimates.seconds(job) - ran <= left) continue
             stop(p, left)
-            log.debug("{} leaves {}, which is taken in {} s", p.task, m.name, left)
+            log.debug("{} leaves {}, which is taken in {} s", p.taskId, m.name, left)
         }
     }
 
-    private fun newSession(
+    private fun newIncarnation(
         m: Machine,
-        session: Long,
+        incarnation: Long,
     ) {
-        if (m.session != 0L &&
-            m.placements.isNotEmpty()
+        if (m.incarnation != 0L &&
+            m.attempts.isNotEmpty()
         ) {
-            log.info("machine {}: new session, {} tasks lost", m.name, m.placements.size)
+            log.info("machine {}: new session, {} tasks lost", m.name, m.attempts.size)
         }
-        m.placements.values
+        m.attempts.values
             .toList()
             .forEach(tasks::gone)
-        m.session = session
+        m.incarnation = incarnation
         m.sequence = 0
         m.reportSequence = 0
         dirty = true
@@ -445,38 +447,45 @@
     ) {
         metrics.count("task.started")
         val attempt = (term shl Tuning.ATTEMPT_BITS) or ++attemptSeq
-        val p = Placement(job, "${job.id}/$index", index, attempt, m, now.steady)
+        val p = TaskAttempt(job, "${job.id}/$index", index, attempt, m, now.steady)
         m.attach(p)
         job.place(p)
         job.servedAt = now.wall
-        m.touchImage(job.spec.image, job.spec.sizeGb)
+        m.touchImage(job.spec.image, job.spec.imageGb)
         dispatcher.want(m)
-        log.debug("{} try {} starts on {}", p.task, attempt, m.name)
+        log.debug("{} try {} starts on {}", p.taskId, attempt, m.name)
     }
 
     private fun preempt(
-        p: Placement,
+        p: TaskAttempt,
         by: Job,
     ) {
         metrics.count("task.preempted")
-        log.debug("{} on {} makes room for {} ({})", p.task, p.machine.name, by.id, by.spec.jobClass)
+        log.debug("{} on {} makes room for {} ({})", p.taskId, p.machine.name, by.id, by.spec.jobClass)
         stop(p)
     }
 
     /** Tells [p] to stop, saving first if it can and [left] seconds suffice. */
     private fun stop(
-        p: Placement,
+        p: TaskAttempt,
         left: Double = Double.MAX_VALUE,
     ) {
         val spec = p.job?.spec
-        p.stop = if (spec != null && spec.stirS > 0 && spec.plateS < left) Stop.SAVE_FIRST else Stop.AT_ONCE
+        p.stop =
+            if (spec != null && spec.checkpointIntervalS > 0 &&
+                spec.checkpointS < left
+            ) {
+                StopMode.CHECKPOINT_FIRST
+            } else {
+                StopMode.AT_ONCE
+            }
         dispatcher.want(p.machine)
     }
 
     private fun stopAll(job: Job) {
-        for (p in job.placements.values) {
-            if (p.stop == Stop.AT_ONCE) continue
-            p.stop = Stop.AT_ONCE
+        for (p in job.attempts.values) {
+            if (p.stop == StopMode.AT_ONCE) continue
+            p.stop = StopMode.AT_ONCE
             dispatcher.want(p.machine)
         }
     }
@@ -545,13 +554,13 @@
         // Also those to be released: the cloud may be out, and an earlier leader may keep them until the token is
         // shown.
         for (m in unconfirmed) dispatcher.probe(m)
-        if (allConfirmedLogged || takeover.anyUnreadable || unconfirmed.any { it.inherited }) return
+        if (allConfirmedLogged || failover.anyUnreadable || unconfirmed.any { it.inherited }) return
         allConfirmedLogged = true
-        takeoverMs = now.steady - election.grantedAt
+        failoverMs = now.steady - election.grantedAt
         jobStore.jobs.values.forEach { it.trusted = true }
         recovery?.confirmed(jobStore.jobs.values.filter { it.stamp <= term })
         dirty = true
-        log.info("block 0: every recorded machine is confirmed, {} ms after the grant", takeoverMs)
+        log.info("block 0: every recorded machine is confirmed, {} ms after the grant", failoverMs)
     }
 
     /** A cancelled job is over once none of its tasks can be on a machine, or get there. */
@@ -561,16 +570,16 @@
             placer.forget(job)
             stopAll(job)
             // Once it is over nothing of it is left, so that no later leader need count it for its team.
-            // A job after a withdrawn one was never released, by any leader: nothing of it can be anywhere.
-            val nothingLeft = job.dependencyWithdrawn || (job.trusted && job.placements.isEmpty())
-            if (nothingLeft) recordWriter.close(job, WorkStates.WITHDRAWN)
+            // A job after a cancelled one was never released, by any leader: nothing of it can be anywhere.
+            val nothingLeft = job.dependencyCancelled || (job.trusted && job.attempts.isEmpty())
+            if (nothingLeft) recordWriter.close(job, JobState.CANCELLED)
         }
     }
 
     /** The machine and everything on it are gone. */
     fun machineGone(m: Machine) {
         metrics.count("machine.gone")
-        m.placements.values
+        m.attempts.values
             .toList()
             .forEach(tasks::gone)
         machines.remove(m.name)
@@ -587,7 +596,7 @@
         machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
             jobStore.jobs.values.all { job ->
                 term == 0L ||
-                    job.runningCount == job.placements.values.count { it.status == TaskStatus.RUNNING }
+                    job.runningCount == job.attempts.values.count { it.state == AttemptState.RUNNING }
             }
 }
 
--- a/src/main/kotlin/ledgearch/core/Machine.kt
+++ b/src/main/kotlin/ledgearch/core/Machine.kt
@@ -3,15 +3,15 @@
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
 import ledgearch.Tuning
 import ledgearch.core.placement.MachineQueue
-import ledgearch.wire.Rack
+import ledgearch.wire.MachineType
 
 /** A machine of the block, as its leader knows it. */
 internal class Machine(
     val name: String,
     val endpoint: String,
-    val rack: Rack,
+    val machineType: MachineType,
     val zone: String,
-    val borrowed: Boolean,
+    val spot: Boolean,
     val knownSince: Long,
     private val teams: Teams,
 ) {
@@ -21,16 +21,16 @@
     /** Recorded by an earlier leader: until confirmed, any task of an older job may be on it. */
     var inherited = false
 
-    /** The worker has confirmed the present leader's token: [placements] is all that can be on it. */
+    /** The worker has confirmed the present leader's token: [attempts] is all that can be on it. */
     var confirmed = false
         private set
-    var session = 0L
+    var incarnation = 0L
 
     /** The session that a replica of the last leader's state names, or 0: a first guess, which the worker answers. */
-    var sessionHint = 0L
+    var incarnationHint = 0L
 
     /** The session that a command names: the one heard from the worker, or else the best guess. */
-    val sessionToName: Long get() = if (session != 0L) session else maxOf(sessionHint, 1L)
+    val incarnationToName: Long get() = if (incarnation != 0L) incarnation else maxOf(incarnationHint, 1L)
     var sequence = 0L
     var reportSequence = 0L
 
@@ -42,7 +42,7 @@
     var token = 0L
 
     /** All attempts that may be on the machine, by attempt. */
-    val placements = Long2ObjectLinkedOpenHashMap<Placement>()
+    val attempts = Long2ObjectLinkedOpenHashMap<TaskAttempt>()
     val queue = MachineQueue()
 
     /** Steady ms of the last news from the worker, and of the last answer that may have renewed its lease. */
@@ -58,7 +58,7 @@
     var overdue = false
 
     /** Steady ms at which the cloud takes the machine, or 0. */
-    var recallAt = 0L
+    var preemptionAt = 0L
     var pushing = false
 
     /** ms that its last answer to a direct command took. */
@@ -114,8 +114,8 @@
     /** Images seen here, the last used at the end. */
     val images = LinkedHashMap<String, Double>()
 
-    private val room = Room(rack)
-    val usedCpus: Double get() = rack.vcpus - room.cpus
+    private val room = Room(machineType)
+    val usedCpus: Double get() = machineType.vcpus - room.cpus
 
     /** Attempts that wait for their image. */
     var fetching = 0
@@ -123,35 +123,35 @@
 
     /** The machine is the block's from now on, and counts for its teams. */
     fun joined() {
-        if (inherited && !confirmed) teams.countHidden(rack, 1)
+        if (inherited && !confirmed) teams.countHidden(machineType, 1)
     }
 
     fun confirm() {
-        if (inherited && !confirmed) teams.countHidden(rack, -1)
+        if (inherited && !confirmed) teams.countHidden(machineType, -1)
         confirmed = true
     }
 
     /** The machine is gone, all its attempts before it. */
     fun left() {
-        if (inherited && !confirmed) teams.countHidden(rack, -1)
+        if (inherited && !confirmed) teams.countHidden(machineType, -1)
     }
 
-    fun attach(p: Placement) {
-        placements.put(p.attempt, p)
+    fun attach(p: TaskAttempt) {
+        attempts.put(p.number, p)
         p.attached = true
         count(p, 1)
     }
 
-    fun detach(p: Placement) {
+    fun detach(p: TaskAttempt) {
         if (!p.attached) return
-        placements.remove(p.attempt)
+        attempts.remove(p.number)
         count(p, -1)
         p.attached = false
     }
 
     /** Makes a [change] to [p] that may alter what it counts for. */
     inline fun recounting(
-        p: Placement,
+        p: TaskAttempt,
         change: () -> Unit,
     ) {
         if (p.attached) count(p, -1)
@@ -164,31 +164,31 @@
      * much.
      */
     fun count(
-        p: Placement,
+        p: TaskAttempt,
         sign: Int,
     ) {
         if (p.exited) return
-        if (p.status == TaskStatus.FETCHING || p.status == TaskStatus.DECIDED) fetching += sign
-        if (p.status == TaskStatus.RUNNING) p.job?.let { it.runningCount += sign }
+        if (p.state == AttemptState.FETCHING || p.state == AttemptState.ASSIGNED) fetching += sign
+        if (p.state == AttemptState.RUNNING) p.job?.let { it.runningCount += sign }
         if (sign > 0) room.take(p.job) else room.give(p.job)
         teams.count(p, sign)
     }
 
     /** Whether what is counted is what a count from scratch gives. */
     fun countsHold(): Boolean {
-        val fresh = Room(rack)
-        val here = placements.values.filter { !it.exited }
+        val fresh = Room(machineType)
+        val here = attempts.values.filter { !it.exited }
         here.forEach { fresh.take(it.job) }
         return room.isAbout(fresh) &&
-            fetching == here.count { it.status == TaskStatus.FETCHING || it.status == TaskStatus.DECIDED }
+            fetching == here.count { it.state == AttemptState.FETCHING || it.state == AttemptState.ASSIGNED }
     }
 
-    fun hasRoom(job: Job): Boolean = placements.size < Tuning.MACHINE_TASKS && room.fits(job)
+    fun hasRoom(job: Job): Boolean = attempts.size < Tuning.MACHINE_TASKS && room.fits(job)
 
     /** A task of [job] would fit once all that ends by itself has ended. */
     fun couldTake(job: Job): Boolean {
-        val room = Room(rack)
-        for (p in placements.values) if (!p.exited && p.job?.standing != false) room.take(p.job)
+        val room = Room(machineType)
+        for (p in attempts.values) if (!p.exited && p.job?.isService != false) room.take(p.job)
         return room.fits(job)
     }
 
@@ -202,7 +202,7 @@
     ): Int = room.count(job, most)
 
     /** Type, zone and kind allow tasks of [job]. */
-    fun allows(job: Job): Boolean = job.allows(rack, zone, borrowed)
+    fun allows(job: Job): Boolean = job.allows(machineType, zone, spot)
 
     /** Images whose fetch is known to be over: a task that needs one has run here. */
     val fetched = HashSet<String>()
@@ -225,7 +225,7 @@
         images[image] = gb
         var total = images.values.sum()
         val oldest = images.entries.iterator()
-        while (total > rack.localGb && images.size > 1 && oldest.hasNext()) {
+        while (total > machineType.diskGb && images.size > 1 && oldest.hasNext()) {
             val (name, size) = oldest.next()
             total -= size
             fetched.remove(name)
--- a/src/main/kotlin/ledgearch/core/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/core/MachineRecords.kt
@@ -5,7 +5,7 @@
 import ledgearch.Tuning
 import ledgearch.wire.Change
 import ledgearch.wire.KeyValue
-import ledgearch.wire.Rack
+import ledgearch.wire.MachineType
 
 /**
  * The records that bind machines to the block, several machines in one: a record each would take longer to write than
@@ -88,7 +88,7 @@
             } else {
                 decodeRecord(MachinesRecord.serializer(), pair.v)
             }
-        if (record == null || record.machines.any { it.rack !in record.racks.indices }) {
+        if (record == null || record.machines.any { it.machineType !in record.machineTypes.indices }) {
             unreadable.add(name)
             return null
         }
@@ -101,9 +101,9 @@
             Machine(
                 entry.name,
                 entry.endpoint,
-                record.racks[entry.rack],
+                record.machineTypes[entry.machineType],
                 entry.zone,
-                entry.borrowed,
+                entry.spot,
                 nowMs,
                 teams,
             ).also {
@@ -194,14 +194,14 @@
 
     private fun value(group: Group): JsonElement {
         val members = group.machines.values
-        val racks = members.map { it.rack }.distinct()
+        val machineTypes = members.map { it.machineType }.distinct()
         return encodeRecord(
             MachinesRecord.serializer(),
             MachinesRecord(
                 0,
-                racks,
+                machineTypes,
                 members.map {
-                    entry(it, racks.indexOf(it.rack), it.draining)
+                    entry(it, machineTypes.indexOf(it.machineType), it.draining)
                 },
             ),
         )
@@ -209,28 +209,28 @@
 
     private fun entry(
         m: Machine,
-        rack: Int,
+        machineType: Int,
         quarantined: Boolean,
-    ) = MachineEntry(m.name, m.endpoint, rack, m.zone, m.borrowed, quarantined)
+    ) = MachineEntry(m.name, m.endpoint, machineType, m.zone, m.spot, quarantined)
 
     /**
      * [machines] in order, in as few pieces as records have room for; each has room for every one to be quarantined.
      */
     private fun pieces(machines: Collection<Machine>): List<List<Machine>> {
         val pieces = ArrayList<ArrayList<Machine>>()
-        val racks = HashSet<Rack>()
+        val machineTypes = HashSet<MachineType>()
         var left = 0
         for (m in machines) {
             val own = entryBytes(m)
-            val need = own + if (m.rack in racks) 0 else rackBytes(m.rack)
+            val need = own + if (m.machineType in machineTypes) 0 else machineTypeBytes(m.machineType)
             if (pieces.isEmpty() || need > left || pieces.last().size == Tuning.MACHINES_A_RECORD) {
                 pieces.add(ArrayList())
-                racks.clear()
-                left = mostBytes - EMPTY_BYTES - own - rackBytes(m.rack)
+                machineTypes.clear()
+                left = mostBytes - EMPTY_BYTES - own - machineTypeBytes(m.machineType)
             } else {
                 left -= need
             }
-            racks.add(m.rack)
+            machineTypes.add(m.machineType)
             pieces.last().add(m)
         }
         return pieces
@@ -238,9 +238,10 @@
 
     /** With the comma after it. */
     private fun entryBytes(m: Machine) =
-        bytes(encodeRecord(MachineEntry.serializer(), entry(m, ANY_RACK, quarantined = true))) + 1
+        bytes(encodeRecord(MachineEntry.serializer(), entry(m, ANY_MACHINE_TYPE, quarantined = true))) + 1
 
-    private fun rackBytes(rack: Rack) = bytes(encodeRecord(Rack.serializer(), rack)) + 1
+    private fun machineTypeBytes(machineType: MachineType) =
+        bytes(encodeRecord(MachineType.serializer(), machineType)) + 1
 
     private companion object {
         /** Of a record without machines. */
@@ -250,7 +251,7 @@
             )
 
         /** As long a number as the place of a machine's type can be. */
-        const val ANY_RACK = 10
+        const val ANY_MACHINE_TYPE = 10
     }
 }
 
--- a/src/main/kotlin/ledgearch/core/PartitionedZones.kt
+++ b/src/main/kotlin/ledgearch/core/PartitionedZones.kt
@@ -113,9 +113,9 @@
     }
 
     private fun holdsTwoZoneReplica(m: Machine) =
-        m.placements.values.any {
-            it.job?.spec?.apart == true &&
-                it.job.standing &&
+        m.attempts.values.any {
+            it.job?.spec?.spreadZones == true &&
+                it.job.isService &&
                 !it.exited
         }
 }
--- a/src/main/kotlin/ledgearch/core/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/core/RecordWriter.kt
@@ -7,8 +7,8 @@
 import ledgearch.state.TxnResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
+import ledgearch.wire.JobState
 import ledgearch.wire.KeyValue
-import ledgearch.wire.WorkStates
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 
@@ -38,6 +38,14 @@
         val bytes: Int = changes.sumOf { change -> change.v?.let(::bytes) ?: 0 }
     }
 
+    /** A job that is over in [state], until that is durable. */
+    private class Closing(
+        val job: Job,
+        val state: JobState,
+    ) {
+        val record get() = FinalRecord(state, if (state == JobState.DONE) job.spec.taskCount else 0)
+    }
+
     /** What one transaction holds: entries in order, until one has no room. */
     private inner class Batch {
         val entries = ArrayList<Entry>()
@@ -65,7 +73,7 @@
     private val machines = MachineRecords(valueBytes, state.maxChanges)
     private val chunks = Chunks(valueBytes)
     private val removals = LinkedHashSet<String>()
-    private val closings = LinkedHashMap<String, Pair<Job, String>>()
+    private val closings = LinkedHashMap<String, Closing>()
 
     /** Stamps of jobs that the state service no longer has: what became of the job the watch tells. */
     private val outdated = HashMap<String, Long>()
@@ -119,11 +127,11 @@
 
     fun close(
         job: Job,
-        state: String,
+        state: JobState,
     ) {
         if (job.closing) return
         job.closing = true
-        closings[job.id] = job to state
+        closings[job.id] = Closing(job, state)
     }
 
     fun progress(job: Job) {
@@ -136,7 +144,11 @@
      */
     fun catalog(record: CatalogRecord) {
         catalog = record.takeIf { bytes(encodeRecord(CatalogRecord.serializer(), it)) <= valueBytes }
-        if (catalog == null) log.warn("the catalog of {} machine types is too large to be kept", record.racks.size)
+        if (catalog ==
+            null
+        ) {
+            log.warn("the catalog of {} machine types is too large to be kept", record.machineTypes.size)
+        }
     }
 
     fun drive() {
@@ -221,10 +233,10 @@
             if (!batch.add(Entry(w.changes, done = w.done))) return
         }
         for ((id, closing) in closings) {
-            val (job, finalState) = closing
+            val job = closing.job
             // The stamp is compared so that a cancellation marked meanwhile is seen before the job is closed.
             if (jobStore.jobs[id] !== job || outdated[id] == job.stamp) continue
-            val record = FinalRecord(finalState, if (finalState == WorkStates.DONE) job.spec.portions else 0)
+            val record = closing.record
             val changes =
                 listOf(
                     Change(put = Keys.final(id), v = encodeRecord(FinalRecord.serializer(), record)),
@@ -233,7 +245,7 @@
             if (!batch.add(Entry(changes, job) { jobClosed(job, record) })) return
         }
         closings.values
-            .map { it.first }
+            .map { it.job }
             .filter { jobStore.jobs[it.id] !== it }
             .forEach(::forget)
         for (job in progress.values) {
--- a/src/main/kotlin/ledgearch/core/Records.kt
+++ b/src/main/kotlin/ledgearch/core/Records.kt
@@ -6,9 +6,10 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.SerializationStrategy
 import kotlinx.serialization.json.JsonElement
-import ledgearch.wire.Rack
+import ledgearch.wire.JobSpec
+import ledgearch.wire.JobState
+import ledgearch.wire.MachineType
 import ledgearch.wire.WireJson
-import ledgearch.wire.WorkRequest
 import org.slf4j.LoggerFactory
 
 private val log = LoggerFactory.getLogger("ledgearch.state")
@@ -63,7 +64,7 @@
 /** An accepted, unfinished job. */
 @Serializable
 internal data class JobRecord(
-    val spec: WorkRequest,
+    val spec: JobSpec,
     val at: Long,
     val cancel: Boolean = false,
 )
@@ -71,8 +72,8 @@
 /** A job that is over, for ever. */
 @Serializable
 internal data class FinalRecord(
-    val st: String,
-    val n: Int = 0,
+    @SerialName("st") val state: JobState,
+    @SerialName("n") val taskCount: Int = 0,
 )
 
 /**
@@ -97,7 +98,7 @@
 @Serializable
 internal data class MachinesRecord(
     val block: Int,
-    val racks: List<Rack>,
+    @SerialName("racks") val machineTypes: List<MachineType>,
     val machines: List<MachineEntry>,
 )
 
@@ -105,14 +106,14 @@
 @Serializable
 internal data class SingleMachineRecord(
     val endpoint: String,
-    val rack: Rack,
+    @SerialName("rack") val machineType: MachineType,
     @SerialName("hall") val zone: String,
-    val borrowed: Boolean,
+    @SerialName("borrowed") val spot: Boolean,
     @SerialName("aside")
     val quarantined: Boolean = false,
 ) {
     fun asOneOf(name: String) =
-        MachinesRecord(0, listOf(rack), listOf(MachineEntry(name, endpoint, 0, zone, borrowed, quarantined)))
+        MachinesRecord(0, listOf(machineType), listOf(MachineEntry(name, endpoint, 0, zone, spot, quarantined)))
 }
 
 /**
@@ -123,9 +124,9 @@
 internal data class MachineEntry(
     val name: String,
     val endpoint: String,
-    val rack: Int,
+    @SerialName("rack") val machineType: Int,
     @SerialName("hall") val zone: String,
-    val borrowed: Boolean,
+    @SerialName("borrowed") val spot: Boolean,
     @SerialName("aside")
     val quarantined: Boolean = false,
 )
@@ -139,5 +140,5 @@
 /** The last catalog seen, so that a restart while the cloud is out still knows the machine types. */
 @Serializable
 internal data class CatalogRecord(
-    val racks: List<Rack>,
+    @SerialName("racks") val machineTypes: List<MachineType>,
 )
--- a/src/main/kotlin/ledgearch/core/Replicas.kt
+++ b/src/main/kotlin/ledgearch/core/Replicas.kt
@@ -7,7 +7,7 @@
 internal class Replicas(
     private val now: Now,
     private val usable: (Machine) -> Boolean,
-    private val stop: (Placement) -> Unit,
+    private val stop: (TaskAttempt) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
 
@@ -19,14 +19,15 @@
         m: Machine,
         machines: List<Machine>,
     ): Boolean {
-        val replicas = m.placements.values.filter { it.job?.standing == true && !it.exited }
+        val replicas = m.attempts.values.filter { it.job?.isService == true && !it.exited }
         if (replicas.isEmpty()) return true
         val rooms = machines.filter { it !== m && usable(it) }.associateWith { it.roomLeft() }
         return replicas.all { p ->
             val job = p.job ?: return false
             val settled =
-                p.status == TaskStatus.RUNNING && now.steady - p.runningSince > Tuning.SETTLED_MS && p.stop == Stop.NONE
-            val anywhere = !job.spec.apart && !job.spec.samePlace
+                p.state == AttemptState.RUNNING && now.steady - p.runningSince > Tuning.SETTLED_MS &&
+                    p.stop == StopMode.NONE
+            val anywhere = !job.spec.spreadZones && !job.spec.singleZone
             val target =
                 rooms.entries.firstOrNull { (to, room) ->
                     settled && (anywhere || to.zone == m.zone) && to.allows(job) &&
@@ -40,10 +41,10 @@
 
     /** Returns whether there were any. */
     fun move(m: Machine): Boolean {
-        val replicas = m.placements.values.filter { it.goesOn && it.job?.standing == true }
+        val replicas = m.attempts.values.filter { it.goesOn && it.job?.isService == true }
         for (p in replicas) {
             stop(p)
-            log.debug("{} moves off {}", p.task, m.name)
+            log.debug("{} moves off {}", p.taskId, m.name)
         }
         return replicas.isNotEmpty()
     }
--- a/src/main/kotlin/ledgearch/core/Room.kt
+++ b/src/main/kotlin/ledgearch/core/Room.kt
@@ -1,19 +1,19 @@
 package ledgearch.core
 
-import ledgearch.wire.Rack
+import ledgearch.wire.MachineType
 import kotlin.math.abs
 
 /** What is free of a machine's processors, accelerators and memory. */
 internal class Room(
-    private val rack: Rack,
+    private val machineType: MachineType,
 ) {
-    var cpus = rack.vcpus
+    var cpus = machineType.vcpus
         private set
-    private var gpus = rack.accelerators
-    private var memory = rack.memoryGb
+    private var gpus = machineType.accelerators
+    private var memory = machineType.memoryGb
 
     fun copy() =
-        Room(rack).also {
+        Room(machineType).also {
             it.cpus = cpus
             it.gpus = gpus
             it.memory = memory
@@ -29,9 +29,9 @@
         sign: Int,
     ) {
         val spec = job?.spec
-        cpus += sign * (spec?.vcpus ?: rack.vcpus)
-        gpus += sign * (spec?.accelerators ?: rack.accelerators)
-        memory += sign * (spec?.memoryGb ?: rack.memoryGb)
+        cpus += sign * (spec?.vcpus ?: machineType.vcpus)
+        gpus += sign * (spec?.accelerators ?: machineType.accelerators)
+        memory += sign * (spec?.memoryGb ?: machineType.memoryGb)
     }
 
     /** How many tasks of [job] fit, at most [most]. */
--- a/src/main/kotlin/ledgearch/core/Placement.kt
+++ b/src/main/kotlin/ledgearch/core/TaskAttempt.kt
@@ -1,34 +1,34 @@
 package ledgearch.core
 
-import ledgearch.wire.Causes
+import ledgearch.wire.ExitCause
 
-internal enum class TaskStatus { DECIDED, FETCHING, RUNNING, SAVING, EXITED }
+internal enum class AttemptState { ASSIGNED, FETCHING, RUNNING, SAVING, EXITED }
 
 /** Grace that a stopped task gets. */
-internal enum class Stop { NONE, AT_ONCE, SAVE_FIRST }
+internal enum class StopMode { NONE, AT_ONCE, CHECKPOINT_FIRST }
 
 /**
  * One attempt of one task on one machine, from the decision until the attempt is provably gone.
  * [job] is null for an attempt whose job is not open: it is stopped and cleared.
  */
-internal class Placement(
+internal class TaskAttempt(
     val job: Job?,
-    val task: String,
+    val taskId: String,
     val index: Int,
-    val attempt: Long,
+    val number: Long,
     val machine: Machine,
-    val decidedAt: Long,
+    val assignedAt: Long,
     /** Started by an earlier leader: when its run began is not known. */
     val inherited: Boolean = false,
 ) {
     /** It is among its machine's attempts, and counted there and for its team. */
     var attached = false
-    var status = TaskStatus.DECIDED
+    var state = AttemptState.ASSIGNED
         set(value) {
             if (value != field) machine.recounting(this) { field = value }
         }
-    var cause: String? = null
-    var stop = Stop.NONE
+    var cause: ExitCause? = null
+    var stop = StopMode.NONE
         set(value) {
             if (value != field) machine.recounting(this) { field = value }
         }
@@ -55,11 +55,11 @@
      */
     var lostToken = 0L
 
-    val exited: Boolean get() = status == TaskStatus.EXITED
-    val done: Boolean get() = exited && cause == Causes.DONE
+    val exited: Boolean get() = state == AttemptState.EXITED
+    val done: Boolean get() = exited && cause == ExitCause.DONE
 
     /** It may be on its machine and has not been told to stop. */
-    val goesOn: Boolean get() = !exited && stop == Stop.NONE
+    val goesOn: Boolean get() = !exited && stop == StopMode.NONE
 
     /** Nothing is lost when the worker forgets it. */
     val clearable: Boolean get() = exited && (!done || job == null || job.closed || job.recorded.get(index))
--- a/src/main/kotlin/ledgearch/core/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/core/TaskStatusHandler.kt
@@ -2,10 +2,10 @@
 
 import ledgearch.Tuning
 import ledgearch.core.placement.Estimates
-import ledgearch.wire.Causes
-import ledgearch.wire.PortionReport
-import ledgearch.wire.PortionStates
-import ledgearch.wire.WorkStates
+import ledgearch.wire.ExitCause
+import ledgearch.wire.JobState
+import ledgearch.wire.TaskReport
+import ledgearch.wire.TaskState
 import org.slf4j.LoggerFactory
 
 /** What the workers' lists of tasks mean for the attempts that their leader knows. */
@@ -19,129 +19,137 @@
     private val want: (Machine) -> Unit,
     private val changed: () -> Unit,
     /** An attempt is gone with its machine or its session, not by its own end. */
-    private val lost: (Placement) -> Unit,
+    private val lost: (TaskAttempt) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
 
     /** [m] has told all tasks on it. */
     fun listed(
         m: Machine,
-        entries: List<PortionReport>,
+        entries: List<TaskReport>,
     ) {
         for (entry in entries) {
-            val known = m.placements.get(entry.attempt)
+            val known = m.attempts.get(entry.attempt)
             val p = known ?: found(m, entry)
             p.listedAt = m.sequence
             update(p, entry)
             // Its worker may be reporting to an earlier leader still, so it is told directly.
-            if (known == null && p.stop != Stop.NONE && !p.exited) want(m)
+            if (known == null && p.stop != StopMode.NONE && !p.exited) want(m)
         }
-        if (m.placements.values.all { it.listedAt == m.sequence }) return
-        for (p in m.placements.values.toList()) {
+        if (m.attempts.values.all { it.listedAt == m.sequence }) return
+        for (p in m.attempts.values.toList()) {
             if (p.listedAt == m.sequence) continue
             // A start that is still on its way may arrive yet; it is sent again until it shows.
-            if (p.seen || (p.stop != Stop.NONE && p.settled(m.reportSequence))) gone(p)
+            if (p.seen || (p.stop != StopMode.NONE && p.settled(m.reportSequence))) gone(p)
         }
     }
 
     /** An attempt that an earlier leader started, or one of a job that is over. */
     private fun found(
         m: Machine,
-        entry: PortionReport,
-    ): Placement {
-        val id = entry.portion.substringBefore('/')
-        val index = entry.portion.substringAfter('/', "").toIntOrNull() ?: -1
-        val job = jobStore.jobs[id]?.takeIf { index in 0 until it.spec.portions && !it.placements.containsKey(index) }
-        val p = Placement(job, entry.portion, index, entry.attempt, m, now.steady, inherited = true)
+        entry: TaskReport,
+    ): TaskAttempt {
+        val id = entry.taskId.substringBefore('/')
+        val index = entry.taskId.substringAfter('/', "").toIntOrNull() ?: -1
+        val job = jobStore.jobs[id]?.takeIf { index in 0 until it.spec.taskCount && !it.attempts.containsKey(index) }
+        val p = TaskAttempt(job, entry.taskId, index, entry.attempt, m, now.steady, inherited = true)
         m.attach(p)
         if (job == null) {
-            p.stop = Stop.AT_ONCE
+            p.stop = StopMode.AT_ONCE
         } else {
-            if (job.finished.get(index)) p.stop = Stop.AT_ONCE
+            if (job.finished.get(index)) p.stop = StopMode.AT_ONCE
             job.place(p)
-            if (job.record.cancel) p.stop = Stop.AT_ONCE
+            if (job.record.cancel) p.stop = StopMode.AT_ONCE
         }
         return p
     }
 
     private fun update(
-        p: Placement,
-        entry: PortionReport,
+        p: TaskAttempt,
+        entry: TaskReport,
     ) {
         val first = !p.seen
         p.seen = true
         val job = p.job
-        when (entry.status) {
-            PortionStates.FETCHING -> {
-                if (first && job != null) p.machine.touchImage(job.spec.image, job.spec.sizeGb)
-                p.status = TaskStatus.FETCHING
+        when (entry.state) {
+            TaskState.FETCHING -> {
+                if (first && job != null) p.machine.touchImage(job.spec.image, job.spec.imageGb)
+                p.state = AttemptState.FETCHING
             }
 
-            PortionStates.RUNNING -> {
-                if (p.status != TaskStatus.RUNNING) {
+            TaskState.RUNNING -> {
+                if (p.state != AttemptState.RUNNING) {
                     p.runningSince = now.steady
-                    p.status = TaskStatus.RUNNING
-                    log.debug("{} try {} runs on {}", p.task, p.attempt, p.machine.name)
+                    p.state = AttemptState.RUNNING
+                    log.debug("{} try {} runs on {}", p.taskId, p.number, p.machine.name)
                     if (job != null) {
-                        p.machine.touchImage(job.spec.image, job.spec.sizeGb)
+                        p.machine.touchImage(job.spec.image, job.spec.imageGb)
                         // Hurried work goes where its image is.
                         if (p.machine.fetched.add(job.spec.image)) changed()
                     }
                 }
             }
 
-            PortionStates.SAVING -> {
-                p.status = TaskStatus.SAVING
+            TaskState.SAVING -> {
+                p.state = AttemptState.SAVING
             }
 
-            PortionStates.EXITED -> {
+            TaskState.EXITED -> {
                 if (!p.exited) exited(p, entry.cause)
             }
+
+            TaskState.UNRECOGNIZED -> {
+                Unit
+            }
         }
     }
 
     private fun exited(
-        p: Placement,
-        cause: String?,
+        p: TaskAttempt,
+        cause: ExitCause?,
     ) {
-        p.status = TaskStatus.EXITED
+        p.state = AttemptState.EXITED
         p.cause = cause
         changed()
-        metrics.count("task.exited.$cause")
-        log.debug("{} try {} on {} exited: {}", p.task, p.attempt, p.machine.name, cause)
+        metrics.count("task.exited.${cause?.text}")
+        log.debug("{} try {} on {} exited: {}", p.taskId, p.number, p.machine.name, cause?.text)
         val job = p.job ?: return
         val m = p.machine
         when (cause) {
-            Causes.DONE -> {
+            ExitCause.DONE -> {
                 m.errorJobs.clear()
                 m.errorsInRow = 0
                 job.badTries = 0
                 // The job can be done, so where it failed the machine is at fault.
                 job.errorMachines.forEach { name -> machines[name]?.let { blame(it, job) } }
                 job.errorMachines.clear()
-                if (!job.standing) {
+                if (!job.isService) {
                     if (p.runningSince > 0 && !p.inherited &&
-                        job.spec.stirS == 0.0
+                        job.spec.checkpointIntervalS == 0.0
                     ) {
                         estimates.ran(job, (now.steady - p.runningSince) / 1000.0)
                     }
                     job.finish(p.index)
                     if (!job.closed) recordWriter.progress(job)
-                    if (job.complete) recordWriter.close(job, WorkStates.DONE)
+                    if (job.complete) recordWriter.close(job, JobState.DONE)
                 }
             }
 
-            Causes.ERROR -> {
+            ExitCause.ERROR -> {
                 failedTask(m, job)
             }
 
-            Causes.FULL, Causes.BUSY -> {
+            ExitCause.FULL, ExitCause.BUSY -> {
                 m.refusedUntil = now.steady + Tuning.REFUSED_MS
             }
 
-            Causes.UNKNOWN -> {
+            ExitCause.UNKNOWN_TASK -> {
                 job.notBefore = now.steady + Tuning.REFUSED_MS
             }
+
+            ExitCause.STOPPED, ExitCause.UNRECOGNIZED, null -> {
+                Unit
+            }
         }
         job.free(p)
     }
@@ -186,11 +194,11 @@
     }
 
     /** [p] is provably on its machine no more, and no start of it can arrive. */
-    fun gone(p: Placement) {
+    fun gone(p: TaskAttempt) {
         if (!p.exited) {
             metrics.count("task.lost")
-            log.debug("{} try {} is gone from {}", p.task, p.attempt, p.machine.name)
-            if (p.stop == Stop.NONE) lost(p)
+            log.debug("{} try {} is gone from {}", p.taskId, p.number, p.machine.name)
+            if (p.stop == StopMode.NONE) lost(p)
         }
         p.machine.detach(p)
         p.job?.free(p)
--- a/src/main/kotlin/ledgearch/core/Teams.kt
+++ b/src/main/kotlin/ledgearch/core/Teams.kt
@@ -1,8 +1,8 @@
 package ledgearch.core
 
 import ledgearch.config.Team
-import ledgearch.wire.Rack
-import ledgearch.wire.Urgencies
+import ledgearch.wire.MachineType
+import ledgearch.wire.Priority
 import kotlin.math.abs
 
 /** What each team's tasks may be using at most, and whether more may start. */
@@ -47,8 +47,8 @@
     private var hiddenCpus = 0.0
     private var hiddenGpus = 0.0
 
-    /** Attempts that go on, by urgency. */
-    private val goingOn = IntArray(Urgencies.ORDER.size)
+    /** Attempts that go on, by priority. */
+    private val goingOn = IntArray(Priority.entries.size)
 
     /** A job is within its team's guarantee if it fits into it along with the team's earlier unfinished jobs. */
     fun countGuarantees(jobs: Collection<Job>) {
@@ -60,43 +60,43 @@
             }
             val team = uses[job.spec.team]?.team ?: continue
             val sums = promised.getOrPut(job.spec.team) { DoubleArray(2) }
-            sums[0] += job.spec.vcpus * job.spec.portions
-            sums[1] += job.spec.accelerators * job.spec.portions
+            sums[0] += job.spec.vcpus * job.spec.taskCount
+            sums[1] += job.spec.accelerators * job.spec.taskCount
             job.guaranteed = sums[0] <= team.cpus + Machine.ROUNDING && sums[1] <= team.gpus + Machine.ROUNDING
         }
     }
 
     /** [p] comes ([sign] 1) or goes (-1); between the two it counts for its team's limit, stopped or not. */
     fun count(
-        p: Placement,
+        p: TaskAttempt,
         sign: Int,
     ) {
-        val job = p.job ?: return countUnknown(p.machine.rack, sign)
-        if (p.stop == Stop.NONE) goingOn[job.urgency] += sign
+        val job = p.job ?: return countUnknown(p.machine.machineType, sign)
+        if (p.stop == StopMode.NONE) goingOn[job.priority.ordinal] += sign
         val use = uses[job.spec.team] ?: return
         use.cpus += sign * job.spec.vcpus
         use.gpus += sign * job.spec.accelerators
-        if (p.stop != Stop.NONE) return
+        if (p.stop != StopMode.NONE) return
         use.keptCpus += sign * job.spec.vcpus
         use.keptGpus += sign * job.spec.accelerators
     }
 
-    /** What [rack] holds could be anyone's. */
+    /** What [machineType] holds could be anyone's. */
     fun countUnknown(
-        rack: Rack,
+        machineType: MachineType,
         sign: Int,
     ) {
-        unknownCpus += sign * rack.vcpus
-        unknownGpus += sign * rack.accelerators
+        unknownCpus += sign * machineType.vcpus
+        unknownGpus += sign * machineType.accelerators
     }
 
-    /** [rack] may hold any task of a job that is older than this leader and whose tasks have not all been found. */
+    /** [machineType] may hold any task of a job that is older than this leader and whose tasks have not all been found. */
     fun countHidden(
-        rack: Rack,
+        machineType: MachineType,
         sign: Int,
     ) {
-        hiddenCpus += sign * rack.vcpus
-        hiddenGpus += sign * rack.accelerators
+        hiddenCpus += sign * machineType.vcpus
+        hiddenGpus += sign * machineType.accelerators
     }
 
     /**
@@ -118,7 +118,7 @@
     }
 
     /** Work less urgent than [job] goes on somewhere. */
-    fun anyLessUrgent(job: Job) = (job.urgency + 1 until goingOn.size).any { goingOn[it] > 0 }
+    fun anyLowerPriority(job: Job) = (job.priority.ordinal + 1 until goingOn.size).any { goingOn[it] > 0 }
 
     fun clear() {
         uses.values.forEach { it.clear() }
@@ -133,8 +133,8 @@
     fun countsHold(machines: Collection<Machine>): Boolean {
         val fresh = Teams(uses.values.map { it.team })
         for (m in machines) {
-            if (m.inherited && !m.confirmed) fresh.countHidden(m.rack, 1)
-            for (p in m.placements.values) if (!p.exited) fresh.count(p, 1)
+            if (m.inherited && !m.confirmed) fresh.countHidden(m.machineType, 1)
+            for (p in m.attempts.values) if (!p.exited) fresh.count(p, 1)
         }
         return abs(unknownCpus - fresh.unknownCpus) <= Machine.ROUNDING &&
             abs(hiddenCpus - fresh.hiddenCpus) <= Machine.ROUNDING &&
@@ -186,7 +186,7 @@
             job.spec.vcpus,
             use.team.gpusMax - use.keptGpus,
             job.spec.accelerators,
-            job.spec.portions,
+            job.spec.taskCount,
         )
     }
 
@@ -201,7 +201,7 @@
             job.spec.vcpus,
             use.team.gpusMax - use.gpus,
             job.spec.accelerators,
-            job.spec.portions,
+            job.spec.taskCount,
         )
     }
 }
--- a/src/main/kotlin/ledgearch/core/Zones.kt
+++ b/src/main/kotlin/ledgearch/core/Zones.kt
@@ -10,7 +10,7 @@
     private val tasks = HashMap<String, Int>()
 
     init {
-        if (job.spec.apart || job.spec.samePlace) for (p in job.placements.values) add(p.machine.zone)
+        if (job.spec.spreadZones || job.spec.singleZone) for (p in job.attempts.values) add(p.machine.zone)
     }
 
     fun add(
@@ -26,8 +26,8 @@
         most: Int,
     ): Int =
         when {
-            job.spec.samePlace && tasks.keys.any { it != zone } -> 0
-            job.spec.apart -> minOf(most, (job.spec.portions + 1) / 2 - (tasks[zone] ?: 0)).coerceAtLeast(0)
+            job.spec.singleZone && tasks.keys.any { it != zone } -> 0
+            job.spec.spreadZones -> minOf(most, (job.spec.taskCount + 1) / 2 - (tasks[zone] ?: 0)).coerceAtLeast(0)
             else -> most
         }
 
--- a/src/main/kotlin/ledgearch/core/placement/Candidates.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Candidates.kt
@@ -41,7 +41,7 @@
 
     init {
         machines.forEachIndexed { order, m -> add(Choice(m, order)) }
-        if (job.standing) for (p in job.placements.values) zone(p.machine.zone).replicas++
+        if (job.isService) for (p in job.attempts.values) zone(p.machine.zone).replicas++
     }
 
     private fun zone(zone: String) = zones.firstOrNull { it.name == zone } ?: Zone(zone).also { zones.add(it) }
@@ -78,7 +78,7 @@
     }
 
     fun putBack(choice: Choice) {
-        if (job.standing) zone(choice.machine.zone).replicas++
+        if (job.isService) zone(choice.machine.zone).replicas++
         if (choice.machine.hasRoom(job)) add(choice)
     }
 
--- a/src/main/kotlin/ledgearch/core/placement/Estimates.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Estimates.kt
@@ -1,9 +1,9 @@
 package ledgearch.core.placement
 
 import ledgearch.Tuning
+import ledgearch.core.AttemptState
 import ledgearch.core.Job
 import ledgearch.core.Machine
-import ledgearch.core.TaskStatus
 import kotlin.math.exp
 import kotlin.math.ln
 
@@ -31,12 +31,12 @@
         seconds: Double,
     ) {
         job.runTime.add(seconds)
-        if (job.spec.cookS <= 0 || seconds <= 0) return
+        if (job.spec.estimatedRunS <= 0 || seconds <= 0) return
         // Every job counts the same, however many tasks it has.
-        val w = 1.0 / job.spec.portions
+        val w = 1.0 / job.spec.taskCount
         val s = seen.getOrPut(job.spec.jobClass) { Seen() }
         s.weight = minOf(s.weight + w, Tuning.ESTIMATE_JOBS)
-        s.logRatio += (ln(seconds / job.spec.cookS) - s.logRatio) * minOf(1.0, w / s.weight)
+        s.logRatio += (ln(seconds / job.spec.estimatedRunS) - s.logRatio) * minOf(1.0, w / s.weight)
     }
 
     fun learnt(): Map<String, Learnt> = seen.mapValues { (_, s) -> Learnt(s.logRatio, s.weight) }
@@ -58,7 +58,7 @@
         val s = seen[job.spec.jobClass]
         // The weight of one job stands for the owners being right on the average.
         val correction = if (s == null) 1.0 else exp(s.logRatio * s.weight / (s.weight + 1.0))
-        return job.spec.cookS * correction
+        return job.spec.estimatedRunS * correction
     }
 
     /** Processors that the running tasks of [jobs] free each second. */
@@ -71,13 +71,13 @@
     fun freedASecondByZone(machines: Collection<Machine>): Map<String, Double> {
         val freed = HashMap<String, Double>()
         for (m in machines) {
-            for (p in m.placements.values) {
-                if (p.status == TaskStatus.RUNNING) p.job?.let { freed.merge(m.zone, freedASecond(it), Double::plus) }
+            for (p in m.attempts.values) {
+                if (p.state == AttemptState.RUNNING) p.job?.let { freed.merge(m.zone, freedASecond(it), Double::plus) }
             }
         }
         return freed
     }
 
     /** By one running task. */
-    private fun freedASecond(job: Job) = if (job.standing) 0.0 else job.spec.vcpus / maxOf(seconds(job), 1.0)
+    private fun freedASecond(job: Job) = if (job.isService) 0.0 else job.spec.vcpus / maxOf(seconds(job), 1.0)
 }
--- a/src/main/kotlin/ledgearch/core/placement/Placer.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Placer.kt
@@ -68,13 +68,13 @@
         if (open.isEmpty()) return
         val all = machines.values.filter { usable(it) }
         unplaceable.clear()
-        for (job in open) if (!job.standing && ranking.hurried(job)) hurriedImages.add(job.spec.image)
+        for (job in open) if (!job.isService && ranking.hurried(job)) hurriedImages.add(job.spec.image)
         val usable = withoutReserved(serveStarved(open, all), all)
-        val running = jobs.filter { it.placements.isNotEmpty() }
+        val running = jobs.filter { it.attempts.isNotEmpty() }
         val waiting = ArrayList<Job>()
         val levels =
             open
-                .groupBy { it.urgency }
+                .groupBy { it.priority }
                 .toSortedMap()
                 .values
                 .map(ranking::order)
@@ -108,13 +108,13 @@
         open: List<Job>,
         usable: List<Machine>,
     ): Set<Machine> {
-        val starved = open.filter { it.placements.isEmpty() && ranking.starved(it) }.sortedBy { it.readyAt }
+        val starved = open.filter { it.attempts.isEmpty() && ranking.starved(it) }.sortedBy { it.readyAt }
         val reserved = HashSet<Machine>()
         for (job in starved) {
             val free = withoutReserved(reserved, usable)
             startAnywhere(job, free, leave = job.pendingCount - maxOf(1, job.pendingCount / Tuning.STARVED_PARTS))
-            job.placements.values.forEach { it.spared = true }
-            if (job.placements.isEmpty() && teams.allows(job) &&
+            job.attempts.values.forEach { it.spared = true }
+            if (job.attempts.isEmpty() && teams.allows(job) &&
                 reserved.size < Tuning.RESERVED_AT_ONCE
             ) {
                 reserve(job, free)?.let { reserved.add(it) }
@@ -170,7 +170,7 @@
     fun usable(m: Machine) =
         m.durable && m.confirmed && !m.draining && !m.retiring && !m.releasing && !m.pushBroken && !m.overdue &&
             m.probesFailed == 0 &&
-            m.recallAt == 0L &&
+            m.preemptionAt == 0L &&
             now.steady >= m.refusedUntil
 
     private fun startAnywhere(
@@ -228,21 +228,21 @@
         return { c ->
             val m = c.machine
             c.distance = m.imageDistance(job.spec.image)
-            if (job.standing) c.replicas = job.placements.values.count { it.machine === m }
+            if (job.isService) c.replicas = job.attempts.values.count { it.machine === m }
             // A replica is up once its image is there; beside it, replicas keep apart as far as they can.
             c.image =
                 if (imageFirst) {
                     c.distance
-                } else if (job.standing) {
+                } else if (job.isService) {
                     minOf(c.distance, 1)
                 } else {
                     hurriedImagesOn(m)
                 }
-            c.kind = if (m.borrowed == spotFirst) 0 else 1
+            c.kind = if (m.spot == spotFirst) 0 else 1
             c.fetching = if (c.distance == 2) m.fetching else 0
             // A job is late when any of its tasks is lost: on few spot machines it loses one less often.
-            c.room = if (m.borrowed && !job.standing) -m.roomFor(job, pending) else 0
-            c.free = m.rack.vcpus - m.usedCpus
+            c.room = if (m.spot && !job.isService) -m.roomFor(job, pending) else 0
+            c.free = m.machineType.vcpus - m.usedCpus
         }
     }
 
@@ -261,8 +261,8 @@
             if (open == 0) return
             if (job.pendingCount <= (bound[job]?.size ?: 0)) continue
             val spec = job.spec
-            val places = listOf(spec.racks, spec.zone, spec.borrowed)
-            val anyZone = !spec.apart && !spec.samePlace
+            val places = listOf(spec.machineTypes, spec.zone, spec.allowsSpot)
+            val anyZone = !spec.spreadZones && !spec.singleZone
             if (places in full) continue
             open -= bindRest(job, usable, preferred)
             if (anyZone && job.pendingCount > (bound[job]?.size ?: 0)) full.add(places)
--- a/src/main/kotlin/ledgearch/core/placement/Preemption.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Preemption.kt
@@ -1,15 +1,15 @@
 package ledgearch.core.placement
 
 import ledgearch.Tuning
+import ledgearch.core.AttemptState
 import ledgearch.core.Job
 import ledgearch.core.Machine
 import ledgearch.core.Now
-import ledgearch.core.Placement
 import ledgearch.core.Room
-import ledgearch.core.TaskStatus
+import ledgearch.core.TaskAttempt
 import ledgearch.core.Teams
 import ledgearch.core.Zones
-import ledgearch.wire.Urgencies
+import ledgearch.wire.Priority
 import java.util.PriorityQueue
 
 /**
@@ -21,11 +21,11 @@
     private val ranking: Ranking,
     private val now: Now,
     private val recovery: RecoveryPolicy,
-    private val stop: (Placement, Job) -> Unit,
+    private val stop: (TaskAttempt, Job) -> Unit,
 ) {
     /** A task that may be stopped, and what that costs: the same throughout a pass. */
     private class Victim(
-        val task: Placement,
+        val task: TaskAttempt,
         val job: Job,
         val missed: Int,
         val cost: Double,
@@ -37,18 +37,18 @@
     ) {
         val room =
             machine.roomLeft().apply {
-                for (p in machine.placements.values) if (!p.exited && !p.goesOn) give(p.job)
+                for (p in machine.attempts.values) if (!p.exited && !p.goesOn) give(p.job)
             }
 
         /** What goes on here and is not spared, the cheapest to stop first. */
         val victims: List<Victim> by lazy(LazyThreadSafetyMode.NONE) {
-            machine.placements.values
+            machine.attempts.values
                 .mapNotNull(::victim)
                 .sortedBy { it.cost }
         }
     }
 
-    private fun victim(p: Placement): Victim? {
+    private fun victim(p: TaskAttempt): Victim? {
         val job = p.job
         if (job == null || p.spared || !p.goesOn) return null
         val missed = missed(p)
@@ -57,7 +57,8 @@
             p,
             job,
             missed,
-            spent(p) + missed * Tuning.WORTH_AIM + (Urgencies.ORDER.size - 1 - job.urgency) * Tuning.WORTH_URGENCY -
+            spent(p) + missed * Tuning.WORTH_AIM +
+                (Priority.entries.size - 1 - job.priority.ordinal) * Tuning.WORTH_PRIORITY -
                 recovery.yieldsFor(job),
         )
     }
@@ -65,7 +66,7 @@
     /** Tasks whose stopping makes room on one machine, and what that costs. */
     private class Offer(
         val prospect: Prospect,
-        val victims: List<Placement>,
+        val victims: List<TaskAttempt>,
         val cost: Double,
     )
 
@@ -85,7 +86,7 @@
             waiting.filter { job ->
                 val served = ranking.patient(job, Tuning.PATIENCE_S) && freed >= job.pendingCount * job.spec.vcpus
                 freed -= job.pendingCount * job.spec.vcpus
-                !served && (teams.anyLessUrgent(job) || mayClaim(job, 1))
+                !served && (teams.anyLowerPriority(job) || mayClaim(job, 1))
             }
         if (claimants.isEmpty()) return
         claim(claimants, usable.map { Prospect(it) }, running, sparing = false)
@@ -135,7 +136,7 @@
                 // What was tried in vain for one job is not tried again for another that may stop no more.
                 val tried =
                     unplaceable.getOrPut(
-                        if (guaranteed) listOf(job.urgency, job.spec.team) else listOf(job.urgency),
+                        if (guaranteed) listOf(job.priority, job.spec.team) else listOf(job.priority),
                     ) { UnplaceableSizes() }
                 val allowed = allZones.filterTo(HashSet()) { zones.allows(it) }
                 if (!sparing && tried.covers(job, allowed)) break
@@ -187,9 +188,9 @@
         )
 
     private class Yielding(
-        private val rest: Iterator<Pair<Prospect, Placement>>,
+        private val rest: Iterator<Pair<Prospect, TaskAttempt>>,
     ) {
-        fun next(): Pair<Prospect, Placement>? {
+        fun next(): Pair<Prospect, TaskAttempt>? {
             while (rest.hasNext()) rest.next().let { if (it.second.goesOn) return it }
             return null
         }
@@ -198,7 +199,7 @@
     private fun mayYield(
         job: Job,
         other: Job,
-    ) = other.spec.team == job.spec.team && other.urgency > job.urgency && !recovery.protects(other, job) &&
+    ) = other.spec.team == job.spec.team && other.priority > job.priority && !recovery.protects(other, job) &&
         other.spec.vcpus >= job.spec.vcpus && other.spec.accelerators >= job.spec.accelerators
 
     /**
@@ -286,7 +287,7 @@
         for (v in prospect.victims) {
             if (!v.task.goesOn || !mayStop(job, guaranteed, v.job) || (sparing && v.missed > 0)) continue
             // The team of an earlier choice may have nothing more to spare.
-            if (v.job.urgency == job.urgency && !teams.canSpare(v.job, chosen.orEmpty().map { it.job })) continue
+            if (v.job.priority == job.priority && !teams.canSpare(v.job, chosen.orEmpty().map { it.job })) continue
             val soFar = chosen ?: ArrayList<Victim>().also { chosen = it }
             soFar.add(v)
             room.give(v.job)
@@ -308,26 +309,26 @@
         victim: Job,
     ): Boolean {
         if (recovery.protects(victim, job)) return false
-        return victim.urgency > job.urgency ||
-            (guaranteed && victim.urgency == job.urgency && isSpareOfOtherTeam(job, victim))
+        return victim.priority > job.priority ||
+            (guaranteed && victim.priority == job.priority && isSpareOfOtherTeam(job, victim))
     }
 
     /** [victim] runs beyond the guarantee of another team than the one of [job], and that team can spare it. */
     private fun isSpareOfOtherTeam(
         job: Job,
         victim: Job,
-    ): Boolean = !victim.guaranteed && victim.spec.team != job.spec.team && !victim.standing && teams.canSpare(victim)
+    ): Boolean = !victim.guaranteed && victim.spec.team != job.spec.team && !victim.isService && teams.canSpare(victim)
 
     /** Aims that the job of [p] meets only if [p] goes on; none if other tasks of it wait to be started anyway. */
-    private fun missed(p: Placement): Int {
+    private fun missed(p: TaskAttempt): Int {
         val job = p.job ?: return 0
-        if (job.pendingCount > 0 || p.status != TaskStatus.RUNNING) return 0
+        if (job.pendingCount > 0 || p.state != AttemptState.RUNNING) return 0
         return ranking.missedByRestart(job, (now.steady - p.runningSince) / 1000.0)
     }
 
-    private fun spent(p: Placement): Double {
-        val since = if (p.status == TaskStatus.RUNNING) p.runningSince else p.decidedAt
+    private fun spent(p: TaskAttempt): Double {
+        val since = if (p.state == AttemptState.RUNNING) p.runningSince else p.assignedAt
         return (now.steady - since) / 1000.0 * (p.job?.spec?.vcpus ?: 0.0) +
-            (if (p.status == TaskStatus.RUNNING) Tuning.WORTH_STARTED else 0.0)
+            (if (p.state == AttemptState.RUNNING) Tuning.WORTH_STARTED else 0.0)
     }
 }
--- a/src/main/kotlin/ledgearch/core/placement/Ranking.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Ranking.kt
@@ -8,7 +8,7 @@
 
 /**
  * The order in which jobs are served. The paper's queues are first-come with equal tasks; here tasks differ, so
- * within an urgency a job that can still meet its aim goes before one that can't, and less expected work before
+ * within an priority a job that can still meet its aim goes before one that can't, and less expected work before
  * more, with waiting counted in a job's favour.
  */
 internal class Ranking(
@@ -27,7 +27,7 @@
     /** The job's class is to start sooner than an image can be fetched, and it is not too late for that. */
     fun hurried(job: Job): Boolean {
         val within = startWithin[job.spec.jobClass] ?: return false
-        return within < job.spec.sizeGb * Tuning.FETCH_S_PER_GB && age(job) < within
+        return within < job.spec.imageGb * Tuning.FETCH_S_PER_GB && age(job) < within
     }
 
     private val guaranteeWithin: Double? =
@@ -39,19 +39,19 @@
 
     /**
      * Work within a guarantee claims room from other teams' surplus only once half the time in which it is to start,
-     * less what its image takes, is over: it is served before all else of its urgency, and mostly enough frees by
+     * less what its image takes, is over: it is served before all else of its priority, and mostly enough frees by
      * itself.
      */
     fun claims(job: Job): Boolean {
         val within = guaranteeWithin ?: return true
-        return age(job) >= (within - job.spec.sizeGb * Tuning.FETCH_S_PER_GB) / 2
+        return age(job) >= (within - job.spec.imageGb * Tuning.FETCH_S_PER_GB) / 2
     }
 
     /** An array that came less than [seconds] ago, and half the time in which it is to start is not over. */
     fun patient(
         job: Job,
         seconds: Double,
-    ) = !job.standing && age(job) < minOf(seconds, (startWithin[job.spec.jobClass] ?: Double.MAX_VALUE) / 2)
+    ) = !job.isService && age(job) < minOf(seconds, (startWithin[job.spec.jobClass] ?: Double.MAX_VALUE) / 2)
 
     /**
      * No task of the job was started for so long that it goes before all others. Without this bound a steady stream of
@@ -65,7 +65,7 @@
         val cost: Double,
     )
 
-    /** Jobs of one urgency, first to be served first. */
+    /** Jobs of one priority, first to be served first. */
     fun order(jobs: List<Job>): List<Job> =
         jobs
             .map { Rank(it, lateness(it), cost(it)) }
@@ -73,14 +73,14 @@
             .map { it.job }
 
     /** How many of its aims the job can't meet any more even if it started now. */
-    fun lateness(job: Job): Int = if (job.standing) 0 else missed(job, age(job) + estimates.seconds(job))
+    fun lateness(job: Job): Int = if (job.isService) 0 else missed(job, age(job) + estimates.seconds(job))
 
     /** How many more aims [job] misses when a task that has run for [ranS] starts again. */
     fun missedByRestart(
         job: Job,
         ranS: Double,
     ): Int {
-        if (job.standing) return 0
+        if (job.isService) return 0
         val end = age(job) + estimates.seconds(job)
         return missed(job, end) - missed(job, end - ranS)
     }
@@ -91,8 +91,8 @@
         seconds: Double,
         delay: Double,
     ): Int {
-        if (job.standing) return 0
-        val end = seconds + if (job.placements.isEmpty()) age(job) else 0.0
+        if (job.isService) return 0
+        val end = seconds + if (job.attempts.isEmpty()) age(job) else 0.0
         return missed(job, end + delay) - missed(job, end)
     }
 
@@ -113,8 +113,8 @@
     /** Processor seconds still to be done, less a credit for each second waited. */
     private fun cost(job: Job): Double {
         val age = age(job)
-        if (job.standing) return -age
+        if (job.isService) return -age
         val work = job.pendingCount * job.spec.vcpus * estimates.seconds(job)
-        return work - age * job.spec.vcpus * job.spec.portions * Tuning.AGE_CREDIT
+        return work - age * job.spec.vcpus * job.spec.taskCount * Tuning.AGE_CREDIT
     }
 }
--- a/src/main/kotlin/ledgearch/core/placement/RecoveryPolicy.kt
+++ b/src/main/kotlin/ledgearch/core/placement/RecoveryPolicy.kt
@@ -14,7 +14,7 @@
     /** These are all the jobs that wait for room at present. */
     fun look(waiting: Collection<Job>)
 
-    /** Jobs by levels of urgency, each in serving order, as they are to be served. */
+    /** Jobs by levels of priority, each in serving order, as they are to be served. */
     fun arrange(levels: List<List<Job>>): List<List<Job>>
 
     /** New tasks of [job] may go to [m] now, as far as the recovery is concerned. */
--- a/src/main/kotlin/ledgearch/core/placement/Reliability.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Reliability.kt
@@ -23,7 +23,7 @@
         machines: Collection<Machine>,
         nowMs: Long,
     ) {
-        spotMachines = machines.count { it.borrowed }
+        spotMachines = machines.count { it.spot }
         if (countedAt != 0L) hours += spotMachines * (nowMs - countedAt) / MS_PER_HOUR
         countedAt = nowMs
     }
@@ -36,7 +36,7 @@
         m: Machine,
         nowMs: Long,
     ) {
-        if (!m.borrowed) return
+        if (!m.spot) return
         if (nowMs - windowAt > Tuning.LOSS_WINDOW_MS) {
             windowAt = nowMs
             windowLeft =
@@ -52,7 +52,7 @@
     private fun spotIsRisky(job: Job): Boolean = expectedLosses(job) > Tuning.EXPECTED_LOSSES
 
     private fun expectedLosses(job: Job) =
-        losses / hours * estimates.seconds(job) / SECONDS_PER_HOUR * (job.spec.portions - job.finishedCount)
+        losses / hours * estimates.seconds(job) / SECONDS_PER_HOUR * (job.spec.taskCount - job.finishedCount)
 
     /** Risky jobs that ordinary machines have room for, as last chosen. */
     private val sheltered = HashSet<Job>()
@@ -74,10 +74,10 @@
         sheltered.clear()
         exposed.clear()
         var room =
-            machines.sumOf { if (it.borrowed || !it.inService) 0.0 else it.rack.vcpus } - reserved -
-                jobs.sumOf { if (it.spec.borrowed) 0.0 else cpus(it) }
+            machines.sumOf { if (it.spot || !it.inService) 0.0 else it.machineType.vcpus } - reserved -
+                jobs.sumOf { if (it.spec.allowsSpot) 0.0 else cpus(it) }
         val gains =
-            jobs.filter { it.spec.borrowed && !it.complete && spotIsRisky(it) }.map { it to gain(it) }.filter {
+            jobs.filter { it.spec.allowsSpot && !it.complete && spotIsRisky(it) }.map { it to gain(it) }.filter {
                 it.second >
                     0
             }
@@ -90,7 +90,7 @@
         }
     }
 
-    private fun cpus(job: Job) = job.spec.vcpus * (job.spec.portions - job.finishedCount)
+    private fun cpus(job: Job) = job.spec.vcpus * (job.spec.taskCount - job.finishedCount)
 
     /** How many fewer aims the job is likely to miss, by the processor time that it takes. */
     private fun gain(job: Job): Double {
@@ -114,7 +114,7 @@
         seconds: Double,
     ): Double {
         val lossesATask = losses / hours * seconds / SECONDS_PER_HOUR
-        val expected = lossesATask * (job.spec.portions - job.finishedCount)
+        val expected = lossesATask * (job.spec.taskCount - job.finishedCount)
         // Lost tasks put off the end: the last of them, and the last lost once more, and so on.
         var lost = expected
         var delay = 0.0
@@ -129,7 +129,7 @@
     fun spotFirst(job: Job) = job !in sheltered
 
     /** Ordinary machines are worth keeping for [job]. */
-    fun wantsOrdinary(job: Job) = !job.spec.borrowed || job in exposed
+    fun wantsOrdinary(job: Job) = !job.spec.allowsSpot || job in exposed
 
     private companion object {
         const val MS_PER_HOUR = 3_600_000.0
--- a/src/main/kotlin/ledgearch/core/placement/UnplaceableSizes.kt
+++ b/src/main/kotlin/ledgearch/core/placement/UnplaceableSizes.kt
@@ -31,7 +31,7 @@
             val b = job.spec
             a.vcpus <= b.vcpus && a.memoryGb <= b.memoryGb && a.accelerators <= b.accelerators &&
                 (tried == null || (zones != null && tried.containsAll(zones))) &&
-                (a.borrowed || !b.borrowed) && (a.zone == null || a.zone == b.zone) &&
-                (a.racks == null || a.racks == b.racks)
+                (a.allowsSpot || !b.allowsSpot) && (a.zone == null || a.zone == b.zone) &&
+                (a.machineTypes == null || a.machineTypes == b.machineTypes)
         }
 }
--- a/src/main/kotlin/ledgearch/fleet/Demand.kt
+++ b/src/main/kotlin/ledgearch/fleet/Demand.kt
@@ -5,14 +5,14 @@
 import ledgearch.core.Now
 import ledgearch.core.Room
 import ledgearch.core.Zones
-import ledgearch.wire.Rack
+import ledgearch.wire.MachineType
 
 /** Room that is on its way: a rented machine that has not reported yet. */
 internal class Supply(
-    private val rack: Rack,
+    private val machineType: MachineType,
     private val zone: String,
-    private val borrowed: Boolean,
-    private val room: Room = Room(rack),
+    private val spot: Boolean,
+    private val room: Room = Room(machineType),
 ) {
     /** Takes as many of [tasks] of [job] as fit here and in its [zones]; returns how many. */
     fun take(
@@ -20,7 +20,7 @@
         tasks: Int,
         zones: Zones,
     ): Int {
-        if (!job.allows(rack, zone, borrowed)) return 0
+        if (!job.allows(machineType, zone, spot)) return 0
         val most = zones.room(zone, tasks)
         var taken = 0
         while (taken < most && room.fits(job)) {
@@ -42,8 +42,8 @@
 
     /** The one zone that its tasks may be in, or null where there are several. */
     val onlyZone: String? =
-        job.spec.zone ?: if (job.spec.samePlace) {
-            job.placements.values
+        job.spec.zone ?: if (job.spec.singleZone) {
+            job.attempts.values
                 .firstOrNull()
                 ?.machine
                 ?.zone
@@ -68,7 +68,7 @@
         ): List<Demand> {
             val perTeam = HashMap<String, Double>()
             val waiting =
-                jobs.filter { it.startable(now.steady) }.sortedWith(compareBy({ it.urgency }, { it.readyAt }))
+                jobs.filter { it.startable(now.steady) }.sortedWith(compareBy({ it.priority }, { it.readyAt }))
             return (leader.recovery?.arrange(listOf(waiting))?.single() ?: waiting)
                 .mapNotNull { job ->
                     val taken = perTeam[job.spec.team] ?: 0.0
--- a/src/main/kotlin/ledgearch/fleet/Fleet.kt
+++ b/src/main/kotlin/ledgearch/fleet/Fleet.kt
@@ -20,8 +20,9 @@
 import ledgearch.wire.ListedMachine
 import ledgearch.wire.MachineList
 import ledgearch.wire.MachineNames
-import ledgearch.wire.Rack
-import ledgearch.wire.RentRequest
+import ledgearch.wire.MachineState
+import ledgearch.wire.MachineType
+import ledgearch.wire.RentalRequest
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
@@ -36,11 +37,11 @@
     private val recordWriter: () -> RecordWriter,
 ) {
     private data class Pool(
-        val rack: Rack,
+        val machineType: MachineType,
         val zone: String,
-        val borrowed: Boolean,
+        val spot: Boolean,
     ) {
-        val price: Double get() = price(rack, borrowed)
+        val price: Double get() = price(machineType, spot)
     }
 
     /** Load comes in jobs: what it was a moment ago it may be again before a machine could boot. */
@@ -114,7 +115,7 @@
     /** Machines that were rented and have not reported yet. */
     fun rentedNotReported(): List<RentalHint> =
         booting.map { (name, b) ->
-            RentalHint(name, b.pool.rack.label, b.pool.zone, b.pool.borrowed)
+            RentalHint(name, b.pool.machineType.name, b.pool.zone, b.pool.spot)
         }
 
     /** The leader before may have rented this machine, which the cloud's list may not show yet. */
@@ -124,21 +125,21 @@
 
     fun driveCatalog(holding: Boolean) {
         bucket.refill(now.steady)
-        val wanted = jobStore().racks.isEmpty() || holding
+        val wanted = jobStore().machineTypes.isEmpty() || holding
         if (!wanted || catalogBusy || now.steady < catalogAt || !bucket.has(1)) return
         catalogBusy = true
         call("GET", "/catalog", null) { reply ->
             catalogBusy = false
-            val racks = parse(reply) { WireJson.decodeFromString(Catalog.serializer(), it) }?.racks
-            catalogAt = now.steady + if (racks == null) Tuning.CLOUD_RETRY_MS else Tuning.CATALOG_MS
-            if (racks.isNullOrEmpty()) return@call
-            val known = jobStore().racks
-            if (known.keys != racks.mapTo(HashSet()) { it.label } &&
+            val machineTypes = parse(reply) { WireJson.decodeFromString(Catalog.serializer(), it) }?.machineTypes
+            catalogAt = now.steady + if (machineTypes == null) Tuning.CLOUD_RETRY_MS else Tuning.CATALOG_MS
+            if (machineTypes.isNullOrEmpty()) return@call
+            val known = jobStore().machineTypes
+            if (known.keys != machineTypes.mapTo(HashSet()) { it.name } &&
                 election().holding
             ) {
-                recordWriter().catalog(CatalogRecord(racks))
+                recordWriter().catalog(CatalogRecord(machineTypes))
             }
-            jobStore().setRacks(racks)
+            jobStore().setMachineTypes(machineTypes)
         }
     }
 
@@ -202,7 +203,7 @@
             list.machines.forEach { listed(leader, it) }
             if (list.hasNext && list.machines.isNotEmpty()) {
                 listBusy = true
-                listPage(leader, list.machines.last().ref, page + 1)
+                listPage(leader, list.machines.last().name, page + 1)
             }
         }
     }
@@ -211,31 +212,31 @@
         leader: Leader,
         machine: ListedMachine,
     ) {
-        val m = leader.machines[machine.ref]
-        if (machine.ref in returned || machine.ref in toRelease) return
-        when (machine.status) {
-            "failed" -> {
-                log.info("machine {} has failed", machine.ref)
-                toRelease.add(machine.ref)
+        val m = leader.machines[machine.name]
+        if (machine.name in returned || machine.name in toRelease) return
+        when (machine.state) {
+            MachineState.FAILED -> {
+                log.info("machine {} has failed", machine.name)
+                toRelease.add(machine.name)
                 m?.let(leader::machineGone)
             }
 
-            "booting" -> {
+            MachineState.BOOTING -> {
                 if (m == null) {
-                    val rack = jobStore().racks[machine.rack] ?: return
-                    val patience = rack.startupS * Tuning.BOOT_PATIENCE
-                    if (machine.heldS > patience) {
-                        log.info("machine {} does not come up; it is returned", machine.ref)
-                        booting.remove(machine.ref)
-                        toRelease.add(machine.ref)
+                    val machineType = jobStore().machineTypes[machine.machineType] ?: return
+                    val patience = machineType.bootS * Tuning.BOOT_PATIENCE
+                    if (machine.ageS > patience) {
+                        log.info("machine {} does not come up; it is returned", machine.name)
+                        booting.remove(machine.name)
+                        toRelease.add(machine.name)
                     } else {
-                        val pool = Pool(rack, machine.zone, machine.borrowed)
-                        expectBoot(leader, machine.ref, Booting(pool, now.steady - (machine.heldS * 1000).toLong()))
+                        val pool = Pool(machineType, machine.zone, machine.spot)
+                        expectBoot(leader, machine.name, Booting(pool, now.steady - (machine.ageS * 1000).toLong()))
                     }
                 }
             }
 
-            else -> {
+            MachineState.RUNNING, MachineState.UNRECOGNIZED -> {
                 if (m == null) unheard(leader, machine)
             }
         }
@@ -258,17 +259,17 @@
         leader: Leader,
         machine: ListedMachine,
     ) {
-        val since = unheard.getOrPut(machine.ref) { now.steady }
+        val since = unheard.getOrPut(machine.name) { now.steady }
         if (stalls.heedfulSince(since) < Tuning.UNHEARD_MS || leader.isCutOff(machine.zone)) return
-        log.info("machine {} is up and does not report; it is returned", machine.ref)
-        unheard.remove(machine.ref)
-        booting.remove(machine.ref)
-        toRelease.add(machine.ref)
+        log.info("machine {} is up and does not report; it is returned", machine.name)
+        unheard.remove(machine.name)
+        booting.remove(machine.name)
+        toRelease.add(machine.name)
     }
 
     private fun plan(leader: Leader) {
         for ((name, b) in booting.entries.toList()) {
-            if (now.steady - b.since > b.pool.rack.startupS * 1000 * Tuning.BOOT_PATIENCE + listLagMs &&
+            if (now.steady - b.since > b.pool.machineType.bootS * 1000 * Tuning.BOOT_PATIENCE + listLagMs &&
                 !isProbeMachine(leader, name, b)
             ) {
                 booting.remove(name)
@@ -284,7 +285,7 @@
             if (calmSince == 0L) calmSince = now.steady
         } else {
             calmSince = 0L
-            recallRetiring(leader)
+            keepRetiring(leader)
         }
         rentFor(leader, needs, churn)
         returnEmpty(leader)
@@ -301,10 +302,13 @@
         val coming =
             booting.values
                 .filter { !leader.isCutOff(it.pool.zone) }
-                .map { Supply(it.pool.rack, it.pool.zone, it.pool.borrowed) }
+                .map { Supply(it.pool.machineType, it.pool.zone, it.pool.spot) }
                 .toMutableList()
         val unlisted = hinted.notIn(booting.keys, leader.machines.keys)
-        coming += unlisted.mapNotNull { hint -> jobStore().racks[hint.rack]?.let { Supply(it, hint.zone, hint.spot) } }
+        coming +=
+            unlisted.mapNotNull { hint ->
+                jobStore().machineTypes[hint.machineType]?.let { Supply(it, hint.zone, hint.spot) }
+            }
         coming += heldBackRoom(leader)
         val planned = LinkedHashMap<Pool, Int>()
         val known = leader.machines.size + booting.size + unlisted.size
@@ -316,7 +320,7 @@
             var left = need.unmetBy(coming)
             val spec = need.job.spec
             // One that has starved beside all that frees is not served by it.
-            if (!need.job.standing && spec.vcpus > 0 && need.job.unservedMs(now.wall) <= Tuning.STARVED_MS) {
+            if (!need.job.isService && spec.vcpus > 0 && need.job.unservedMs(now.wall) <= Tuning.STARVED_MS) {
                 val startup = bootS()
                 // Where only dear machines are left to rent, all that frees before one could be up is counted on.
                 val dear = isDear(need.job, cheapest(leader, need, planned))
@@ -331,7 +335,7 @@
             }
             while (left > 0 && planned.values.sum() < mayRent) {
                 val pool = cheapest(leader, need, planned) ?: break
-                val supply = Supply(pool.rack, pool.zone, pool.borrowed)
+                val supply = Supply(pool.machineType, pool.zone, pool.spot)
                 val taken = supply.take(need.job, left, need.zones)
                 if (taken == 0) break
                 left -= taken
@@ -361,7 +365,7 @@
     private fun heldBackRoom(leader: Leader): List<Supply> =
         leader.machines.values
             .filter { it.heldBack && it.inService && leader.recovery?.isSuppressed(it.zone) == false }
-            .map { Supply(it.rack, it.zone, it.borrowed, it.roomLeft()) }
+            .map { Supply(it.machineType, it.zone, it.spot, it.roomLeft()) }
 
     /** Not in a zone that is cut off: what is rented there can't be reached, and no more than a probe machine is. */
     private fun cheapest(
@@ -407,11 +411,14 @@
 
     private fun pools(job: Job): List<Pool> =
         jobStore()
-            .racks.values
+            .machineTypes.values
             .filter { Room(it).fits(job) }
-            .flatMap { rack -> rack.zones.flatMap { zone -> listOf(Pool(rack, zone, true), Pool(rack, zone, false)) } }
-            .filter { settings.operator.spot || !it.borrowed }
-            .filter { job.allows(it.rack, it.zone, it.borrowed) }
+            .flatMap { machineType ->
+                machineType.zones.flatMap { zone ->
+                    listOf(Pool(machineType, zone, true), Pool(machineType, zone, false))
+                }
+            }.filter { settings.operator.spot || !it.spot }
+            .filter { job.allows(it.machineType, it.zone, it.spot) }
 
     /** [pool] costs this job much more than the cheapest machine that it may use. */
     private fun isDear(
@@ -422,7 +429,7 @@
         return pool != null && pool.price > least * Tuning.DEAR
     }
 
-    private fun key(p: Pool) = "${p.rack.label}/${p.zone}/${p.borrowed}"
+    private fun key(p: Pool) = "${p.machineType.name}/${p.zone}/${p.spot}"
 
     private fun rent(
         leader: Leader,
@@ -434,8 +441,8 @@
         val booking = "b-${election().token}-${++bookingSeq}"
         val body =
             WireJson.encodeToString(
-                RentRequest.serializer(),
-                RentRequest(booking, pool.rack.label, pool.zone, pool.borrowed, count),
+                RentalRequest.serializer(),
+                RentalRequest(booking, pool.machineType.name, pool.zone, pool.spot, count),
             )
         call("POST", "/hosts", body) { reply ->
             renting.remove(key(pool))
@@ -449,9 +456,9 @@
                         "rented {} of {} {} in {}{}",
                         names.size,
                         count,
-                        pool.rack.label,
+                        pool.machineType.name,
                         pool.zone,
-                        if (pool.borrowed) " (spot)" else "",
+                        if (pool.spot) " (spot)" else "",
                     )
                     for (name in names) expectBoot(leader, name, Booting(pool, now.steady))
                     if (names.size < count) exhausted[key(pool)] = now.steady + Tuning.NO_CAPACITY_MS
@@ -480,7 +487,7 @@
         val active = leader.machines.values.filter { it.inService }
         for (m in leader.machines.values.toList()) {
             if (m.draining && m.confirmed && leader.replicas.canMove(m, active)) leader.replicas.move(m)
-            if ((m.draining || m.retiring) && m.placements.isEmpty() && m.confirmed && !m.releasing) {
+            if ((m.draining || m.retiring) && m.attempts.isEmpty() && m.confirmed && !m.releasing) {
                 log.info("machine {} is empty and not needed; it is returned", m.name)
                 release(m)
             }
@@ -488,7 +495,7 @@
     }
 
     /** Work waits: machines on their way out serve again, the cheapest first, before any is rented. */
-    private fun recallRetiring(leader: Leader) {
+    private fun keepRetiring(leader: Leader) {
         for (m in leader.machines.values) {
             if (m.retiring && !m.releasing) {
                 m.retiring = false
@@ -512,18 +519,18 @@
         churn: Double,
     ): Boolean {
         val active = leader.machines.values.filter { it.inService }
-        val capacity = active.sumOf { it.rack.vcpus }
+        val capacity = active.sumOf { it.machineType.vcpus }
         val used = load.value
-        val ordinary = active.sumOf { if (it.borrowed) 0.0 else it.rack.vcpus }
+        val ordinary = active.sumOf { if (it.spot) 0.0 else it.machineType.vcpus }
         val reserve = leader.reserve.cpus(churn, bootS())
-        val fixed = active.filter { !it.borrowed }.groupingBy { it.zone }.eachCount()
+        val fixed = active.filter { !it.spot }.groupingBy { it.zone }.eachCount()
         val m =
             active
                 .filter { c -> now.steady - c.knownSince > Tuning.KEEP_MS }
-                .filter { capacity - it.rack.vcpus >= used + reserve }
-                .filter { c -> c.borrowed || ordinary - c.rack.vcpus >= ordinaryLoad.value }
-                .filter { c -> c.borrowed || (fixed[c.zone] ?: 0) > 1 }
-                .sortedWith(compareBy({ -price(it.rack, it.borrowed) }, { it.usedCpus }))
+                .filter { capacity - it.machineType.vcpus >= used + reserve }
+                .filter { c -> c.spot || ordinary - c.machineType.vcpus >= ordinaryLoad.value }
+                .filter { c -> c.spot || (fixed[c.zone] ?: 0) > 1 }
+                .sortedWith(compareBy({ -price(it.machineType, it.spot) }, { it.usedCpus }))
                 .firstOrNull { leader.replicas.canMove(it, active) } ?: return false
         m.retiring = true
         log.info(
@@ -541,10 +548,10 @@
     private fun ordinaryCpus(
         leader: Leader,
         job: Job,
-    ): Double = if (!leader.reliability.wantsOrdinary(job)) 0.0 else job.placements.size * job.spec.vcpus
+    ): Double = if (!leader.reliability.wantsOrdinary(job)) 0.0 else job.attempts.size * job.spec.vcpus
 
     /** Seconds until a machine of the quickest type is up. */
-    fun bootS() = jobStore().racks.values.minOfOrNull { it.startupS } ?: 0.0
+    fun bootS() = jobStore().machineTypes.values.minOfOrNull { it.bootS } ?: 0.0
 
     private fun call(
         method: String,
@@ -578,8 +585,8 @@
 
         /** Of a processor for an hour. */
         fun price(
-            rack: Rack,
-            borrowed: Boolean,
-        ) = (if (borrowed) rack.lowPrice else rack.hourly) / rack.vcpus
+            machineType: MachineType,
+            spot: Boolean,
+        ) = (if (spot) machineType.spotPrice else machineType.onDemandPrice) / machineType.vcpus
     }
 }
--- a/src/main/kotlin/ledgearch/fleet/RentalHints.kt
+++ b/src/main/kotlin/ledgearch/fleet/RentalHints.kt
@@ -6,7 +6,7 @@
 /** A machine that the leader before may have rented. */
 internal data class RentalHint(
     val name: String,
-    val rack: String,
+    val machineType: String,
     val zone: String,
     val spot: Boolean,
 )
--- a/src/main/kotlin/ledgearch/fleet/Reserve.kt
+++ b/src/main/kotlin/ledgearch/fleet/Reserve.kt
@@ -50,8 +50,8 @@
     fun opened(job: Job) {
         if (job.spec.jobClass !in withinS) return
         // More than its team's limit never starts at once.
-        val atOnce = minOf(job.spec.vcpus * job.spec.portions, limits[job.spec.team] ?: 0.0)
-        arrivals.getOrPut(job.spec.jobClass) { Arrivals(!job.spec.borrowed) }.let {
+        val atOnce = minOf(job.spec.vcpus * job.spec.taskCount, limits[job.spec.team] ?: 0.0)
+        arrivals.getOrPut(job.spec.jobClass) { Arrivals(!job.spec.allowsSpot) }.let {
             it.fade(now.steady)
             it.add(atOnce)
         }
--- a/src/main/kotlin/ledgearch/intake/Withdrawals.kt
+++ b/src/main/kotlin/ledgearch/intake/Cancellations.kt
@@ -15,38 +15,38 @@
 import ledgearch.wire.KeyValue
 
 /**
- * Withdrawals of jobs: marks the open record as cancelled, which makes the user's wish durable, and answers once the
+ * Cancellations of jobs: marks the open record as cancelled, which makes the user's wish durable, and answers once the
  * job is over. The block's leader carries the wish out.
  */
-internal class Withdrawals(
+internal class Cancellations(
     private val jobStore: JobStore,
     private val state: StateClient,
     private val now: Now,
     private val lookup: JobLookup,
     private val answers: JobAnswers,
 ) {
-    private class Withdrawal(
+    private class Cancellation(
         val since: Long,
         val respond: Respond,
     )
 
-    private val waiting = HashMap<String, MutableList<Withdrawal>>()
+    private val waiting = HashMap<String, MutableList<Cancellation>>()
 
     /** Jobs whose mark is being written, and when it may be written again (steady ms). */
     private val markAgainAt = HashMap<String, Long>()
 
-    /** A user wants the job [id] withdrawn. */
+    /** A user wants the job [id] cancelled. */
     fun add(
         id: String,
         respond: Respond,
     ) {
         if (!Validation.isJobId(id)) return respond(answers.unknownJob())
         jobStore.final(id)?.let { return respond(answers.over(id, it)) }
-        val withdrawal = Withdrawal(now.steady, respond)
-        if (jobStore.jobs.containsKey(id)) return await(id, withdrawal)
-        // Accepted at another node a moment ago, perhaps: only an end is an answer to a withdrawal.
+        val cancellation = Cancellation(now.steady, respond)
+        if (jobStore.jobs.containsKey(id)) return await(id, cancellation)
+        // Accepted at another node a moment ago, perhaps: only an end is an answer to a cancellation.
         lookup.read(id, respond, unknown = { respond(answers.unknownJob()) }) { open ->
-            foundOpen(id, withdrawal, open)
+            foundOpen(id, cancellation, open)
         }
     }
 
@@ -69,7 +69,7 @@
         if (state.refuses) turnAwayMarked()
     }
 
-    /** Marks the jobs that are to be withdrawn and are not marked yet. */
+    /** Marks the jobs that are to be cancelled and are not marked yet. */
     fun markOpenJobs() {
         for (id in waiting.keys) {
             val job = jobStore.jobs[id] ?: continue
@@ -79,25 +79,25 @@
 
     private fun await(
         id: String,
-        withdrawal: Withdrawal,
+        cancellation: Cancellation,
     ) {
-        waiting.getOrPut(id) { ArrayList() }.add(withdrawal)
+        waiting.getOrPut(id) { ArrayList() }.add(cancellation)
     }
 
     private fun foundOpen(
         id: String,
-        withdrawal: Withdrawal,
+        cancellation: Cancellation,
         open: KeyValue,
     ) {
-        jobStore.final(id)?.let { return withdrawal.respond(answers.over(id, it)) }
-        val record = decodeRecord(JobRecord.serializer(), open.v) ?: return withdrawal.respond(answers.tryAgain())
-        await(id, withdrawal)
+        jobStore.final(id)?.let { return cancellation.respond(answers.over(id, it)) }
+        val record = decodeRecord(JobRecord.serializer(), open.v) ?: return cancellation.respond(answers.tryAgain())
+        await(id, cancellation)
         if (!record.cancel) mark(record, open.stamp)
     }
 
-    private fun isTurnedAway(withdrawal: Withdrawal): Boolean {
-        if (now.steady - withdrawal.since < Tuning.WITHDRAW_MS) return false
-        withdrawal.respond(answers.tryAgain())
+    private fun isTurnedAway(cancellation: Cancellation): Boolean {
+        if (now.steady - cancellation.since < Tuning.CANCEL_MS) return false
+        cancellation.respond(answers.tryAgain())
         return true
     }
 
@@ -116,7 +116,7 @@
         record: JobRecord,
         stamp: Long,
     ) {
-        val id = record.spec.ref
+        val id = record.spec.id
         if (now.steady < (markAgainAt[id] ?: Long.MIN_VALUE)) return
         markAgainAt[id] = now.steady + Tuning.STATE_MS
         val value = encodeRecord(JobRecord.serializer(), record.copy(cancel = true))
--- a/src/main/kotlin/ledgearch/intake/AwaitedJobs.kt
+++ b/src/main/kotlin/ledgearch/intake/DependencyCheck.kt
@@ -5,68 +5,68 @@
 import ledgearch.core.JobStore
 
 /** What is known of the jobs that a submission names as awaited. */
-internal sealed interface AwaitedResult {
+internal sealed interface DependencyCheckResult {
     /** Every one of them was accepted; [ended] are the final records that were read on the way. */
     class AllAccepted(
         val ended: Map<String, FinalRecord>,
-    ) : AwaitedResult
+    ) : DependencyCheckResult
 
     /** [job] was never accepted by any node. */
     class NeverAccepted(
         val job: String,
-    ) : AwaitedResult
+    ) : DependencyCheckResult
 
     /** [job] is a service, which is never done. */
     class IsService(
         val job: String,
-    ) : AwaitedResult
+    ) : DependencyCheckResult
 
     /** The state service gave no conclusive answer. */
-    data object Unknown : AwaitedResult
+    data object Unknown : DependencyCheckResult
 }
 
 /**
- * Finds out whether awaited jobs were accepted. That a job was accepted never changes, so any evidence of it counts.
+ * Finds out whether dependencys were accepted. That a job was accepted never changes, so any evidence of it counts.
  * That it was not needs a reading: a job moves from its open record to its final one in one transaction, so a job whose
  * open record and then whose final record are absent had not been accepted when the first was read.
  */
-internal class AwaitedJobs(
+internal class DependencyCheck(
     private val jobStore: JobStore,
 ) {
     /** Looks at [ids] one after the other. */
     fun check(
         ids: List<String>,
-        done: (AwaitedResult) -> Unit,
+        done: (DependencyCheckResult) -> Unit,
     ) = check(ids, HashMap(), done)
 
     private fun check(
         ids: List<String>,
         ended: HashMap<String, FinalRecord>,
-        done: (AwaitedResult) -> Unit,
+        done: (DependencyCheckResult) -> Unit,
     ) {
         for ((index, id) in ids.withIndex()) {
             val job = jobStore.jobs[id]
-            if (job?.standing == true) return done(AwaitedResult.IsService(id))
+            if (job?.isService == true) return done(DependencyCheckResult.IsService(id))
             if (job != null || jobStore.final(id) != null) continue
             return read(id, done) { final ->
                 if (final != null) ended[id] = final
                 check(ids.drop(index + 1), ended, done)
             }
         }
-        done(AwaitedResult.AllAccepted(ended))
+        done(DependencyCheckResult.AllAccepted(ended))
     }
 
     /** [accepted] gets the final record where there is one. */
     private fun read(
         id: String,
-        done: (AwaitedResult) -> Unit,
+        done: (DependencyCheckResult) -> Unit,
         accepted: (FinalRecord?) -> Unit,
     ) = jobStore.records.read(id) { reading ->
         when (reading) {
             is JobReading.Open -> accepted(null)
             is JobReading.Over -> accepted(reading.record)
-            JobReading.Absent -> done(AwaitedResult.NeverAccepted(id))
-            JobReading.Unknown -> done(AwaitedResult.Unknown)
+            JobReading.Absent -> done(DependencyCheckResult.NeverAccepted(id))
+            JobReading.Unknown -> done(DependencyCheckResult.Unknown)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/intake/DependencyKnowledge.kt
+++ b/src/main/kotlin/ledgearch/intake/DependencyKnowledge.kt
@@ -14,12 +14,12 @@
     val isFresh: Boolean get() = now.steady - jobStore.completeAt < freshMs
 
     /**
-     * Whether a user may be told that [job] is open. One that waits for others may be withdrawn with them without
+     * Whether a user may be told that [job] is open. One that waits for others may be cancelled with them without
      * having been looked at itself, so all that it waits for has to be known here, and known to be open a short while
      * ago.
      */
     fun mayTellOpen(job: Job): Boolean {
         if (!job.waitsForOthers) return true
-        return !job.dependencyWithdrawn && isFresh && jobStore.dependencies.areKnown(job)
+        return !job.dependencyCancelled && isFresh && jobStore.dependencies.areKnown(job)
     }
 }
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -40,7 +40,7 @@
     private val polls = Polls(jobStore, state, now, dependencies, lookup, answers)
     private val submissions =
         Submissions(limits, jobStore, state, grant, now, dependencies, lookup, polls, answers)
-    private val withdrawals = Withdrawals(jobStore, state, now, lookup, answers)
+    private val cancellations = Cancellations(jobStore, state, now, lookup, answers)
 
     /** Answers [request] by [respond], at once or when its answer is known. */
     fun handle(
@@ -58,7 +58,7 @@
             }
 
             parts.size == 4 && parts[1] == "work" && parts[3] == "withdraw" -> {
-                only("POST", request, respond) { withdrawals.add(parts[2], respond) }
+                only("POST", request, respond) { cancellations.add(parts[2], respond) }
             }
 
             else -> {
@@ -68,16 +68,16 @@
     }
 
     /** The job is over: whoever waits for that is told. */
-    fun closed(id: String) = withdrawals.closed(id)
+    fun closed(id: String) = cancellations.closed(id)
 
     /** Turns away what has waited too long, then sends what is due. */
     fun drive() {
         submissions.expire()
         polls.expire()
-        withdrawals.expire()
+        cancellations.expire()
         submissions.flush()
         polls.flush()
-        withdrawals.markOpenJobs()
+        cancellations.markOpenJobs()
     }
 
     private fun only(
--- a/src/main/kotlin/ledgearch/intake/JobAnswers.kt
+++ b/src/main/kotlin/ledgearch/intake/JobAnswers.kt
@@ -5,9 +5,9 @@
 import ledgearch.http.HttpStatus
 import ledgearch.http.Response
 import ledgearch.wire.ErrorBody
+import ledgearch.wire.JobState
+import ledgearch.wire.JobStatus
 import ledgearch.wire.WireJson
-import ledgearch.wire.WorkStates
-import ledgearch.wire.WorkStatus
 
 /** Takes the answer to a request. */
 internal typealias Respond = (Response) -> Unit
@@ -26,27 +26,27 @@
     /** A submission was accepted and its job is in [state]. */
     fun accepted(
         id: String,
-        state: String,
-    ) = status(HttpStatus.CREATED, WorkStatus(id, state))
+        state: JobState,
+    ) = status(HttpStatus.CREATED, JobStatus(id, state))
 
     /** The open job [job]; its progress is known from its own tasks on the leader, elsewhere from the leader's news. */
     fun open(job: Job): Response {
         val running = if (grant.holding) job.runningCount else job.shown?.running ?: 0
         val done = if (grant.holding) job.finishedCount else job.shown?.done ?: 0
-        val state = if (running > 0) WorkStates.RUNNING else WorkStates.PENDING
-        return status(HttpStatus.OK, WorkStatus(job.id, state, done, running))
+        val state = if (running > 0) JobState.RUNNING else JobState.PENDING
+        return status(HttpStatus.OK, JobStatus(job.id, state, done, running))
     }
 
     /** The job [id] is open; nothing more is known of it here. */
-    fun pending(id: String) = status(HttpStatus.OK, WorkStatus(id, WorkStates.PENDING))
+    fun pending(id: String) = status(HttpStatus.OK, JobStatus(id, JobState.PENDING))
 
     /** The job [id] is over. */
     fun over(
         id: String,
         record: FinalRecord,
     ): Response {
-        val done = if (record.st == WorkStates.DONE) record.n else 0
-        return status(HttpStatus.OK, WorkStatus(id, record.st, done, 0))
+        val done = if (record.state == JobState.DONE) record.taskCount else 0
+        return status(HttpStatus.OK, JobStatus(id, record.state, done, 0))
     }
 
     /** Nobody has submitted the job. */
@@ -57,8 +57,8 @@
 
     private fun status(
         code: Int,
-        body: WorkStatus,
-    ) = Response(code, WireJson.encodeToString(WorkStatus.serializer(), body))
+        body: JobStatus,
+    ) = Response(code, WireJson.encodeToString(JobStatus.serializer(), body))
 
     private companion object {
         const val TRY_AGAIN = """{"error":"try again later"}"""
--- a/src/main/kotlin/ledgearch/intake/SubmissionBatch.kt
+++ b/src/main/kotlin/ledgearch/intake/SubmissionBatch.kt
@@ -8,7 +8,7 @@
 import ledgearch.http.Response
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
-import ledgearch.wire.WorkStates
+import ledgearch.wire.JobState
 
 /** A job that is to be accepted, and who waits for it. [endedDependencies]: final records that were read for it. */
 internal class Submission(
@@ -16,7 +16,7 @@
     val since: Long,
     val endedDependencies: Map<String, FinalRecord>,
 ) {
-    val id: String get() = record.spec.ref
+    val id: String get() = record.spec.id
 
     /** Those who asked before the transaction was first sent: its answer is theirs. */
     val first = ArrayList<Respond>()
@@ -51,16 +51,16 @@
     val conditions = ArrayList(listOfNotNull(grantCondition))
     val changes = ArrayList<Change>()
 
-    /** Those that are withdrawn as they are accepted. */
-    val withdrawn = HashSet<Submission>()
+    /** Those that are cancelled as they are accepted. */
+    val cancelled = HashSet<Submission>()
     private var bytes = 0
 
     /** False when there is no room for [submission]; the first always has room. */
     fun add(
         submission: Submission,
-        isWithdrawn: Boolean,
+        isCancelled: Boolean,
     ): Boolean {
-        val change = if (isWithdrawn) withdrawnChange(submission.id) else openChange(submission.record)
+        val change = if (isCancelled) cancelledChange(submission.id) else openChange(submission.record)
         val size = sizeOf(change)
         val isFull = changes.size >= maxChanges || bytes + size > Tuning.TXN_BYTES
         if (isFull && submissions.isNotEmpty()) return false
@@ -69,18 +69,18 @@
         conditions.add(Condition(Keys.job(submission.id), ABSENT))
         conditions.add(Condition(Keys.final(submission.id), ABSENT))
         changes.add(change)
-        if (isWithdrawn) withdrawn.add(submission)
+        if (isCancelled) cancelled.add(submission)
         submission.sent = true
         return true
     }
 
-    private fun withdrawnChange(id: String): Change {
-        val record = FinalRecord(WorkStates.WITHDRAWN)
+    private fun cancelledChange(id: String): Change {
+        val record = FinalRecord(JobState.CANCELLED)
         return Change(put = Keys.final(id), v = encodeRecord(FinalRecord.serializer(), record))
     }
 
     private fun openChange(record: JobRecord) =
-        Change(put = Keys.job(record.spec.ref), v = encodeRecord(JobRecord.serializer(), record))
+        Change(put = Keys.job(record.spec.id), v = encodeRecord(JobRecord.serializer(), record))
 
     private fun sizeOf(change: Change): Int {
         val text = change.v.toString()
--- a/src/main/kotlin/ledgearch/intake/Submissions.kt
+++ b/src/main/kotlin/ledgearch/intake/Submissions.kt
@@ -11,8 +11,8 @@
 import ledgearch.state.Lane
 import ledgearch.state.StateClient
 import ledgearch.state.TxnResult
+import ledgearch.wire.JobState
 import ledgearch.wire.WireJson
-import ledgearch.wire.WorkStates
 
 /** What bounds a submission, from the settings. */
 internal class SubmissionLimits(
@@ -32,7 +32,7 @@
     private val polls: Polls,
     private val answers: JobAnswers,
 ) {
-    private val awaitedJobs = AwaitedJobs(jobStore)
+    private val dependencyCheck = DependencyCheck(jobStore)
     private val waiting = LinkedHashMap<String, Submission>()
     private var submitting = false
     private var retryAt = 0L
@@ -91,17 +91,17 @@
         respond: Respond,
     ) {
         val spec = record.spec
-        val id = spec.ref
+        val id = spec.id
         if (bytes(record.copy(cancel = true)) > limits.valueBytes) {
             return refuse(id, HttpStatus.BAD_REQUEST, "too large", respond)
         }
         if (joined(id, respond)) return
-        if (jobStore.racks.isEmpty() || waiting.size >= Tuning.INTAKE_BACKLOG) return respond(answers.tryAgain())
-        val impossible = Validation.impossible(spec, limits.teams[spec.team], jobStore.racks.values)
+        if (jobStore.machineTypes.isEmpty() || waiting.size >= Tuning.INTAKE_BACKLOG) return respond(answers.tryAgain())
+        val impossible = Validation.impossible(spec, limits.teams[spec.team], jobStore.machineTypes.values)
         when {
             impossible != null -> refuse(id, HttpStatus.UNPROCESSABLE, impossible, respond)
-            spec.awaits == null -> accept(record, respond)
-            else -> checkAwaited(record, spec.awaits, respond)
+            spec.dependsOn == null -> accept(record, respond)
+            else -> checkDependencies(record, spec.dependsOn, respond)
         }
     }
 
@@ -115,28 +115,28 @@
         return true
     }
 
-    private fun checkAwaited(
+    private fun checkDependencies(
         record: JobRecord,
         awaited: List<String>,
         respond: Respond,
     ) {
         if (lookup.isFull) return respond(answers.tryAgain())
-        awaitedJobs.check(awaited, lookup.counted { awaitedChecked(record, it, respond) })
+        dependencyCheck.check(awaited, lookup.counted { dependenciesChecked(record, it, respond) })
     }
 
-    private fun awaitedChecked(
+    private fun dependenciesChecked(
         record: JobRecord,
-        result: AwaitedResult,
+        result: DependencyCheckResult,
         respond: Respond,
     ) {
         val why =
             when (result) {
-                is AwaitedResult.AllAccepted -> return accept(record, respond, result.ended)
-                is AwaitedResult.NeverAccepted -> "awaits: ${result.job} was never accepted"
-                is AwaitedResult.IsService -> "awaits: ${result.job} is a service and never done"
-                AwaitedResult.Unknown -> return respond(answers.tryAgain())
+                is DependencyCheckResult.AllAccepted -> return accept(record, respond, result.ended)
+                is DependencyCheckResult.NeverAccepted -> "awaits: ${result.job} was never accepted"
+                is DependencyCheckResult.IsService -> "awaits: ${result.job} is a service and never done"
+                DependencyCheckResult.Unknown -> return respond(answers.tryAgain())
             }
-        refuse(record.spec.ref, HttpStatus.UNPROCESSABLE, why, respond)
+        refuse(record.spec.id, HttpStatus.UNPROCESSABLE, why, respond)
     }
 
     /** [record] is fit to be accepted; it may have become known since it came. */
@@ -145,7 +145,7 @@
         respond: Respond,
         endedDependencies: Map<String, FinalRecord> = emptyMap(),
     ) {
-        val id = record.spec.ref
+        val id = record.spec.id
         if (jobStore.final(id) != null || jobStore.jobs.containsKey(id)) return polls.add(id, respond)
         if (joined(id, respond)) return
         val submission = Submission(record, now.steady, endedDependencies)
@@ -191,22 +191,22 @@
             turnAway(submission)
             return true
         }
-        val isWithdrawn = unfinished.any { isWithdrawn(it, submission) }
-        // It waits for what is being read: one of those that they depend on may have been withdrawn long ago.
-        if (!isWithdrawn && !unfinished.all(jobStore.dependencies::isKnown)) return true
-        return batch.add(submission, isWithdrawn)
+        val isCancelled = unfinished.any { isCancelled(it, submission) }
+        // It waits for what is being read: one of those that they depend on may have been cancelled long ago.
+        if (!isCancelled && !unfinished.all(jobStore.dependencies::isKnown)) return true
+        return batch.add(submission, isCancelled)
     }
 
     private fun unfinishedDependencies(submission: Submission): List<String> {
-        val awaited = submission.record.spec.awaits
-        return awaited.orEmpty().filter { finalOf(it, submission)?.st != WorkStates.DONE }
+        val awaited = submission.record.spec.dependsOn
+        return awaited.orEmpty().filter { finalOf(it, submission)?.state != JobState.DONE }
     }
 
-    /** [id] is not done; where it is over all the same it was withdrawn. */
-    private fun isWithdrawn(
+    /** [id] is not done; where it is over all the same it was cancelled. */
+    private fun isCancelled(
         id: String,
         submission: Submission,
-    ) = finalOf(id, submission) != null || jobStore.jobs[id]?.dependencyWithdrawn == true
+    ) = finalOf(id, submission) != null || jobStore.jobs[id]?.dependencyCancelled == true
 
     private fun finalOf(
         id: String,
@@ -249,19 +249,19 @@
         for (submission in batch.submissions) {
             waiting.remove(submission.id, submission)
             val isUnderGrant = condition != null && grant.holding
-            if (submission in batch.withdrawn) {
-                jobStore.rememberFinal(submission.id, FinalRecord(WorkStates.WITHDRAWN))
-                accepted(submission, WorkStates.WITHDRAWN)
+            if (submission in batch.cancelled) {
+                jobStore.rememberFinal(submission.id, FinalRecord(JobState.CANCELLED))
+                accepted(submission, JobState.CANCELLED)
             } else {
                 if (isUnderGrant) jobStore.acceptUnderGrant(submission.record, revision)
-                accepted(submission, WorkStates.PENDING)
+                accepted(submission, JobState.PENDING)
             }
         }
     }
 
     private fun accepted(
         submission: Submission,
-        state: String,
+        state: JobState,
     ) {
         submission.first.forEach { it(answers.accepted(submission.id, state)) }
         submission.late.forEach { polls.add(submission.id, it) }
--- a/src/main/kotlin/ledgearch/intake/Submitted.kt
+++ b/src/main/kotlin/ledgearch/intake/Submitted.kt
@@ -10,10 +10,12 @@
 import kotlinx.serialization.json.doubleOrNull
 import kotlinx.serialization.json.longOrNull
 import ledgearch.Tuning
-import ledgearch.wire.Shapes
-import ledgearch.wire.Urgencies
+import ledgearch.wire.JobKind
+import ledgearch.wire.JobSpec
+import ledgearch.wire.Priority
+import ledgearch.wire.WireEnum
+import ledgearch.wire.WireEnumSerializer
 import ledgearch.wire.WireJson
-import ledgearch.wire.WorkRequest
 
 /** A submission that is malformed; answered with 400. */
 internal class Malformed(
@@ -26,33 +28,31 @@
     private val json: JsonObject,
 ) {
     /** Read field by field, so that every wrong type is told by name. Only what may be null may be left out. */
-    fun request(): WorkRequest {
+    fun request(): JobSpec {
         val request =
-            WorkRequest(
-                ref = id,
+            JobSpec(
+                id = id,
                 jobClass = text("menu"),
                 team = text("crew"),
-                shape = text("shape"),
-                urgency = text("urgency"),
-                portions = count("portions", 1, MAX_TASKS),
+                kind = enumValue("shape", JobKind.Serializer),
+                priority = enumValue("urgency", Priority.Serializer),
+                taskCount = count("portions", 1, MAX_TASKS),
                 vcpus = amount("vcpus"),
                 accelerators = amount("accelerators"),
                 memoryGb = amount("memoryGb"),
-                racks = textsOrNull("racks"),
+                machineTypes = textsOrNull("racks"),
                 zone = textOrNull("hall"),
-                samePlace = flag("samePlace"),
-                apart = flag("apart"),
-                borrowed = flag("borrowed"),
+                singleZone = flag("samePlace"),
+                spreadZones = flag("apart"),
+                allowsSpot = flag("borrowed"),
                 image = text("recipe"),
-                sizeGb = amount("sizeGb"),
-                cookS = amount("cookS"),
-                stirS = amount("stirS"),
-                plateS = amount("plateS"),
-                serveS = amountOrNull("serveS"),
-                awaits = awaitedOrNull(),
+                imageGb = amount("sizeGb"),
+                estimatedRunS = amount("cookS"),
+                checkpointIntervalS = amount("stirS"),
+                checkpointS = amount("plateS"),
+                deadlineS = amountOrNull("serveS"),
+                dependsOn = dependenciesOrNull(),
             )
-        if (request.shape !in Shapes.ALL) throw Malformed("shape: must be one of ${Shapes.ALL}")
-        if (request.urgency !in Urgencies.ORDER) throw Malformed("urgency: must be one of ${Urgencies.ORDER}")
         if (request.vcpus <= 0 && request.accelerators <= 0 &&
             request.memoryGb <= 0
         ) {
@@ -67,6 +67,12 @@
 
     private fun text(name: String) = textOrNull(name) ?: missing(name)
 
+    private fun <E> enumValue(
+        name: String,
+        values: WireEnumSerializer<E>,
+    ): E where E : Enum<E>, E : WireEnum =
+        values.of(text(name)) ?: throw Malformed("$name: must be one of ${values.texts}")
+
     private fun textOrNull(name: String): String? = value(name)?.let { string(name, it) }
 
     private fun textsOrNull(name: String): List<String>? {
@@ -74,12 +80,12 @@
         return (array as? JsonArray ?: throw Malformed("$name: must be an array")).map { string(name, it) }
     }
 
-    /** Each awaited job once; null where none is. */
-    private fun awaitedOrNull(): List<String>? {
-        val ids = textsOrNull(AWAITS)?.distinct().orEmpty()
+    /** Each dependency once; null where none is. */
+    private fun dependenciesOrNull(): List<String>? {
+        val ids = textsOrNull(DEPENDS_ON)?.distinct().orEmpty()
         for (awaited in ids) {
-            if (!Validation.isJobId(awaited)) throw Malformed("$AWAITS: \"$awaited\" is not a job id")
-            if (awaited == id) throw Malformed("$AWAITS: a job can't wait for itself")
+            if (!Validation.isJobId(awaited)) throw Malformed("$DEPENDS_ON: \"$awaited\" is not a job id")
+            if (awaited == id) throw Malformed("$DEPENDS_ON: a job can't wait for itself")
         }
         return ids.ifEmpty { null }
     }
@@ -124,7 +130,7 @@
     }
 
     companion object {
-        private const val AWAITS = "awaits"
+        private const val DEPENDS_ON = "awaits"
         private const val MAX_TASKS = 100_000
         private const val MAX_AMOUNT = 1e9
 
--- a/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
+++ b/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
@@ -1,7 +1,7 @@
 package ledgearch.recovery
 
 import ledgearch.core.Job
-import ledgearch.core.Placement
+import ledgearch.core.TaskAttempt
 import org.roaringbitmap.RoaringBitmap
 
 /** The tasks that a lost zone displaced and that have not been started again, by job. */
@@ -24,7 +24,7 @@
     fun clear() = entries.clear()
 
     /** [p] is gone with its machine. */
-    fun lost(p: Placement) {
+    fun lost(p: TaskAttempt) {
         val job = p.job ?: return
         if (job.closed || job.record.cancel || job.finished.get(p.index)) return
         entryOf(job).waiting.add(p.index)
--- a/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Jobs by levels of urgency, each in serving order: those that [displaced] picks change places among themselves, by
+     * Jobs by levels of priority, each in serving order: those that [displaced] picks change places among themselves, by
      * their groups. All others keep their places, and so do the displaced ones taken together.
      */
     fun arrange(
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -5,7 +5,7 @@
 import ledgearch.core.Job
 import ledgearch.core.Machine
 import ledgearch.core.Now
-import ledgearch.core.Placement
+import ledgearch.core.TaskAttempt
 import ledgearch.core.Zones
 import ledgearch.core.placement.RecoveryPolicy
 import org.slf4j.LoggerFactory
@@ -110,7 +110,7 @@
         val jobs = HashSet<Job>()
         for ((zone, members) in byZone) {
             if (!isLost(zone)) continue
-            for (m in members) for (p in m.placements.values) if (p.goesOn) p.job?.let(jobs::add)
+            for (m in members) for (p in m.attempts.values) if (p.goesOn) p.job?.let(jobs::add)
         }
         return jobs.minOfOrNull(order::groupOf) ?: NO_GROUP
     }
@@ -153,7 +153,7 @@
     // --- Displaced work ---------------------------------------------------------------------------------------
 
     /** [p] is gone from its machine, not by its own end. */
-    fun lost(p: Placement) {
+    fun lost(p: TaskAttempt) {
         if ((zones[p.machine.zone]?.state ?: ZoneState.UP) != ZoneState.UP) displaced.lost(p)
     }
 
@@ -214,7 +214,7 @@
 
     /** Spread leaves it no zone whose machines are all admitted. A zone that is suppressed is not used for this. */
     private fun needsAnotherZone(job: Job): Boolean {
-        if (!job.spec.apart) return false
+        if (!job.spec.spreadZones) return false
         val allowed = Zones(job)
         val open = zones.values.filter { allowed.allows(it.zone) && it.state != ZoneState.LOST }
         return open.isNotEmpty() && open.none { it.admittedShare >= 1.0 } && open.any { !it.isSuppressed }
--- a/src/main/kotlin/ledgearch/standby/TakeoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -14,7 +14,7 @@
  * attempt or finishes a task: hints choose an order, a first guess or a preference, and a wrong one costs time only.
  * Every value comes from another process and is checked for its range before it is used.
  */
-internal class TakeoverHints(
+internal class FailoverHints(
     records: Collection<StreamRecord>,
 ) {
     private val machines = records.filterIsInstance<MachineImage>().associateBy { it.name }
@@ -30,7 +30,7 @@
         now: Now,
     ) {
         val hint = machines[machine.name] ?: return
-        machine.sessionHint = hint.session.coerceAtLeast(0)
+        machine.incarnationHint = hint.incarnation.coerceAtLeast(0)
         if (hint.returning) {
             machine.refusedUntil = now.steady + Tuning.RETURNING_HINT_MS
             machine.returningHint = true
@@ -66,7 +66,11 @@
             job.servedAt = maxOf(job.servedAt, minOf(hint.servedAt, now.wall))
         }
         for (hint in rented) {
-            if (hint.name !in leader.machines) fleet.mayBoot(RentalHint(hint.name, hint.rack, hint.zone, hint.spot))
+            if (hint.name !in
+                leader.machines
+            ) {
+                fleet.mayBoot(RentalHint(hint.name, hint.machineType, hint.zone, hint.spot))
+            }
         }
     }
 }
--- a/src/main/kotlin/ledgearch/standby/LeaderImage.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderImage.kt
@@ -24,7 +24,7 @@
         bytes = 0
         val records = HashMap<RecordKey, StreamRecord>()
         for (machine in leader.machines.values) {
-            if (machine.session != 0L) add(records, imageOf(machine))
+            if (machine.incarnation != 0L) add(records, imageOf(machine))
         }
         for ((jobClass, learnt) in leader.estimates.learnt()) {
             add(records, ClassRunTime(jobClass, learnt.logRatio, learnt.weight))
@@ -33,7 +33,7 @@
             if (job.servedAt != 0L) add(records, ServiceTime(job.id, job.servedAt))
         }
         for (rented in fleet.rentedNotReported()) {
-            add(records, RentedMachine(rented.name, rented.rack, rented.zone, rented.spot))
+            add(records, RentedMachine(rented.name, rented.machineType, rented.zone, rented.spot))
         }
         return records
     }
@@ -49,9 +49,9 @@
     private fun imageOf(machine: Machine) =
         MachineImage(
             machine.name,
-            machine.session,
+            machine.incarnation,
             machine.releasing,
-            machine.placements.values.map { AttemptImage(it.task, it.attempt, it.status) },
+            machine.attempts.values.map { AttemptImage(it.taskId, it.number, it.state) },
             machine.images.map { (name, gigabytes) -> CachedImage(name, gigabytes, name in machine.fetched) },
         )
 }
--- a/src/main/kotlin/ledgearch/standby/StreamCodec.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamCodec.kt
@@ -1,7 +1,7 @@
 package ledgearch.standby
 
 import ledgearch.Tuning
-import ledgearch.core.TaskStatus
+import ledgearch.core.AttemptState
 import ledgearch.mesh.MalformedFrame
 import okio.Buffer
 import okio.ByteString
@@ -74,7 +74,7 @@
             }
 
             is RentedMachine -> {
-                writeString(body, record.rack)
+                writeString(body, record.machineType)
                 writeString(body, record.zone)
                 writeFlag(body, record.spot)
             }
@@ -85,13 +85,13 @@
         body: Buffer,
         machine: MachineImage,
     ) {
-        body.writeLong(machine.session)
+        body.writeLong(machine.incarnation)
         writeFlag(body, machine.returning)
         body.writeInt(machine.attempts.size)
         for (attempt in machine.attempts) {
-            writeString(body, attempt.task)
-            body.writeLong(attempt.attempt)
-            body.writeByte(attempt.status.ordinal)
+            writeString(body, attempt.taskId)
+            body.writeLong(attempt.number)
+            body.writeByte(attempt.state.ordinal)
         }
         body.writeInt(machine.images.size)
         for (image in machine.images) {
@@ -115,16 +115,16 @@
         body: Buffer,
         name: String,
     ): MachineImage {
-        val session = body.readLong()
+        val incarnation = body.readLong()
         val returning = readFlag(body)
         val attempts = readList(body) { AttemptImage(readString(body), body.readLong(), readStatus(body)) }
         val images = readList(body) { CachedImage(readString(body), readDouble(body), readFlag(body)) }
-        return MachineImage(name, session, returning, attempts, images)
+        return MachineImage(name, incarnation, returning, attempts, images)
     }
 
-    private fun readStatus(body: Buffer): TaskStatus {
+    private fun readStatus(body: Buffer): AttemptState {
         val code = body.readByte().toInt()
-        return TaskStatus.entries.getOrNull(code) ?: throw MalformedFrame("a stream frame with task status $code")
+        return AttemptState.entries.getOrNull(code) ?: throw MalformedFrame("a stream frame with task status $code")
     }
 
     private fun writeKey(
--- a/src/main/kotlin/ledgearch/standby/StreamRecord.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamRecord.kt
@@ -1,6 +1,6 @@
 package ledgearch.standby
 
-import ledgearch.core.TaskStatus
+import ledgearch.core.AttemptState
 
 /** The identity of a record in the decision stream: one record of each kind and name exists at a time. */
 internal data class RecordKey(
@@ -35,7 +35,7 @@
 internal data class MachineImage(
     val name: String,
     /** The worker's session that the leader heard last. */
-    val session: Long,
+    val incarnation: Long,
     /** The machine is being returned: nothing new should be started on it. */
     val returning: Boolean,
     val attempts: List<AttemptImage>,
@@ -43,15 +43,15 @@
 ) : StreamRecord {
     override val key = RecordKey(RecordKind.MACHINE, name)
     override val memoryBytes =
-        OBJECT_BYTES + name.length + attempts.sumOf { OBJECT_BYTES + it.task.length } +
+        OBJECT_BYTES + name.length + attempts.sumOf { OBJECT_BYTES + it.taskId.length } +
             images.sumOf { OBJECT_BYTES + it.name.length }
 }
 
 /** One attempt that the leader has bound to the machine. */
 internal data class AttemptImage(
-    val task: String,
-    val attempt: Long,
-    val status: TaskStatus,
+    val taskId: String,
+    val number: Long,
+    val state: AttemptState,
 )
 
 /** One container image on the machine. [fetched]: its fetch is known to be over. */
@@ -83,12 +83,12 @@
 /** A machine that was rented and has not reported yet. */
 internal data class RentedMachine(
     val name: String,
-    val rack: String,
+    val machineType: String,
     val zone: String,
     val spot: Boolean,
 ) : StreamRecord {
     override val key = RecordKey(RecordKind.RENTED_MACHINE, name)
-    override val memoryBytes = OBJECT_BYTES + name.length + rack.length + zone.length
+    override val memoryBytes = OBJECT_BYTES + name.length + machineType.length + zone.length
 }
 
 /** Bytes. An object with its fields, its references and its place in a collection. */
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -57,11 +57,11 @@
     val replica = Replica(Tuning.REPLICA_BYTES)
 
     /** This node leads under a new term. Returns what its replica suggests, or null when there is no fitting one. */
-    fun begin(term: Long): TakeoverHints? {
+    fun begin(term: Long): FailoverHints? {
         streamLog.begin(term)
         cutShortLogged = false
         val usable = replica.term != 0L && replaced.mayBe(replica.term)
-        val hints = if (usable) TakeoverHints(replica.records.values) else null
+        val hints = if (usable) FailoverHints(replica.records.values) else null
         log.info(
             "take-over under term {}: {} machines in the replica of term {}, {} records and {} ms behind",
             term,
--- a/src/test/kotlin/ledgearch/ExecutionAuditTest.kt
+++ b/src/test/kotlin/ledgearch/ExecutionAuditTest.kt
@@ -13,12 +13,12 @@
     private fun rules() = found.map { it.substringBefore(':') }
 
     private fun task(
-        portion: String,
+        taskId: String,
         attempt: Long = 1,
         worker: String = "host-1",
         executing: Boolean = true,
         reached: Boolean = true,
-    ) = ObservedTask(portion, attempt, worker, executing, reached)
+    ) = ObservedTask(taskId, attempt, worker, executing, reached)
 
     /** Looks again and again at the same tasks, until longer than workers need to hear of anything. */
     private fun inspectSettledForLong(vararg tasks: ObservedTask) {
@@ -44,7 +44,7 @@
     @Test
     fun `a task that is on a worker after its user was told is reported`() {
         audit.submitted("job-1", 1, emptyList())
-        audit.toldWithdrawn("job-1", 100)
+        audit.toldCancelled("job-1", 100)
         audit.inspect(101, listOf(task("job-1/0")))
         assertEquals(listOf("ran_cancelled"), rules())
     }
@@ -52,19 +52,19 @@
     @Test
     fun `a task that starts after its user was told is reported`() {
         audit.submitted("job-1", 1, emptyList())
-        audit.toldWithdrawn("job-1", 100)
+        audit.toldCancelled("job-1", 100)
         audit.started("job-1/0", "host-1", 100)
         assertEquals(listOf("ran_cancelled"), rules())
     }
 
     @Test
-    fun `a task that is on a worker though a job that its job needs is withdrawn is reported`() {
+    fun `a task that is on a worker though a job that its job needs is cancelled is reported`() {
         audit.submitted("job-1", 1, emptyList())
         audit.submitted("job-2", 1, listOf("job-1"))
         audit.submitted("job-3", 1, listOf("job-2"))
         audit.completed("job-1/0")
         audit.completed("job-2/0")
-        audit.toldWithdrawn("job-1", 100)
+        audit.toldCancelled("job-1", 100)
         audit.inspect(101, listOf(task("job-3/0")))
         assertEquals(listOf("ran_cancelled"), rules())
     }
@@ -91,11 +91,11 @@
     }
 
     @Test
-    fun `a job that is called open for too long after a job that it needs was called withdrawn is reported`() {
+    fun `a job that is called open for too long after a job that it needs was called cancelled is reported`() {
         audit.submitted("job-1", 1, emptyList())
         audit.submitted("job-2", 1, listOf("job-1"))
         audit.submitted("job-3", 1, listOf("job-2"))
-        audit.toldWithdrawn("job-1", 100)
+        audit.toldCancelled("job-1", 100)
         audit.toldOpen("job-3", 100 + CANCEL_MS)
         assertEquals(emptyList<String>(), found)
         audit.toldOpen("job-3", 101 + CANCEL_MS)
@@ -133,9 +133,9 @@
     }
 
     @Test
-    fun `an image fetch that goes on though its job was called withdrawn is reported`() {
+    fun `an image fetch that goes on though its job was called cancelled is reported`() {
         audit.submitted("job-1", 1, emptyList())
-        audit.toldWithdrawn("job-1", 0)
+        audit.toldCancelled("job-1", 0)
         inspectSettledForLong(task("job-1/0", executing = false))
         assertEquals(listOf("orphaned"), rules())
     }
--- a/src/test/kotlin/ledgearch/FailingCommandsTest.kt
+++ b/src/test/kotlin/ledgearch/FailingCommandsTest.kt
@@ -15,8 +15,8 @@
 import ledgearch.config.StateLimits
 import ledgearch.config.Team
 import ledgearch.config.WorkerTimes
-import ledgearch.core.Command
 import ledgearch.core.Controller
+import ledgearch.core.OwnerCommand
 import ledgearch.core.Transport
 import ledgearch.http.Reply
 import ledgearch.http.Request
@@ -76,17 +76,17 @@
         override fun publish(news: LeaderStatus) = Unit
     }
 
-    private val failing = Command.Answered(Reply.NONE) { throw IllegalStateException("a callback fails") }
+    private val failing = OwnerCommand.Answered(Reply.NONE) { throw IllegalStateException("a callback fails") }
 
-    private fun run(vararg commands: Command) = controller.run(1_000, 1_000, commands.toList())
+    private fun run(vararg commands: OwnerCommand) = controller.run(1_000, 1_000, commands.toList())
 
     @Test
     fun `the commands after one that fails are carried out`() {
         val answered = ArrayList<Int>()
         run(
             failing,
-            Command.Serve(Request("GET", "/up", "", true)) { answered.add(it.status) },
-            Command.Answered(Reply(200, "{}")) { answered.add(it.status) },
+            OwnerCommand.Serve(Request("GET", "/up", "", true)) { answered.add(it.status) },
+            OwnerCommand.Answered(Reply(200, "{}")) { answered.add(it.status) },
         )
         assertEquals(listOf(503, 200), answered)
         assertEquals(1, failures.size)
@@ -100,7 +100,7 @@
 
     @Test
     fun `an error is not taken for a command that failed`() {
-        assertThrows<StackOverflowError> { run(Command.Answered(Reply.NONE) { throw StackOverflowError() }) }
+        assertThrows<StackOverflowError> { run(OwnerCommand.Answered(Reply.NONE) { throw StackOverflowError() }) }
     }
 
     private fun exitCodeAfter(failure: Throwable): List<Int> {
--- a/src/test/kotlin/ledgearch/LossesTest.kt
+++ b/src/test/kotlin/ledgearch/LossesTest.kt
@@ -10,8 +10,10 @@
 import ledgearch.core.placement.Estimates
 import ledgearch.core.placement.Ranking
 import ledgearch.core.placement.Reliability
-import ledgearch.wire.Rack
-import ledgearch.wire.WorkRequest
+import ledgearch.wire.JobKind
+import ledgearch.wire.JobSpec
+import ledgearch.wire.MachineType
+import ledgearch.wire.Priority
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -24,24 +26,25 @@
     private val deadlines = Deadlines(objectives, estimates, now) { emptyList() }
     private val reliability = Reliability(estimates, Ranking(objectives, estimates, now, deadlines))
     private val teams = Teams(emptyList())
-    private val spot = List(300) { Machine("host-$it", "h:1", Rack("r", 8.0, memoryGb = 16.0), "a", true, 0, teams) }
+    private val spot =
+        List(300) { Machine("host-$it", "h:1", MachineType("r", 8.0, memoryGb = 16.0), "a", true, 0, teams) }
     private val job =
         Job(
             JobRecord(
-                WorkRequest(
+                JobSpec(
                     "job-1",
                     "c",
                     "t",
-                    "sweep",
-                    "urgent",
-                    portions = 40,
+                    JobKind.ARRAY,
+                    Priority.URGENT,
+                    taskCount = 40,
                     vcpus = 2.0,
                     memoryGb = 1.0,
                     image = "i",
-                    sizeGb = 1.0,
-                    borrowed = true,
-                    cookS = 20.0,
-                    serveS = 30.0,
+                    imageGb = 1.0,
+                    allowsSpot = true,
+                    estimatedRunS = 20.0,
+                    deadlineS = 30.0,
                 ),
                 at = 0,
             ),
--- a/src/test/kotlin/ledgearch/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/MixedVersionsTest.kt
@@ -1,8 +1,6 @@
 package ledgearch
 
 import kotlinx.serialization.KSerializer
-import kotlinx.serialization.Serializable
-import kotlinx.serialization.json.Json
 import kotlinx.serialization.serializer
 import ledgearch.config.NextStateLimits
 import ledgearch.config.SettingsLoader
@@ -19,11 +17,12 @@
 import ledgearch.mesh.Frames
 import ledgearch.mesh.LeaderStatus
 import ledgearch.mesh.Progress
-import ledgearch.wire.Rack
-import ledgearch.wire.Shapes
+import ledgearch.wire.JobKind
+import ledgearch.wire.JobSpec
+import ledgearch.wire.JobState
+import ledgearch.wire.MachineType
+import ledgearch.wire.Priority
 import ledgearch.wire.WireJson
-import ledgearch.wire.WorkRequest
-import ledgearch.wire.WorkStates
 import okio.Buffer
 import okio.ByteString.Companion.decodeHex
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -77,8 +76,8 @@
         listOf(
             example("job-all-fields", JobRecord(FULL_REQUEST, AT, cancel = true), ProductionJobRecord.serializer()),
             example("job-required-fields", JobRecord(SHORT_REQUEST, AT), ProductionJobRecord.serializer()),
-            example("final-done", FinalRecord(WorkStates.DONE, 12), ProductionFinalRecord.serializer()),
-            example("final-withdrawn", FinalRecord(WorkStates.WITHDRAWN), ProductionFinalRecord.serializer()),
+            example("final-done", FinalRecord(JobState.DONE, 12), ProductionFinalRecord.serializer()),
+            example("final-withdrawn", FinalRecord(JobState.CANCELLED), ProductionFinalRecord.serializer()),
             example("grant-claim", GrantRecord("stall-0", 7), ProductionGrantRecord.serializer()),
             example("grant-renewal", GrantRecord("stall-0", 7, over = 41), ProductionGrantRecord.serializer()),
             example("silence", SilenceRecord("stall-0", AT), ProductionSilenceRecord.serializer()),
@@ -127,8 +126,8 @@
 
     /** Production ignores the field, as it does any that it does not know, and keeps all others. */
     @Test
-    fun `production reads a job that awaits others`() {
-        val record = JobRecord(FULL_REQUEST.copy(awaits = listOf("job-7", "job-8")), AT, cancel = true)
+    fun `production reads a job that depends on others`() {
+        val record = JobRecord(FULL_REQUEST.copy(dependsOn = listOf("job-7", "job-8")), AT, cancel = true)
         val written = WireJson.encodeToJsonElement(JobRecord.serializer(), record).toString()
         assertTrue("\"awaits\":[\"job-7\",\"job-8\"]" in written, written)
         val read = ProductionJson.decodeFromString(ProductionJobRecord.serializer(), written)
@@ -142,8 +141,8 @@
     }
 
     @Test
-    fun `a job that awaits nothing is written byte for byte as production writes it`() {
-        assertNull(SHORT_REQUEST.awaits)
+    fun `a job that depends on nothing is written byte for byte as production writes it`() {
+        assertNull(SHORT_REQUEST.dependsOn)
         val written = WireJson.encodeToJsonElement(JobRecord.serializer(), JobRecord(SHORT_REQUEST, AT)).toString()
         assertEquals(file("job-required-fields.json"), written)
     }
@@ -187,176 +186,68 @@
         const val AT = 1_790_000_000_000L
 
         val FULL_REQUEST =
-            WorkRequest(
-                ref = "job-1",
+            JobSpec(
+                id = "job-1",
                 jobClass = "training",
                 team = "red",
-                shape = Shapes.STANDING,
-                urgency = "urgent",
-                portions = 12,
+                kind = JobKind.SERVICE,
+                priority = Priority.URGENT,
+                taskCount = 12,
                 vcpus = 1.5,
                 accelerators = 2.0,
                 memoryGb = 6.25,
-                racks = listOf("large", "small"),
+                machineTypes = listOf("large", "small"),
                 zone = "a",
-                samePlace = true,
-                apart = true,
-                borrowed = true,
+                singleZone = true,
+                spreadZones = true,
+                allowsSpot = true,
                 image = "image-1",
-                sizeGb = 3.5,
-                cookS = 600.0,
-                stirS = 30.0,
-                plateS = 5.0,
-                serveS = 90.5,
+                imageGb = 3.5,
+                estimatedRunS = 600.0,
+                checkpointIntervalS = 30.0,
+                checkpointS = 5.0,
+                deadlineS = 90.5,
             )
 
         val SHORT_REQUEST =
-            WorkRequest(
-                ref = "job-2",
+            JobSpec(
+                id = "job-2",
                 jobClass = "training",
                 team = "red",
-                shape = Shapes.SWEEP,
-                urgency = "normal",
-                portions = 1,
+                kind = JobKind.ARRAY,
+                priority = Priority.NORMAL,
+                taskCount = 1,
                 vcpus = 1.0,
                 memoryGb = 2.0,
                 image = "image-1",
-                sizeGb = 1.0,
-                cookS = 20.0,
+                imageGb = 1.0,
+                estimatedRunS = 20.0,
             )
 
         val FULL_RACK =
-            Rack(
-                label = "large",
+            MachineType(
+                name = "large",
                 vcpus = 16.0,
                 accelerators = 4.0,
                 memoryGb = 64.0,
-                localGb = 200.0,
+                diskGb = 200.0,
                 fetchGbPerS = 0.3,
-                hourly = 1.5,
-                lowPrice = 0.4,
-                startupS = 45.0,
+                onDemandPrice = 1.5,
+                spotPrice = 0.4,
+                bootS = 45.0,
                 zones = listOf("a", "b"),
             )
 
-        val SHORT_RACK = Rack(label = "small", vcpus = 2.0, memoryGb = 4.0)
+        val SHORT_RACK = MachineType(name = "small", vcpus = 2.0, memoryGb = 4.0)
 
         val MACHINES =
             listOf(
-                MachineEntry("machine-1", "10.0.1.1:9000", 0, "a", borrowed = false),
-                MachineEntry("machine-2", "10.0.1.2:9000", 1, "b", borrowed = true, quarantined = true),
+                MachineEntry("machine-1", "10.0.1.1:9000", 0, "a", spot = false),
+                MachineEntry("machine-2", "10.0.1.2:9000", 1, "b", spot = true, quarantined = true),
             )
 
-        val SINGLE_MACHINE = SingleMachineRecord("10.0.1.2:9000", SHORT_RACK, "b", borrowed = true, quarantined = true)
+        val SINGLE_MACHINE = SingleMachineRecord("10.0.1.2:9000", SHORT_RACK, "b", spot = true, quarantined = true)
 
         val PROGRESS = listOf(Progress("job-1", 3, 2), Progress("job-ä", 0, 1_000_000))
     }
 }
-
-/** The JSON settings of the production version. */
-private val ProductionJson =
-    Json {
-        ignoreUnknownKeys = true
-        explicitNulls = false
-        encodeDefaults = false
-    }
-
-@Serializable
-private data class ProductionWorkRequest(
-    val ref: String,
-    val menu: String,
-    val crew: String,
-    val shape: String,
-    val urgency: String,
-    val portions: Int,
-    val vcpus: Double,
-    val accelerators: Double = 0.0,
-    val memoryGb: Double,
-    val racks: List<String>? = null,
-    val hall: String? = null,
-    val samePlace: Boolean = false,
-    val apart: Boolean = false,
-    val borrowed: Boolean = false,
-    val recipe: String,
-    val sizeGb: Double,
-    val cookS: Double,
-    val stirS: Double = 0.0,
-    val plateS: Double = 0.0,
-    val serveS: Double? = null,
-)
-
-@Serializable
-private data class ProductionJobRecord(
-    val spec: ProductionWorkRequest,
-    val at: Long,
-    val cancel: Boolean = false,
-)
-
-@Serializable
-private data class ProductionFinalRecord(
-    val st: String,
-    val n: Int = 0,
-)
-
-@Serializable
-private data class ProductionGrantRecord(
-    val node: String,
-    val life: Long,
-    val over: Long = 0,
-)
-
-@Serializable
-private data class ProductionSilenceRecord(
-    val node: String,
-    val at: Long,
-)
-
-@Serializable
-private data class ProductionRack(
-    val label: String,
-    val vcpus: Double,
-    val accelerators: Double = 0.0,
-    val memoryGb: Double,
-    val localGb: Double = 0.0,
-    val fetchGbPerS: Double = 0.1,
-    val hourly: Double = 0.0,
-    val lowPrice: Double = 0.0,
-    val startupS: Double = 30.0,
-    val halls: List<String> = emptyList(),
-)
-
-@Serializable
-private data class ProductionMachinesRecord(
-    val block: Int,
-    val racks: List<ProductionRack>,
-    val machines: List<ProductionMachineEntry>,
-)
-
-@Serializable
-private data class ProductionMachineEntry(
-    val name: String,
-    val endpoint: String,
-    val rack: Int,
-    val hall: String,
-    val borrowed: Boolean,
-    val aside: Boolean = false,
-)
-
-@Serializable
-private data class ProductionSingleMachineRecord(
-    val endpoint: String,
-    val rack: ProductionRack,
-    val hall: String,
-    val borrowed: Boolean,
-    val aside: Boolean = false,
-)
-
-@Serializable
-private data class ProductionFinishedRecord(
-    val r: String,
-)
-
-@Serializable
-private data class ProductionCatalogRecord(
-    val racks: List<ProductionRack>,
-)
--- a/src/test/kotlin/ledgearch/OwnerQueueTest.kt
+++ b/src/test/kotlin/ledgearch/OwnerQueueTest.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.runBlocking
 import ledgearch.cli.OwnerQueue
-import ledgearch.core.Command
+import ledgearch.core.OwnerCommand
 import ledgearch.http.Request
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -13,12 +13,12 @@
 internal class OwnerQueueTest {
     private val queue = OwnerQueue()
 
-    private fun request(path: String) = Command.Serve(Request("GET", path, "", true)) { }
+    private fun request(path: String) = OwnerCommand.Serve(Request("GET", path, "", true)) { }
 
     private fun batch(): List<String> =
-        ArrayList<Command>()
+        ArrayList<OwnerCommand>()
             .also { runBlocking { queue.take(it) } }
-            .map { (it as? Command.Serve)?.request?.path ?: "other" }
+            .map { (it as? OwnerCommand.Serve)?.request?.path ?: "other" }
 
     @Test
     fun `reports overtake users, who still get their part`() {
--- a/src/test/kotlin/ledgearch/PlantedDefectTest.kt
+++ b/src/test/kotlin/ledgearch/PlantedDefectTest.kt
@@ -18,14 +18,14 @@
     ) = assertTrue(findings.any { " $rule: " in it }, "$rule is not among $findings")
 
     @Test
-    fun `a task that a worker hides goes on after its job was called withdrawn`() {
+    fun `a task that a worker hides goes on after its job was called cancelled`() {
         val found =
             findings(
                 """
                 2 submit job-1 run=200
                 10 plant-hidden job-1/0
-                20 withdraw job-1
-                70 expect job-1 withdrawn
+                20 cancel job-1
+                70 expect job-1 cancelled
                 """.trimIndent(),
             )
         assertFound("ran_cancelled", found)
@@ -36,8 +36,8 @@
         val found =
             findings(
                 """
-                2 submit job-1 standing=yes urgency=prod
-                2 submit job-2 standing=yes urgency=prod team=blue tasks=10
+                2 submit job-1 service=yes priority=prod
+                2 submit job-2 service=yes priority=prod team=blue tasks=10
                 10 plant-hidden job-1/0
                 20 settled
                 100 expect everyone-served
@@ -53,7 +53,7 @@
             findings(
                 """
                 2 submit job-1 run=200
-                3 submit job-2 awaits=job-1 run=5
+                3 submit job-2 depends-on=job-1 run=5
                 10 plant-falsely-done job-1/0
                 40 expect job-2 done
                 """.trimIndent(),
@@ -85,8 +85,8 @@
             findings(
                 """
                 2 submit job-1 run=20
-                2 submit job-3 standing=yes urgency=prod
-                3 submit job-2 awaits=job-1 run=5
+                2 submit job-3 service=yes priority=prod
+                3 submit job-2 depends-on=job-1 run=5
                 20 settled
                 100 expect job-2 done
                 """.trimIndent(),
--- a/src/test/kotlin/ledgearch/ReportCostTest.kt
+++ b/src/test/kotlin/ledgearch/ReportCostTest.kt
@@ -1,11 +1,11 @@
 package ledgearch
 
 import com.sun.management.ThreadMXBean
-import ledgearch.core.Command
+import ledgearch.core.OwnerCommand
 import ledgearch.http.Request
 import ledgearch.simulation.Simulation
 import ledgearch.simulation.WorkerStandIn
-import ledgearch.simulation.holder
+import ledgearch.simulation.leader
 import ledgearch.simulation.requestOf
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -27,14 +27,14 @@
     private fun bytesAReport(machines: Int): Long {
         val simulation = Simulation(nodeCount = 1, seed = 1, teamMax = machines * CPUS_A_MACHINE)
         simulation.cloud.capacity = machines
-        repeat(machines) { simulation.cloud.add("a", borrowed = false) }
+        repeat(machines) { simulation.cloud.add("a", spot = false) }
         simulation.nodes.forEach { it.start() }
         simulation.clock.after(SUBMIT_MS) {
-            val words = "job-1 standing=yes urgency=prod cpus=5 tasks=$machines"
+            val words = "job-1 service=yes priority=prod cpus=5 tasks=$machines"
             simulation.users.submit(requestOf(words.split(' ')), null)
         }
         simulation.clock.runUntil(QUIET_MS)
-        val leader = simulation.nodes.single { it.name == holder(simulation) }
+        val leader = simulation.nodes.single { it.name == leader(simulation) }
         val worker = simulation.workers.values.first()
         var answered = 0
         repeat(REPORTS) { report(worker) { body -> leader.run(serve(body) { answered++ }) } }
@@ -53,7 +53,7 @@
     private fun serve(
         body: String,
         done: () -> Unit,
-    ) = Command.Serve(Request("POST", "/checkin", body, true)) {
+    ) = OwnerCommand.Serve(Request("POST", "/checkin", body, true)) {
         assertEquals(OK, it.status)
         done()
     }
--- a/src/test/kotlin/ledgearch/StandbyMeasurement.kt
+++ b/src/test/kotlin/ledgearch/StandbyMeasurement.kt
@@ -31,9 +31,9 @@
         val runs = (1L..SEEDS).map { TakeoverRun(it, machines, commandMs, warm, laterSessions).play() }
         val confirmed = runs.map { it.confirmedMs }.sorted()
         val started = runs.map { it.firstStartMs }.sorted()
-        val session = if (laterSessions) 2 else 1
+        val incarnation = if (laterSessions) 2 else 1
         val mode = if (warm) "warm" else "cold"
-        val setting = "$session | $machines | $commandMs | $mode"
+        val setting = "$incarnation | $machines | $commandMs | $mode"
         val times = "${summary(confirmed)} | ${summary(started)}"
         val cost = "${runs.sumOf { it.bytesASecond } / runs.size} ${runs.sumOf { it.changesASecond } / runs.size}"
         println("measured | $setting | $times | $cost | ${runs.sumOf { it.violations }} rules broken")
--- a/src/test/kotlin/ledgearch/WarmStandbyTest.kt
+++ b/src/test/kotlin/ledgearch/WarmStandbyTest.kt
@@ -1,7 +1,7 @@
 package ledgearch
 
+import ledgearch.core.AttemptState
 import ledgearch.core.GrantRecord
-import ledgearch.core.TaskStatus
 import ledgearch.mesh.MalformedFrame
 import ledgearch.mesh.MeshFrame
 import ledgearch.mesh.StreamFrames
@@ -37,7 +37,7 @@
             "host-1",
             7,
             true,
-            listOf(AttemptImage("job-1/3", 1L shl 40, TaskStatus.RUNNING)),
+            listOf(AttemptImage("job-1/3", 1L shl 40, AttemptState.RUNNING)),
             listOf(CachedImage("soup", 1.5, true)),
         )
     private val frame =
@@ -135,7 +135,7 @@
         var frames = 0
         while (frames < 400) {
             if (frames < 200) {
-                val changed = machine.copy(name = "host-${random.nextInt(60)}", session = random.nextLong(9))
+                val changed = machine.copy(name = "host-${random.nextInt(60)}", incarnation = random.nextLong(9))
                 state = state + (changed.key to changed) - RecordKey(RecordKind.MACHINE, "host-${random.nextInt(60)}")
             }
             log.advance(state)
