--- a/src/main/kotlin/ledgearch/Tuning.kt
+++ b/src/main/kotlin/ledgearch/Tuning.kt
@@ -117,7 +117,7 @@
     const val COMPARE_MS = 600L
 
     /** ms. A writing transaction is sent again after this; its conditions make the repeat harmless. */
-    const val TXN_MS = 900L
+    const val TRANSACTION_MS = 900L
 
     /** ms. A page of keys or an answered watch may be large. */
     const val STATE_PAGE_MS = 6_000L
@@ -141,7 +141,7 @@
     const val LEADER_SHARE = 0.5
 
     /** Bytes. Planned size of one transaction: the service takes 64 KiB. */
-    const val TXN_BYTES = 48 * 1024
+    const val TRANSACTION_BYTES = 48 * 1024
 
     /**
      * Share of the limit on values that records of machines are planned to fill: the service may count spaces or
@@ -170,19 +170,19 @@
     const val LEASE_MS = 6_000L
 
     /** ms. Renewed four times within its life. */
-    const val TOUCH_MS = 1_500L
+    const val KEEP_ALIVE_MS = 1_500L
 
     /** ms. A grant not verified for this long is compared again. */
-    const val VERIFY_MS = 1_500L
+    const val CONFIRM_LEADERSHIP_MS = 1_500L
 
     /** ms. Spread of the first try for a free grant, so that nodes seldom collide. */
     const val ELECTION_SPREAD_MS = 200L
 
     /** ms. Least time between two renewed tokens: each makes every worker report once more. */
-    const val BUMP_MS = 5_000L
+    const val TOKEN_RENEWAL_MS = 5_000L
 
     /** ms. A node that gave its grant up stands back this long if others want it. */
-    const val STAND_BACK_MS = 15_000L
+    const val STEP_DOWN_PAUSE_MS = 15_000L
 
     /** ms. A node that has not heard from the state service for this long is not healthy while others may be. */
     const val STATE_SILENT_MS = 4_000L
@@ -383,7 +383,7 @@
      * ms. So long after a leader gave the block up for silence the next one stays, even if it hears nobody either: it
      * releases what is lost and rents anew, where the block would otherwise go round for ever.
      */
-    const val CHANGED_IN_VAIN_MS = 60_000L
+    const val RECENT_STEP_DOWN_MS = 60_000L
 
     /**
      * Reports. With most machines silent for this many intervals, the leader gives the block up: late enough for
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -122,7 +122,7 @@
     private val tooBusy = errorResponse(503, "too many requests").copy(retryAfterS = settings.operator.retryAfterS)
 
     private inner class OwnerEvents : MeshEvents {
-        override suspend fun news(news: LeaderStatus) = queue.put(OwnerCommand.News(news))
+        override suspend fun news(news: LeaderStatus) = queue.put(OwnerCommand.WatchEvent(news))
 
         override suspend fun standby(event: StandbyEvent) = queue.put(OwnerCommand.Standby(event))
 
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -40,7 +40,7 @@
     private val executor = ScheduledThreadPoolExecutor(1)
     private val scope = CoroutineScope(executor.asCoroutineDispatcher())
     private val group = AsynchronousChannelGroup.withThreadPool(executor)
-    private var edition = 10L
+    private var revision = 10L
 
     /** The peer holds the block at first, so that the controller follows it before it takes the block itself. */
     private var peerLeads = true
@@ -116,10 +116,10 @@
         val path = request.path
         return when {
             path.startsWith("/leases") -> Response(OK, """{"permit":7}""")
-            path == "/txn" -> Response(OK, """{"edition":${++edition}}""")
+            path == "/txn" -> Response(OK, """{"edition":${++revision}}""")
             path == "/changes" -> changes()
             path == "/keys" -> Response(OK, page(request.target))
-            else -> Response(NOT_FOUND, """{"edition":$edition}""")
+            else -> Response(NOT_FOUND, """{"edition":$revision}""")
         }
     }
 
@@ -127,11 +127,11 @@
         delay(STEP_MS)
         if (peerLeads) {
             peerLeads = false
-            return Response(OK, """{"edition":${++edition},"news":[{"remove":"w/g/0","stamp":$edition}]}""")
+            return Response(OK, """{"edition":${++revision},"news":[{"remove":"w/g/0","stamp":$revision}]}""")
         }
-        val final = """{"put":"w/d/job-900","v":{"st":"done","n":2},"stamp":${++edition}}"""
-        val opened = """{"put":"w/j/job-902","v":{"spec":${job("job-902", "")},"at":1},"stamp":$edition}"""
-        return Response(OK, """{"edition":$edition,"news":[$final,$opened]}""")
+        val final = """{"put":"w/d/job-900","v":{"st":"done","n":2},"stamp":${++revision}}"""
+        val opened = """{"put":"w/j/job-902","v":{"spec":${job("job-902", "")},"at":1},"stamp":$revision}"""
+        return Response(OK, """{"edition":$revision,"news":[$final,$opened]}""")
     }
 
     /** One stored record of each kind that a starting controller or a new leader reads. */
@@ -145,7 +145,7 @@
                 "f/" in target -> """{"key":"f/job-900/0","v":{"r":"0"},"stamp":4}"""
                 else -> ""
             }
-        return """{"pairs":[$pair],"hasNext":false,"edition":$edition}"""
+        return """{"pairs":[$pair],"hasNext":false,"edition":$revision}"""
     }
 
     private fun machineRecord(): String {
--- a/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/core/CommandDispatcher.kt
@@ -102,7 +102,7 @@
             }
         }
         lossy.removeIf { m -> m.attempts.values.none { it.lostToken != 0L } }
-        if (lossy.any { !it.pushBroken }) election.bump()
+        if (lossy.any { !it.pushBroken }) election.renewToken()
     }
 
     /** The machine took what it was sent. */
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/core/Controller.kt
@@ -6,7 +6,7 @@
 import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
-import ledgearch.intake.GrantView
+import ledgearch.intake.LeadershipView
 import ledgearch.intake.Intake
 import ledgearch.intake.errorResponse
 import ledgearch.leader.Election
@@ -18,7 +18,7 @@
 import ledgearch.standby.LeaderImage
 import ledgearch.standby.StandbyEvent
 import ledgearch.standby.WarmStandby
-import ledgearch.state.StateClient
+import ledgearch.state.StoreClient
 import ledgearch.wire.Condition
 import ledgearch.wire.Heartbeat
 import ledgearch.wire.HeartbeatReply
@@ -36,7 +36,7 @@
     ) : OwnerCommand
 
     /** The leader tells how its jobs go. */
-    class News(
+    class WatchEvent(
         val news: LeaderStatus,
     ) : OwnerCommand
 
@@ -70,7 +70,7 @@
     transport: Transport,
     private val mesh: Mesh,
     private val random: Random,
-    life: Long,
+    instance: Long,
     nanos: () -> Long,
     finalsKept: Long = Tuning.FINAL_CACHE,
     private val stepFailed: (RuntimeException) -> Unit = ::logFailure,
@@ -82,15 +82,15 @@
     private val metrics = Metrics(now, nanos)
     private val metered = MeteredTransport(transport, settings.outside, metrics, now)
     private val state =
-        StateClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, now)
+        StoreClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, now)
     private val jobStore = JobStore(state, now, JobStoreEvents(), DependencyEvents(), finalsKept)
     private val election: Election =
-        Election(node, life, state, { jobStore }, now, random, ElectionEvents(), ::claimDelayMs)
+        Election(node, instance, state, { jobStore }, now, random, ElectionEvents(), ::claimDelayMs)
     private val recordWriter = RecordWriter(state, election, jobStore, now, settings.deployment.state.safeValueBytes)
     private val stalls = StallCompensation(now, metrics)
     private val fleet: Fleet = Fleet(settings, metered, { election }, { jobStore }, now, stalls) { recordWriter }
     private val leader = Leader(settings, state, metered, election, jobStore, now, recordWriter, fleet, metrics, stalls)
-    private val intake = Intake(settings, jobStore, state, GrantEvents(), now)
+    private val intake = Intake(settings, jobStore, state, LeadershipEvents(), now)
 
     /** Null unless the operators have switched it on. */
     val standby: WarmStandby? =
@@ -127,11 +127,11 @@
         for (command in commands) guarded { carryOut(command) }
         guarded { jobStore.drive() }
         guarded { election.drive() }
-        guarded { fleet.driveCatalog(election.holding) }
+        guarded { fleet.driveCatalog(election.isLeader) }
         guarded { metrics.spend("intake") { intake.drive() } }
         guarded { leader.drive() }
         guarded { tellProgress() }
-        if (standby != null) guarded { metrics.spend("standby") { standby.drive(election.holding && leader.ready) } }
+        if (standby != null) guarded { metrics.spend("standby") { standby.drive(election.isLeader && leader.ready) } }
         guarded { metrics.spend("state") { state.pump() } }
         logLoad()
     }
@@ -147,12 +147,12 @@
                 metrics.spend("answers") { command.done(command.reply) }
             }
 
-            is OwnerCommand.News -> {
+            is OwnerCommand.WatchEvent -> {
                 heard(command.news)
             }
 
             is OwnerCommand.Standby -> {
-                standby?.handle(command.event, jobStore.grant?.node?.let { members[it] })
+                standby?.handle(command.event, jobStore.leadership?.node?.let { members[it] })
             }
 
             is OwnerCommand.PeerRefused -> {
@@ -192,7 +192,7 @@
 
     /** The leader's other half of a poll: the rest of the nodes know a job's progress only from here. */
     private fun tellProgress() {
-        if (!election.holding || now.steady < publishAt) return
+        if (!election.isLeader || now.steady < publishAt) return
         publishAt = now.steady + Tuning.PUBLISH_MS
         val all = mesh.joined != publishedTo
         publishedTo = mesh.joined
@@ -209,7 +209,7 @@
     private fun heard(news: LeaderStatus) {
         news.progress.forEach { jobStore.jobs[it.job]?.shown = it }
         if (news.served == false) leaderUnservedAt = now.steady
-        if (!election.holding) leader.recovery?.heard(news.zones)
+        if (!election.isLeader) leader.recovery?.heard(news.zones)
     }
 
     private fun serve(
@@ -261,8 +261,8 @@
             leader.machines.values.sumOf {
                 it.attempts.size
             },
-            standby?.report(election.holding),
-            if (election.holding) leader.recovery?.report() else null,
+            standby?.report(election.isLeader),
+            if (election.isLeader) leader.recovery?.report() else null,
         )
 
     /** The more current replica has a head start; the longest wait is the same with and without it. */
@@ -287,7 +287,7 @@
         body: String,
         respond: (Response) -> Unit,
     ) {
-        if (!election.holding) return respond(elsewhere())
+        if (!election.isLeader) return respond(elsewhere())
         val report =
             try {
                 WireJson.decodeFromString(Heartbeat.serializer(), body)
@@ -305,7 +305,7 @@
     }
 
     private fun elsewhere(): Response {
-        val other = jobStore.grant?.node
+        val other = jobStore.leadership?.node
         if (other == null || other == node) return errorResponse(503, "no leader is known")
         return Response(421, WireJson.encodeToString(Redirect.serializer(), Redirect(other)))
     }
@@ -317,14 +317,14 @@
     val zoneRecovery: ZoneRecovery? get() = leader.recovery
 
     /** Whether the counts kept of machines and teams are those of a recount. */
-    fun countsHold() = !election.holding || leader.countsHold()
+    fun countsHold() = !election.isLeader || leader.countsHold()
 
     private inner class JobStoreEvents : JobStoreListener {
-        override fun grantChanged() {
-            election.grantChanged()
-            standby?.grantChanged(jobStore.grant, jobStore.grantStamp)
-            mesh.follow(jobStore.grant?.node?.let { members[it] })
-            log.info("block 0: leader {} by grant {}", jobStore.grant?.node ?: "none", jobStore.grantStamp)
+        override fun leadershipChanged() {
+            election.leadershipChanged()
+            standby?.leadershipChanged(jobStore.leadership, jobStore.leadershipRevision)
+            mesh.follow(jobStore.leadership?.node?.let { members[it] })
+            log.info("block 0: leader {} by grant {}", jobStore.leadership?.node ?: "none", jobStore.leadershipRevision)
         }
 
         override fun jobOpened(job: Job) = leader.jobOpened(job)
@@ -351,11 +351,11 @@
     }
 
     private inner class ElectionEvents : ElectionListener {
-        override fun granted(
+        override fun elected(
             token: Long,
-            fresh: Boolean,
+            newTerm: Boolean,
         ) {
-            if (fresh) leader.begin(token, standby?.begin(token))
+            if (newTerm) leader.begin(token, standby?.begin(token))
         }
 
         override fun lost() {
@@ -364,14 +364,14 @@
         }
     }
 
-    private inner class GrantEvents : GrantView {
-        override val holding get() = election.holding
+    private inner class LeadershipEvents : LeadershipView {
+        override val isLeader get() = election.isLeader
         override val condition: Condition get() = election.condition
 
-        override fun verified(
+        override fun leadershipConfirmed(
             sentAt: Long,
             under: Long,
-        ) = election.verified(sentAt, under)
+        ) = election.leadershipConfirmed(sentAt, under)
     }
 }
 
--- a/src/main/kotlin/ledgearch/core/Failover.kt
+++ b/src/main/kotlin/ledgearch/core/Failover.kt
@@ -1,15 +1,15 @@
 package ledgearch.core
 
 import ledgearch.Tuning
-import ledgearch.state.Lane
+import ledgearch.state.RequestClass
 import ledgearch.state.ReadResult
-import ledgearch.state.StateClient
+import ledgearch.state.StoreClient
 import ledgearch.wire.KeyValue
 import org.slf4j.LoggerFactory
 
 /** What a new leader reads before it acts: the machines of the block, then the finished tasks of open jobs. */
 internal class Failover(
-    private val state: StateClient,
+    private val state: StoreClient,
     private val jobStore: JobStore,
     private val recordWriter: RecordWriter,
     private val teams: Teams,
@@ -54,7 +54,7 @@
         val (prefix, since) = toRead.firstOrNull() ?: return done()
         reading = true
         val mine = term
-        state.list(prefix, since, Lane.VITAL) { result ->
+        state.list(prefix, since, RequestClass.CRITICAL) { result ->
             if (term != mine) return@list
             reading = false
             when (result) {
@@ -84,7 +84,7 @@
         pair: KeyValue,
     ) {
         val name = pair.key.removePrefix(prefix)
-        recordWriter.read(pair.key, pair.stamp)
+        recordWriter.read(pair.key, pair.modRevision)
         if (prefix == Keys.MACHINES) {
             val machines = recordWriter.restore(name, pair, teams, now.steady)
             if (machines == null) {
@@ -99,11 +99,11 @@
         } else {
             val id = name.substringBefore('/')
             val job = jobStore.jobs[id]
-            val record = decodeRecord(FinishedRecord.serializer(), pair.v)
+            val record = decodeRecord(FinishedRecord.serializer(), pair.value)
             if (job == null) {
                 recordWriter.remove(pair.key)
             } else if (record != null) {
-                job.restoreFinished(record.r, name.substringAfter('/').toIntOrNull() ?: 0)
+                job.restoreFinished(record.ranges, name.substringAfter('/').toIntOrNull() ?: 0)
             }
         }
     }
--- a/src/main/kotlin/ledgearch/core/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/core/FailureDetector.kt
@@ -103,7 +103,7 @@
     private fun silentFor(
         m: Machine,
         silence: Silence,
-    ) = maxOf(m.reportedAt, election.grantedAt, partitionedZones.backAt(m.zone)) <= silence.since
+    ) = maxOf(m.reportedAt, election.electedAt, partitionedZones.backAt(m.zone)) <= silence.since
 
     /** So many intervals without a report. [since] (steady ms) is worked out once a look, not for each machine. */
     private inner class Silence(
@@ -120,10 +120,10 @@
     private fun watch() {
         val active = machines.values.filter { !it.releasing }
         val quiet = active.count { silentFor(it, cut) }
-        if (quiet > 1 && active.size - quiet < active.size * Tuning.HEARD_SHARE && !election.changedInVain) {
+        if (quiet > 1 && active.size - quiet < active.size * Tuning.HEARD_SHARE && !election.steppedDownRecently) {
             // Nearly all workers at once: the fault is on this node's side. Their leases run out unless another, whom
             // they may reach, takes the block soon.
-            election.giveUp("$quiet of ${active.size} machines are silent", silent = true)
+            election.stepDown("$quiet of ${active.size} machines are silent", silent = true)
             return
         }
         val heard by lazy(LazyThreadSafetyMode.NONE) { Heard(active) }
@@ -202,7 +202,7 @@
     private fun leaseRanOut(m: Machine) {
         if (!m.confirmed || m.attempts.isEmpty()) return
         val end = m.answeredAt + (leaseMs * Tuning.DRIFT).toLong() + Tuning.LEASE_MARGIN_MS
-        if (now.steady <= end || election.verifiedAt <= end) return
+        if (now.steady <= end || election.confirmedAt <= end) return
         log.info("machine {}: its lease has run out", m.name)
         incarnationEnded(m)
     }
--- a/src/main/kotlin/ledgearch/core/Job.kt
+++ b/src/main/kotlin/ledgearch/core/Job.kt
@@ -11,7 +11,7 @@
 /** An open job: the durable part known to every node, and what its block's leader knows of its tasks. */
 internal class Job(
     var record: JobRecord,
-    var stamp: Long,
+    var modRevision: Long,
 ) {
     val spec: JobSpec get() = record.spec
     val id: String get() = spec.id
@@ -30,7 +30,7 @@
     var dependencyCancelled = false
 
     /** Wall ms from which its waiting counts: its submission, or the end of the last job that it depends on. */
-    var readyAt = record.at
+    var readyAt = record.submittedAt
 
     /** It has to wait for other jobs, or was cancelled with one of them. */
     val waitsForOthers: Boolean get() = dependencyCancelled || unfinishedDependencies.isNotEmpty()
@@ -88,7 +88,7 @@
 
     /** Waits for room, and nothing else holds it back. */
     fun startable(nowMs: Long) =
-        trusted && !waitsForOthers && !closing && !record.cancel && pendingCount > 0 && nowMs >= notBefore
+        trusted && !waitsForOthers && !closing && !record.cancelRequested && pendingCount > 0 && nowMs >= notBefore
 
     /** Its tasks may run on machines of this type, zone and kind. */
     fun allows(
--- a/src/main/kotlin/ledgearch/core/JobRecordReader.kt
+++ b/src/main/kotlin/ledgearch/core/JobRecordReader.kt
@@ -1,8 +1,8 @@
 package ledgearch.core
 
-import ledgearch.state.Lane
+import ledgearch.state.RequestClass
 import ledgearch.state.ReadResult
-import ledgearch.state.StateClient
+import ledgearch.state.StoreClient
 import ledgearch.wire.KeyValue
 
 /** What a reading of one job's records has shown. */
@@ -31,14 +31,14 @@
  * it and then the final record are absent, the job had not been accepted when the first was read.
  */
 internal class JobRecordReader(
-    private val state: StateClient,
+    private val state: StoreClient,
     private val rememberFinal: (String, FinalRecord) -> Unit,
 ) {
     /** Reads the open record of the job [id] and, where that is absent, the final one. */
     fun read(
         id: String,
         done: (JobReading) -> Unit,
-    ) = state.get(Keys.job(id), Lane.ORDINARY) { result ->
+    ) = state.get(Keys.job(id), RequestClass.ORDINARY) { result ->
         when (result) {
             is ReadResult.Found -> done(JobReading.Open(result.value))
             ReadResult.Absent -> readFinal(id, done)
@@ -50,7 +50,7 @@
     fun readFinal(
         id: String,
         done: (JobReading) -> Unit,
-    ) = state.get(Keys.final(id), Lane.ORDINARY) { result ->
+    ) = state.get(Keys.final(id), RequestClass.ORDINARY) { result ->
         when (result) {
             is ReadResult.Found -> done(remembered(id, result.value))
             ReadResult.Absent -> done(JobReading.Absent)
@@ -62,7 +62,7 @@
         id: String,
         stored: KeyValue,
     ): JobReading {
-        val record = decodeRecord(FinalRecord.serializer(), stored.v) ?: return JobReading.Unknown
+        val record = decodeRecord(FinalRecord.serializer(), stored.value) ?: return JobReading.Unknown
         rememberFinal(id, record)
         return JobReading.Over(record)
     }
--- a/src/main/kotlin/ledgearch/core/JobStore.kt
+++ b/src/main/kotlin/ledgearch/core/JobStore.kt
@@ -2,17 +2,17 @@
 
 import kotlinx.serialization.json.JsonElement
 import ledgearch.Tuning
-import ledgearch.state.Lane
+import ledgearch.state.RequestClass
 import ledgearch.state.ReadResult
-import ledgearch.state.StateClient
+import ledgearch.state.StoreClient
 import ledgearch.wire.KeyValue
 import ledgearch.wire.MachineType
-import ledgearch.wire.News
+import ledgearch.wire.WatchEvent
 import org.slf4j.LoggerFactory
 
 /** What changed in the watched part of the state service. */
 internal interface JobStoreListener {
-    fun grantChanged()
+    fun leadershipChanged()
 
     fun jobOpened(job: Job)
 
@@ -29,7 +29,7 @@
  * users is confirmed first, and the leader's right is fenced by its token.
  */
 internal class JobStore(
-    private val state: StateClient,
+    private val state: StoreClient,
     private val now: Now,
     private val listener: JobStoreListener,
     dependencyListener: DependencyListener,
@@ -44,18 +44,18 @@
     val dependencies = JobDependencies(records, now, jobs, ::final, dependencyListener)
     var machineTypes: Map<String, MachineType> = emptyMap()
         private set
-    var grant: GrantRecord? = null
+    var leadership: LeadershipRecord? = null
         private set
 
     /** Who held the block before, as far as this node has seen, and at what steady ms that was last known. */
     private val heldUntil = HashMap<String, Long>()
 
     /** Stamp of the grant's key, 0 when it does not exist. */
-    var grantStamp = 0L
+    var leadershipRevision = 0L
         private set
 
     /** The last time that a leader gave the block up because it heard next to no machine. */
-    var silence: SilenceRecord? = null
+    var lastStepDown: StepDownRecord? = null
         private set
 
     /** All changes up to this revision are in the copy. */
@@ -99,11 +99,11 @@
      * A job that this node made durable in a transaction that also compared its own grant. No other way leads past
      * the watch: a leader that learnt of a job out of order could start what a newer leader starts too.
      */
-    fun acceptUnderGrant(
+    fun acceptUnderLeadership(
         record: JobRecord,
-        stamp: Long,
+        modRevision: Long,
     ) {
-        if (!isPast(record.spec.id, stamp)) put(record, stamp)
+        if (!isPast(record.spec.id, modRevision)) put(record, modRevision)
     }
 
     /**
@@ -111,27 +111,27 @@
      */
     private fun isPast(
         id: String,
-        stamp: Long,
-    ) = stamp <= revision && id !in jobs
+        modRevision: Long,
+    ) = modRevision <= revision && id !in jobs
 
     private fun put(
         record: JobRecord,
-        stamp: Long,
+        modRevision: Long,
     ) {
         val id = record.spec.id
         val known = jobs[id]
         when {
             known == null -> {
                 if (final(id) == null) {
-                    val job = Job(record, stamp)
+                    val job = Job(record, modRevision)
                     jobs[id] = job
                     dependencies.opened(job)
                     listener.jobOpened(job)
                 }
             }
 
-            stamp > known.stamp -> {
-                known.stamp = stamp
+            modRevision > known.modRevision -> {
+                known.modRevision = modRevision
                 known.record = record
                 listener.jobChanged(known)
             }
@@ -140,10 +140,10 @@
 
     private class Listing {
         val jobs = ArrayList<KeyValue>()
-        var grant: KeyValue? = null
-        var silence: KeyValue? = null
+        var leadership: KeyValue? = null
+        var lastStepDown: KeyValue? = null
         var catalog: KeyValue? = null
-        var firstEdition = -1L
+        var firstRevision = -1L
 
         /** Steady ms at which the first page was asked for. */
         var askedAt = 0L
@@ -158,19 +158,19 @@
         prefix: Int,
         since: String?,
     ) {
-        val prefixes = listOf(Keys.CATALOG, Keys.JOBS, Keys.GRANTS)
-        state.list(prefixes[prefix], since, Lane.VITAL) { result ->
+        val prefixes = listOf(Keys.CATALOG, Keys.JOBS, Keys.LEADERSHIP)
+        state.list(prefixes[prefix], since, RequestClass.CRITICAL) { result ->
             if (result !is ReadResult.Found) {
                 takeIn()
                 return@list
             }
             val page = result.value
-            if (into.firstEdition < 0) into.firstEdition = page.edition
+            if (into.firstRevision < 0) into.firstRevision = page.revision
             for (pair in page.pairs) {
                 when {
                     pair.key.startsWith(Keys.JOBS) -> into.jobs.add(pair)
-                    pair.key == Keys.grant(0) -> into.grant = pair
-                    pair.key == Keys.silence(0) -> into.silence = pair
+                    pair.key == Keys.leadership(0) -> into.leadership = pair
+                    pair.key == Keys.stepDown(0) -> into.lastStepDown = pair
                     pair.key == Keys.CATALOG -> into.catalog = pair
                 }
             }
@@ -186,21 +186,21 @@
         takeIn()
         val listed = listing.jobs.mapTo(HashSet()) { it.key.removePrefix(Keys.JOBS) }
         // Jobs that are open here and not listed are over, or were accepted after the listing began.
-        val gone = jobs.values.filter { it.id !in listed && it.stamp <= listing.firstEdition }
+        val gone = jobs.values.filter { it.id !in listed && it.modRevision <= listing.firstRevision }
         for (job in gone) close(job.id)
-        setSilence(listing.silence?.v)
-        setGrant(listing.grant?.v, listing.grant?.stamp ?: 0)
-        listing.catalog?.v?.let { setCatalog(it) }
+        setLastStepDown(listing.lastStepDown?.value)
+        setLeadership(listing.leadership?.value, listing.leadership?.modRevision ?: 0)
+        listing.catalog?.value?.let { setCatalog(it) }
         for (pair in listing.jobs) {
             if (!isPast(
                     pair.key.removePrefix(Keys.JOBS),
-                    pair.stamp,
+                    pair.modRevision,
                 )
             ) {
-                putJob(pair.key, pair.v, pair.stamp)
+                putJob(pair.key, pair.value, pair.modRevision)
             }
         }
-        revision = listing.firstEdition
+        revision = listing.firstRevision
         completeAt = listing.askedAt
         loaded = true
         retryAt = Long.MIN_VALUE
@@ -214,8 +214,8 @@
             takeIn()
             when (result) {
                 is ReadResult.Found -> {
-                    result.value.news.forEach(::apply)
-                    if (result.value.edition > revision) revision = result.value.edition
+                    result.value.events.forEach(::apply)
+                    if (result.value.revision > revision) revision = result.value.revision
                     completeAt = askedAt
                     retryAt = Long.MIN_VALUE
                     drive()
@@ -244,31 +244,31 @@
         retryAt = now.steady + Tuning.STATE_RETRY_MS
     }
 
-    private fun apply(news: News) {
+    private fun apply(news: WatchEvent) {
         val put = news.put
         val removed = news.remove
         if (put != null) {
             when {
                 put.startsWith(Keys.JOBS) -> {
-                    putJob(put, news.v, news.stamp)
+                    putJob(put, news.value, news.modRevision)
                 }
 
                 put.startsWith(Keys.FINALS) -> {
-                    decodeRecord(FinalRecord.serializer(), news.v)?.let {
+                    decodeRecord(FinalRecord.serializer(), news.value)?.let {
                         rememberFinal(put.removePrefix(Keys.FINALS), it)
                     }
                 }
 
-                put == Keys.grant(0) && news.stamp > grantStamp -> {
-                    setGrant(news.v, news.stamp)
+                put == Keys.leadership(0) && news.modRevision > leadershipRevision -> {
+                    setLeadership(news.value, news.modRevision)
                 }
 
-                put == Keys.silence(0) -> {
-                    setSilence(news.v)
+                put == Keys.stepDown(0) -> {
+                    setLastStepDown(news.value)
                 }
 
                 put == Keys.CATALOG -> {
-                    news.v?.let { setCatalog(it) }
+                    news.value?.let { setCatalog(it) }
                 }
             }
         } else if (removed != null) {
@@ -276,46 +276,46 @@
                 removed.startsWith(Keys.JOBS) -> {
                     val id = removed.removePrefix(Keys.JOBS)
                     val job = jobs[id]
-                    if (job != null && news.stamp > job.stamp) close(id)
+                    if (job != null && news.modRevision > job.modRevision) close(id)
                 }
 
-                removed == Keys.grant(0) && news.stamp > grantStamp -> {
-                    setGrant(null, 0)
+                removed == Keys.leadership(0) && news.modRevision > leadershipRevision -> {
+                    setLeadership(null, 0)
                 }
             }
         }
-        if (news.stamp > revision) revision = news.stamp
+        if (news.modRevision > revision) revision = news.modRevision
     }
 
     private fun putJob(
         key: String,
         value: JsonElement?,
-        stamp: Long,
+        modRevision: Long,
     ) {
         val record = decodeRecord(JobRecord.serializer(), value) ?: return
         if (key != Keys.job(record.spec.id)) return
-        put(record, stamp)
+        put(record, modRevision)
     }
 
-    private fun setGrant(
+    private fun setLeadership(
         value: JsonElement?,
-        stamp: Long,
+        modRevision: Long,
     ) {
-        if (stamp == grantStamp) return
-        grant?.let { heldUntil[it.node] = now.steady }
-        grant = value?.let { decodeRecord(GrantRecord.serializer(), it) }
-        grantStamp = stamp
-        listener.grantChanged()
+        if (modRevision == leadershipRevision) return
+        leadership?.let { heldUntil[it.node] = now.steady }
+        leadership = value?.let { decodeRecord(LeadershipRecord.serializer(), it) }
+        leadershipRevision = modRevision
+        listener.leadershipChanged()
     }
 
     /** Who but [node] has held the block within the last [ms]. */
     fun recentLeaders(
         node: String,
         ms: Long,
-    ): Set<String> = (heldUntil.filterValues { now.steady - it < ms }.keys + setOfNotNull(grant?.node)) - node
+    ): Set<String> = (heldUntil.filterValues { now.steady - it < ms }.keys + setOfNotNull(leadership?.node)) - node
 
-    private fun setSilence(value: JsonElement?) {
-        silence = decodeRecord(SilenceRecord.serializer(), value)
+    private fun setLastStepDown(value: JsonElement?) {
+        lastStepDown = decodeRecord(StepDownRecord.serializer(), value)
     }
 
     private fun setCatalog(value: JsonElement) {
--- a/src/main/kotlin/ledgearch/core/KeyStamps.kt
+++ b/src/main/kotlin/ledgearch/core/KeyRevisions.kt
@@ -1,8 +1,8 @@
 package ledgearch.core
 
-import ledgearch.state.Lane
+import ledgearch.state.RequestClass
 import ledgearch.state.ReadResult
-import ledgearch.state.StateClient
+import ledgearch.state.StoreClient
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 
@@ -12,25 +12,25 @@
  * puts what is older over what is newer. A comparison that fails says that a try was carried out, and the key is read
  * anew.
  */
-internal class KeyStamps(
-    private val state: StateClient,
+internal class KeyRevisions(
+    private val state: StoreClient,
 ) {
-    private val stamps = HashMap<String, Long>()
+    private val keyRevisions = HashMap<String, Long>()
 
     fun read(
         key: String,
-        stamp: Long,
+        modRevision: Long,
     ) {
-        if (stamp == 0L) stamps.remove(key) else stamps[key] = stamp
+        if (modRevision == 0L) keyRevisions.remove(key) else keyRevisions[key] = modRevision
     }
 
     fun conditions(changes: List<Change>): List<Condition> =
-        changes.map { Condition(keyOf(it), stamps[keyOf(it)] ?: 0) }
+        changes.map { Condition(keyOf(it), keyRevisions[keyOf(it)] ?: 0) }
 
     fun written(
         changes: List<Change>,
-        edition: Long,
-    ) = changes.forEach { read(keyOf(it), if (it.put != null) edition else 0) }
+        revision: Long,
+    ) = changes.forEach { read(keyOf(it), if (it.put != null) revision else 0) }
 
     /** Reads [keys], whose comparison failed; [done] once all are answered, or not: then they fail once more. */
     fun readAnew(
@@ -40,9 +40,9 @@
         var open = keys.size
         if (open == 0) return done()
         for (key in keys) {
-            state.get(key, Lane.ORDINARY) { result ->
+            state.get(key, RequestClass.ORDINARY) { result ->
                 when (result) {
-                    is ReadResult.Found -> read(key, result.value.stamp)
+                    is ReadResult.Found -> read(key, result.value.modRevision)
                     ReadResult.Absent -> read(key, 0)
                     ReadResult.Failed -> Unit
                 }
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/core/Leader.kt
@@ -14,7 +14,7 @@
 import ledgearch.leader.Election
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.standby.FailoverHints
-import ledgearch.state.StateClient
+import ledgearch.state.StoreClient
 import ledgearch.wire.CommandKind
 import ledgearch.wire.Heartbeat
 import ledgearch.wire.JobState
@@ -28,7 +28,7 @@
  */
 internal class Leader(
     private val settings: Settings,
-    private val state: StateClient,
+    private val state: StoreClient,
     private val transport: Transport,
     private val election: Election,
     private val jobStore: JobStore,
@@ -138,8 +138,8 @@
         term = token
         attemptSeq = 0
         for (job in jobStore.jobs.values) {
-            job.trusted = job.stamp > term && !job.record.cancel
-            if (job.record.cancel || job.dependencyCancelled) cancelled.add(job)
+            job.trusted = job.modRevision > term && !job.record.cancelRequested
+            if (job.record.cancelRequested || job.dependencyCancelled) cancelled.add(job)
         }
         guaranteesDirty = true
         failover.begin()
@@ -184,8 +184,8 @@
         if (term == 0L) return
         // Accepted after the grant: no earlier leader can have learnt of it while it still held the block.
         // Of a cancelled one only the mark may be so new.
-        job.trusted = if (job.record.cancel) allConfirmedLogged else job.stamp > term
-        if (job.record.cancel || job.dependencyCancelled) cancelled.add(job)
+        job.trusted = if (job.record.cancelRequested) allConfirmedLogged else job.modRevision > term
+        if (job.record.cancelRequested || job.dependencyCancelled) cancelled.add(job)
         guaranteesDirty = true
         dirty = true
     }
@@ -218,7 +218,7 @@
 
     fun jobChanged(job: Job) {
         if (term == 0L) return
-        if (job.record.cancel) cancelled.add(job)
+        if (job.record.cancelRequested) cancelled.add(job)
         dirty = true
     }
 
@@ -279,7 +279,7 @@
     /** Null when this node may not answer for the block. */
     fun report(report: Heartbeat): List<TaskCommand>? {
         if (report.token > election.token) {
-            election.lose("a worker has seen token ${report.token}")
+            election.loseLeadership("a worker has seen token ${report.token}")
             return null
         }
         if (!failover.machinesRead) return emptyList()
@@ -321,7 +321,7 @@
         if (answer.token >
             election.token
         ) {
-            election.lose("a worker has seen token ${answer.token}")
+            election.loseLeadership("a worker has seen token ${answer.token}")
         } else {
             hear(m, answer, isReport = false)
         }
@@ -504,15 +504,15 @@
     fun isCutOff(zone: String) = failureDetector.isCutOff(zone) || recovery?.isLost(zone) == true
 
     fun drive() {
-        if (term == 0L || !election.holding) return
+        if (term == 0L || !election.isLeader) return
         if (!ready) takeOver()
         if (!ready) return
         // A number used twice could be taken for the attempt that a replica has run under since long ago.
-        if (attemptSeq > Tuning.ATTEMPTS_PER_TERM) return election.giveUp("attempt numbers are used up")
+        if (attemptSeq > Tuning.ATTEMPTS_PER_TERM) return election.stepDown("attempt numbers are used up")
         confirm()
         closeCancelled()
         metrics.spend("silence") { failureDetector.drive() }
-        if (!election.holding) return
+        if (!election.isLeader) return
         if (now.steady - countedAt > Tuning.COUNT_MS) {
             countedAt = now.steady
             reliability.count(machines.values, now.steady)
@@ -556,9 +556,9 @@
         for (m in unconfirmed) dispatcher.probe(m)
         if (allConfirmedLogged || failover.anyUnreadable || unconfirmed.any { it.inherited }) return
         allConfirmedLogged = true
-        failoverMs = now.steady - election.grantedAt
+        failoverMs = now.steady - election.electedAt
         jobStore.jobs.values.forEach { it.trusted = true }
-        recovery?.confirmed(jobStore.jobs.values.filter { it.stamp <= term })
+        recovery?.confirmed(jobStore.jobs.values.filter { it.modRevision <= term })
         dirty = true
         log.info("block 0: every recorded machine is confirmed, {} ms after the grant", failoverMs)
     }
--- a/src/main/kotlin/ledgearch/core/Machine.kt
+++ b/src/main/kotlin/ledgearch/core/Machine.kt
@@ -176,10 +176,10 @@
 
     /** Whether what is counted is what a count from scratch gives. */
     fun countsHold(): Boolean {
-        val fresh = Room(machineType)
+        val newTerm = Room(machineType)
         val here = attempts.values.filter { !it.exited }
-        here.forEach { fresh.take(it.job) }
-        return room.isAbout(fresh) &&
+        here.forEach { newTerm.take(it.job) }
+        return room.isAbout(newTerm) &&
             fetching == here.count { it.state == AttemptState.FETCHING || it.state == AttemptState.ASSIGNED }
     }
 
--- a/src/main/kotlin/ledgearch/core/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/core/MachineRecords.kt
@@ -83,10 +83,10 @@
         nowMs: Long,
     ): List<Machine>? {
         val record =
-            if ((pair.v as? JsonObject)?.containsKey("endpoint") == true) {
-                decodeRecord(SingleMachineRecord.serializer(), pair.v)?.asOneOf(name)
+            if ((pair.value as? JsonObject)?.containsKey("endpoint") == true) {
+                decodeRecord(SingleMachineRecord.serializer(), pair.value)?.asOneOf(name)
             } else {
-                decodeRecord(MachinesRecord.serializer(), pair.v)
+                decodeRecord(MachinesRecord.serializer(), pair.value)
             }
         if (record == null || record.machines.any { it.machineType !in record.machineTypes.indices }) {
             unreadable.add(name)
@@ -180,7 +180,7 @@
         val pieces = pieces(group.machines.values)
         // One machine that is too large by itself: as it is, the service tells.
         if (pieces.size == 1) return true
-        if (pieces.size > maxChanges || pieces.size * mostBytes > Tuning.TXN_BYTES) return false
+        if (pieces.size > maxChanges || pieces.size * mostBytes > Tuning.TRANSACTION_BYTES) return false
         for (m in pieces.drop(1).flatten()) group.machines.remove(m.name)
         val parts = listOf(group) + pieces.drop(1).map(::newGroup)
         parts.forEach { it.parts = parts }
@@ -189,7 +189,7 @@
 
     private fun record(group: Group): Change {
         val key = Keys.machine(group.name)
-        return if (group.machines.isEmpty()) Change(remove = key) else Change(put = key, v = value(group))
+        return if (group.machines.isEmpty()) Change(remove = key) else Change(put = key, value = value(group))
     }
 
     private fun value(group: Group): JsonElement {
--- a/src/main/kotlin/ledgearch/core/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/core/MissingMachines.kt
@@ -72,6 +72,6 @@
     ) = confirmed > all * Tuning.MOST ||
         (
             confirmed > all * Tuning.HEARD_SHARE &&
-                stalls.heedfulSince(election.grantedAt) > reportedWithinMs
+                stalls.heedfulSince(election.electedAt) > reportedWithinMs
         )
 }
--- a/src/main/kotlin/ledgearch/core/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/core/RecordWriter.kt
@@ -2,9 +2,9 @@
 
 import ledgearch.Tuning
 import ledgearch.leader.Election
-import ledgearch.state.Lane
-import ledgearch.state.StateClient
-import ledgearch.state.TxnResult
+import ledgearch.state.RequestClass
+import ledgearch.state.StoreClient
+import ledgearch.state.TransactionResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import ledgearch.wire.JobState
@@ -15,11 +15,11 @@
 /**
  * What the leader makes durable, in batches of one transaction at a time, each comparing the leader's own grant: a
  * transaction that is applied late, after another grant, changes nothing. Applied late under the same grant it changes
- * nothing either that was written since, as every key is compared too ([KeyStamps]; a job that closes, by its own
+ * nothing either that was written since, as every key is compared too ([KeyRevisions]; a job that closes, by its own
  * stamp).
  */
 internal class RecordWriter(
-    private val state: StateClient,
+    private val state: StoreClient,
     private val election: Election,
     private val jobStore: JobStore,
     private val now: Now,
@@ -35,7 +35,7 @@
     ) {
         /** By which it is known from try to try. */
         val key: String = changes.first().let { it.put ?: it.remove.orEmpty() }
-        val bytes: Int = changes.sumOf { change -> change.v?.let(::bytes) ?: 0 }
+        val bytes: Int = changes.sumOf { change -> change.value?.let(::bytes) ?: 0 }
     }
 
     /** A job that is over in [state], until that is durable. */
@@ -56,7 +56,7 @@
         /** False when the batch is full. An entry that waits since it was too large is passed over. */
         fun add(entry: Entry): Boolean {
             if (now.steady < (tooLarge[entry.key] ?: Long.MIN_VALUE)) return true
-            if (entries.isNotEmpty() && (alone > 0 || bytes + entry.bytes > Tuning.TXN_BYTES)) return false
+            if (entries.isNotEmpty() && (alone > 0 || bytes + entry.bytes > Tuning.TRANSACTION_BYTES)) return false
             if (entry.changes.size > room) return false
             room -= entry.changes.size
             bytes += entry.bytes
@@ -67,7 +67,7 @@
 
     /** Changes with every term: what an earlier one's transactions made durable is nothing of this one's. */
     private var term = 0
-    private var stamps = KeyStamps(state)
+    private var keyRevisions = KeyRevisions(state)
     private var writing = false
     private var retryAt = Long.MIN_VALUE
     private val machines = MachineRecords(valueBytes, state.maxChanges)
@@ -91,7 +91,7 @@
 
     fun clear() {
         term++
-        stamps = KeyStamps(state)
+        keyRevisions = KeyRevisions(state)
         writing = false
         outdated.clear()
         machines.clear()
@@ -120,8 +120,8 @@
     /** A new leader has read [key]. */
     fun read(
         key: String,
-        stamp: Long,
-    ) = stamps.read(key, stamp)
+        modRevision: Long,
+    ) = keyRevisions.read(key, modRevision)
 
     fun unbind(machine: Machine) = machines.remove(machine)
 
@@ -152,7 +152,7 @@
     }
 
     fun drive() {
-        if (writing || !election.holding || now.steady < retryAt) return
+        if (writing || !election.isLeader || now.steady < retryAt) return
         val entries = collect()
         if (entries.isEmpty()) return
         writing = true
@@ -163,26 +163,26 @@
         conditions.add(election.condition)
         for (entry in entries) {
             conditions +=
-                entry.closes?.let { listOf(Condition(Keys.job(it.id), it.stamp)) } ?: stamps.conditions(entry.changes)
+                entry.closes?.let { listOf(Condition(Keys.job(it.id), it.modRevision)) } ?: keyRevisions.conditions(entry.changes)
         }
-        state.txn(conditions, entries.flatMap { it.changes }, Lane.ORDINARY) { result ->
-            if (term != mine) return@txn
+        state.transact(conditions, entries.flatMap { it.changes }, RequestClass.ORDINARY) { result ->
+            if (term != mine) return@transact
             writing = false
             if (alone > 0) alone--
             when (result) {
-                is TxnResult.Ok -> {
-                    election.verified(sentAt, under)
+                is TransactionResult.Committed -> {
+                    election.leadershipConfirmed(sentAt, under)
                     for (entry in entries) {
-                        if (entry.closes == null) stamps.written(entry.changes, result.edition)
+                        if (entry.closes == null) keyRevisions.written(entry.changes, result.revision)
                         entry.done()
                     }
                 }
 
-                is TxnResult.Conflict -> {
+                is TransactionResult.Conflict -> {
                     failed(result.failed.toSet(), conditions, under)
                 }
 
-                TxnResult.TooLarge -> {
+                TransactionResult.TooLarge -> {
                     separate(entries)
                 }
 
@@ -210,16 +210,16 @@
         conditions: List<Condition>,
         under: Long,
     ) {
-        retryAt = now.steady + if (keys.isEmpty() || Keys.grant(0) in keys) Tuning.STATE_RETRY_MS else Tuning.TICK_MS
-        if (Keys.grant(0) in keys) election.doubted(under)
+        retryAt = now.steady + if (keys.isEmpty() || Keys.leadership(0) in keys) Tuning.STATE_RETRY_MS else Tuning.TICK_MS
+        if (Keys.leadership(0) in keys) election.leadershipDoubted(under)
         val mine = term
         val own = ArrayList<String>()
         for (c in conditions) {
-            if (c.key !in keys || c.key == Keys.grant(0)) continue
-            if (c.key.startsWith(Keys.JOBS)) outdated[c.key.removePrefix(Keys.JOBS)] = c.stamp else own.add(c.key)
+            if (c.key !in keys || c.key == Keys.leadership(0)) continue
+            if (c.key.startsWith(Keys.JOBS)) outdated[c.key.removePrefix(Keys.JOBS)] = c.modRevision else own.add(c.key)
         }
         writing = true
-        stamps.readAnew(own) { if (term == mine) writing = false }
+        keyRevisions.readAnew(own) { if (term == mine) writing = false }
     }
 
     private fun collect(): List<Entry> {
@@ -235,11 +235,11 @@
         for ((id, closing) in closings) {
             val job = closing.job
             // The stamp is compared so that a cancellation marked meanwhile is seen before the job is closed.
-            if (jobStore.jobs[id] !== job || outdated[id] == job.stamp) continue
+            if (jobStore.jobs[id] !== job || outdated[id] == job.modRevision) continue
             val record = closing.record
             val changes =
                 listOf(
-                    Change(put = Keys.final(id), v = encodeRecord(FinalRecord.serializer(), record)),
+                    Change(put = Keys.final(id), value = encodeRecord(FinalRecord.serializer(), record)),
                     Change(remove = Keys.job(id)),
                 )
             if (!batch.add(Entry(changes, job) { jobClosed(job, record) })) return
@@ -261,7 +261,7 @@
                 written.map { (chunk, tasks) ->
                     Change(
                         put = Keys.finished(job.id, chunk),
-                        v = encodeRecord(FinishedRecord.serializer(), FinishedRecord(Ranges.encode(tasks))),
+                        value = encodeRecord(FinishedRecord.serializer(), FinishedRecord(Ranges.encode(tasks))),
                     )
                 }
             if (!batch.add(Entry(changes) { progressWritten(job, written) })) return
@@ -271,7 +271,7 @@
         }
         catalog?.let { record ->
             batch.add(
-                Entry(listOf(Change(put = Keys.CATALOG, v = encodeRecord(CatalogRecord.serializer(), record)))) {
+                Entry(listOf(Change(put = Keys.CATALOG, value = encodeRecord(CatalogRecord.serializer(), record)))) {
                     if (catalog ===
                         record
                     ) {
--- a/src/main/kotlin/ledgearch/core/Records.kt
+++ b/src/main/kotlin/ledgearch/core/Records.kt
@@ -36,7 +36,7 @@
 internal object Keys {
     /** Watched by every node: grants, open jobs, final states, the catalog. */
     const val WATCHED = "w/"
-    const val GRANTS = "w/g/"
+    const val LEADERSHIP = "w/g/"
     const val JOBS = "w/j/"
     const val FINALS = "w/d/"
     const val CATALOG = "w/c"
@@ -45,9 +45,9 @@
     const val MACHINES = "m/"
     const val FINISHED = "f/"
 
-    fun grant(block: Int) = "$GRANTS$block"
+    fun leadership(block: Int) = "$LEADERSHIP$block"
 
-    fun silence(block: Int) = "$GRANTS$block/silence"
+    fun stepDown(block: Int) = "$LEADERSHIP$block/silence"
 
     fun job(id: String) = "$JOBS$id"
 
@@ -65,8 +65,9 @@
 @Serializable
 internal data class JobRecord(
     val spec: JobSpec,
-    val at: Long,
-    val cancel: Boolean = false,
+    /** Wall ms. */
+    @SerialName("at") val submittedAt: Long,
+    @SerialName("cancel") val cancelRequested: Boolean = false,
 )
 
 /** A job that is over, for ever. */
@@ -81,15 +82,15 @@
  * in records of earlier versions.
  */
 @Serializable
-internal data class GrantRecord(
+internal data class LeadershipRecord(
     val node: String,
-    val life: Long,
-    val over: Long = 0,
+    @SerialName("life") val instance: Long,
+    @SerialName("over") val renews: Long = 0,
 )
 
 /** A leader gave the block up at this time of day (ms), since it heard next to no machine. */
 @Serializable
-internal data class SilenceRecord(
+internal data class StepDownRecord(
     val node: String,
     val at: Long,
 )
@@ -134,7 +135,7 @@
 /** The finished tasks of one chunk of a job, as ranges: `0-3,7`. */
 @Serializable
 internal data class FinishedRecord(
-    val r: String,
+    @SerialName("r") val ranges: String,
 )
 
 /** The last catalog seen, so that a restart while the cloud is out still knows the machine types. */
--- a/src/main/kotlin/ledgearch/core/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/core/TaskStatusHandler.kt
@@ -59,7 +59,7 @@
         } else {
             if (job.finished.get(index)) p.stop = StopMode.AT_ONCE
             job.place(p)
-            if (job.record.cancel) p.stop = StopMode.AT_ONCE
+            if (job.record.cancelRequested) p.stop = StopMode.AT_ONCE
         }
         return p
     }
--- a/src/main/kotlin/ledgearch/core/Teams.kt
+++ b/src/main/kotlin/ledgearch/core/Teams.kt
@@ -131,15 +131,15 @@
 
     /** Whether what is counted is what a count from scratch of [machines] gives. */
     fun countsHold(machines: Collection<Machine>): Boolean {
-        val fresh = Teams(uses.values.map { it.team })
+        val newTerm = Teams(uses.values.map { it.team })
         for (m in machines) {
-            if (m.inherited && !m.confirmed) fresh.countHidden(m.machineType, 1)
-            for (p in m.attempts.values) if (!p.exited) fresh.count(p, 1)
+            if (m.inherited && !m.confirmed) newTerm.countHidden(m.machineType, 1)
+            for (p in m.attempts.values) if (!p.exited) newTerm.count(p, 1)
         }
-        return abs(unknownCpus - fresh.unknownCpus) <= Machine.ROUNDING &&
-            abs(hiddenCpus - fresh.hiddenCpus) <= Machine.ROUNDING &&
-            goingOn.contentEquals(fresh.goingOn) &&
-            uses.all { (name, use) -> fresh.uses[name]?.let(use::isAbout) == true }
+        return abs(unknownCpus - newTerm.unknownCpus) <= Machine.ROUNDING &&
+            abs(hiddenCpus - newTerm.hiddenCpus) <= Machine.ROUNDING &&
+            goingOn.contentEquals(newTerm.goingOn) &&
+            uses.all { (name, use) -> newTerm.uses[name]?.let(use::isAbout) == true }
     }
 
     /** One more task of [job] keeps its team within its limit, whatever runs where nothing is known. */
--- a/src/main/kotlin/ledgearch/core/placement/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Deadlines.kt
@@ -57,7 +57,7 @@
 
     private fun ownDeadlines(job: Job): List<Double> {
         val due = job.spec.deadlineS ?: return emptyList()
-        val submittedAt = job.record.at / MS_PER_SECOND
+        val submittedAt = job.record.submittedAt / MS_PER_SECOND
         return (multiples[job.spec.jobClass] ?: listOf(1.0)).map { submittedAt + due * it }
     }
 
--- a/src/main/kotlin/ledgearch/core/placement/Preemption.kt
+++ b/src/main/kotlin/ledgearch/core/placement/Preemption.kt
@@ -246,12 +246,12 @@
                 val prospect = offer.prospect
                 if (!zones.allows(prospect.machine.zone)) continue
                 // Meanwhile others may have stopped, or a team have nothing more to spare.
-                val fresh = offer(prospect) ?: continue
-                if (fresh.cost > offer.cost) {
-                    open.add(fresh)
+                val newTerm = offer(prospect) ?: continue
+                if (newTerm.cost > offer.cost) {
+                    open.add(newTerm)
                     continue
                 }
-                for (v in fresh.victims) {
+                for (v in newTerm.victims) {
                     prospect.room.give(v.job)
                     stop(v, job)
                 }
--- a/src/main/kotlin/ledgearch/fleet/Fleet.kt
+++ b/src/main/kotlin/ledgearch/fleet/Fleet.kt
@@ -123,9 +123,9 @@
 
     // --- Catalog: on every node ---------------------------------------------------------------------------------
 
-    fun driveCatalog(holding: Boolean) {
+    fun driveCatalog(isLeader: Boolean) {
         bucket.refill(now.steady)
-        val wanted = jobStore().machineTypes.isEmpty() || holding
+        val wanted = jobStore().machineTypes.isEmpty() || isLeader
         if (!wanted || catalogBusy || now.steady < catalogAt || !bucket.has(1)) return
         catalogBusy = true
         call("GET", "/catalog", null) { reply ->
@@ -135,7 +135,7 @@
             if (machineTypes.isNullOrEmpty()) return@call
             val known = jobStore().machineTypes
             if (known.keys != machineTypes.mapTo(HashSet()) { it.name } &&
-                election().holding
+                election().isLeader
             ) {
                 recordWriter().catalog(CatalogRecord(machineTypes))
             }
@@ -149,7 +149,7 @@
         driveList(leader)
         // A leader that is cut off with its zone misses all other machines. What it asks for then may be carried out
         // when the cut is over: hundreds of machines given back that serve the next leader, and hundreds rented.
-        if (!election().sure) return
+        if (!election().hasValidLease) return
         driveRelease(leader)
         if (now.steady < planAt) return
         planAt = now.steady + Tuning.PLAN_MS
@@ -199,7 +199,7 @@
             listAt =
                 now.steady + maxOf(Tuning.LIST_MS, (page * Tuning.LIST_PAGE_CALLS * MS_PER_S / callsASecond).toLong())
             val list = parse(reply) { WireJson.decodeFromString(MachineList.serializer(), it) } ?: return@call
-            if (!election().holding) return@call
+            if (!election().isLeader) return@call
             list.machines.forEach { listed(leader, it) }
             if (list.hasNext && list.machines.isNotEmpty()) {
                 listBusy = true
--- a/src/main/kotlin/ledgearch/intake/Cancellations.kt
+++ b/src/main/kotlin/ledgearch/intake/Cancellations.kt
@@ -7,9 +7,9 @@
 import ledgearch.core.Now
 import ledgearch.core.decodeRecord
 import ledgearch.core.encodeRecord
-import ledgearch.state.Lane
-import ledgearch.state.StateClient
-import ledgearch.state.TxnResult
+import ledgearch.state.RequestClass
+import ledgearch.state.StoreClient
+import ledgearch.state.TransactionResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import ledgearch.wire.KeyValue
@@ -20,7 +20,7 @@
  */
 internal class Cancellations(
     private val jobStore: JobStore,
-    private val state: StateClient,
+    private val state: StoreClient,
     private val now: Now,
     private val lookup: JobLookup,
     private val answers: JobAnswers,
@@ -73,7 +73,7 @@
     fun markOpenJobs() {
         for (id in waiting.keys) {
             val job = jobStore.jobs[id] ?: continue
-            if (!job.record.cancel) mark(job.record, job.stamp)
+            if (!job.record.cancelRequested) mark(job.record, job.modRevision)
         }
     }
 
@@ -90,9 +90,9 @@
         open: KeyValue,
     ) {
         jobStore.final(id)?.let { return cancellation.respond(answers.over(id, it)) }
-        val record = decodeRecord(JobRecord.serializer(), open.v) ?: return cancellation.respond(answers.tryAgain())
+        val record = decodeRecord(JobRecord.serializer(), open.value) ?: return cancellation.respond(answers.tryAgain())
         await(id, cancellation)
-        if (!record.cancel) mark(record, open.stamp)
+        if (!record.cancelRequested) mark(record, open.modRevision)
     }
 
     private fun isTurnedAway(cancellation: Cancellation): Boolean {
@@ -106,7 +106,7 @@
         val marked = waiting.entries.iterator()
         while (marked.hasNext()) {
             val (id, list) = marked.next()
-            if (jobStore.jobs[id]?.record?.cancel != true) continue
+            if (jobStore.jobs[id]?.record?.cancelRequested != true) continue
             list.forEach { it.respond(answers.tryAgain()) }
             marked.remove()
         }
@@ -114,36 +114,36 @@
 
     private fun mark(
         record: JobRecord,
-        stamp: Long,
+        modRevision: Long,
     ) {
         val id = record.spec.id
         if (now.steady < (markAgainAt[id] ?: Long.MIN_VALUE)) return
         markAgainAt[id] = now.steady + Tuning.STATE_MS
-        val value = encodeRecord(JobRecord.serializer(), record.copy(cancel = true))
-        val condition = Condition(Keys.job(id), stamp)
-        val change = Change(put = Keys.job(id), v = value)
-        state.txn(listOf(condition), listOf(change), Lane.ORDINARY) { marked(id, it) }
+        val value = encodeRecord(JobRecord.serializer(), record.copy(cancelRequested = true))
+        val condition = Condition(Keys.job(id), modRevision)
+        val change = Change(put = Keys.job(id), value = value)
+        state.transact(listOf(condition), listOf(change), RequestClass.ORDINARY) { marked(id, it) }
     }
 
     private fun marked(
         id: String,
-        result: TxnResult,
+        result: TransactionResult,
     ) {
         // Once written, the watch brings the mark.
         markAgainAt[id] = now.steady + Tuning.STATE_RETRY_MS
         when (result) {
             // It is tried again when a user asks again.
-            TxnResult.Refused, TxnResult.TooLarge -> {
+            TransactionResult.Refused, TransactionResult.TooLarge -> {
                 markAgainAt.remove(id)
                 waiting.remove(id)?.forEach { it.respond(answers.tryAgain()) }
             }
 
             // Over, or marked by another node, and this node's job store is behind.
-            is TxnResult.Conflict -> {
+            is TransactionResult.Conflict -> {
                 lookup.refreshFinal(id)
             }
 
-            is TxnResult.Ok, TxnResult.NoLease, TxnResult.Unknown -> {
+            is TransactionResult.Committed, TransactionResult.LeaseExpired, TransactionResult.Unknown -> {
                 Unit
             }
         }
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/intake/Intake.kt
@@ -6,15 +6,15 @@
 import ledgearch.core.Now
 import ledgearch.http.HttpStatus
 import ledgearch.http.Request
-import ledgearch.state.StateClient
+import ledgearch.state.StoreClient
 import ledgearch.wire.Condition
 
 /** The grant as far as intake needs it: the leader's submissions are accepted under its own grant. */
-internal interface GrantView {
-    val holding: Boolean
+internal interface LeadershipView {
+    val isLeader: Boolean
     val condition: Condition
 
-    fun verified(
+    fun leadershipConfirmed(
         sentAt: Long,
         under: Long,
     )
@@ -27,19 +27,19 @@
 internal class Intake(
     settings: Settings,
     jobStore: JobStore,
-    state: StateClient,
-    grant: GrantView,
+    state: StoreClient,
+    leadership: LeadershipView,
     now: Now,
 ) {
     private val deployment = settings.deployment
     private val freshMs = (deployment.workers.cancelS * 1000 * Tuning.FRESH_SHARE).toLong()
     private val limits = SubmissionLimits(deployment.teams.associateBy { it.name }, deployment.state.safeValueBytes)
-    private val answers = JobAnswers(grant, settings.operator.retryAfterS)
+    private val answers = JobAnswers(leadership, settings.operator.retryAfterS)
     private val dependencies = DependencyKnowledge(jobStore, now, freshMs)
     private val lookup = JobLookup(jobStore, dependencies, answers)
     private val polls = Polls(jobStore, state, now, dependencies, lookup, answers)
     private val submissions =
-        Submissions(limits, jobStore, state, grant, now, dependencies, lookup, polls, answers)
+        Submissions(limits, jobStore, state, leadership, now, dependencies, lookup, polls, answers)
     private val cancellations = Cancellations(jobStore, state, now, lookup, answers)
 
     /** Answers [request] by [respond], at once or when its answer is known. */
--- a/src/main/kotlin/ledgearch/intake/JobAnswers.kt
+++ b/src/main/kotlin/ledgearch/intake/JobAnswers.kt
@@ -20,7 +20,7 @@
 
 /** Builds the answers to requests about jobs; whether an answer may be given is for its users to decide. */
 internal class JobAnswers(
-    private val grant: GrantView,
+    private val leadership: LeadershipView,
     private val retryAfterS: Int,
 ) {
     /** A submission was accepted and its job is in [state]. */
@@ -31,8 +31,8 @@
 
     /** The open job [job]; its progress is known from its own tasks on the leader, elsewhere from the leader's news. */
     fun open(job: Job): Response {
-        val running = if (grant.holding) job.runningCount else job.shown?.running ?: 0
-        val done = if (grant.holding) job.finishedCount else job.shown?.done ?: 0
+        val running = if (leadership.isLeader) job.runningCount else job.shown?.running ?: 0
+        val done = if (leadership.isLeader) job.finishedCount else job.shown?.done ?: 0
         val state = if (running > 0) JobState.RUNNING else JobState.PENDING
         return status(HttpStatus.OK, JobStatus(job.id, state, done, running))
     }
--- a/src/main/kotlin/ledgearch/intake/JobLookup.kt
+++ b/src/main/kotlin/ledgearch/intake/JobLookup.kt
@@ -75,7 +75,7 @@
     private fun unseenAnswer(
         id: String,
         open: KeyValue,
-    ) = if (decodeRecord(JobRecord.serializer(), open.v)?.spec?.dependsOn != null) {
+    ) = if (decodeRecord(JobRecord.serializer(), open.value)?.spec?.dependsOn != null) {
         // Its transaction may have been carried out long after what it waits for was over: the job store will tell.
         answers.tryAgain()
     } else {
--- a/src/main/kotlin/ledgearch/intake/Polls.kt
+++ b/src/main/kotlin/ledgearch/intake/Polls.kt
@@ -5,9 +5,9 @@
 import ledgearch.core.JobStore
 import ledgearch.core.Keys
 import ledgearch.core.Now
-import ledgearch.state.Lane
-import ledgearch.state.StateClient
-import ledgearch.state.TxnResult
+import ledgearch.state.RequestClass
+import ledgearch.state.StoreClient
+import ledgearch.state.TransactionResult
 import ledgearch.wire.Condition
 
 /**
@@ -16,7 +16,7 @@
  */
 internal class Polls(
     private val jobStore: JobStore,
-    private val state: StateClient,
+    private val state: StoreClient,
     private val now: Now,
     private val dependencies: DependencyKnowledge,
     private val lookup: JobLookup,
@@ -34,7 +34,7 @@
     /** What one transaction compares, and the polls that it answers. */
     private class Batch {
         val polls = ArrayList<Poll>()
-        val stamps = LinkedHashMap<String, Long>()
+        val keyRevisions = LinkedHashMap<String, Long>()
 
         fun add(
             poll: Poll,
@@ -42,11 +42,11 @@
         ) {
             polls.add(poll)
             poll.asOpen = job != null
-            stamps[Keys.job(poll.id)] = job?.stamp ?: 0
-            if (job == null) stamps[Keys.final(poll.id)] = 0
+            keyRevisions[Keys.job(poll.id)] = job?.modRevision ?: 0
+            if (job == null) keyRevisions[Keys.final(poll.id)] = 0
         }
 
-        fun conditions() = stamps.map { (key, stamp) -> Condition(key, stamp) }
+        fun conditions() = keyRevisions.map { (key, modRevision) -> Condition(key, modRevision) }
     }
 
     private val waiting = ArrayDeque<Poll>()
@@ -77,7 +77,7 @@
         val batch = nextBatch()
         if (batch.polls.isEmpty()) return
         confirming = true
-        state.txn(batch.conditions(), emptyList(), Lane.ORDINARY) { result ->
+        state.transact(batch.conditions(), emptyList(), RequestClass.ORDINARY) { result ->
             confirming = false
             confirmed(batch, result)
         }
@@ -86,7 +86,7 @@
     private fun nextBatch(): Batch {
         val batch = Batch()
         val heldBack = ArrayList<Poll>()
-        while (waiting.isNotEmpty() && batch.stamps.size + STAMPS_OF_A_POLL <= state.maxConditions) {
+        while (waiting.isNotEmpty() && batch.keyRevisions.size + KEYS_OF_A_POLL <= state.maxConditions) {
             val poll = waiting.removeFirst()
             val job = jobStore.jobs[poll.id]
             val final = jobStore.final(poll.id)
@@ -106,22 +106,22 @@
 
     private fun confirmed(
         batch: Batch,
-        result: TxnResult,
+        result: TransactionResult,
     ) {
         when (result) {
-            is TxnResult.Ok -> {
+            is TransactionResult.Committed -> {
                 batch.polls.forEach(::answer)
             }
 
-            is TxnResult.Conflict -> {
+            is TransactionResult.Conflict -> {
                 batch.polls.asReversed().forEach { differed(it, result.failed) }
             }
 
-            TxnResult.Refused, TxnResult.TooLarge, TxnResult.NoLease -> {
+            TransactionResult.Refused, TransactionResult.TooLarge, TransactionResult.LeaseExpired -> {
                 batch.polls.forEach { it.respond(answers.tryAgain()) }
             }
 
-            TxnResult.Unknown -> {
+            TransactionResult.Unknown -> {
                 retryAt = now.steady + Tuning.STATE_RETRY_MS
                 batch.polls.asReversed().forEach(waiting::addFirst)
             }
@@ -160,6 +160,6 @@
 
     private companion object {
         /** A poll compares the stamps of the open and the final record at most. */
-        const val STAMPS_OF_A_POLL = 2
+        const val KEYS_OF_A_POLL = 2
     }
 }
--- a/src/main/kotlin/ledgearch/intake/SubmissionBatch.kt
+++ b/src/main/kotlin/ledgearch/intake/SubmissionBatch.kt
@@ -42,13 +42,13 @@
     }
 }
 
-/** One transaction that accepts several jobs; it compares [grantCondition] where this node leads. */
+/** One transaction that accepts several jobs; it compares [leadershipCondition] where this node leads. */
 internal class SubmissionBatch(
-    val grantCondition: Condition?,
+    val leadershipCondition: Condition?,
     private val maxChanges: Int,
 ) {
     val submissions = ArrayList<Submission>()
-    val conditions = ArrayList(listOfNotNull(grantCondition))
+    val conditions = ArrayList(listOfNotNull(leadershipCondition))
     val changes = ArrayList<Change>()
 
     /** Those that are cancelled as they are accepted. */
@@ -62,7 +62,7 @@
     ): Boolean {
         val change = if (isCancelled) cancelledChange(submission.id) else openChange(submission.record)
         val size = sizeOf(change)
-        val isFull = changes.size >= maxChanges || bytes + size > Tuning.TXN_BYTES
+        val isFull = changes.size >= maxChanges || bytes + size > Tuning.TRANSACTION_BYTES
         if (isFull && submissions.isNotEmpty()) return false
         bytes += size
         submissions.add(submission)
@@ -76,14 +76,14 @@
 
     private fun cancelledChange(id: String): Change {
         val record = FinalRecord(JobState.CANCELLED)
-        return Change(put = Keys.final(id), v = encodeRecord(FinalRecord.serializer(), record))
+        return Change(put = Keys.final(id), value = encodeRecord(FinalRecord.serializer(), record))
     }
 
     private fun openChange(record: JobRecord) =
-        Change(put = Keys.job(record.spec.id), v = encodeRecord(JobRecord.serializer(), record))
+        Change(put = Keys.job(record.spec.id), value = encodeRecord(JobRecord.serializer(), record))
 
     private fun sizeOf(change: Change): Int {
-        val text = change.v.toString()
+        val text = change.value.toString()
         return text.encodeToByteArray().size * SIZE_FACTOR
     }
 
--- a/src/main/kotlin/ledgearch/intake/Submissions.kt
+++ b/src/main/kotlin/ledgearch/intake/Submissions.kt
@@ -8,9 +8,9 @@
 import ledgearch.core.Keys
 import ledgearch.core.Now
 import ledgearch.http.HttpStatus
-import ledgearch.state.Lane
-import ledgearch.state.StateClient
-import ledgearch.state.TxnResult
+import ledgearch.state.RequestClass
+import ledgearch.state.StoreClient
+import ledgearch.state.TransactionResult
 import ledgearch.wire.JobState
 import ledgearch.wire.WireJson
 
@@ -24,8 +24,8 @@
 internal class Submissions(
     private val limits: SubmissionLimits,
     private val jobStore: JobStore,
-    private val state: StateClient,
-    private val grant: GrantView,
+    private val state: StoreClient,
+    private val leadership: LeadershipView,
     private val now: Now,
     private val dependencies: DependencyKnowledge,
     private val lookup: JobLookup,
@@ -78,7 +78,7 @@
         if (batch.submissions.isEmpty()) return
         submitting = true
         val sentAt = now.steady
-        state.txn(batch.conditions, batch.changes, Lane.ORDINARY) { result ->
+        state.transact(batch.conditions, batch.changes, RequestClass.ORDINARY) { result ->
             submitting = false
             answered(batch, result, sentAt)
         }
@@ -92,7 +92,7 @@
     ) {
         val spec = record.spec
         val id = spec.id
-        if (bytes(record.copy(cancel = true)) > limits.valueBytes) {
+        if (bytes(record.copy(cancelRequested = true)) > limits.valueBytes) {
             return refuse(id, HttpStatus.BAD_REQUEST, "too large", respond)
         }
         if (joined(id, respond)) return
@@ -174,7 +174,7 @@
     // --- Batches ------------------------------------------------------------------------------------------------
 
     private fun nextBatch(): SubmissionBatch {
-        val batch = SubmissionBatch(grant.condition.takeIf { grant.holding }, state.maxChanges)
+        val batch = SubmissionBatch(leadership.condition.takeIf { leadership.isLeader }, state.maxChanges)
         for (submission in waiting.values.toList()) {
             if (!add(submission, batch)) break
         }
@@ -215,25 +215,25 @@
 
     private fun answered(
         batch: SubmissionBatch,
-        result: TxnResult,
+        result: TransactionResult,
         sentAt: Long,
     ) {
         when (result) {
-            is TxnResult.Ok -> {
-                executed(batch, result.edition, sentAt)
+            is TransactionResult.Committed -> {
+                executed(batch, result.revision, sentAt)
             }
 
-            is TxnResult.Conflict -> {
+            is TransactionResult.Conflict -> {
                 batch.submissions.forEach { conflicted(it, result.failed) }
             }
 
             // Not taken: the users are told at once, and when to come back.
-            TxnResult.Refused, TxnResult.TooLarge, TxnResult.NoLease -> {
+            TransactionResult.Refused, TransactionResult.TooLarge, TransactionResult.LeaseExpired -> {
                 batch.submissions.forEach(::turnAway)
             }
 
             // A repeat is harmless: if the first was executed, the condition fails and the job is found.
-            TxnResult.Unknown -> {
+            TransactionResult.Unknown -> {
                 retryAt = now.steady + Tuning.STATE_RETRY_MS
             }
         }
@@ -244,16 +244,16 @@
         revision: Long,
         sentAt: Long,
     ) {
-        val condition = batch.grantCondition
-        if (condition != null) grant.verified(sentAt, condition.stamp)
+        val condition = batch.leadershipCondition
+        if (condition != null) leadership.leadershipConfirmed(sentAt, condition.modRevision)
         for (submission in batch.submissions) {
             waiting.remove(submission.id, submission)
-            val isUnderGrant = condition != null && grant.holding
+            val isUnderLeadership = condition != null && leadership.isLeader
             if (submission in batch.cancelled) {
                 jobStore.rememberFinal(submission.id, FinalRecord(JobState.CANCELLED))
                 accepted(submission, JobState.CANCELLED)
             } else {
-                if (isUnderGrant) jobStore.acceptUnderGrant(submission.record, revision)
+                if (isUnderLeadership) jobStore.acceptUnderLeadership(submission.record, revision)
                 accepted(submission, JobState.PENDING)
             }
         }
--- a/src/main/kotlin/ledgearch/intake/Submitted.kt
+++ b/src/main/kotlin/ledgearch/intake/Submitted.kt
@@ -100,8 +100,8 @@
     }
 
     private fun flag(name: String): Boolean {
-        val v = value(name) ?: missing(name)
-        return (v as? JsonPrimitive)?.takeIf { !it.isString }?.booleanOrNull
+        val element = value(name) ?: missing(name)
+        return (element as? JsonPrimitive)?.takeIf { !it.isString }?.booleanOrNull
             ?: throw Malformed("$name: must be true or false")
     }
 
--- a/src/main/kotlin/ledgearch/leader/Election.kt
+++ b/src/main/kotlin/ledgearch/leader/Election.kt
@@ -1,27 +1,27 @@
 package ledgearch.leader
 
 import ledgearch.Tuning
-import ledgearch.core.GrantRecord
+import ledgearch.core.LeadershipRecord
 import ledgearch.core.JobStore
 import ledgearch.core.Keys
 import ledgearch.core.Now
-import ledgearch.core.SilenceRecord
+import ledgearch.core.StepDownRecord
 import ledgearch.core.decodeRecord
 import ledgearch.core.encodeRecord
-import ledgearch.state.Lane
+import ledgearch.state.RequestClass
 import ledgearch.state.ReadResult
-import ledgearch.state.StateClient
-import ledgearch.state.TxnResult
+import ledgearch.state.StoreClient
+import ledgearch.state.TransactionResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
 
 internal interface ElectionListener {
-    /** This node holds the block under [token]. [fresh]: by a new grant, not by a renewed token of its own. */
-    fun granted(
+    /** This node holds the block under [token]. [newTerm]: by a new grant, not by a renewed token of its own. */
+    fun elected(
         token: Long,
-        fresh: Boolean,
+        newTerm: Boolean,
     )
 
     fun lost()
@@ -34,8 +34,8 @@
  */
 internal class Election(
     private val node: String,
-    private val life: Long,
-    private val state: StateClient,
+    private val instance: Long,
+    private val state: StoreClient,
     private val jobStore: () -> JobStore,
     private val now: Now,
     private val random: Random,
@@ -44,54 +44,54 @@
     private val claimDelayMs: () -> Long = { random.nextLong(Tuning.ELECTION_SPREAD_MS) },
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.leader")
-    private var permit = 0L
+    private var leaseId = 0L
     private var leaseBusy = false
-    private var touchAt = 0L
+    private var keepAliveAt = 0L
     private var claiming = false
     private var claimAt = 0L
     private var challengedAt = Long.MIN_VALUE / 2
-    private var standBackUntil = Long.MIN_VALUE
+    private var pausedUntil = Long.MIN_VALUE
 
     /** The token under which this node holds the block, 0 when it does not. */
     var token = 0L
         private set
 
     /** The grant was still this node's at this steady ms. */
-    var verifiedAt = Long.MIN_VALUE
+    var confirmedAt = Long.MIN_VALUE
         private set
 
     /** Steady ms of the last fresh grant. */
-    var grantedAt = 0L
+    var electedAt = 0L
         private set
-    private var verifying = false
-    private var verifyTryAt = 0L
-    private var bumping = false
-    private var bumpedAt = Long.MIN_VALUE / 2
+    private var confirming = false
+    private var confirmTryAt = 0L
+    private var renewingToken = false
+    private var tokenRenewedAt = Long.MIN_VALUE / 2
 
-    val holding: Boolean get() = token != 0L
+    val isLeader: Boolean get() = token != 0L
 
     /** The grant was still this node's so lately that its lease can't have run out since. */
-    val sure: Boolean get() = holding && now.steady - verifiedAt < Tuning.LEASE_MS
-    val condition: Condition get() = Condition(Keys.grant(0), token)
+    val hasValidLease: Boolean get() = isLeader && now.steady - confirmedAt < Tuning.LEASE_MS
+    val condition: Condition get() = Condition(Keys.leadership(0), token)
 
     /** A transaction with [condition] sent at [sentAt] under [under] went through. */
-    fun verified(
+    fun leadershipConfirmed(
         sentAt: Long,
         under: Long,
     ) {
-        if (under == token && sentAt > verifiedAt) verifiedAt = sentAt
+        if (under == token && sentAt > confirmedAt) confirmedAt = sentAt
     }
 
     /** A comparison of the grant held under [under] has failed. */
-    fun doubted(under: Long) {
-        if (holding && !bumping && token == under) compareGrant()
+    fun leadershipDoubted(under: Long) {
+        if (isLeader && !renewingToken && token == under) compareLeadership()
     }
 
     /**
      * The job store has news of the grant. A leader stops at a newer grant before it learns of anything that was
      * accepted under it, also while it renews its token: what comes after that grant is the next leader's to start.
      */
-    fun grantChanged() {
+    fun leadershipChanged() {
         compareJobStore()
         claimAt = now.steady + claimDelayMs()
     }
@@ -99,73 +99,73 @@
     /** The grant in the job store is the one held, the one that took its place, or this node holds nothing any more. */
     private fun compareJobStore() {
         val b = jobStore()
-        if (holding && b.grantStamp > token &&
-            !renewed(b.grant, b.grantStamp)
+        if (isLeader && b.leadershipRevision > token &&
+            !renewed(b.leadership, b.leadershipRevision)
         ) {
-            lose("another grant was made: ${b.grant?.node}")
+            loseLeadership("another grant was made: ${b.leadership?.node}")
         }
-        if (holding && b.grantStamp == 0L && b.revision >= token) lose("the grant's lease ran out")
+        if (isLeader && b.leadershipRevision == 0L && b.revision >= token) loseLeadership("the grant's lease ran out")
     }
 
-    fun lose(why: String) {
-        if (!holding) return
+    fun loseLeadership(why: String) {
+        if (!isLeader) return
         log.warn("block 0: grant {} lost: {}", token, why)
         token = 0
-        bumping = false
+        renewingToken = false
         listener.lost()
     }
 
     /** Gives the block up so that a node that can serve it takes it. [silent]: since next to no machine is heard. */
-    fun giveUp(
+    fun stepDown(
         why: String,
         silent: Boolean = false,
     ) {
-        if (!holding) return
+        if (!isLeader) return
         val old = token
-        standBackUntil = now.steady + Tuning.STAND_BACK_MS
-        lose(why)
-        withdrawGrant(old, if (silent) listOf(silenceChange()) else emptyList())
+        pausedUntil = now.steady + Tuning.STEP_DOWN_PAUSE_MS
+        loseLeadership(why)
+        releaseLeadership(old, if (silent) listOf(stepDownChange()) else emptyList())
     }
 
-    private fun silenceChange(): Change {
-        val record = SilenceRecord(node, now.wall)
-        return Change(put = Keys.silence(0), v = encodeRecord(SilenceRecord.serializer(), record))
+    private fun stepDownChange(): Change {
+        val record = StepDownRecord(node, now.wall)
+        return Change(put = Keys.stepDown(0), value = encodeRecord(StepDownRecord.serializer(), record))
     }
 
     /** A leader before this one has given the block up of late, and the change of leader did not help. */
-    val changedInVain: Boolean get() =
-        jobStore().silence.let {
+    val steppedDownRecently: Boolean get() =
+        jobStore().lastStepDown.let {
             it != null &&
-                now.wall - it.at < Tuning.CHANGED_IN_VAIN_MS
+                now.wall - it.at < Tuning.RECENT_STEP_DOWN_MS
         }
 
-    private fun withdrawGrant(
-        stamp: Long,
+    private fun releaseLeadership(
+        modRevision: Long,
         told: List<Change> = emptyList(),
     ) {
-        state.txn(
-            listOf(Condition(Keys.grant(0), stamp)),
-            listOf(Change(remove = Keys.grant(0))) + told,
-            Lane.VITAL,
+        state.transact(
+            listOf(Condition(Keys.leadership(0), modRevision)),
+            listOf(Change(remove = Keys.leadership(0))) + told,
+            RequestClass.CRITICAL,
         ) { }
     }
 
     fun drive() {
         driveLease()
         val b = jobStore()
-        if (!b.loaded || permit == 0L) return
-        if (holding) {
-            driveVerify()
+        if (!b.loaded || leaseId == 0L) return
+        if (isLeader) {
+            driveConfirmation()
             return
         }
-        val mine = b.grant?.node == node
-        if (claiming || now.steady < claimAt || !(mine || b.grantStamp == 0L)) return
-        if (now.steady >= standBackUntil) {
+        val mine = b.leadership?.node == node
+        if (claiming || now.steady < claimAt || !(mine || b.leadershipRevision == 0L)) return
+        if (now.steady >= pausedUntil) {
             // Free, or left by an earlier life of this node, or by a claim whose answer was lost.
-            claim(b.grantStamp)
+            claim(b.leadershipRevision)
         } else if (mine) {
             claimAt = now.steady + Tuning.STATE_RETRY_MS
-            withdrawGrant(b.grantStamp)
+            releaseLeadership(b.leadershipRevision)
         }
     }
 
@@ -175,57 +175,57 @@
      */
     fun challenge(leader: String) {
         val b = jobStore()
-        if (holding || claiming || permit == 0L || !b.loaded || b.grant?.node != leader) return
-        if (now.steady < standBackUntil || now.steady - challengedAt < Tuning.CHALLENGE_MS) return
+        if (isLeader || claiming || leaseId == 0L || !b.loaded || b.leadership?.node != leader) return
+        if (now.steady < pausedUntil || now.steady - challengedAt < Tuning.CHALLENGE_MS) return
         challengedAt = now.steady
-        log.info("block 0: {} refuses connections; its grant {} is claimed", leader, b.grantStamp)
-        claim(b.grantStamp)
+        log.info("block 0: {} refuses connections; its grant {} is claimed", leader, b.leadershipRevision)
+        claim(b.leadershipRevision)
     }
 
     /**
-     * [grant], made at [stamp], is this life's own: a renewed token whose transaction was answered too late. It was
+     * [leadership], made at [modRevision], is this life's own: a renewed token whose transaction was answered too late. It was
      * written over the token held till then, so nobody else had the block in between. A claim of this life that is
      * carried out late says no such thing.
      */
     private fun renewed(
-        grant: GrantRecord?,
-        stamp: Long,
+        leadership: LeadershipRecord?,
+        modRevision: Long,
     ): Boolean {
-        if (grant?.node != node || grant.life != life || grant.over != token) return false
-        renewedTo(stamp)
+        if (leadership?.node != node || leadership.instance != instance || leadership.renews != token) return false
+        tokenRenewed(modRevision)
         return true
     }
 
-    /** This leader's token is [stamp] from now on; a renewal that is still under way has nothing more to tell. */
-    private fun renewedTo(stamp: Long) {
-        log.info("block 0: token {} replaces {}", stamp, token)
-        token = stamp
-        bumping = false
-        listener.granted(token, fresh = false)
+    /** This leader's token is [modRevision] from now on; a renewal that is still under way has nothing more to tell. */
+    private fun tokenRenewed(modRevision: Long) {
+        log.info("block 0: token {} replaces {}", modRevision, token)
+        token = modRevision
+        renewingToken = false
+        listener.elected(token, newTerm = false)
     }
 
     /** A new token for the same leader: fences direct commands that were lost on their way. */
-    fun bump() {
-        if (!holding || bumping || now.steady - bumpedAt < Tuning.BUMP_MS) return
-        bumping = true
-        bumpedAt = now.steady
+    fun renewToken() {
+        if (!isLeader || renewingToken || now.steady - tokenRenewedAt < Tuning.TOKEN_RENEWAL_MS) return
+        renewingToken = true
+        tokenRenewedAt = now.steady
         val old = token
-        state.txn(listOf(condition), listOf(put(over = old)), Lane.VITAL) { result ->
-            if (token != old || !bumping) return@txn
-            bumping = false
+        state.transact(listOf(condition), listOf(put(renews = old)), RequestClass.CRITICAL) { result ->
+            if (token != old || !renewingToken) return@transact
+            renewingToken = false
             when (result) {
-                is TxnResult.Ok -> {
-                    if (superseded(result.edition)) return@txn lose("another grant was made")
-                    renewedTo(result.edition)
+                is TransactionResult.Committed -> {
+                    if (superseded(result.revision)) return@transact loseLeadership("another grant was made")
+                    tokenRenewed(result.revision)
                 }
 
                 // An earlier try may have been carried out late: the grant itself tells.
-                is TxnResult.Conflict -> {
-                    compareGrant()
+                is TransactionResult.Conflict -> {
+                    compareLeadership()
                 }
 
                 // Perhaps written: the job store shows it, now or later.
-                TxnResult.Unknown, TxnResult.NoLease, TxnResult.Refused, TxnResult.TooLarge -> {
+                TransactionResult.Unknown, TransactionResult.LeaseExpired, TransactionResult.Refused, TransactionResult.TooLarge -> {
                     compareJobStore()
                 }
             }
@@ -236,22 +236,22 @@
      * The key is at another stamp than the token: this leader's own by a renewal that nobody answered for, or
      * another's.
      */
-    private fun compareGrant() {
+    private fun compareLeadership() {
         val old = token
-        state.get(Keys.grant(0), Lane.VITAL) { read ->
-            if (token != old || !holding) return@get
+        state.get(Keys.leadership(0), RequestClass.CRITICAL) { read ->
+            if (token != old || !isLeader) return@get
             when (read) {
                 is ReadResult.Found -> {
-                    val grant = decodeRecord(GrantRecord.serializer(), read.value.v)
-                    if (read.value.stamp != token &&
-                        !renewed(grant, read.value.stamp)
+                    val leadership = decodeRecord(LeadershipRecord.serializer(), read.value.value)
+                    if (read.value.modRevision != token &&
+                        !renewed(leadership, read.value.modRevision)
                     ) {
-                        lose("another grant was made: ${grant?.node}")
+                        loseLeadership("another grant was made: ${leadership?.node}")
                     }
                 }
 
                 ReadResult.Absent -> {
-                    lose("the grant's lease ran out")
+                    loseLeadership("the grant's lease ran out")
                 }
 
                 // The next comparison tells.
@@ -262,36 +262,36 @@
         }
     }
 
-    /** The watch has already shown what came after the grant made at [edition]. */
-    private fun superseded(edition: Long): Boolean {
+    /** The watch has already shown what came after the grant made at [revision]. */
+    private fun superseded(revision: Long): Boolean {
         val b = jobStore()
-        return b.grantStamp > edition || (b.grantStamp == 0L && b.revision > edition)
+        return b.leadershipRevision > revision || (b.leadershipRevision == 0L && b.revision > revision)
     }
 
-    private fun put(over: Long = 0) =
+    private fun put(renews: Long = 0) =
         Change(
-            put = Keys.grant(0),
-            v = encodeRecord(GrantRecord.serializer(), GrantRecord(node, life, over)),
-            permit = permit,
+            put = Keys.leadership(0),
+            value = encodeRecord(LeadershipRecord.serializer(), LeadershipRecord(node, instance, renews)),
+            leaseId = leaseId,
         )
 
-    private fun claim(stamp: Long) {
+    private fun claim(modRevision: Long) {
         claiming = true
         val sentAt = now.steady
-        state.txn(listOf(Condition(Keys.grant(0), stamp)), listOf(put()), Lane.VITAL) { result ->
+        state.transact(listOf(Condition(Keys.leadership(0), modRevision)), listOf(put()), RequestClass.CRITICAL) { result ->
             claiming = false
             when (result) {
-                is TxnResult.Ok -> {
-                    if (superseded(result.edition)) return@txn
-                    token = result.edition
-                    verifiedAt = sentAt
-                    grantedAt = now.steady
+                is TransactionResult.Committed -> {
+                    if (superseded(result.revision)) return@transact
+                    token = result.revision
+                    confirmedAt = sentAt
+                    electedAt = now.steady
                     log.info("block 0: granted to this node under token {}", token)
-                    listener.granted(token, fresh = true)
+                    listener.elected(token, newTerm = true)
                 }
 
-                TxnResult.NoLease -> {
-                    permit = 0
+                TransactionResult.LeaseExpired -> {
+                    leaseId = 0
                 }
 
                 else -> {
@@ -302,35 +302,35 @@
     }
 
     private fun driveLease() {
-        if (leaseBusy || now.steady < touchAt) return
+        if (leaseBusy || now.steady < keepAliveAt) return
         leaseBusy = true
-        touchAt = now.steady + Tuning.TOUCH_MS
-        if (permit == 0L) {
+        keepAliveAt = now.steady + Tuning.KEEP_ALIVE_MS
+        if (leaseId == 0L) {
             state.openLease { new ->
                 leaseBusy = false
-                permit = new ?: 0
-                if (new == null) touchAt = now.steady + Tuning.STATE_RETRY_MS
+                leaseId = new ?: 0
+                if (new == null) keepAliveAt = now.steady + Tuning.STATE_RETRY_MS
             }
         } else {
-            state.touch(permit) { alive ->
+            state.keepAlive(leaseId) { alive ->
                 leaseBusy = false
-                if (alive == false) permit = 0
-                if (alive != true) touchAt = now.steady + Tuning.STATE_RETRY_MS
+                if (alive == false) leaseId = 0
+                if (alive != true) keepAliveAt = now.steady + Tuning.STATE_RETRY_MS
             }
         }
     }
 
-    private fun driveVerify() {
-        if (verifying || bumping || now.steady - verifiedAt < Tuning.VERIFY_MS || now.steady < verifyTryAt) return
-        verifying = true
-        verifyTryAt = now.steady + Tuning.STATE_RETRY_MS
+    private fun driveConfirmation() {
+        if (confirming || renewingToken || now.steady - confirmedAt < Tuning.CONFIRM_LEADERSHIP_MS || now.steady < confirmTryAt) return
+        confirming = true
+        confirmTryAt = now.steady + Tuning.STATE_RETRY_MS
         val under = token
         val sentAt = now.steady
-        state.txn(listOf(condition), emptyList(), Lane.VITAL) { result ->
-            verifying = false
+        state.transact(listOf(condition), emptyList(), RequestClass.CRITICAL) { result ->
+            confirming = false
             when (result) {
-                is TxnResult.Ok -> verified(sentAt, under)
-                is TxnResult.Conflict -> doubted(under)
+                is TransactionResult.Committed -> leadershipConfirmed(sentAt, under)
+                is TransactionResult.Conflict -> leadershipDoubted(under)
                 else -> Unit
             }
         }
--- a/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
+++ b/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
@@ -26,7 +26,7 @@
     /** [p] is gone with its machine. */
     fun lost(p: TaskAttempt) {
         val job = p.job ?: return
-        if (job.closed || job.record.cancel || job.finished.get(p.index)) return
+        if (job.closed || job.record.cancelRequested || job.finished.get(p.index)) return
         entryOf(job).waiting.add(p.index)
     }
 
@@ -57,7 +57,7 @@
 
     /** Forgets jobs that are over. */
     fun removeClosed() {
-        if (entries.isNotEmpty()) entries.keys.removeIf { it.closed || it.record.cancel || it.complete }
+        if (entries.isNotEmpty()) entries.keys.removeIf { it.closed || it.record.cancelRequested || it.complete }
     }
 
     val anyWaiting: Boolean get() = entries.values.any { !it.waiting.isEmpty }
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import ledgearch.Tuning
-import ledgearch.core.GrantRecord
+import ledgearch.core.LeadershipRecord
 import ledgearch.core.Now
 import ledgearch.mesh.Mesh
 import org.slf4j.LoggerFactory
@@ -77,11 +77,11 @@
     /** This node leads no more. */
     fun end() = streamLog.end()
 
-    fun grantChanged(
-        grant: GrantRecord?,
-        stamp: Long,
+    fun leadershipChanged(
+        leadership: LeadershipRecord?,
+        modRevision: Long,
     ) {
-        if (!replaced.changed(grant, stamp)) return
+        if (!replaced.changed(leadership, modRevision)) return
         // The replica is of the leader before: a later stream begins with a snapshot of its own.
         if (replica.term != 0L && !replaced.mayBe(replica.term)) replica.clear()
     }
--- a/src/main/kotlin/ledgearch/state/StateClient.kt
+++ b/src/main/kotlin/ledgearch/state/StoreClient.kt
@@ -12,32 +12,32 @@
 import ledgearch.wire.KeyValue
 import ledgearch.wire.LeaseReply
 import ledgearch.wire.LeaseRequest
-import ledgearch.wire.NewsPage
-import ledgearch.wire.Txn
-import ledgearch.wire.TxnReply
+import ledgearch.wire.WatchReply
+import ledgearch.wire.Transaction
+import ledgearch.wire.TransactionReply
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
-internal sealed interface TxnResult {
-    data class Ok(
-        val edition: Long,
-    ) : TxnResult
+internal sealed interface TransactionResult {
+    data class Committed(
+        val revision: Long,
+    ) : TransactionResult
 
     data class Conflict(
         val failed: List<String>,
-    ) : TxnResult
+    ) : TransactionResult
 
     /** Surely not executed, and nothing to be gained by asking again at once: an outage, or no budget left. */
-    data object Refused : TxnResult
+    data object Refused : TransactionResult
 
     /** Surely not executed, and never to be as it is: a value or the transaction is larger than the service takes. */
-    data object TooLarge : TxnResult
+    data object TooLarge : TransactionResult
 
     /** The lease of a put is gone. */
-    data object NoLease : TxnResult
+    data object LeaseExpired : TransactionResult
 
     /** No answer: executed, or not, or yet to be. */
-    data object Unknown : TxnResult
+    data object Unknown : TransactionResult
 }
 
 /** What a read brought; [Failed] says nothing about the store. */
@@ -51,13 +51,13 @@
     data object Failed : ReadResult<Nothing>
 }
 
-internal enum class Lane { VITAL, ORDINARY }
+internal enum class RequestClass { CRITICAL, ORDINARY }
 
 /**
  * Requests to the state service within this node's part of its limits. What doesn't fit waits in a lane,
  * vital ones first; what has waited too long is refused.
  */
-internal class StateClient(
+internal class StoreClient(
     private val address: String,
     private val limits: StateLimits,
     private val nodes: Int,
@@ -82,7 +82,7 @@
 
     /** The service has shown that it keeps to the lower rates of the settings by now. */
     private var lowered = false
-    private val lanes = Lane.entries.associateWith { ArrayDeque<Waiting>() }
+    private val lanes = RequestClass.entries.associateWith { ArrayDeque<Waiting>() }
     private var pausedUntil = Long.MIN_VALUE
 
     /** When the service last answered anything but a refusal (steady ms). */
@@ -131,20 +131,20 @@
     val maxChanges: Int get() = limits.safeTxnOps
     val maxConditions: Int get() = limits.safeTxnOps * 4
 
-    fun txn(
+    fun transact(
         conditions: List<Condition>,
         changes: List<Change>,
-        lane: Lane,
-        done: (TxnResult) -> Unit,
+        requestClass: RequestClass,
+        done: (TransactionResult) -> Unit,
     ) {
-        val body = WireJson.encodeToString(Txn.serializer(), Txn(conditions, changes))
+        val body = WireJson.encodeToString(Transaction.serializer(), Transaction(conditions, changes))
         enqueue(
-            lane,
+            requestClass,
             changes.size,
             "POST",
             "/txn",
             body,
-            if (changes.isEmpty()) Tuning.COMPARE_MS else Tuning.TXN_MS,
+            if (changes.isEmpty()) Tuning.COMPARE_MS else Tuning.TRANSACTION_MS,
         ) { reply ->
             if (reply.status !=
                 200
@@ -156,8 +156,8 @@
                     200 -> {
                         parse(
                             reply,
-                        ) { WireJson.decodeFromString(TxnReply.serializer(), it) }?.let { TxnResult.Ok(it.edition) }
-                            ?: TxnResult.Unknown
+                        ) { WireJson.decodeFromString(TransactionReply.serializer(), it) }?.let { TransactionResult.Committed(it.revision) }
+                            ?: TransactionResult.Unknown
                     }
 
                     409 -> {
@@ -165,23 +165,23 @@
                             reply,
                         ) {
                             WireJson.decodeFromString(
-                                TxnReply.serializer(),
+                                TransactionReply.serializer(),
                                 it,
                             )
-                        }?.let { TxnResult.Conflict(it.failed) }
-                            ?: TxnResult.Refused
+                        }?.let { TransactionResult.Conflict(it.failed) }
+                            ?: TransactionResult.Refused
                     }
 
                     400 -> {
-                        if ("no such lease" in reply.body) TxnResult.NoLease else TxnResult.TooLarge
+                        if ("no such lease" in reply.body) TransactionResult.LeaseExpired else TransactionResult.TooLarge
                     }
 
                     0 -> {
-                        TxnResult.Unknown
+                        TransactionResult.Unknown
                     }
 
                     else -> {
-                        TxnResult.Refused
+                        TransactionResult.Refused
                     }
                 },
             )
@@ -190,20 +190,20 @@
 
     fun get(
         key: String,
-        lane: Lane,
+        requestClass: RequestClass,
         done: (ReadResult<KeyValue>) -> Unit,
-    ) = enqueue(lane, 0, "GET", "/keys/$key", null, Tuning.STATE_MS) {
+    ) = enqueue(requestClass, 0, "GET", "/keys/$key", null, Tuning.STATE_MS) {
         read(it, done) { text -> WireJson.decodeFromString(KeyValue.serializer(), text) }
     }
 
     fun list(
         prefix: String,
         since: String?,
-        lane: Lane,
+        requestClass: RequestClass,
         done: (ReadResult<KeyPage>) -> Unit,
     ) {
         val after = if (since == null) "" else "&since=$since"
-        enqueue(lane, 0, "GET", "/keys?under=$prefix$after&limit=${Tuning.PAGE}", null, Tuning.STATE_PAGE_MS) {
+        enqueue(requestClass, 0, "GET", "/keys?under=$prefix$after&limit=${Tuning.PAGE}", null, Tuning.STATE_PAGE_MS) {
             read(it, { page -> done(page.takeUnless(::endsNowhere) ?: ReadResult.Failed) }) { text ->
                 WireJson.decodeFromString(KeyPage.serializer(), text)
             }
@@ -216,7 +216,7 @@
 
     fun openLease(done: (Long?) -> Unit) =
         enqueue(
-            Lane.VITAL,
+            RequestClass.CRITICAL,
             0,
             "POST",
             "/leases",
@@ -227,7 +227,7 @@
                 if (reply.status ==
                     200
                 ) {
-                    parse(reply) { WireJson.decodeFromString(LeaseReply.serializer(), it).permit }
+                    parse(reply) { WireJson.decodeFromString(LeaseReply.serializer(), it).leaseId }
                 } else {
                     null
                 },
@@ -235,10 +235,10 @@
         }
 
     /** [done] gets true when renewed, false when the lease is gone, null when nothing is known. */
-    fun touch(
-        permit: Long,
+    fun keepAlive(
+        leaseId: Long,
         done: (Boolean?) -> Unit,
-    ) = enqueue(Lane.VITAL, 0, "POST", "/leases/$permit/touch", "{}", Tuning.STATE_MS) { reply ->
+    ) = enqueue(RequestClass.CRITICAL, 0, "POST", "/leases/$leaseId/touch", "{}", Tuning.STATE_MS) { reply ->
         done(
             when (reply.status) {
                 200 -> true
@@ -252,23 +252,23 @@
     fun watch(
         prefix: String,
         since: Long,
-        done: (ReadResult<NewsPage>) -> Unit,
+        done: (ReadResult<WatchReply>) -> Unit,
     ) = enqueue(
-        Lane.VITAL,
+        RequestClass.CRITICAL,
         0,
         "GET",
         "/changes?under=$prefix&since=$since&blockMs=${Tuning.WATCH_MS}",
         null,
         Tuning.WATCH_MS + Tuning.WATCH_GRACE_MS,
     ) {
-        read(it, done) { text -> WireJson.decodeFromString(NewsPage.serializer(), text) }
+        read(it, done) { text -> WireJson.decodeFromString(WatchReply.serializer(), text) }
     }
 
     /** Sends what the budget allows; called after every batch and on every tick. */
     fun pump() {
         requests.refill(now.steady)
         writes.refill(now.steady)
-        for ((lane, queue) in lanes) {
+        for ((requestClass, queue) in lanes) {
             while (queue.isNotEmpty()) {
                 val next = queue.first()
                 if (now.steady - next.since > Tuning.STATE_MS) {
@@ -278,12 +278,12 @@
                 }
                 // It has just refused: whoever waits on this is told at once, and the budget is left to what finds out
                 // its end.
-                if (lane != Lane.VITAL && refuses && now.steady < refusedUntil) {
+                if (requestClass != RequestClass.CRITICAL && refuses && now.steady < refusedUntil) {
                     queue.removeFirst()
                     next.done(Reply(503, ""))
                     continue
                 }
-                if (lane != Lane.VITAL && now.steady < pausedUntil) return
+                if (requestClass != RequestClass.CRITICAL && now.steady < pausedUntil) return
                 if (!requests.has(1) || !writes.has(next.writes)) return
                 queue.removeFirst()
                 requests.take(1)
@@ -311,7 +311,7 @@
     }
 
     private fun enqueue(
-        lane: Lane,
+        requestClass: RequestClass,
         writes: Int,
         method: String,
         target: String,
@@ -319,7 +319,7 @@
         timeoutMs: Long,
         done: (Reply) -> Unit,
     ) {
-        lanes.getValue(lane).addLast(Waiting(writes, now.steady, method, target, body, timeoutMs, done))
+        lanes.getValue(requestClass).addLast(Waiting(writes, now.steady, method, target, body, timeoutMs, done))
     }
 
     private inline fun <T> read(
--- a/src/test/kotlin/ledgearch/LossesTest.kt
+++ b/src/test/kotlin/ledgearch/LossesTest.kt
@@ -46,7 +46,7 @@
                     estimatedRunS = 20.0,
                     deadlineS = 30.0,
                 ),
-                at = 0,
+                submittedAt = 0,
             ),
             1,
         )
--- a/src/test/kotlin/ledgearch/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/MixedVersionsTest.kt
@@ -8,11 +8,11 @@
 import ledgearch.core.CatalogRecord
 import ledgearch.core.FinalRecord
 import ledgearch.core.FinishedRecord
-import ledgearch.core.GrantRecord
+import ledgearch.core.LeadershipRecord
 import ledgearch.core.JobRecord
 import ledgearch.core.MachineEntry
 import ledgearch.core.MachinesRecord
-import ledgearch.core.SilenceRecord
+import ledgearch.core.StepDownRecord
 import ledgearch.core.SingleMachineRecord
 import ledgearch.mesh.Frames
 import ledgearch.mesh.LeaderStatus
@@ -74,13 +74,13 @@
     /** Every record of the state service with its file: one example of each kind, and each form that it takes. */
     private val records: List<Example<*, *>> =
         listOf(
-            example("job-all-fields", JobRecord(FULL_REQUEST, AT, cancel = true), ProductionJobRecord.serializer()),
+            example("job-all-fields", JobRecord(FULL_REQUEST, AT, cancelRequested = true), ProductionJobRecord.serializer()),
             example("job-required-fields", JobRecord(SHORT_REQUEST, AT), ProductionJobRecord.serializer()),
             example("final-done", FinalRecord(JobState.DONE, 12), ProductionFinalRecord.serializer()),
             example("final-withdrawn", FinalRecord(JobState.CANCELLED), ProductionFinalRecord.serializer()),
-            example("grant-claim", GrantRecord("stall-0", 7), ProductionGrantRecord.serializer()),
-            example("grant-renewal", GrantRecord("stall-0", 7, over = 41), ProductionGrantRecord.serializer()),
-            example("silence", SilenceRecord("stall-0", AT), ProductionSilenceRecord.serializer()),
+            example("grant-claim", LeadershipRecord("stall-0", 7), ProductionGrantRecord.serializer()),
+            example("grant-renewal", LeadershipRecord("stall-0", 7, renews = 41), ProductionGrantRecord.serializer()),
+            example("silence", StepDownRecord("stall-0", AT), ProductionSilenceRecord.serializer()),
             example(
                 "machines",
                 MachinesRecord(0, listOf(FULL_RACK, SHORT_RACK), MACHINES),
@@ -127,7 +127,7 @@
     /** Production ignores the field, as it does any that it does not know, and keeps all others. */
     @Test
     fun `production reads a job that depends on others`() {
-        val record = JobRecord(FULL_REQUEST.copy(dependsOn = listOf("job-7", "job-8")), AT, cancel = true)
+        val record = JobRecord(FULL_REQUEST.copy(dependsOn = listOf("job-7", "job-8")), AT, cancelRequested = true)
         val written = WireJson.encodeToJsonElement(JobRecord.serializer(), record).toString()
         assertTrue("\"awaits\":[\"job-7\",\"job-8\"]" in written, written)
         val read = ProductionJson.decodeFromString(ProductionJobRecord.serializer(), written)
--- a/src/test/kotlin/ledgearch/WarmStandbyTest.kt
+++ b/src/test/kotlin/ledgearch/WarmStandbyTest.kt
@@ -1,7 +1,7 @@
 package ledgearch
 
 import ledgearch.core.AttemptState
-import ledgearch.core.GrantRecord
+import ledgearch.core.LeadershipRecord
 import ledgearch.mesh.MalformedFrame
 import ledgearch.mesh.MeshFrame
 import ledgearch.mesh.StreamFrames
@@ -150,14 +150,14 @@
     @Test
     fun `a term is of the leader that was replaced, through its renewals and not before`() {
         val replaced = ReplacedTerm("n1")
-        replaced.changed(GrantRecord("n2", life = 1), 10)
-        assertTrue(replaced.changed(GrantRecord("n3", life = 1), 20))
-        assertFalse(replaced.changed(GrantRecord("n3", life = 1, over = 20), 30))
+        replaced.changed(LeadershipRecord("n2", instance = 1), 10)
+        assertTrue(replaced.changed(LeadershipRecord("n3", instance = 1), 20))
+        assertFalse(replaced.changed(LeadershipRecord("n3", instance = 1, renews = 20), 30))
         assertFalse(replaced.changed(null, 0))
-        assertFalse(replaced.changed(GrantRecord("n1", life = 1), 40))
+        assertFalse(replaced.changed(LeadershipRecord("n1", instance = 1), 40))
         assertFalse(replaced.mayBe(10))
         assertTrue(replaced.mayBe(20))
-        assertTrue(replaced.changed(GrantRecord("n3", life = 1), 50))
+        assertTrue(replaced.changed(LeadershipRecord("n3", instance = 1), 50))
         assertFalse(replaced.mayBe(20))
         assertTrue(replaced.mayBe(50))
     }
--- a/src/test/kotlin/ledgearch/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/ledgearch/loopback/LoopbackCluster.kt
@@ -92,17 +92,17 @@
         )
 
     /** The controller that holds the grant and runs, or null. */
-    fun leader(): ControllerProcess? = simulation.call { grantHolder() }?.takeIf { it.alive }
+    fun leader(): ControllerProcess? = simulation.call { recordedLeader() }?.takeIf { it.alive }
 
-    private fun grantHolder() = simulation.state.field(GRANT_KEY, "node")?.let(controllers::getValue)
+    private fun recordedLeader() = simulation.state.field(LEADERSHIP_KEY, "node")?.let(controllers::getValue)
 
     /** The token of the present grant, or 0. */
-    fun token(): Long = simulation.call { simulation.state.stamp(GRANT_KEY) }
+    fun token(): Long = simulation.call { simulation.state.modRevision(LEADERSHIP_KEY) }
 
     /** Whether every machine follows the present grant. */
     fun everyMachineConfirmed(): Boolean =
         simulation.call {
-            val token = simulation.state.stamp(GRANT_KEY)
+            val token = simulation.state.modRevision(LEADERSHIP_KEY)
             token != 0L && simulation.workers.values.all { it.token >= token }
         }
 
@@ -166,7 +166,7 @@
     }
 
     companion object {
-        const val GRANT_KEY = "w/g/0"
+        const val LEADERSHIP_KEY = "w/g/0"
         val MACHINE_CPUS = CloudStandIn.RACK.vcpus
         private val NAMES = listOf("n1", "n2", "n3")
         private val ZONES = listOf("a", "b")
--- a/src/test/kotlin/ledgearch/loopback/TakeoverLoad.kt
+++ b/src/test/kotlin/ledgearch/loopback/TakeoverLoad.kt
@@ -54,7 +54,7 @@
     private val options: LoadOptions,
 ) {
     private val workload = LoopbackWorkload(cluster.simulation)
-    private val granted = Histogram(DIGITS)
+    private val elected = Histogram(DIGITS)
     private val confirmed = Histogram(DIGITS)
     private val firstStart = Histogram(DIGITS)
 
@@ -89,10 +89,10 @@
         leader: String,
         times: TakeoverTimes,
     ) {
-        granted.recordValue(checkNotNull(times.granted))
+        elected.recordValue(checkNotNull(times.elected))
         confirmed.recordValue(checkNotNull(times.confirmed))
         firstStart.recordValue(checkNotNull(times.firstStart))
-        println("$number: $leader; ms: grant ${times.granted}, all ${times.confirmed}, start ${times.firstStart}")
+        println("$number: $leader; ms: grant ${times.elected}, all ${times.confirmed}, start ${times.firstStart}")
     }
 
     private fun printResults(): List<String> {
@@ -101,7 +101,7 @@
         val summary = cluster.simulation.call { cluster.simulation.rules.summary }
         println("${options.kills} $what, $summary; ms from the failure of the leader:")
         println("| step | min | p50 | p90 | max |\n| --- | --- | --- | --- | --- |")
-        printRow("another controller holds the grant", granted)
+        printRow("another controller holds the grant", elected)
         printRow("every machine has confirmed it", confirmed)
         printRow("first task sent under it", firstStart)
         problems.forEach(::println)
--- a/src/test/kotlin/ledgearch/loopback/TakeoverTest.kt
+++ b/src/test/kotlin/ledgearch/loopback/TakeoverTest.kt
@@ -117,9 +117,9 @@
 
     /** Nothing is placed under a grant before another controller holds it. */
     private fun expectOrder(times: TakeoverTimes) {
-        val granted = checkNotNull(times.granted)
-        assertTrue(granted <= checkNotNull(times.confirmed))
-        assertTrue(granted <= checkNotNull(times.firstStart))
+        val elected = checkNotNull(times.elected)
+        assertTrue(elected <= checkNotNull(times.confirmed))
+        assertTrue(elected <= checkNotNull(times.firstStart))
     }
 
     private fun expectServedOnce(
--- a/src/test/kotlin/ledgearch/loopback/TakeoverWatch.kt
+++ b/src/test/kotlin/ledgearch/loopback/TakeoverWatch.kt
@@ -5,7 +5,7 @@
 /** ms from the failure of a leader, each null until it was seen. */
 internal class TakeoverTimes {
     /** Another controller holds the grant. */
-    var granted: Long? = null
+    var elected: Long? = null
 
     /** Every machine follows the new grant. */
     var confirmed: Long? = null
@@ -13,7 +13,7 @@
     /** A worker was sent the first task that was placed under the new grant. */
     var firstStart: Long? = null
 
-    val complete: Boolean get() = granted != null && confirmed != null && firstStart != null
+    val complete: Boolean get() = elected != null && confirmed != null && firstStart != null
 }
 
 /**
@@ -25,23 +25,23 @@
 ) {
     val times = TakeoverTimes()
     private val beganAt = simulation.clock.now
-    private val oldHolder = leader()
+    private val oldLeader = leader()
     private val oldTerm = term()
 
     init {
         look()
     }
 
-    private fun leader() = simulation.state.field(LoopbackCluster.GRANT_KEY, "node")
+    private fun leader() = simulation.state.field(LoopbackCluster.LEADERSHIP_KEY, "node")
 
-    private fun token() = simulation.state.stamp(LoopbackCluster.GRANT_KEY)
+    private fun token() = simulation.state.modRevision(LoopbackCluster.LEADERSHIP_KEY)
 
     private fun term() = simulation.rules.lastAttempt shr Tuning.ATTEMPT_BITS
 
     private fun look() {
         val sinceMs = simulation.clock.now - beganAt
-        if (times.granted == null && token() != 0L && leader() != oldHolder) times.granted = sinceMs
-        if (times.granted != null && times.confirmed == null && everyMachineFollows()) times.confirmed = sinceMs
+        if (times.elected == null && token() != 0L && leader() != oldLeader) times.elected = sinceMs
+        if (times.elected != null && times.confirmed == null && everyMachineFollows()) times.confirmed = sinceMs
         if (times.firstStart == null && term() > oldTerm) times.firstStart = sinceMs
         if (!times.complete && sinceMs < LIMIT_MS) simulation.clock.after(LOOK_MS, ::look)
     }
--- a/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
@@ -59,9 +59,9 @@
         if (!isAlive() || connection != mine) return
         val peer = peerAt(address)
         if (peer.hasStandby && peer.up && !simulation.unreachable(node.name, peer.name)) {
-            val life = peer.life
+            val instance = peer.instance
             peer.run(OwnerCommand.Standby(StandbyEvent.FollowerJoined(mine)))
-            watchEnd(address, mine, life)
+            watchEnd(address, mine, instance)
         } else {
             simulation.clock.after(LOOK_MS) { sayHello(address, mine) }
         }
@@ -71,15 +71,15 @@
     private fun watchEnd(
         address: String,
         mine: Long,
-        life: Int,
+        instance: Int,
     ) {
         if (!isAlive() || connection != mine) {
             val peer = peerAt(address)
-            if (peer.life == life && peer.up) peer.run(OwnerCommand.Standby(StandbyEvent.FollowerLeft(mine)))
+            if (peer.instance == instance && peer.up) peer.run(OwnerCommand.Standby(StandbyEvent.FollowerLeft(mine)))
             return
         }
-        if (peerAt(address).life != life) return connect(address)
-        simulation.clock.after(LOOK_MS) { watchEnd(address, mine, life) }
+        if (peerAt(address).instance != instance) return connect(address)
+        simulation.clock.after(LOOK_MS) { watchEnd(address, mine, instance) }
     }
 
     override fun reconnect() {
@@ -109,7 +109,7 @@
     override fun publish(news: LeaderStatus) {
         for (other in simulation.nodes) {
             if (other === node || !other.up) continue
-            simulation.deliver(node.name, other.name) { if (other.up) other.run(OwnerCommand.News(news)) }
+            simulation.deliver(node.name, other.name) { if (other.up) other.run(OwnerCommand.WatchEvent(news)) }
         }
     }
 
--- a/src/test/kotlin/ledgearch/simulation/Simulation.kt
+++ b/src/test/kotlin/ledgearch/simulation/Simulation.kt
@@ -144,7 +144,7 @@
                 operator = operator.copy(standby = StandbySettings(name in standbyNodes)),
             )
 
-        var life = 0
+        var instance = 0
             private set
         val hasStandby: Boolean get() = name in standbyNodes
         private var controller: Controller? = null
@@ -160,7 +160,7 @@
         var refusing = false
 
         fun start() {
-            val mine = ++life
+            val mine = ++instance
             startedAt = clock.now
             controller =
                 Controller(
@@ -168,7 +168,7 @@
                     NodeTransport(
                         mine,
                     ),
-                    SimulatedMesh(this@Simulation, this, isAlive = { mine == life }),
+                    SimulatedMesh(this@Simulation, this, isAlive = { mine == instance }),
                     Random(random.nextLong()),
                     random.nextLong(Long.MAX_VALUE),
                     {
@@ -182,7 +182,7 @@
         }
 
         fun crash() {
-            life++
+            instance++
             controller = null
             frozenUntil = 0L
             held.clear()
@@ -192,7 +192,7 @@
         }
 
         private fun tick(mine: Int) {
-            if (mine != life) return
+            if (mine != instance) return
             run(OwnerCommand.Tick(clock.now))
             if (controller?.countsHold() ==
                 false
@@ -209,11 +209,11 @@
         /** The process stands still, its clocks run on; what came meanwhile is worked off at once. */
         fun freeze(until: Long) {
             frozenUntil = until
-            val mine = life
+            val mine = instance
             clock.at(until) {
                 val waiting = held.toList()
                 held.clear()
-                if (mine == life) controller?.run(clock.now, WALL + clock.now, waiting)
+                if (mine == instance) controller?.run(clock.now, WALL + clock.now, waiting)
             }
         }
 
@@ -262,17 +262,17 @@
             val batch = List(minOf(waiting.size, Tuning.BATCH)) { waiting.removeFirst() }
             working = batch.isNotEmpty()
             if (batch.isEmpty()) return
-            val mine = life
+            val mine = instance
             controller?.run(clock.now, WALL + clock.now, batch)
             val took = if (clock.now < slowUntil) batch.size * commandMs else 0L
-            clock.after(took) { if (mine == life) workOff() }
+            clock.after(took) { if (mine == instance) workOff() }
         }
 
         private fun addToBatch(command: OwnerCommand) {
             batch.add(command)
             if (batch.size > 1) return
-            val mine = life
-            clock.after(batchMs) { if (mine == life) carryOutBatch() }
+            val mine = instance
+            clock.after(batchMs) { if (mine == instance) carryOutBatch() }
         }
 
         private fun carryOutBatch() {
@@ -320,7 +320,7 @@
                 var answered = false
 
                 fun finish(reply: Reply) {
-                    if (answered || mine != life) return
+                    if (answered || mine != instance) return
                     answered = true
                     run(OwnerCommand.Answered(reply, done))
                 }
@@ -424,7 +424,7 @@
     }
 
     /** A grant was made: old reports reach every controller just then, the new leader before and after it knows. */
-    private fun granted() {
+    private fun elected() {
         val copies = keptReports.toList()
         keptReports.clear()
         for (body in copies) {
@@ -438,9 +438,9 @@
         var seen = 0L
 
         fun look() {
-            val stamp = state.stamp("w/g/0")
-            if (stamp != seen && stamp != 0L) granted()
-            seen = stamp
+            val modRevision = state.modRevision("w/g/0")
+            if (modRevision != seen && modRevision != 0L) elected()
+            seen = modRevision
             clock.after(20) { look() }
         }
         look()
--- a/src/test/kotlin/ledgearch/simulation/StateStandIn.kt
+++ b/src/test/kotlin/ledgearch/simulation/StateStandIn.kt
@@ -11,10 +11,10 @@
 import ledgearch.wire.KeyValue
 import ledgearch.wire.LeaseReply
 import ledgearch.wire.LeaseRequest
-import ledgearch.wire.News
-import ledgearch.wire.NewsPage
-import ledgearch.wire.Txn
-import ledgearch.wire.TxnReply
+import ledgearch.wire.WatchEvent
+import ledgearch.wire.WatchReply
+import ledgearch.wire.Transaction
+import ledgearch.wire.TransactionReply
 import ledgearch.wire.WireJson
 import java.util.TreeMap
 import kotlin.random.Random
@@ -26,19 +26,19 @@
     private var limits: StateLimits,
 ) {
     private class Entry(
-        val v: JsonElement,
-        val stamp: Long,
-        val permit: Long?,
+        val value: JsonElement,
+        val modRevision: Long,
+        val leaseId: Long?,
     )
 
     private class Change(
-        val edition: Long,
+        val revision: Long,
         val key: String,
         val entry: Entry?,
     )
 
     private class Lease(
-        val lifeMs: Long,
+        val ttlMs: Long,
         var endsAt: Long,
     )
 
@@ -46,8 +46,8 @@
     private val history = ArrayList<Change>()
     private val leases = HashMap<Long, Lease>()
     private val watches = ArrayList<Watch>()
-    private var edition = 0L
-    private var nextPermit = 1L
+    private var revision = 0L
+    private var nextLeaseId = 1L
     var down = false
         private set
 
@@ -114,7 +114,7 @@
 
     fun outage(begin: Boolean) {
         down = begin
-        if (!begin) for (lease in leases.values) lease.endsAt = clock.now + lease.lifeMs
+        if (!begin) for (lease in leases.values) lease.endsAt = clock.now + lease.ttlMs
     }
 
     fun refuse(
@@ -136,12 +136,12 @@
     }
 
     fun forgetChanges() {
-        forgotten = edition
+        forgotten = revision
         history.clear()
     }
 
-    private fun isLate(txn: Txn) =
-        clock.now < lateUntil && txn.then.any { (it.put ?: it.remove.orEmpty()).startsWith(latePrefix) }
+    private fun isLate(transaction: Transaction) =
+        clock.now < lateUntil && transaction.changes.any { (it.put ?: it.remove.orEmpty()).startsWith(latePrefix) }
 
     /** Answers to this controller's watches are lost until then. */
     fun blind(
@@ -162,12 +162,12 @@
     }
 
     private fun isTooLarge(
-        txn: Txn,
+        transaction: Transaction,
         body: String,
-    ) = txn.then.size > limits.txnOps || txn.`if`.size > limits.txnOps * CONDITIONS_A_CHANGE ||
-        body.encodeToByteArray().size > TXN_BYTES ||
-        txn.then.any {
-            it.v
+    ) = transaction.changes.size > limits.txnOps || transaction.conditions.size > limits.txnOps * CONDITIONS_A_CHANGE ||
+        body.encodeToByteArray().size > TRANSACTION_BYTES ||
+        transaction.changes.any {
+            it.value
                 .toString()
                 .encodeToByteArray()
                 .size > limits.valueKb * 1024
@@ -185,11 +185,11 @@
         if (down || isRefused(from)) return answer(Reply(503, ""))
         expireLeases()
         val path = target.substringBefore('?')
-        val txn = if (path == TXN) WireJson.decodeFromString(Txn.serializer(), body.orEmpty()) else null
-        val refusal = refusalByLimits(txn, body.orEmpty())
+        val transaction = if (path == TXN) WireJson.decodeFromString(Transaction.serializer(), body.orEmpty()) else null
+        val refusal = refusalByLimits(transaction, body.orEmpty())
         when {
             refusal != null -> answer(refusal)
-            txn != null -> transact(txn, answer)
+            transaction != null -> transact(transaction, answer)
             path == LEASES || path.startsWith("$LEASES/") -> answer(leaseReply(path, body.orEmpty()))
             path == CHANGES -> watch(from, queryOf(target), answer)
             path == KEYS -> answer(page(queryOf(target)))
@@ -200,14 +200,14 @@
 
     /** The answer to a request that the limits on rates or sizes refuse; otherwise none. */
     private fun refusalByLimits(
-        txn: Txn?,
+        transaction: Transaction?,
         body: String,
     ): Reply? {
-        if (!passes(txn?.then?.size ?: 0)) {
+        if (!passes(transaction?.changes?.size ?: 0)) {
             tooMany++
             return Reply(429, "")
         }
-        if (txn != null && isTooLarge(txn, body)) {
+        if (transaction != null && isTooLarge(transaction, body)) {
             tooLarge++
             return Reply(400, """{"error":"too large"}""")
         }
@@ -218,7 +218,7 @@
         path: String,
         body: String,
     ) = if (path == LEASES) {
-        newLease(WireJson.decodeFromString(LeaseRequest.serializer(), body).lifeMs)
+        newLease(WireJson.decodeFromString(LeaseRequest.serializer(), body).ttlMs)
     } else {
         renewedLease(path.split('/')[2].toLong())
     }
@@ -230,33 +230,33 @@
             .filter { it.isNotEmpty() }
             .associate { it.substringBefore('=') to it.substringAfter('=') }
 
-    /** Carries [txn] out, at once or late, and answers at once, late or never. */
+    /** Carries [transaction] out, at once or late, and answers at once, late or never. */
     private fun transact(
-        txn: Txn,
+        transaction: Transaction,
         answer: (Reply) -> Unit,
     ) {
         when {
-            txn.then.isEmpty() -> {
-                answerAfter(slowCompareMs, txn(txn), answer)
+            transaction.changes.isEmpty() -> {
+                answerAfter(slowCompareMs, execute(transaction), answer)
             }
 
-            isLate(txn) -> {
-                carryOutLater(txn, lateMs)
+            isLate(transaction) -> {
+                carryOutLater(transaction, lateMs)
             }
 
             lateShare > 0 && random.nextDouble() < lateShare -> {
                 carryOutLater(
-                    txn,
+                    transaction,
                     LATE_FROM_MS + random.nextLong(LATE_SPREAD_MS),
                 )
             }
 
             unansweredShare > 0 && random.nextDouble() < unansweredShare -> {
-                txn(txn)
+                execute(transaction)
             }
 
             else -> {
-                answerAfter(slowMs, txn(txn), answer)
+                answerAfter(slowMs, execute(transaction), answer)
             }
         }
     }
@@ -269,32 +269,32 @@
         if (ms == 0L) answer(reply) else clock.after(ms) { answer(reply) }
     }
 
-    private fun newLease(lifeMs: Long): Reply {
-        leases[nextPermit] = Lease(lifeMs, clock.now + lifeMs)
-        clock.after(lifeMs + 1) { expireLeases() }
-        return Reply(200, WireJson.encodeToString(LeaseReply.serializer(), LeaseReply(nextPermit++)))
+    private fun newLease(ttlMs: Long): Reply {
+        leases[nextLeaseId] = Lease(ttlMs, clock.now + ttlMs)
+        clock.after(ttlMs + 1) { expireLeases() }
+        return Reply(200, WireJson.encodeToString(LeaseReply.serializer(), LeaseReply(nextLeaseId++)))
     }
 
-    private fun renewedLease(permit: Long): Reply {
-        val lease = leases[permit] ?: return Reply(404, "{}")
-        lease.endsAt = clock.now + lease.lifeMs
-        clock.after(lease.lifeMs + 1) { expireLeases() }
+    private fun renewedLease(leaseId: Long): Reply {
+        val lease = leases[leaseId] ?: return Reply(404, "{}")
+        lease.endsAt = clock.now + lease.ttlMs
+        clock.after(lease.ttlMs + 1) { expireLeases() }
         return Reply(200, "{}")
     }
 
     private fun carryOutLater(
-        txn: Txn,
+        transaction: Transaction,
         ms: Long,
     ) {
         clock.after(ms) {
             // In an outage nothing is carried out; what was under way is once it is over.
-            if (down) carryOutLater(txn, ms) else txn(txn)
+            if (down) carryOutLater(transaction, ms) else execute(transaction)
         }
     }
 
     private fun get(key: String): Reply {
-        val e = keys[key] ?: return Reply(404, """{"edition":$edition}""")
-        return Reply(200, WireJson.encodeToString(KeyValue.serializer(), KeyValue(key, e.v, e.stamp, e.permit)))
+        val e = keys[key] ?: return Reply(404, """{"edition":$revision}""")
+        return Reply(200, WireJson.encodeToString(KeyValue.serializer(), KeyValue(key, e.value, e.modRevision, e.leaseId)))
     }
 
     private fun page(query: Map<String, String>): Reply {
@@ -303,15 +303,15 @@
         val limit = query["limit"]?.toInt() ?: PAGE_SIZE
         val all = keysUnder(prefix).filter { since == null || it > since }
         if (all.isNotEmpty() && emptyPageShare > 0 && random.nextDouble() < emptyPageShare) {
-            return Reply(200, WireJson.encodeToString(KeyPage.serializer(), KeyPage(emptyList(), true, edition)))
+            return Reply(200, WireJson.encodeToString(KeyPage.serializer(), KeyPage(emptyList(), true, revision)))
         }
-        val pairs = all.take(limit).map { KeyValue(it, keys.getValue(it).v, keys.getValue(it).stamp) }
-        return Reply(200, WireJson.encodeToString(KeyPage.serializer(), KeyPage(pairs, all.size > limit, edition)))
+        val pairs = all.take(limit).map { KeyValue(it, keys.getValue(it).value, keys.getValue(it).modRevision) }
+        return Reply(200, WireJson.encodeToString(KeyPage.serializer(), KeyPage(pairs, all.size > limit, revision)))
     }
 
-    private fun txn(txn: Txn): Reply {
-        val failed = txn.`if`.filter { (keys[it.key]?.stamp ?: 0) != it.stamp }.map { it.key }
-        if (txn.then.any { it.permit != null && it.permit !in leases }) {
+    private fun execute(transaction: Transaction): Reply {
+        val failed = transaction.conditions.filter { (keys[it.key]?.modRevision ?: 0) != it.modRevision }.map { it.key }
+        if (transaction.changes.any { it.leaseId != null && it.leaseId !in leases }) {
             return Reply(
                 400,
                 """{"error":"no such lease"}""",
@@ -320,24 +320,24 @@
         if (failed.isNotEmpty()) {
             return Reply(
                 409,
-                WireJson.encodeToString(TxnReply.serializer(), TxnReply(edition, failed)),
+                WireJson.encodeToString(TransactionReply.serializer(), TransactionReply(revision, failed)),
             )
         }
-        if (txn.then.isNotEmpty()) {
-            edition++
-            for (c in txn.then) {
+        if (transaction.changes.isNotEmpty()) {
+            revision++
+            for (c in transaction.changes) {
                 val put = c.put
                 val remove = c.remove
                 if (put != null) {
-                    set(put, Entry(c.v ?: JsonPrimitive(0), edition, c.permit))
+                    set(put, Entry(c.value ?: JsonPrimitive(0), revision, c.leaseId))
                 } else if (remove != null) {
                     set(remove, null)
                 }
             }
-            onChanged(txn.then.map { it.put ?: it.remove.orEmpty() })
+            onChanged(transaction.changes.map { it.put ?: it.remove.orEmpty() })
             wake()
         }
-        return Reply(200, WireJson.encodeToString(TxnReply.serializer(), TxnReply(edition)))
+        return Reply(200, WireJson.encodeToString(TransactionReply.serializer(), TransactionReply(revision)))
     }
 
     private fun set(
@@ -346,7 +346,7 @@
     ) {
         if (entry == null && key !in keys) return
         if (entry == null) keys.remove(key) else keys[key] = entry
-        history.add(Change(edition, key, entry))
+        history.add(Change(revision, key, entry))
     }
 
     private fun expireLeases() {
@@ -354,9 +354,9 @@
         val ended = leases.filterValues { it.endsAt < clock.now }.keys
         if (ended.isEmpty()) return
         leases.keys.removeAll(ended)
-        val gone = keys.filterValues { it.permit in ended }.keys.toList()
+        val gone = keys.filterValues { it.leaseId in ended }.keys.toList()
         if (gone.isEmpty()) return
-        edition++
+        revision++
         gone.forEach { set(it, null) }
         wake()
     }
@@ -380,9 +380,9 @@
 
     /** The history is in the order of revisions. */
     private fun changesAfter(revision: Long): List<Change> {
-        val index = history.binarySearchBy(revision + 1) { it.edition }
+        val index = history.binarySearchBy(revision + 1) { it.revision }
         var first = if (index < 0) -index - 1 else index
-        while (first > 0 && history[first - 1].edition > revision) first--
+        while (first > 0 && history[first - 1].revision > revision) first--
         return history.subList(first, history.size)
     }
 
@@ -407,43 +407,43 @@
                 if (it.entry !=
                     null
                 ) {
-                    News(put = it.key, v = it.entry.v, stamp = it.edition)
+                    WatchEvent(put = it.key, value = it.entry.value, modRevision = it.revision)
                 } else {
-                    News(remove = it.key, stamp = it.edition)
+                    WatchEvent(remove = it.key, modRevision = it.revision)
                 }
             }
         if ((blindUntil[w.node] ?: 0) > clock.now) return
-        w.answer(Reply(200, WireJson.encodeToString(NewsPage.serializer(), NewsPage(edition, news))))
+        w.answer(Reply(200, WireJson.encodeToString(WatchReply.serializer(), WatchReply(revision, news))))
     }
 
     /** A field of a stored value, for expectations. */
     fun field(
         key: String,
         name: String,
-    ): String? = ((keys[key]?.v as? JsonObject)?.get(name))?.jsonPrimitive?.content
+    ): String? = ((keys[key]?.value as? JsonObject)?.get(name))?.jsonPrimitive?.content
 
     /** A key as something else wrote it. */
     fun write(
         key: String,
         json: String,
     ) {
-        edition++
-        set(key, Entry(WireJson.parseToJsonElement(json), edition, null))
+        revision++
+        set(key, Entry(WireJson.parseToJsonElement(json), revision, null))
         wake()
     }
 
     /** Something else removes a key. */
     fun remove(key: String) {
-        edition++
+        revision++
         set(key, null)
         wake()
     }
 
-    fun value(key: String): JsonElement? = keys[key]?.v
+    fun value(key: String): JsonElement? = keys[key]?.value
 
-    fun text(key: String) = keys[key]?.v.toString()
+    fun text(key: String) = keys[key]?.value.toString()
 
-    fun stamp(key: String): Long = keys[key]?.stamp ?: 0
+    fun modRevision(key: String): Long = keys[key]?.modRevision ?: 0
 
     private companion object {
         const val TXN = "/txn"
@@ -453,7 +453,7 @@
 
         /** Keys on a page, unless the request names another limit. */
         const val PAGE_SIZE = 1000
-        const val TXN_BYTES = 64 * 1024
+        const val TRANSACTION_BYTES = 64 * 1024
         const val CONDITIONS_A_CHANGE = 4
         const val LATE_FROM_MS = 2_000L
         const val LATE_SPREAD_MS = 10_000L
--- a/src/test/kotlin/ledgearch/simulation/TakeoverRun.kt
+++ b/src/test/kotlin/ledgearch/simulation/TakeoverRun.kt
@@ -29,7 +29,7 @@
         )
     private val clock = simulation.clock
     private var firstStartMs = -1L
-    private var grantedAt = 0L
+    private var electedAt = 0L
     private var token = 0L
     private var bytesASecond = 0L
     private var changesASecond = 0L
@@ -83,19 +83,19 @@
         val log = leader.standby?.streamLog
         bytesASecond = simulation.streams.bytes * MS_PER_SECOND / CRASH_MS
         if (log != null && log.sequence > 0) changesASecond = log.changes / log.sequence
-        token = simulation.state.stamp("w/g/0")
+        token = simulation.state.modRevision("w/g/0")
         leader.crash()
         watch(leader.name)
     }
 
     private fun watch(dead: String) {
-        val stamp = simulation.state.stamp("w/g/0")
-        if (grantedAt == 0L && stamp > token && leader(simulation) != dead) {
-            grantedAt = clock.now
-            token = stamp
+        val modRevision = simulation.state.modRevision("w/g/0")
+        if (electedAt == 0L && modRevision > token && leader(simulation) != dead) {
+            electedAt = clock.now
+            token = modRevision
         }
-        if (grantedAt != 0L && firstStartMs < 0 && simulation.rules.startsOf("job-3") > 0) {
-            firstStartMs = clock.now - grantedAt
+        if (electedAt != 0L && firstStartMs < 0 && simulation.rules.startsOf("job-3") > 0) {
+            firstStartMs = clock.now - electedAt
         }
         clock.after(WATCH_MS) { watch(dead) }
     }
