--- a/src/main/kotlin/ledgearch/core/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -1,11 +1,14 @@
-package ledgearch.core
+package ledgearch.agents
 
 import ledgearch.Tuning
+import ledgearch.autoscaling.Autoscaler
 import ledgearch.config.WorkerTimes
-import ledgearch.core.placement.Reliability
-import ledgearch.fleet.Fleet
-import ledgearch.leader.Election
+import ledgearch.election.Election
+import ledgearch.model.Machine
 import ledgearch.recovery.ZoneRecovery
+import ledgearch.runtime.Clock
+import ledgearch.runtime.StallCompensation
+import ledgearch.scheduling.Reliability
 import org.slf4j.LoggerFactory
 
 /** Which machines are lost, by what is not heard from them and by what does not reach them. */
@@ -14,9 +17,9 @@
     private val machines: Map<String, Machine>,
     private val election: Election,
     private val dispatcher: CommandDispatcher,
-    private val fleet: Fleet,
+    private val fleet: Autoscaler,
     private val reliability: Reliability,
-    private val now: Now,
+    private val clock: Clock,
     private val stalls: StallCompensation,
     private val recovery: ZoneRecovery?,
     /** The zones of the controllers that held the block of late. */
@@ -27,7 +30,7 @@
     private val reportMs = (times.reportS * 1000).toLong()
     private val leaseMs = (times.leaseS * 1000).toLong()
     private var watchAt = 0L
-    private val partitionedZones = PartitionedZones(now)
+    private val partitionedZones = PartitionedZones(clock)
     private val missingMachines = MissingMachines(election, stalls, (reportMs * Tuning.CUT_REPORTS).toLong())
     private val overdue = Silence(Tuning.OVERDUE_REPORTS)
     private val cut = Silence(Tuning.CUT_REPORTS)
@@ -35,45 +38,45 @@
 
     fun clear() = partitionedZones.clear()
 
-    private fun mayComeBack(m: Machine) = partitionedZones.mayComeBack(m, areasBefore())
+    private fun mayComeBack(machine: Machine) = partitionedZones.mayComeBack(machine, areasBefore())
 
     val anyCutOff get() = !partitionedZones.isEmpty
 
     fun isCutOff(zone: String) = zone in partitionedZones
 
     fun drive() {
-        if (now.steady < watchAt) return
-        watchAt = now.steady + Tuning.WATCH_SILENCE_MS
+        if (clock.steadyMs < watchAt) return
+        watchAt = clock.steadyMs + Tuning.WATCH_SILENCE_MS
         overdue.look()
         cut.look()
         lost.look()
         val back = partitionedZones.update(machines.values, ::isHeard)
         recovery?.look(machines.values, partitionedZones::contains, ::isHeard)
-        for (m in machines.values) m.overdue = silentFor(m, overdue)
+        for (machine in machines.values) machine.overdue = silentFor(machine, overdue)
         if (back.isNotEmpty()) machines.values.filter { it.zone in back }.forEach(::startAnew)
-        for (m in missingMachines.among(machines.values.filter { it.inherited && !mayComeBack(it) })) {
-            log.warn("machine {} of the block answers no probe; it is released", m.name)
-            release(m)
+        for (machine in missingMachines.among(machines.values.filter { it.inherited && !mayComeBack(it) })) {
+            log.warn("machine {} of the block answers no probe; it is released", machine.name)
+            release(machine)
         }
         releaseUnreached()
         watch()
     }
 
-    private fun isHeard(m: Machine) = (m.confirmed || !m.inherited) && !silentFor(m, cut)
+    private fun isHeard(machine: Machine) = (machine.confirmed || !machine.inherited) && !silentFor(machine, cut)
 
     /**
      * The zone of [m] is heard again: what went unanswered before says nothing, but [m] itself is still to be heard.
      */
-    private fun startAnew(m: Machine) {
-        m.probesFailed = minOf(m.probesFailed, 1)
-        m.probeAt = now.steady
-        if (m.brokenSince != 0L) m.brokenSince = now.steady
+    private fun startAnew(machine: Machine) {
+        machine.probesFailed = minOf(machine.probesFailed, 1)
+        machine.probeAt = clock.steadyMs
+        if (machine.unreachableSince != 0L) machine.unreachableSince = clock.steadyMs
     }
 
-    private fun release(m: Machine) {
-        reliability.lost(m, now.steady)
-        recovery?.machineFailed(m)
-        fleet.release(m)
+    private fun release(machine: Machine) {
+        reliability.lost(machine, clock.steadyMs)
+        recovery?.machineFailed(machine)
+        fleet.release(machine)
     }
 
     /**
@@ -82,28 +85,28 @@
      */
     private fun releaseUnreached() {
         val unreached =
-            dispatcher.broken.filter {
+            dispatcher.unreachableMachines.filter {
                 !it.releasing && !mayComeBack(it) && it.probesFailed >= Tuning.PROBES &&
-                    stalls.heedfulSince(it.brokenSince) > (reportMs * Tuning.LOST_REPORTS).toLong()
+                    stalls.attentiveMsSince(it.unreachableSince) > (reportMs * Tuning.LOST_REPORTS).toLong()
             }
-        val mostBroken = dispatcher.broken.size > machines.size * Tuning.MOST
-        for (m in unreached) {
+        val mostBroken = dispatcher.unreachableMachines.size > machines.size * Tuning.MOST
+        for (machine in unreached) {
             // Then it may be this node, for a time.
-            if (mostBroken && now.steady - m.brokenSince < Tuning.PATH_FAULT_MS) continue
+            if (mostBroken && clock.steadyMs - machine.unreachableSince < Tuning.PATH_FAULT_MS) continue
             log.warn(
                 "machine {} is heard but not reached for {} ms; it is released",
-                m.name,
-                now.steady - m.brokenSince,
+                machine.name,
+                clock.steadyMs - machine.unreachableSince,
             )
-            release(m)
+            release(machine)
         }
     }
 
     /** Silence counts only while no report may wait here unread. */
     private fun silentFor(
-        m: Machine,
+        machine: Machine,
         silence: Silence,
-    ) = maxOf(m.reportedAt, election.electedAt, partitionedZones.backAt(m.zone)) <= silence.since
+    ) = maxOf(machine.lastHeartbeatAt, election.electedAt, partitionedZones.backAt(machine.zone)) <= silence.since
 
     /** So many intervals without a report. [since] (steady ms) is worked out once a look, not for each machine. */
     private inner class Silence(
@@ -113,7 +116,7 @@
             private set
 
         fun look() {
-            since = stalls.heedfulAgo((reportMs * reports).toLong())
+            since = stalls.attentiveSince((reportMs * reports).toLong())
         }
     }
 
@@ -128,25 +131,29 @@
         }
         val heard by lazy(LazyThreadSafetyMode.NONE) { Heard(active) }
         val mostMute = active.count { isMute(it) } > active.size * Tuning.MOST
-        for (m in dispatcher.broken) if (!m.releasing) dispatcher.probe(m)
-        for (m in machines.values.toList()) {
-            if (!silentFor(m, overdue)) {
-                if (isTaken(m)) {
-                    dispatcher.probe(m)
-                    if (m.probesFailed > 0 && !m.releasing) {
-                        log.info("machine {} was taken; it is released", m.name)
-                        release(m)
+        for (machine in dispatcher.unreachableMachines) if (!machine.releasing) dispatcher.probe(machine)
+        for (machine in machines.values.toList()) {
+            if (!silentFor(machine, overdue)) {
+                if (isTaken(machine)) {
+                    dispatcher.probe(machine)
+                    if (machine.probesFailed > 0 && !machine.releasing) {
+                        log.info("machine {} was taken; it is released", machine.name)
+                        release(machine)
                     }
                 }
                 continue
             }
-            if (m.confirmed && !m.releasing) dispatcher.probe(m)
-            if (!silentFor(m, lost) && !surelyLost(m, heard)) continue
-            if (!m.releasing && !mayComeBack(m) && !(mostMute && isMute(m))) {
-                log.warn("machine {} is silent for {} ms; it is released", m.name, now.steady - m.reportedAt)
-                release(m)
+            if (machine.confirmed && !machine.releasing) dispatcher.probe(machine)
+            if (!silentFor(machine, lost) && !surelyLost(machine, heard)) continue
+            if (!machine.releasing && !mayComeBack(machine) && !(mostMute && isMute(machine))) {
+                log.warn(
+                    "machine {} is silent for {} ms; it is released",
+                    machine.name,
+                    clock.steadyMs - machine.lastHeartbeatAt,
+                )
+                release(machine)
             }
-            leaseRanOut(m)
+            leaseRanOut(machine)
         }
     }
 
@@ -154,37 +161,38 @@
      * Its worker answers direct commands and reports to nobody here. Where most do so the fault may be this node's, and
      * they are kept for some time: a fleet is not given back for a fault on one path.
      */
-    private fun isMute(m: Machine) =
-        m.confirmed && m.probesFailed == 0 && !m.pushBroken && m.heardAt > m.reportedAt &&
-            silentFor(m, cut) && now.steady - m.reportedAt < Tuning.PATH_FAULT_MS
+    private fun isMute(machine: Machine) =
+        machine.confirmed && machine.probesFailed == 0 && !machine.unreachable &&
+            machine.lastHeardAt > machine.lastHeartbeatAt &&
+            silentFor(machine, cut) && clock.steadyMs - machine.lastHeartbeatAt < Tuning.PATH_FAULT_MS
 
     /** The time that its notice gave is over, and it was not heard since. */
-    private fun isTaken(m: Machine) =
-        m.confirmed && m.preemptionAt != 0L && m.heardAt < m.preemptionAt &&
-            now.steady > m.preemptionAt + Tuning.TAKEN_MARGIN_MS
+    private fun isTaken(machine: Machine) =
+        machine.confirmed && machine.preemptionAt != 0L && machine.lastHeardAt < machine.preemptionAt &&
+            clock.steadyMs > machine.preemptionAt + Tuning.TAKEN_MARGIN_MS
 
     /**
      * [m] is overdue and answers no probe, while most others, and one of its zone, were heard since it was due: so it
      * is neither this node nor a zone that is cut off, and nothing is gained by waiting for more reports.
      */
     private fun surelyLost(
-        m: Machine,
+        machine: Machine,
         heard: Heard,
     ): Boolean {
-        if (m.releasing || !m.confirmed || m.probesFailed < Tuning.PROBES) return false
-        val due = m.heardAt + (reportMs * Tuning.DUE_REPORTS).toLong()
-        return heard.since(due) > heard.size * Tuning.MOST && heard.inZoneSince(m.zone, due)
+        if (machine.releasing || !machine.confirmed || machine.probesFailed < Tuning.PROBES) return false
+        val due = machine.lastHeardAt + (reportMs * Tuning.DUE_REPORTS).toLong()
+        return heard.since(due) > heard.size * Tuning.MOST && heard.inZoneSince(machine.zone, due)
     }
 
     /** When [machines] were last heard, ordered once: hundreds that are silent each ask how many others are not. */
     private class Heard(
         machines: List<Machine>,
     ) {
-        private val times = machines.map { it.heardAt }.sorted()
+        private val times = machines.map { it.lastHeardAt }.sorted()
         private val lastInZone =
             machines.groupingBy { it.zone }.fold(
                 Long.MIN_VALUE,
-            ) { last, m -> maxOf(last, m.heardAt) }
+            ) { last, machine -> maxOf(last, machine.lastHeardAt) }
         val size get() = times.size
 
         fun since(due: Long) = times.size - times.binarySearch { if (it > due) 1 else -1 }.inv()
@@ -197,13 +205,13 @@
 
     /**
      * Without a word from the cloud: a worker that confirmed this term's token has had no valid answer since
-     * [Machine.answeredAt] if the grant was still this node's after the lease ended.
+     * [Machine.lastAnsweredAt] if the grant was still this node's after the lease ended.
      */
-    private fun leaseRanOut(m: Machine) {
-        if (!m.confirmed || m.attempts.isEmpty()) return
-        val end = m.answeredAt + (leaseMs * Tuning.DRIFT).toLong() + Tuning.LEASE_MARGIN_MS
-        if (now.steady <= end || election.confirmedAt <= end) return
-        log.info("machine {}: its lease has run out", m.name)
-        incarnationEnded(m)
+    private fun leaseRanOut(machine: Machine) {
+        if (!machine.confirmed || machine.attempts.isEmpty()) return
+        val end = machine.lastAnsweredAt + (leaseMs * Tuning.DRIFT).toLong() + Tuning.LEASE_MARGIN_MS
+        if (clock.steadyMs <= end || election.confirmedAt <= end) return
+        log.info("machine {}: its lease has run out", machine.name)
+        incarnationEnded(machine)
     }
 }
--- a/src/main/kotlin/ledgearch/core/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -1,7 +1,9 @@
-package ledgearch.core
+package ledgearch.agents
 
 import ledgearch.Tuning
-import ledgearch.leader.Election
+import ledgearch.election.Election
+import ledgearch.model.Machine
+import ledgearch.runtime.StallCompensation
 
 /**
  * Inherited machines that are most likely gone already. Every older job waits for each of them, so they are released
@@ -24,16 +26,16 @@
         return inherited.filter { isUnconfirmed(it) && isMissing(it, others, mostConfirmed) }
     }
 
-    private fun isUnconfirmed(m: Machine) = !m.confirmed && !m.releasing
+    private fun isUnconfirmed(machine: Machine) = !machine.confirmed && !machine.releasing
 
     private fun isMissing(
-        m: Machine,
+        machine: Machine,
         others: ReportTimes,
         mostConfirmed: Boolean,
-    ) = m.probesFailed >= Tuning.PROBES ||
-        (mostConfirmed && (wasBeingReturned(m) || isPassedByOthers(m, others)))
+    ) = machine.probesFailed >= Tuning.PROBES ||
+        (mostConfirmed && (wasBeingReturned(machine) || isPassedByOthers(machine, others)))
 
-    private fun wasBeingReturned(m: Machine) = m.returningHint && m.probesUnanswered > 0
+    private fun wasBeingReturned(machine: Machine) = machine.returningHint && machine.probesUnanswered > 0
 
     /**
      * While this node does not keep up, a probe that timed out proves nothing by itself: its answer may wait here
@@ -42,11 +44,15 @@
      * until its silence was long enough for any machine.
      */
     private fun isPassedByOthers(
-        m: Machine,
+        machine: Machine,
         others: ReportTimes,
     ): Boolean {
-        if (m.probesUnanswered < Tuning.PROBES || m.reportAt > m.unansweredSince) return false
-        return others.sentAfter(m.unansweredSince) > others.machines * Tuning.MOST
+        if (machine.probesUnanswered < Tuning.PROBES ||
+            machine.sequenceFirstSeenAt > machine.unansweredSince
+        ) {
+            return false
+        }
+        return others.sentAfter(machine.unansweredSince) > others.machines * Tuning.MOST
     }
 
     /** When the confirmed machines among [inherited] sent their last reports, ordered once for all that are missing. */
@@ -55,7 +61,7 @@
     ) {
         val machines = inherited.size
         private val times by lazy(LazyThreadSafetyMode.NONE) {
-            inherited.filter { it.confirmed }.map { it.reportSentAfter }.sorted()
+            inherited.filter { it.confirmed }.map { it.heartbeatSentAfter }.sorted()
         }
 
         /** How many sent their last report after [time] (steady ms). */
@@ -72,6 +78,6 @@
     ) = confirmed > all * Tuning.MOST ||
         (
             confirmed > all * Tuning.HEARD_SHARE &&
-                stalls.heedfulSince(election.electedAt) > reportedWithinMs
+                stalls.attentiveMsSince(election.electedAt) > reportedWithinMs
         )
 }
--- a/src/main/kotlin/ledgearch/core/PartitionedZones.kt
+++ b/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
@@ -1,6 +1,8 @@
-package ledgearch.core
+package ledgearch.agents
 
 import ledgearch.Tuning
+import ledgearch.model.Machine
+import ledgearch.runtime.Clock
 import org.slf4j.LoggerFactory
 
 /**
@@ -9,7 +11,7 @@
  * what goes on.
  */
 internal class PartitionedZones(
-    private val now: Now,
+    private val clock: Clock,
 ) {
     private class ZoneCounts {
         var machines = 0
@@ -48,11 +50,11 @@
         isHeard: (Machine) -> Boolean,
     ): Set<String> {
         val zones = HashMap<String, ZoneCounts>()
-        for (m in machines) {
-            if (m.releasing) continue
-            val counts = zones.getOrPut(m.zone) { ZoneCounts() }
+        for (machine in machines) {
+            if (machine.releasing) continue
+            val counts = zones.getOrPut(machine.zone) { ZoneCounts() }
             counts.machines++
-            if (isHeard(m)) counts.heard++
+            if (isHeard(machine)) counts.heard++
         }
         val anyWell = zones.values.any { it.heard > it.machines * Tuning.MOST }
         val cut =
@@ -65,10 +67,10 @@
             log.info("zone {} is heard again, or gone", zone)
             since.remove(zone)
             kept.removeIf { it.zone == zone }
-            backAt[zone] = now.steady
+            backAt[zone] = clock.steadyMs
         }
         for ((name, counts) in cut) {
-            if (since.putIfAbsent(name, now.steady) ==
+            if (since.putIfAbsent(name, clock.steadyMs) ==
                 null
             ) {
                 log.warn("zone {}: {} of {} machines are heard", name, counts.heard, counts.machines)
@@ -84,7 +86,7 @@
         began: Long,
     ) = when {
         counts == null || (counts.machines < Tuning.ZONE_MACHINES && counts.heard == 0) -> {
-            now.steady - began >=
+            clock.steadyMs - began >=
                 Tuning.CUT_ZONE_MS
         }
 
@@ -104,16 +106,16 @@
      * the sooner the better.
      */
     fun mayComeBack(
-        m: Machine,
+        machine: Machine,
         servedWithin: Set<String>,
     ): Boolean {
-        if (others >= 2 || now.steady - (since[m.zone] ?: return false) >= Tuning.CUT_ZONE_MS) return false
-        if (!m.confirmed) return m.zone in servedWithin
-        return m in kept || holdsTwoZoneReplica(m).also { if (it) kept.add(m) }
+        if (others >= 2 || clock.steadyMs - (since[machine.zone] ?: return false) >= Tuning.CUT_ZONE_MS) return false
+        if (!machine.confirmed) return machine.zone in servedWithin
+        return machine in kept || holdsTwoZoneReplica(machine).also { if (it) kept.add(machine) }
     }
 
-    private fun holdsTwoZoneReplica(m: Machine) =
-        m.attempts.values.any {
+    private fun holdsTwoZoneReplica(machine: Machine) =
+        machine.attempts.values.any {
             it.job?.spec?.spreadZones == true &&
                 it.job.isService &&
                 !it.exited
--- a/src/main/kotlin/ledgearch/intake/Cancellations.kt
+++ b/src/main/kotlin/ledgearch/api/Cancellations.kt
@@ -1,15 +1,15 @@
-package ledgearch.intake
+package ledgearch.api
 
 import ledgearch.Tuning
-import ledgearch.core.JobRecord
-import ledgearch.core.JobStore
-import ledgearch.core.Keys
-import ledgearch.core.Now
-import ledgearch.core.decodeRecord
-import ledgearch.core.encodeRecord
-import ledgearch.state.RequestClass
-import ledgearch.state.StoreClient
-import ledgearch.state.TransactionResult
+import ledgearch.jobs.JobStore
+import ledgearch.records.JobRecord
+import ledgearch.records.Keys
+import ledgearch.records.decodeRecord
+import ledgearch.records.encodeRecord
+import ledgearch.runtime.Clock
+import ledgearch.store.RequestClass
+import ledgearch.store.StoreClient
+import ledgearch.store.TransactionResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import ledgearch.wire.KeyValue
@@ -21,7 +21,7 @@
 internal class Cancellations(
     private val jobStore: JobStore,
     private val state: StoreClient,
-    private val now: Now,
+    private val clock: Clock,
     private val lookup: JobLookup,
     private val answers: JobAnswers,
 ) {
@@ -42,7 +42,7 @@
     ) {
         if (!Validation.isJobId(id)) return respond(answers.unknownJob())
         jobStore.final(id)?.let { return respond(answers.over(id, it)) }
-        val cancellation = Cancellation(now.steady, respond)
+        val cancellation = Cancellation(clock.steadyMs, respond)
         if (jobStore.jobs.containsKey(id)) return await(id, cancellation)
         // Accepted at another node a moment ago, perhaps: only an end is an answer to a cancellation.
         lookup.read(id, respond, unknown = { respond(answers.unknownJob()) }) { open ->
@@ -96,7 +96,7 @@
     }
 
     private fun isTurnedAway(cancellation: Cancellation): Boolean {
-        if (now.steady - cancellation.since < Tuning.CANCEL_MS) return false
+        if (clock.steadyMs - cancellation.since < Tuning.CANCEL_MS) return false
         cancellation.respond(answers.tryAgain())
         return true
     }
@@ -117,8 +117,8 @@
         modRevision: Long,
     ) {
         val id = record.spec.id
-        if (now.steady < (markAgainAt[id] ?: Long.MIN_VALUE)) return
-        markAgainAt[id] = now.steady + Tuning.STATE_MS
+        if (clock.steadyMs < (markAgainAt[id] ?: Long.MIN_VALUE)) return
+        markAgainAt[id] = clock.steadyMs + Tuning.STATE_MS
         val value = encodeRecord(JobRecord.serializer(), record.copy(cancelRequested = true))
         val condition = Condition(Keys.job(id), modRevision)
         val change = Change(put = Keys.job(id), value = value)
@@ -130,7 +130,7 @@
         result: TransactionResult,
     ) {
         // Once written, the watch brings the mark.
-        markAgainAt[id] = now.steady + Tuning.STATE_RETRY_MS
+        markAgainAt[id] = clock.steadyMs + Tuning.STATE_RETRY_MS
         when (result) {
             // It is tried again when a user asks again.
             TransactionResult.Refused, TransactionResult.TooLarge -> {
--- a/src/main/kotlin/ledgearch/intake/DependencyCheck.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyCheck.kt
@@ -1,8 +1,8 @@
-package ledgearch.intake
+package ledgearch.api
 
-import ledgearch.core.FinalRecord
-import ledgearch.core.JobReading
-import ledgearch.core.JobStore
+import ledgearch.jobs.JobReading
+import ledgearch.jobs.JobStore
+import ledgearch.records.FinalRecord
 
 /** What is known of the jobs that a submission names as awaited. */
 internal sealed interface DependencyCheckResult {
--- a/src/main/kotlin/ledgearch/intake/JobAnswers.kt
+++ b/src/main/kotlin/ledgearch/api/JobAnswers.kt
@@ -1,9 +1,9 @@
-package ledgearch.intake
+package ledgearch.api
 
-import ledgearch.core.FinalRecord
-import ledgearch.core.Job
 import ledgearch.http.HttpStatus
 import ledgearch.http.Response
+import ledgearch.model.Job
+import ledgearch.records.FinalRecord
 import ledgearch.wire.ErrorBody
 import ledgearch.wire.JobState
 import ledgearch.wire.JobStatus
@@ -31,8 +31,8 @@
 
     /** The open job [job]; its progress is known from its own tasks on the leader, elsewhere from the leader's news. */
     fun open(job: Job): Response {
-        val running = if (leadership.isLeader) job.runningCount else job.shown?.running ?: 0
-        val done = if (leadership.isLeader) job.finishedCount else job.shown?.done ?: 0
+        val running = if (leadership.isLeader) job.runningCount else job.lastProgress?.running ?: 0
+        val done = if (leadership.isLeader) job.finishedCount else job.lastProgress?.done ?: 0
         val state = if (running > 0) JobState.RUNNING else JobState.PENDING
         return status(HttpStatus.OK, JobStatus(job.id, state, done, running))
     }
--- a/src/main/kotlin/ledgearch/intake/JobLookup.kt
+++ b/src/main/kotlin/ledgearch/api/JobLookup.kt
@@ -1,11 +1,11 @@
-package ledgearch.intake
+package ledgearch.api
 
 import ledgearch.Tuning
-import ledgearch.core.Job
-import ledgearch.core.JobReading
-import ledgearch.core.JobRecord
-import ledgearch.core.JobStore
-import ledgearch.core.decodeRecord
+import ledgearch.jobs.JobReading
+import ledgearch.jobs.JobStore
+import ledgearch.model.Job
+import ledgearch.records.JobRecord
+import ledgearch.records.decodeRecord
 import ledgearch.wire.KeyValue
 
 /** Answers requests by reading the records of one job; limits how many such readings are under way. */
--- a/src/main/kotlin/ledgearch/intake/Polls.kt
+++ b/src/main/kotlin/ledgearch/api/Polls.kt
@@ -1,13 +1,13 @@
-package ledgearch.intake
+package ledgearch.api
 
 import ledgearch.Tuning
-import ledgearch.core.Job
-import ledgearch.core.JobStore
-import ledgearch.core.Keys
-import ledgearch.core.Now
-import ledgearch.state.RequestClass
-import ledgearch.state.StoreClient
-import ledgearch.state.TransactionResult
+import ledgearch.jobs.JobStore
+import ledgearch.model.Job
+import ledgearch.records.Keys
+import ledgearch.runtime.Clock
+import ledgearch.store.RequestClass
+import ledgearch.store.StoreClient
+import ledgearch.store.TransactionResult
 import ledgearch.wire.Condition
 
 /**
@@ -17,7 +17,7 @@
 internal class Polls(
     private val jobStore: JobStore,
     private val state: StoreClient,
-    private val now: Now,
+    private val clock: Clock,
     private val dependencies: DependencyKnowledge,
     private val lookup: JobLookup,
     private val answers: JobAnswers,
@@ -61,19 +61,19 @@
         if (!Validation.isJobId(id)) return respond(answers.unknownJob())
         jobStore.final(id)?.let { return respond(answers.over(id, it)) }
         if (waiting.size >= Tuning.INTAKE_BACKLOG) return respond(answers.tryAgain())
-        waiting.addLast(Poll(id, now.steady, respond))
+        waiting.addLast(Poll(id, clock.steadyMs, respond))
     }
 
     /** Turns away those that have waited too long. */
     fun expire() {
-        while (waiting.isNotEmpty() && now.steady - waiting.first().since >= Tuning.POLL_MS) {
+        while (waiting.isNotEmpty() && clock.steadyMs - waiting.first().since >= Tuning.POLL_MS) {
             waiting.removeFirst().respond(answers.tryAgain())
         }
     }
 
     /** Confirms what is known of the polled jobs unless a transaction is under way. */
     fun flush() {
-        if (confirming || waiting.isEmpty() || now.steady < retryAt) return
+        if (confirming || waiting.isEmpty() || clock.steadyMs < retryAt) return
         val batch = nextBatch()
         if (batch.polls.isEmpty()) return
         confirming = true
@@ -122,7 +122,7 @@
             }
 
             TransactionResult.Unknown -> {
-                retryAt = now.steady + Tuning.STATE_RETRY_MS
+                retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
                 batch.polls.asReversed().forEach(waiting::addFirst)
             }
         }
--- a/src/main/kotlin/ledgearch/intake/SubmissionBatch.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionBatch.kt
@@ -1,11 +1,11 @@
-package ledgearch.intake
+package ledgearch.api
 
 import ledgearch.Tuning
-import ledgearch.core.FinalRecord
-import ledgearch.core.JobRecord
-import ledgearch.core.Keys
-import ledgearch.core.encodeRecord
 import ledgearch.http.Response
+import ledgearch.records.FinalRecord
+import ledgearch.records.JobRecord
+import ledgearch.records.Keys
+import ledgearch.records.encodeRecord
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import ledgearch.wire.JobState
--- a/src/main/kotlin/ledgearch/intake/Submissions.kt
+++ b/src/main/kotlin/ledgearch/api/Submissions.kt
@@ -1,16 +1,16 @@
-package ledgearch.intake
+package ledgearch.api
 
 import ledgearch.Tuning
 import ledgearch.config.Team
-import ledgearch.core.FinalRecord
-import ledgearch.core.JobRecord
-import ledgearch.core.JobStore
-import ledgearch.core.Keys
-import ledgearch.core.Now
 import ledgearch.http.HttpStatus
-import ledgearch.state.RequestClass
-import ledgearch.state.StoreClient
-import ledgearch.state.TransactionResult
+import ledgearch.jobs.JobStore
+import ledgearch.records.FinalRecord
+import ledgearch.records.JobRecord
+import ledgearch.records.Keys
+import ledgearch.runtime.Clock
+import ledgearch.store.RequestClass
+import ledgearch.store.StoreClient
+import ledgearch.store.TransactionResult
 import ledgearch.wire.JobState
 import ledgearch.wire.WireJson
 
@@ -26,7 +26,7 @@
     private val jobStore: JobStore,
     private val state: StoreClient,
     private val leadership: LeadershipView,
-    private val now: Now,
+    private val clock: Clock,
     private val dependencies: DependencyKnowledge,
     private val lookup: JobLookup,
     private val polls: Polls,
@@ -44,8 +44,8 @@
     ) {
         val submitted =
             try {
-                Submitted.read(body)
-            } catch (e: Malformed) {
+                SubmittedJob.read(body)
+            } catch (e: MalformedSubmission) {
                 return respond(errorResponse(HttpStatus.BAD_REQUEST, e.message.orEmpty()))
             }
         val id = submitted.id
@@ -54,10 +54,10 @@
         val spec =
             try {
                 submitted.request()
-            } catch (e: Malformed) {
+            } catch (e: MalformedSubmission) {
                 return refuse(id, HttpStatus.BAD_REQUEST, e.message.orEmpty(), respond)
             }
-        check(JobRecord(spec, now.wall), respond)
+        check(JobRecord(spec, clock.wallMs), respond)
     }
 
     /** Turns away those that have waited too long. */
@@ -65,7 +65,7 @@
         val late = waiting.values.iterator()
         while (late.hasNext()) {
             val submission = late.next()
-            if (now.steady - submission.since < Tuning.SUBMIT_MS) continue
+            if (clock.steadyMs - submission.since < Tuning.SUBMIT_MS) continue
             late.remove()
             submission.answer(answers.tryAgain())
         }
@@ -73,11 +73,11 @@
 
     /** Sends the next transaction unless one is under way. */
     fun flush() {
-        if (submitting || waiting.isEmpty() || now.steady < retryAt) return
+        if (submitting || waiting.isEmpty() || clock.steadyMs < retryAt) return
         val batch = nextBatch()
         if (batch.submissions.isEmpty()) return
         submitting = true
-        val sentAt = now.steady
+        val sentAt = clock.steadyMs
         state.transact(batch.conditions, batch.changes, RequestClass.ORDINARY) { result ->
             submitting = false
             answered(batch, result, sentAt)
@@ -148,7 +148,7 @@
         val id = record.spec.id
         if (jobStore.final(id) != null || jobStore.jobs.containsKey(id)) return polls.add(id, respond)
         if (joined(id, respond)) return
-        val submission = Submission(record, now.steady, endedDependencies)
+        val submission = Submission(record, clock.steadyMs, endedDependencies)
         submission.join(respond)
         waiting[id] = submission
     }
@@ -234,7 +234,7 @@
 
             // A repeat is harmless: if the first was executed, the condition fails and the job is found.
             TransactionResult.Unknown -> {
-                retryAt = now.steady + Tuning.STATE_RETRY_MS
+                retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
             }
         }
     }
--- a/src/main/kotlin/ledgearch/intake/Submitted.kt
+++ b/src/main/kotlin/ledgearch/api/SubmittedJob.kt
@@ -1,4 +1,4 @@
-package ledgearch.intake
+package ledgearch.api
 
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.JsonArray
@@ -18,12 +18,12 @@
 import ledgearch.wire.WireJson
 
 /** A submission that is malformed; answered with 400. */
-internal class Malformed(
+internal class MalformedSubmission(
     message: String,
 ) : Exception(message, null, false, false)
 
 /** What was submitted: an object that names a job, the rest of it not yet looked at. */
-internal class Submitted private constructor(
+internal class SubmittedJob private constructor(
     val id: String,
     private val json: JsonObject,
 ) {
@@ -56,14 +56,14 @@
         if (request.vcpus <= 0 && request.accelerators <= 0 &&
             request.memoryGb <= 0
         ) {
-            throw Malformed("vcpus: a task must take something")
+            throw MalformedSubmission("vcpus: a task must take something")
         }
         return request
     }
 
     private fun value(name: String): JsonElement? = json[name]?.takeIf { it !is JsonNull }
 
-    private fun missing(name: String): Nothing = throw Malformed("$name: missing")
+    private fun missing(name: String): Nothing = throw MalformedSubmission("$name: missing")
 
     private fun text(name: String) = textOrNull(name) ?: missing(name)
 
@@ -71,21 +71,21 @@
         name: String,
         values: WireEnumSerializer<E>,
     ): E where E : Enum<E>, E : WireEnum =
-        values.of(text(name)) ?: throw Malformed("$name: must be one of ${values.texts}")
+        values.of(text(name)) ?: throw MalformedSubmission("$name: must be one of ${values.texts}")
 
     private fun textOrNull(name: String): String? = value(name)?.let { string(name, it) }
 
     private fun textsOrNull(name: String): List<String>? {
         val array = value(name) ?: return null
-        return (array as? JsonArray ?: throw Malformed("$name: must be an array")).map { string(name, it) }
+        return (array as? JsonArray ?: throw MalformedSubmission("$name: must be an array")).map { string(name, it) }
     }
 
     /** Each dependency once; null where none is. */
     private fun dependenciesOrNull(): List<String>? {
         val ids = textsOrNull(DEPENDS_ON)?.distinct().orEmpty()
         for (awaited in ids) {
-            if (!Validation.isJobId(awaited)) throw Malformed("$DEPENDS_ON: \"$awaited\" is not a job id")
-            if (awaited == id) throw Malformed("$DEPENDS_ON: a job can't wait for itself")
+            if (!Validation.isJobId(awaited)) throw MalformedSubmission("$DEPENDS_ON: \"$awaited\" is not a job id")
+            if (awaited == id) throw MalformedSubmission("$DEPENDS_ON: a job can't wait for itself")
         }
         return ids.ifEmpty { null }
     }
@@ -95,14 +95,14 @@
         element: JsonElement,
     ): String {
         val p = element as? JsonPrimitive
-        if (p == null || !p.isString || p.content.isEmpty()) throw Malformed("$name: must be a string")
+        if (p == null || !p.isString || p.content.isEmpty()) throw MalformedSubmission("$name: must be a string")
         return p.content
     }
 
     private fun flag(name: String): Boolean {
         val element = value(name) ?: missing(name)
         return (element as? JsonPrimitive)?.takeIf { !it.isString }?.booleanOrNull
-            ?: throw Malformed("$name: must be true or false")
+            ?: throw MalformedSubmission("$name: must be true or false")
     }
 
     private fun count(
@@ -110,8 +110,8 @@
         least: Int,
         most: Int,
     ): Int {
-        val n = (number(name) ?: missing(name)).longOrNull ?: throw Malformed("$name: must be an integer")
-        if (n < least || n > most) throw Malformed("$name: must be from $least to $most")
+        val n = (number(name) ?: missing(name)).longOrNull ?: throw MalformedSubmission("$name: must be an integer")
+        if (n < least || n > most) throw MalformedSubmission("$name: must be from $least to $most")
         return n.toInt()
     }
 
@@ -119,13 +119,17 @@
 
     private fun amountOrNull(name: String): Double? {
         val d = (number(name) ?: return null).doubleOrNull
-        if (d == null || !(d >= 0 && d <= MAX_AMOUNT)) throw Malformed("$name: must be a number that is not negative")
+        if (d == null ||
+            !(d >= 0 && d <= MAX_AMOUNT)
+        ) {
+            throw MalformedSubmission("$name: must be a number that is not negative")
+        }
         return d
     }
 
     private fun number(name: String): JsonPrimitive? {
         val p = (value(name) ?: return null) as? JsonPrimitive
-        if (p == null || p.isString || !NUMBER.matches(p.content)) throw Malformed("$name: must be a number")
+        if (p == null || p.isString || !NUMBER.matches(p.content)) throw MalformedSubmission("$name: must be a number")
         return p
     }
 
@@ -137,17 +141,19 @@
         /** As JSON has it; the parser alone would let `1f` or `NaN` through. */
         private val NUMBER = Regex("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
 
-        fun read(body: String): Submitted {
-            if (depth(body) > Tuning.SUBMISSION_DEPTH) throw Malformed("too deep")
+        fun read(body: String): SubmittedJob {
+            if (depth(body) > Tuning.SUBMISSION_DEPTH) throw MalformedSubmission("too deep")
             val json =
                 try {
-                    WireJson.parseToJsonElement(body) as? JsonObject ?: throw Malformed("not an object")
+                    WireJson.parseToJsonElement(body) as? JsonObject ?: throw MalformedSubmission("not an object")
                 } catch (_: SerializationException) {
-                    throw Malformed("not JSON")
+                    throw MalformedSubmission("not JSON")
                 }
-            val id = (json["ref"] as? JsonPrimitive)?.takeIf { it.isString }?.content ?: throw Malformed("ref: missing")
-            if (!Validation.isJobId(id)) throw Malformed("ref: not a job id")
-            return Submitted(id, json)
+            val id =
+                (json["ref"] as? JsonPrimitive)?.takeIf { it.isString }?.content
+                    ?: throw MalformedSubmission("ref: missing")
+            if (!Validation.isJobId(id)) throw MalformedSubmission("ref: not a job id")
+            return SubmittedJob(id, json)
         }
 
         /** How deep brackets outside strings nest. */
--- a/src/main/kotlin/ledgearch/intake/Intake.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -1,12 +1,12 @@
-package ledgearch.intake
+package ledgearch.api
 
 import ledgearch.Tuning
 import ledgearch.config.Settings
-import ledgearch.core.JobStore
-import ledgearch.core.Now
 import ledgearch.http.HttpStatus
 import ledgearch.http.Request
-import ledgearch.state.StoreClient
+import ledgearch.jobs.JobStore
+import ledgearch.runtime.Clock
+import ledgearch.store.StoreClient
 import ledgearch.wire.Condition
 
 /** The grant as far as intake needs it: the leader's submissions are accepted under its own grant. */
@@ -24,23 +24,23 @@
  * The users' side, on every node; it routes the requests to those who answer them. One rule holds for every answer: all
  * it rests on was read from the state service after the question came, or is final.
  */
-internal class Intake(
+internal class UserApi(
     settings: Settings,
     jobStore: JobStore,
     state: StoreClient,
     leadership: LeadershipView,
-    now: Now,
+    clock: Clock,
 ) {
     private val deployment = settings.deployment
     private val freshMs = (deployment.workers.cancelS * 1000 * Tuning.FRESH_SHARE).toLong()
     private val limits = SubmissionLimits(deployment.teams.associateBy { it.name }, deployment.state.safeValueBytes)
     private val answers = JobAnswers(leadership, settings.operator.retryAfterS)
-    private val dependencies = DependencyKnowledge(jobStore, now, freshMs)
+    private val dependencies = DependencyKnowledge(jobStore, clock, freshMs)
     private val lookup = JobLookup(jobStore, dependencies, answers)
-    private val polls = Polls(jobStore, state, now, dependencies, lookup, answers)
+    private val polls = Polls(jobStore, state, clock, dependencies, lookup, answers)
     private val submissions =
-        Submissions(limits, jobStore, state, leadership, now, dependencies, lookup, polls, answers)
-    private val cancellations = Cancellations(jobStore, state, now, lookup, answers)
+        Submissions(limits, jobStore, state, leadership, clock, dependencies, lookup, polls, answers)
+    private val cancellations = Cancellations(jobStore, state, clock, lookup, answers)
 
     /** Answers [request] by [respond], at once or when its answer is known. */
     fun handle(
--- a/src/main/kotlin/ledgearch/intake/Validation.kt
+++ b/src/main/kotlin/ledgearch/api/Validation.kt
@@ -1,7 +1,7 @@
-package ledgearch.intake
+package ledgearch.api
 
 import ledgearch.config.Team
-import ledgearch.core.Machine
+import ledgearch.model.Machine
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
 import ledgearch.wire.MachineType
--- a/src/main/kotlin/ledgearch/fleet/Fleet.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -1,21 +1,21 @@
-package ledgearch.fleet
+package ledgearch.autoscaling
 
 import kotlinx.serialization.SerializationException
 import ledgearch.Tuning
 import ledgearch.config.Settings
-import ledgearch.core.CatalogRecord
-import ledgearch.core.Job
-import ledgearch.core.JobStore
-import ledgearch.core.Leader
-import ledgearch.core.Machine
-import ledgearch.core.Now
-import ledgearch.core.RecordWriter
-import ledgearch.core.Room
-import ledgearch.core.StallCompensation
-import ledgearch.core.Transport
+import ledgearch.control.Leader
+import ledgearch.election.Election
 import ledgearch.http.Reply
-import ledgearch.leader.Election
-import ledgearch.state.TokenBucket
+import ledgearch.jobs.JobStore
+import ledgearch.model.FreeResources
+import ledgearch.model.Job
+import ledgearch.model.Machine
+import ledgearch.persistence.RecordWriter
+import ledgearch.records.CatalogRecord
+import ledgearch.runtime.Clock
+import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.TokenBucket
+import ledgearch.runtime.Transport
 import ledgearch.wire.Catalog
 import ledgearch.wire.ListedMachine
 import ledgearch.wire.MachineList
@@ -27,12 +27,12 @@
 import org.slf4j.LoggerFactory
 
 /** Rents, watches and returns machines. Only the leader of the grant does so; every node may read the catalog. */
-internal class Fleet(
+internal class Autoscaler(
     private val settings: Settings,
     private val transport: Transport,
     private val election: () -> Election,
     private val jobStore: () -> JobStore,
-    private val now: Now,
+    private val clock: Clock,
     private val stalls: StallCompensation,
     private val recordWriter: () -> RecordWriter,
 ) {
@@ -49,7 +49,7 @@
         var value = 0.0
             private set
 
-        fun now(used: Double) {
+        fun observe(used: Double) {
             value = maxOf(used, value - (value - used) * Tuning.PLAN_MS / Tuning.PEAK_MEMORY_MS)
         }
     }
@@ -71,13 +71,13 @@
     private var planAt = 0L
     private val renting = HashSet<String>()
     private var calmSince = 0L
-    private var retiredAt = 0L
+    private var drainedAt = 0L
     private val load = Peak()
     private val ordinaryLoad = Peak()
     private var rentRetryAt = 0L
     private var bookingSeq = 0L
     private val booting = LinkedHashMap<String, Booting>()
-    private val hinted = RentalHints(now)
+    private val hinted = RentalHints(clock)
     private val exhausted = HashMap<String, Long>()
 
     /** Machines that the list shows as up and that have not reported, and the steady ms since when. */
@@ -124,14 +124,14 @@
     // --- Catalog: on every node ---------------------------------------------------------------------------------
 
     fun driveCatalog(isLeader: Boolean) {
-        bucket.refill(now.steady)
+        bucket.refill(clock.steadyMs)
         val wanted = jobStore().machineTypes.isEmpty() || isLeader
-        if (!wanted || catalogBusy || now.steady < catalogAt || !bucket.has(1)) return
+        if (!wanted || catalogBusy || clock.steadyMs < catalogAt || !bucket.has(1)) return
         catalogBusy = true
         call("GET", "/catalog", null) { reply ->
             catalogBusy = false
             val machineTypes = parse(reply) { WireJson.decodeFromString(Catalog.serializer(), it) }?.machineTypes
-            catalogAt = now.steady + if (machineTypes == null) Tuning.CLOUD_RETRY_MS else Tuning.CATALOG_MS
+            catalogAt = clock.steadyMs + if (machineTypes == null) Tuning.CLOUD_RETRY_MS else Tuning.CATALOG_MS
             if (machineTypes.isNullOrEmpty()) return@call
             val known = jobStore().machineTypes
             if (known.keys != machineTypes.mapTo(HashSet()) { it.name } &&
@@ -151,23 +151,23 @@
         // when the cut is over: hundreds of machines given back that serve the next leader, and hundreds rented.
         if (!election().hasValidLease) return
         driveRelease(leader)
-        if (now.steady < planAt) return
-        planAt = now.steady + Tuning.PLAN_MS
+        if (clock.steadyMs < planAt) return
+        planAt = clock.steadyMs + Tuning.PLAN_MS
         plan(leader)
     }
 
     private fun driveRelease(leader: Leader) {
-        if (releasing || toRelease.isEmpty() || now.steady < releaseRetryAt || !bucket.has(1)) return
+        if (releasing || toRelease.isEmpty() || clock.steadyMs < releaseRetryAt || !bucket.has(1)) return
         val names = toRelease.take(MAX_RELEASE)
         releasing = true
-        names.forEach { leader.machines[it]?.releaseSent = true }
+        names.forEach { leader.machines[it]?.releaseRequested = true }
         val token = election().token
         val body = WireJson.encodeToString(MachineNames.serializer(), MachineNames(names))
         call("POST", "/hosts/release", body) { reply ->
             if (election().token == 0L) return@call
             releasing = false
             if (reply.status != 200) {
-                releaseRetryAt = now.steady + Tuning.CLOUD_RETRY_MS
+                releaseRetryAt = clock.steadyMs + Tuning.CLOUD_RETRY_MS
                 return@call
             }
             log.info("returned under token {}: {}", token, names)
@@ -183,7 +183,7 @@
     }
 
     private fun driveList(leader: Leader) {
-        if (listBusy || now.steady < listAt || !bucket.has(1)) return
+        if (listBusy || clock.steadyMs < listAt || !bucket.has(1)) return
         listBusy = true
         listPage(leader, "", 1)
     }
@@ -197,7 +197,8 @@
             listBusy = false
             // Thousands of machines take several calls, and rentals and returns need some of those allowed too.
             listAt =
-                now.steady + maxOf(Tuning.LIST_MS, (page * Tuning.LIST_PAGE_CALLS * MS_PER_S / callsASecond).toLong())
+                clock.steadyMs +
+                maxOf(Tuning.LIST_MS, (page * Tuning.LIST_PAGE_CALLS * MS_PER_S / callsASecond).toLong())
             val list = parse(reply) { WireJson.decodeFromString(MachineList.serializer(), it) } ?: return@call
             if (!election().isLeader) return@call
             list.machines.forEach { listed(leader, it) }
@@ -231,7 +232,7 @@
                         toRelease.add(machine.name)
                     } else {
                         val pool = Pool(machineType, machine.zone, machine.spot)
-                        expectBoot(leader, machine.name, Booting(pool, now.steady - (machine.ageS * 1000).toLong()))
+                        expectBoot(leader, machine.name, Booting(pool, clock.steadyMs - (machine.ageS * 1000).toLong()))
                     }
                 }
             }
@@ -259,8 +260,8 @@
         leader: Leader,
         machine: ListedMachine,
     ) {
-        val since = unheard.getOrPut(machine.name) { now.steady }
-        if (stalls.heedfulSince(since) < Tuning.UNHEARD_MS || leader.isCutOff(machine.zone)) return
+        val since = unheard.getOrPut(machine.name) { clock.steadyMs }
+        if (stalls.attentiveMsSince(since) < Tuning.UNHEARD_MS || leader.isCutOff(machine.zone)) return
         log.info("machine {} is up and does not report; it is returned", machine.name)
         unheard.remove(machine.name)
         booting.remove(machine.name)
@@ -269,7 +270,7 @@
 
     private fun plan(leader: Leader) {
         for ((name, b) in booting.entries.toList()) {
-            if (now.steady - b.since > b.pool.machineType.bootS * 1000 * Tuning.BOOT_PATIENCE + listLagMs &&
+            if (clock.steadyMs - b.since > b.pool.machineType.bootS * 1000 * Tuning.BOOT_PATIENCE + listLagMs &&
                 !isProbeMachine(leader, name, b)
             ) {
                 booting.remove(name)
@@ -277,19 +278,19 @@
             }
         }
         val churn = leader.estimates.freedASecond(jobStore().jobs.values)
-        load.now(leader.machines.values.sumOf { it.usedCpus })
-        ordinaryLoad.now(jobStore().jobs.values.sumOf { ordinaryCpus(leader, it) })
-        val needs = Demand.of(jobStore().jobs.values, leader, now)
+        load.observe(leader.machines.values.sumOf { it.usedCpus })
+        ordinaryLoad.observe(jobStore().jobs.values.sumOf { ordinaryCpus(leader, it) })
+        val needs = Demand.of(jobStore().jobs.values, leader, clock)
         // With a zone cut off, tasks that may run there wait for it unseen: what is up now will be needed.
         if (needs.isEmpty() && !leader.anyZoneUnsettled) {
-            if (calmSince == 0L) calmSince = now.steady
+            if (calmSince == 0L) calmSince = clock.steadyMs
         } else {
             calmSince = 0L
-            keepRetiring(leader)
+            cancelDraining(leader)
         }
         rentFor(leader, needs, churn)
         returnEmpty(leader)
-        if (calmSince != 0L && now.steady - calmSince > Tuning.CALM_MS) retire(leader, churn)
+        if (calmSince != 0L && clock.steadyMs - calmSince > Tuning.CALM_MS) retire(leader, churn)
     }
 
     /** Rents for what waits, less what running tasks will free before it is late or a machine could be up. */
@@ -298,7 +299,7 @@
         needs: List<Demand>,
         churn: Double,
     ) {
-        if (now.steady < rentRetryAt) return
+        if (clock.steadyMs < rentRetryAt) return
         val coming =
             booting.values
                 .filter { !leader.isCutOff(it.pool.zone) }
@@ -320,7 +321,7 @@
             var left = need.unmetBy(coming)
             val spec = need.job.spec
             // One that has starved beside all that frees is not served by it.
-            if (!need.job.isService && spec.vcpus > 0 && need.job.unservedMs(now.wall) <= Tuning.STARVED_MS) {
+            if (!need.job.isService && spec.vcpus > 0 && need.job.unservedMs(clock.wallMs) <= Tuning.STARVED_MS) {
                 val startup = bootS()
                 // Where only dear machines are left to rent, all that frees before one could be up is counted on.
                 val dear = isDear(need.job, cheapest(leader, need, planned))
@@ -388,14 +389,14 @@
             )
     }
 
-    private fun mayHaveCapacity(pool: Pool) = now.steady >= (exhausted[key(pool)] ?: Long.MIN_VALUE)
+    private fun mayHaveCapacity(pool: Pool) = clock.steadyMs >= (exhausted[key(pool)] ?: Long.MIN_VALUE)
 
     /** It is up in a zone that is cut off, and its first report will tell that the zone is back. */
     private fun isProbeMachine(
         leader: Leader,
         name: String,
         b: Booting,
-    ) = leader.isCutOff(b.pool.zone) && unheard[name].let { it != null && now.steady - it < Tuning.CUT_ZONE_MS }
+    ) = leader.isCutOff(b.pool.zone) && unheard[name].let { it != null && clock.steadyMs - it < Tuning.CUT_ZONE_MS }
 
     /**
      * No machine is left in the zone that would tell when it is heard again: one is rented, for work that can go
@@ -412,7 +413,7 @@
     private fun pools(job: Job): List<Pool> =
         jobStore()
             .machineTypes.values
-            .filter { Room(it).fits(job) }
+            .filter { FreeResources(it).fits(job) }
             .flatMap { machineType ->
                 machineType.zones.flatMap { zone ->
                     listOf(Pool(machineType, zone, true), Pool(machineType, zone, false))
@@ -460,24 +461,24 @@
                         pool.zone,
                         if (pool.spot) " (spot)" else "",
                     )
-                    for (name in names) expectBoot(leader, name, Booting(pool, now.steady))
-                    if (names.size < count) exhausted[key(pool)] = now.steady + Tuning.NO_CAPACITY_MS
+                    for (name in names) expectBoot(leader, name, Booting(pool, clock.steadyMs))
+                    if (names.size < count) exhausted[key(pool)] = clock.steadyMs + Tuning.NO_CAPACITY_MS
                 }
 
                 503 -> {
                     if ("no capacity" in
                         reply.body
                     ) {
-                        exhausted[key(pool)] = now.steady + Tuning.NO_CAPACITY_MS
+                        exhausted[key(pool)] = clock.steadyMs + Tuning.NO_CAPACITY_MS
                     } else {
                         rentRetryAt =
-                            now.steady + Tuning.CLOUD_RETRY_MS
+                            clock.steadyMs + Tuning.CLOUD_RETRY_MS
                     }
                 }
 
                 // Without an answer machines may have been rented; they show in the list and in their reports.
                 else -> {
-                    rentRetryAt = now.steady + Tuning.CLOUD_RETRY_MS
+                    rentRetryAt = clock.steadyMs + Tuning.CLOUD_RETRY_MS
                 }
             }
         }
@@ -486,8 +487,8 @@
     private fun returnEmpty(leader: Leader) {
         val active = leader.machines.values.filter { it.inService }
         for (m in leader.machines.values.toList()) {
-            if (m.draining && m.confirmed && leader.replicas.canMove(m, active)) leader.replicas.move(m)
-            if ((m.draining || m.retiring) && m.attempts.isEmpty() && m.confirmed && !m.releasing) {
+            if (m.quarantined && m.confirmed && leader.replicas.canMove(m, active)) leader.replicas.move(m)
+            if ((m.quarantined || m.draining) && m.attempts.isEmpty() && m.confirmed && !m.releasing) {
                 log.info("machine {} is empty and not needed; it is returned", m.name)
                 release(m)
             }
@@ -495,10 +496,10 @@
     }
 
     /** Work waits: machines on their way out serve again, the cheapest first, before any is rented. */
-    private fun keepRetiring(leader: Leader) {
+    private fun cancelDraining(leader: Leader) {
         for (m in leader.machines.values) {
-            if (m.retiring && !m.releasing) {
-                m.retiring = false
+            if (m.draining && !m.releasing) {
+                m.draining = false
                 leader.changed()
             }
         }
@@ -509,8 +510,8 @@
         leader: Leader,
         churn: Double,
     ) {
-        if (now.steady - retiredAt < Tuning.RETIRE_MS) return
-        retiredAt = now.steady
+        if (clock.steadyMs - drainedAt < Tuning.RETIRE_MS) return
+        drainedAt = clock.steadyMs
         while (retireOne(leader, churn)) Unit
     }
 
@@ -526,13 +527,13 @@
         val fixed = active.filter { !it.spot }.groupingBy { it.zone }.eachCount()
         val m =
             active
-                .filter { c -> now.steady - c.knownSince > Tuning.KEEP_MS }
+                .filter { c -> clock.steadyMs - c.knownSince > Tuning.KEEP_MS }
                 .filter { capacity - it.machineType.vcpus >= used + reserve }
                 .filter { c -> c.spot || ordinary - c.machineType.vcpus >= ordinaryLoad.value }
                 .filter { c -> c.spot || (fixed[c.zone] ?: 0) > 1 }
                 .sortedWith(compareBy({ -price(it.machineType, it.spot) }, { it.usedCpus }))
                 .firstOrNull { leader.replicas.canMove(it, active) } ?: return false
-        m.retiring = true
+        m.draining = true
         log.info(
             "machine {} is not needed: {} of {} processors used, {} to spare",
             m.name,
--- a/src/main/kotlin/ledgearch/fleet/Demand.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Demand.kt
@@ -1,10 +1,10 @@
-package ledgearch.fleet
+package ledgearch.autoscaling
 
-import ledgearch.core.Job
-import ledgearch.core.Leader
-import ledgearch.core.Now
-import ledgearch.core.Room
-import ledgearch.core.Zones
+import ledgearch.control.Leader
+import ledgearch.model.FreeResources
+import ledgearch.model.Job
+import ledgearch.model.ZoneSpread
+import ledgearch.runtime.Clock
 import ledgearch.wire.MachineType
 
 /** Room that is on its way: a rented machine that has not reported yet. */
@@ -12,13 +12,13 @@
     private val machineType: MachineType,
     private val zone: String,
     private val spot: Boolean,
-    private val room: Room = Room(machineType),
+    private val room: FreeResources = FreeResources(machineType),
 ) {
     /** Takes as many of [tasks] of [job] as fit here and in its [zones]; returns how many. */
     fun take(
         job: Job,
         tasks: Int,
-        zones: Zones,
+        zones: ZoneSpread,
     ): Int {
         if (!job.allows(machineType, zone, spot)) return 0
         val most = zones.room(zone, tasks)
@@ -38,7 +38,7 @@
     private val tasks: Int,
 ) {
     /** Where its tasks are or are planned to be. */
-    val zones = Zones(job)
+    val zones = ZoneSpread(job)
 
     /** The one zone that its tasks may be in, or null where there are several. */
     val onlyZone: String? =
@@ -64,11 +64,11 @@
         fun of(
             jobs: Collection<Job>,
             leader: Leader,
-            now: Now,
+            clock: Clock,
         ): List<Demand> {
             val perTeam = HashMap<String, Double>()
             val waiting =
-                jobs.filter { it.startable(now.steady) }.sortedWith(compareBy({ it.priority }, { it.readyAt }))
+                jobs.filter { it.startable(clock.steadyMs) }.sortedWith(compareBy({ it.priority }, { it.readyAt }))
             return (leader.recovery?.arrange(listOf(waiting))?.single() ?: waiting)
                 .mapNotNull { job ->
                     val taken = perTeam[job.spec.team] ?: 0.0
--- a/src/main/kotlin/ledgearch/fleet/Reserve.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -1,10 +1,10 @@
-package ledgearch.fleet
+package ledgearch.autoscaling
 
 import ledgearch.Tuning
 import ledgearch.config.Settings
 import ledgearch.config.startWithinS
-import ledgearch.core.Job
-import ledgearch.core.Now
+import ledgearch.model.Job
+import ledgearch.runtime.Clock
 import kotlin.math.exp
 import kotlin.math.sqrt
 
@@ -12,9 +12,9 @@
  * How much room to keep ahead of demand. A class whose users ask for starts within a time finds room in two ways:
  * what running tasks free within that time, and what is kept free. Machines boot too slowly to help.
  */
-internal class Reserve(
+internal class Headroom(
     settings: Settings,
-    private val now: Now,
+    private val clock: Clock,
 ) {
     private class Arrivals(
         val ordinary: Boolean,
@@ -52,7 +52,7 @@
         // More than its team's limit never starts at once.
         val atOnce = minOf(job.spec.vcpus * job.spec.taskCount, limits[job.spec.team] ?: 0.0)
         arrivals.getOrPut(job.spec.jobClass) { Arrivals(!job.spec.allowsSpot) }.let {
-            it.fade(now.steady)
+            it.fade(clock.steadyMs)
             it.add(atOnce)
         }
     }
@@ -87,7 +87,7 @@
         for ((name, a) in arrivals) {
             val wait = withinS[name] ?: continue
             if (wait >= bootS || !counted(a)) continue
-            a.fade(now.steady)
+            a.fade(clock.steadyMs)
             val horizons = bootS * 1000.0 / Tuning.ARRIVALS_MS
             expected += a.cpus * horizons
             variance += a.squares * horizons
--- a/src/main/kotlin/ledgearch/fleet/RentalHints.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/RentalHints.kt
@@ -1,7 +1,7 @@
-package ledgearch.fleet
+package ledgearch.autoscaling
 
 import ledgearch.Tuning
-import ledgearch.core.Now
+import ledgearch.runtime.Clock
 
 /** A machine that the leader before may have rented. */
 internal data class RentalHint(
@@ -16,14 +16,14 @@
  * twice. Nothing is ever returned because of a hint.
  */
 internal class RentalHints(
-    private val now: Now,
+    private val clock: Clock,
 ) {
     private val hints = HashMap<String, RentalHint>()
     private var until = 0L
 
     fun add(hint: RentalHint) {
         hints[hint.name] = hint
-        until = now.steady + Tuning.RENTED_HINT_MS
+        until = clock.steadyMs + Tuning.RENTED_HINT_MS
     }
 
     fun clear() = hints.clear()
@@ -33,7 +33,7 @@
         booting: Set<String>,
         joined: Set<String>,
     ): List<RentalHint> {
-        if (now.steady >= until) hints.clear()
+        if (clock.steadyMs >= until) hints.clear()
         return hints.values.filter { it.name !in booting && it.name !in joined }
     }
 }
--- a/src/main/kotlin/ledgearch/cli/OwnerLoop.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerLoop.kt
@@ -1,7 +1,7 @@
 package ledgearch.cli
 
 import ledgearch.Tuning
-import ledgearch.core.OwnerCommand
+import ledgearch.control.OwnerCommand
 
 /** Takes the owner's commands from its queue in batches; it ends only with the process. */
 internal class OwnerLoop(
--- a/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
@@ -3,8 +3,8 @@
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.selects.select
 import ledgearch.Tuning
-import ledgearch.core.Metrics
-import ledgearch.core.OwnerCommand
+import ledgearch.control.OwnerCommand
+import ledgearch.runtime.Metrics
 
 /**
  * What waits for the owner, in two lines. Workers' reports, answers and time come first and hold their senders back
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -11,11 +11,11 @@
 import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
-import ledgearch.mesh.LeaderStatus
-import ledgearch.mesh.MeshEvents
-import ledgearch.mesh.MeshLinks
-import ledgearch.mesh.Progress
-import ledgearch.standby.StandbyEvent
+import ledgearch.peers.JobProgress
+import ledgearch.peers.LeaderStatus
+import ledgearch.peers.MeshEvents
+import ledgearch.peers.MeshLinks
+import ledgearch.peers.StandbyEvent
 import ledgearch.wire.CommandKind
 import ledgearch.wire.CommandRequest
 import ledgearch.wire.ExitCause
@@ -61,7 +61,7 @@
         runBlocking(Dispatchers.Unconfined) {
             repeat(ROUNDS) { round ->
                 Thread.sleep(STEP_MS)
-                peer.publish(LeaderStatus(listOf(Progress("job-900", 1, 1)), served = true))
+                peer.publish(LeaderStatus(listOf(JobProgress("job-900", 1, 1)), served = true))
                 client.call(settings.listen, "GET", "/up", null, TIMEOUT_MS)
                 client.call(settings.listen, "POST", "/work", job("job-$round", ""), TIMEOUT_MS)
                 client.call(settings.listen, "POST", "/work", job("job-1$round", AWAITED), TIMEOUT_MS)
--- a/src/main/kotlin/ledgearch/client/ControllerStatus.kt
+++ b/src/main/kotlin/ledgearch/client/ControllerStatus.kt
@@ -1,8 +1,8 @@
 package ledgearch.client
 
 import kotlinx.serialization.SerializationException
-import ledgearch.core.MetricsReport
 import ledgearch.http.HttpClient
+import ledgearch.runtime.MetricsReport
 import ledgearch.wire.WireJson
 
 /** What one controller answered when it was asked how it is. */
--- a/src/main/kotlin/ledgearch/client/StatusText.kt
+++ b/src/main/kotlin/ledgearch/client/StatusText.kt
@@ -1,8 +1,8 @@
 package ledgearch.client
 
-import ledgearch.core.MetricsReport
 import ledgearch.recovery.RecoveryReport
 import ledgearch.recovery.ZoneReport
+import ledgearch.runtime.MetricsReport
 import ledgearch.standby.StandbyReport
 import java.util.Locale
 
--- a/src/main/kotlin/ledgearch/core/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -1,24 +1,35 @@
-package ledgearch.core
+package ledgearch.control
 
 import ledgearch.Tuning
+import ledgearch.api.LeadershipView
+import ledgearch.api.UserApi
+import ledgearch.api.errorResponse
+import ledgearch.autoscaling.Autoscaler
 import ledgearch.config.Settings
-import ledgearch.fleet.Fleet
+import ledgearch.election.Election
+import ledgearch.election.ElectionListener
 import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
-import ledgearch.intake.LeadershipView
-import ledgearch.intake.Intake
-import ledgearch.intake.errorResponse
-import ledgearch.leader.Election
-import ledgearch.leader.ElectionListener
-import ledgearch.mesh.LeaderStatus
-import ledgearch.mesh.Mesh
-import ledgearch.mesh.Progress
+import ledgearch.jobs.DependencyListener
+import ledgearch.jobs.JobStore
+import ledgearch.jobs.JobStoreListener
+import ledgearch.model.Job
+import ledgearch.peers.JobProgress
+import ledgearch.peers.LeaderStatus
+import ledgearch.peers.Mesh
+import ledgearch.peers.StandbyEvent
+import ledgearch.persistence.RecordWriter
 import ledgearch.recovery.ZoneRecovery
-import ledgearch.standby.LeaderImage
-import ledgearch.standby.StandbyEvent
+import ledgearch.runtime.Clock
+import ledgearch.runtime.MeteredTransport
+import ledgearch.runtime.Metrics
+import ledgearch.runtime.MetricsReport
+import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.Transport
+import ledgearch.standby.LeaderSnapshot
 import ledgearch.standby.WarmStandby
-import ledgearch.state.StoreClient
+import ledgearch.store.StoreClient
 import ledgearch.wire.Condition
 import ledgearch.wire.Heartbeat
 import ledgearch.wire.HeartbeatReply
@@ -78,25 +89,27 @@
     private val log = LoggerFactory.getLogger("ledgearch.core")
     private val node = settings.node
     private val members = settings.members.associate { it.node to it.addr }
-    private val now = Now()
-    private val metrics = Metrics(now, nanos)
-    private val metered = MeteredTransport(transport, settings.outside, metrics, now)
+    private val clock = Clock()
+    private val metrics = Metrics(clock, nanos)
+    private val metered = MeteredTransport(transport, settings.outside, metrics, clock)
     private val state =
-        StoreClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, now)
-    private val jobStore = JobStore(state, now, JobStoreEvents(), DependencyEvents(), finalsKept)
+        StoreClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, clock)
+    private val jobStore = JobStore(state, clock, JobStoreEvents(), DependencyEvents(), finalsKept)
     private val election: Election =
-        Election(node, instance, state, { jobStore }, now, random, ElectionEvents(), ::claimDelayMs)
-    private val recordWriter = RecordWriter(state, election, jobStore, now, settings.deployment.state.safeValueBytes)
-    private val stalls = StallCompensation(now, metrics)
-    private val fleet: Fleet = Fleet(settings, metered, { election }, { jobStore }, now, stalls) { recordWriter }
-    private val leader = Leader(settings, state, metered, election, jobStore, now, recordWriter, fleet, metrics, stalls)
-    private val intake = Intake(settings, jobStore, state, LeadershipEvents(), now)
+        Election(node, instance, state, { jobStore }, clock, random, ElectionEvents(), ::claimDelayMs)
+    private val recordWriter = RecordWriter(state, election, jobStore, clock, settings.deployment.state.safeValueBytes)
+    private val stalls = StallCompensation(clock, metrics)
+    private val fleet: Autoscaler =
+        Autoscaler(settings, metered, { election }, { jobStore }, clock, stalls) { recordWriter }
+    private val leader =
+        Leader(settings, state, metered, election, jobStore, clock, recordWriter, fleet, metrics, stalls)
+    private val intake = UserApi(settings, jobStore, state, LeadershipEvents(), clock)
 
     /** Null unless the operators have switched it on. */
     val standby: WarmStandby? =
         if (settings.operator.standby.enabled) {
-            val image = LeaderImage(leader, jobStore, fleet, Tuning.REPLICA_BYTES)
-            WarmStandby(node, mesh, now, settings.deployment.quota.cpu, image)
+            val image = LeaderSnapshot(leader, jobStore, fleet, Tuning.REPLICA_BYTES)
+            WarmStandby(node, mesh, clock, settings.deployment.quota.cpu, image)
         } else {
             null
         }
@@ -121,8 +134,8 @@
         wallMs: Long,
         commands: List<OwnerCommand>,
     ) {
-        now.steady = steadyMs
-        now.wall = wallMs
+        clock.steadyMs = steadyMs
+        clock.wallMs = wallMs
         stalls.began()
         for (command in commands) guarded { carryOut(command) }
         guarded { jobStore.drive() }
@@ -179,8 +192,8 @@
 
     /** For finding out from a log what a busy node is busy with. */
     private fun logLoad() {
-        if (!log.isDebugEnabled || now.steady < loadLogAt) return
-        loadLogAt = now.steady + Tuning.LOG_LOAD_MS
+        if (!log.isDebugEnabled || clock.steadyMs < loadLogAt) return
+        loadLogAt = clock.steadyMs + Tuning.LOG_LOAD_MS
         log.debug("owner's time so far, in ms: {}", metrics.spentMs())
     }
 
@@ -192,23 +205,23 @@
 
     /** The leader's other half of a poll: the rest of the nodes know a job's progress only from here. */
     private fun tellProgress() {
-        if (!election.isLeader || now.steady < publishAt) return
-        publishAt = now.steady + Tuning.PUBLISH_MS
+        if (!election.isLeader || clock.steadyMs < publishAt) return
+        publishAt = clock.steadyMs + Tuning.PUBLISH_MS
         val all = mesh.joined != publishedTo
         publishedTo = mesh.joined
         val news =
             jobStore.jobs.values.mapNotNull { job ->
-                val p = Progress(job.id, job.finishedCount, job.runningCount)
-                if (!all && p == job.shown) null else p.also { job.shown = it }
+                val p = JobProgress(job.id, job.finishedCount, job.runningCount)
+                if (!all && p == job.lastProgress) null else p.also { job.lastProgress = it }
             }
         // Empty frames too: they show that this node lives.
-        val served = now.steady - state.lastAnswer < Tuning.LEADER_UNSERVED_MS
+        val served = clock.steadyMs - state.lastAnswer < Tuning.LEADER_UNSERVED_MS
         mesh.publish(LeaderStatus(news, served, leader.recovery?.statuses().orEmpty()))
     }
 
     private fun heard(news: LeaderStatus) {
-        news.progress.forEach { jobStore.jobs[it.job]?.shown = it }
-        if (news.served == false) leaderUnservedAt = now.steady
+        news.progress.forEach { jobStore.jobs[it.job]?.lastProgress = it }
+        if (news.served == false) leaderUnservedAt = clock.steadyMs
         if (!election.isLeader) leader.recovery?.heard(news.zones)
     }
 
@@ -236,7 +249,7 @@
             }
 
             else -> {
-                intake.handle(request, measured(Intake.kind(request), respond))
+                intake.handle(request, measured(UserApi.kind(request), respond))
             }
         }
     }
@@ -245,7 +258,7 @@
         what: String,
         respond: (Response) -> Unit,
     ): (Response) -> Unit {
-        val startedAt = now.steady
+        val startedAt = clock.steadyMs
         return {
             metrics.answered(what, it.status, startedAt)
             respond(it)
@@ -279,8 +292,8 @@
     private fun healthy() =
         jobStore.loaded && jobStore.machineTypes.isNotEmpty() &&
             (
-                now.steady - state.lastAnswer < Tuning.STATE_SILENT_MS ||
-                    now.steady - leaderUnservedAt < Tuning.OUTAGE_HEARD_MS
+                clock.steadyMs - state.lastAnswer < Tuning.STATE_SILENT_MS ||
+                    clock.steadyMs - leaderUnservedAt < Tuning.OUTAGE_HEARD_MS
             )
 
     private fun heartbeat(
--- a/src/main/kotlin/ledgearch/core/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -1,9 +1,17 @@
-package ledgearch.core
+package ledgearch.control
 
 import ledgearch.Tuning
-import ledgearch.state.RequestClass
-import ledgearch.state.ReadResult
-import ledgearch.state.StoreClient
+import ledgearch.jobs.JobStore
+import ledgearch.model.Machine
+import ledgearch.model.TeamQuotas
+import ledgearch.persistence.RecordWriter
+import ledgearch.records.FinishedRecord
+import ledgearch.records.Keys
+import ledgearch.records.decodeRecord
+import ledgearch.runtime.Clock
+import ledgearch.store.ReadResult
+import ledgearch.store.RequestClass
+import ledgearch.store.StoreClient
 import ledgearch.wire.KeyValue
 import org.slf4j.LoggerFactory
 
@@ -12,8 +20,8 @@
     private val state: StoreClient,
     private val jobStore: JobStore,
     private val recordWriter: RecordWriter,
-    private val teams: Teams,
-    private val now: Now,
+    private val teams: TeamQuotas,
+    private val clock: Clock,
     private val join: (Machine) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
@@ -50,7 +58,7 @@
 
     /** Reads on; [done] once all is read. */
     fun drive(done: () -> Unit) {
-        if (reading || now.steady < retryAt) return
+        if (reading || clock.steadyMs < retryAt) return
         val (prefix, since) = toRead.firstOrNull() ?: return done()
         reading = true
         val mine = term
@@ -73,7 +81,7 @@
                 }
 
                 else -> {
-                    retryAt = now.steady + Tuning.STATE_RETRY_MS
+                    retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
                 }
             }
         }
@@ -86,7 +94,7 @@
         val name = pair.key.removePrefix(prefix)
         recordWriter.read(pair.key, pair.modRevision)
         if (prefix == Keys.MACHINES) {
-            val machines = recordWriter.restore(name, pair, teams, now.steady)
+            val machines = recordWriter.restore(name, pair, teams, clock.steadyMs)
             if (machines == null) {
                 log.error(
                     "the record {} can't be read: older jobs wait until it is removed and the leader ends",
--- a/src/main/kotlin/ledgearch/core/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -1,20 +1,36 @@
-package ledgearch.core
+package ledgearch.control
 
 import ledgearch.Tuning
+import ledgearch.agents.CommandDispatcher
+import ledgearch.agents.FailureDetector
+import ledgearch.agents.TaskStatusHandler
+import ledgearch.autoscaling.Autoscaler
+import ledgearch.autoscaling.Headroom
 import ledgearch.config.Settings
-import ledgearch.core.placement.Deadlines
-import ledgearch.core.placement.Estimates
-import ledgearch.core.placement.NoRecovery
-import ledgearch.core.placement.Placer
-import ledgearch.core.placement.Preemption
-import ledgearch.core.placement.Ranking
-import ledgearch.core.placement.Reliability
-import ledgearch.fleet.Fleet
-import ledgearch.fleet.Reserve
-import ledgearch.leader.Election
+import ledgearch.election.Election
+import ledgearch.jobs.JobStore
+import ledgearch.model.AttemptState
+import ledgearch.model.Job
+import ledgearch.model.Machine
+import ledgearch.model.StopMode
+import ledgearch.model.TaskAttempt
+import ledgearch.model.TeamQuotas
+import ledgearch.persistence.RecordWriter
 import ledgearch.recovery.ZoneRecovery
+import ledgearch.runtime.Clock
+import ledgearch.runtime.Metrics
+import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.Transport
+import ledgearch.scheduling.Deadlines
+import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.NoRecovery
+import ledgearch.scheduling.Placer
+import ledgearch.scheduling.Preemption
+import ledgearch.scheduling.Ranking
+import ledgearch.scheduling.Reliability
+import ledgearch.scheduling.ReplicaMover
 import ledgearch.standby.FailoverHints
-import ledgearch.state.StoreClient
+import ledgearch.store.StoreClient
 import ledgearch.wire.CommandKind
 import ledgearch.wire.Heartbeat
 import ledgearch.wire.JobState
@@ -32,32 +48,32 @@
     private val transport: Transport,
     private val election: Election,
     private val jobStore: JobStore,
-    private val now: Now,
+    private val clock: Clock,
     private val recordWriter: RecordWriter,
-    private val fleet: Fleet,
+    private val fleet: Autoscaler,
     private val metrics: Metrics,
     private val stalls: StallCompensation,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
 
     val machines = LinkedHashMap<String, Machine>()
-    val teams = Teams(settings.deployment.teams)
+    val teams = TeamQuotas(settings.deployment.teams)
     val estimates = Estimates()
-    val reserve = Reserve(settings, now)
+    val reserve = Headroom(settings, clock)
     private val deadlines =
-        Deadlines(settings.deployment.objectives, estimates, now, jobStore.dependencies::dependentsOf)
+        Deadlines(settings.deployment.objectives, estimates, clock, jobStore.dependencies::dependentsOf)
 
     /** Null unless the operators have switched it on. */
-    val recovery: ZoneRecovery? = zoneRecovery(settings, now)
-    private val ranking = Ranking(settings.deployment.objectives, estimates, now, deadlines)
+    val recovery: ZoneRecovery? = zoneRecovery(settings, clock)
+    private val ranking = Ranking(settings.deployment.objectives, estimates, clock, deadlines)
     val reliability = Reliability(estimates, ranking)
     private val placer =
         Placer(
             machines,
             teams,
-            now,
+            clock,
             ranking,
-            Preemption(teams, ranking, now, recovery ?: NoRecovery, ::preempt),
+            Preemption(teams, ranking, clock, recovery ?: NoRecovery, ::preempt),
             reliability,
             recovery ?: NoRecovery,
             estimates,
@@ -68,14 +84,14 @@
         CommandDispatcher(
             transport,
             election,
-            now,
+            clock,
             stalls,
             Tuning.probesAtOnce(settings.deployment.quota.cpu),
             Tuning.callsAtOnce(settings.deployment.quota.fdLimit),
             (settings.deployment.workers.reportS * 1000 * Tuning.DUE_REPORTS).toLong(),
             { machines[it.name] === it },
             ::answered,
-            ::begunAnew,
+            ::restarted,
         )
     private val failureDetector =
         FailureDetector(
@@ -85,7 +101,7 @@
             dispatcher,
             fleet,
             reliability,
-            now,
+            clock,
             stalls,
             recovery,
             ::areasBefore,
@@ -99,12 +115,12 @@
     /** The first token of this term: a worker that has seen it no longer follows any earlier leader. */
     private var term = 0L
     private var attemptSeq = 0L
-    private val failover = Failover(state, jobStore, recordWriter, teams, now, ::joinFromRecord)
+    private val failover = Failover(state, jobStore, recordWriter, teams, clock, ::joinFromRecord)
     private val tasks =
-        TaskStatusHandler(jobStore, machines, estimates, recordWriter, metrics, now, dispatcher::want, ::changed) {
+        TaskStatusHandler(jobStore, machines, estimates, recordWriter, metrics, clock, dispatcher::enqueue, ::changed) {
             recovery?.lost(it)
         }
-    val replicas = Replicas(now, placer::usable) { stop(it) }
+    val replicas = ReplicaMover(clock, placer::usable) { stop(it) }
 
     /** What a replica of the replaced leader's state suggests; it proves nothing. */
     private var hints: FailoverHints? = null
@@ -138,7 +154,7 @@
         term = token
         attemptSeq = 0
         for (job in jobStore.jobs.values) {
-            job.trusted = job.modRevision > term && !job.record.cancelRequested
+            job.accountedFor = job.modRevision > term && !job.record.cancelRequested
             if (job.record.cancelRequested || job.dependencyCancelled) cancelled.add(job)
         }
         guaranteesDirty = true
@@ -184,7 +200,7 @@
         if (term == 0L) return
         // Accepted after the grant: no earlier leader can have learnt of it while it still held the block.
         // Of a cancelled one only the mark may be so new.
-        job.trusted = if (job.record.cancelRequested) allConfirmedLogged else job.modRevision > term
+        job.accountedFor = if (job.record.cancelRequested) allConfirmedLogged else job.modRevision > term
         if (job.record.cancelRequested || job.dependencyCancelled) cancelled.add(job)
         guaranteesDirty = true
         dirty = true
@@ -209,7 +225,7 @@
         job: Job,
         priority: Priority,
     ) {
-        val attempts = machines.values.flatMap { m -> m.attempts.values.filter { it.job === job } }
+        val attempts = machines.values.flatMap { machine -> machine.attempts.values.filter { it.job === job } }
         attempts.forEach { it.machine.count(it, -1) }
         job.priority = priority
         attempts.forEach { it.machine.count(it, 1) }
@@ -254,24 +270,24 @@
         }
     }
 
-    private fun joinFromRecord(m: Machine) {
-        join(m)
-        hints?.recordRead(m, now)
+    private fun joinFromRecord(machine: Machine) {
+        join(machine)
+        hints?.recordRead(machine, clock)
     }
 
     private fun useHints() {
         val used = hints ?: return
         hints = null
-        used.takenOver(this, jobStore, fleet, now)
+        used.takenOver(this, jobStore, fleet, clock)
         val ordered = used.inProbeOrder(unconfirmed)
         unconfirmed.clear()
         unconfirmed.addAll(ordered)
     }
 
-    private fun join(m: Machine) {
-        machines[m.name] = m
-        m.joined()
-        unconfirmed.add(m)
+    private fun join(machine: Machine) {
+        machines[machine.name] = machine
+        machine.joined()
+        unconfirmed.add(machine)
     }
 
     // --- News from workers ------------------------------------------------------------------------------------
@@ -283,39 +299,42 @@
             return null
         }
         if (!failover.machinesRead) return emptyList()
-        val m = machines[report.machine] ?: adopt(report) ?: return emptyList()
+        val machine = machines[report.machine] ?: adopt(report) ?: return emptyList()
         // A copy that comes late: its answer reaches no worker that would take it, so it renews no lease, and what it
         // tells is old.
-        if (isCopy(m, report)) return emptyList()
+        if (isCopy(machine, report)) return emptyList()
         // Every other answer may renew the worker's lease, also that of a machine being released: until the release is
         // carried out, its tasks are on it and must be stopped like any others.
-        m.answeredAt = now.steady
-        hear(m, report, isReport = true)
-        if (report.incarnation != m.incarnation || !ready) return emptyList()
+        machine.lastAnsweredAt = clock.steadyMs
+        hear(machine, report, isReport = true)
+        if (report.incarnation != machine.incarnation || !ready) return emptyList()
         // The orders are carried out or dropped before the worker's next report.
-        val commands = dispatcher.commands(m)
+        val commands = dispatcher.commands(machine)
         for (order in commands) {
-            val p = if (order.kind == CommandKind.START) m.attempts.get(order.attempt) else null
-            if (p != null) p.sentInReplyTo = maxOf(p.sentInReplyTo, report.sequence)
+            val attempt = if (order.kind == CommandKind.START) machine.attempts.get(order.attempt) else null
+            if (attempt != null) attempt.sentInReplyTo = maxOf(attempt.sentInReplyTo, report.sequence)
         }
         return commands
     }
 
     /** A worker waits for the answer to its last report only, and not for long. */
     private fun isCopy(
-        m: Machine,
+        machine: Machine,
         report: Heartbeat,
-    ) = report.incarnation < m.incarnation || (
-        report.incarnation == m.incarnation &&
+    ) = report.incarnation < machine.incarnation || (
+        report.incarnation == machine.incarnation &&
             (
-                report.sequence < m.reportSequence ||
-                    (report.sequence == m.reportSequence && now.steady - m.reportAt > Tuning.ANSWER_AWAITED_MS)
+                report.sequence < machine.heartbeatSequence ||
+                    (
+                        report.sequence == machine.heartbeatSequence &&
+                            clock.steadyMs - machine.sequenceFirstSeenAt > Tuning.ANSWER_AWAITED_MS
+                    )
             )
     )
 
     /** A worker's answer to a direct command. */
     private fun answered(
-        m: Machine,
+        machine: Machine,
         answer: Heartbeat,
     ) {
         if (answer.token >
@@ -323,7 +342,7 @@
         ) {
             election.loseLeadership("a worker has seen token ${answer.token}")
         } else {
-            hear(m, answer, isReport = false)
+            hear(machine, answer, isReport = false)
         }
     }
 
@@ -331,110 +350,124 @@
      * The machine's worker has lost its memory, numbers included: nothing that it tells from now on can be told from
      * late copies of what it told before, so it is not used any more. What ran there is free once it is given back.
      */
-    private fun begunAnew(m: Machine) {
-        if (m.releasing) return
-        log.warn("machine {} has begun anew with nothing; it is released", m.name)
-        fleet.release(m)
+    private fun restarted(machine: Machine) {
+        if (machine.releasing) return
+        log.warn("machine {} has begun anew with nothing; it is released", machine.name)
+        fleet.release(machine)
     }
 
     /** A machine without a record: nothing was ever started on it, since the record comes first. */
     private fun adopt(report: Heartbeat): Machine? {
         val machineType = jobStore.machineTypes[report.machineType] ?: return null
         if (fleet.isReturned(report.machine)) return null
-        val m = Machine(report.machine, report.endpoint, machineType, report.zone, report.spot, now.steady, teams)
-        m.answeredAt = now.steady
+        val machine =
+            Machine(report.machine, report.endpoint, machineType, report.zone, report.spot, clock.steadyMs, teams)
+        machine.lastAnsweredAt = clock.steadyMs
         metrics.count("machine.joined")
-        join(m)
-        fleet.arrived(m)
+        join(machine)
+        fleet.arrived(machine)
         log.info(
             "machine {} ({}, {}{}) joins the block",
-            m.name,
-            m.machineType.name,
-            m.zone,
-            if (m.spot) ", spot" else "",
+            machine.name,
+            machine.machineType.name,
+            machine.zone,
+            if (machine.spot) ", spot" else "",
         )
-        return m
+        return machine
     }
 
     private fun hear(
-        m: Machine,
+        machine: Machine,
         report: Heartbeat,
         isReport: Boolean,
     ) {
-        if (report.incarnation < m.incarnation) return
-        if (report.incarnation > m.incarnation) newIncarnation(m, report.incarnation)
+        if (report.incarnation < machine.incarnation) return
+        if (report.incarnation > machine.incarnation) newIncarnation(machine, report.incarnation)
         // The first word of a session: it began before, and has a whole lease from then on without any answer of ours.
-        if (m.sequence == 0L) m.answeredAt = now.steady
+        if (machine.sequence == 0L) machine.lastAnsweredAt = clock.steadyMs
         // Of a machine that has not confirmed the token, a report without it may be a copy as old as an earlier leader.
-        val current = !isReport || m.confirmed || report.token >= term
-        if (isReport && report.sequence > m.reportSequence) {
-            m.reportSequence = report.sequence
-            m.reportSentAfter = m.reportAt
-            m.reportAt = now.steady
+        val current = !isReport || machine.confirmed || report.token >= term
+        if (isReport && report.sequence > machine.heartbeatSequence) {
+            machine.heartbeatSequence = report.sequence
+            machine.heartbeatSentAfter = machine.sequenceFirstSeenAt
+            machine.sequenceFirstSeenAt = clock.steadyMs
             if (current) {
-                m.heardAt = now.steady
-                m.reportedAt = now.steady
+                machine.lastHeardAt = clock.steadyMs
+                machine.lastHeartbeatAt = clock.steadyMs
             }
         }
-        if (report.sequence <= m.sequence) return
-        m.sequence = report.sequence
-        if (current) m.heardAt = now.steady
-        if (!m.pushBroken && m.confirmed) m.probesFailed = 0
-        m.preemptionAt =
-            if (report.preemptionNoticeS == null) 0 else now.steady + (report.preemptionNoticeS * 1000).toLong()
-        if (report.token > m.token) {
-            m.token = report.token
-            if (report.token == election.token && m.confirmed) dispatcher.reached(m)
-            for (p in m.attempts.values) if (p.lostToken in 1 until m.token) p.lostToken = 0
+        if (report.sequence <= machine.sequence) return
+        machine.sequence = report.sequence
+        if (current) machine.lastHeardAt = clock.steadyMs
+        if (!machine.unreachable && machine.confirmed) machine.probesFailed = 0
+        machine.preemptionAt =
+            if (report.preemptionNoticeS == null) 0 else clock.steadyMs + (report.preemptionNoticeS * 1000).toLong()
+        if (report.token > machine.token) {
+            machine.token = report.token
+            if (report.token == election.token && machine.confirmed) dispatcher.markReachable(machine)
+            for (attempt in machine.attempts.values) {
+                if (attempt.unacknowledgedToken in
+                    1 until machine.token
+                ) {
+                    attempt.unacknowledgedToken = 0
+                }
+            }
         }
-        if (!m.confirmed) {
+        if (!machine.confirmed) {
             // One without a record is shown the token directly: the report may be a copy, and the machine gone.
-            if (report.token < term || !ready || (isReport && !m.inherited)) return
-            m.confirm()
-            dispatcher.reached(m)
-            unconfirmed.remove(m)
-            if (!m.durable) recordWriter.bind(m)
+            if (report.token < term || !ready || (isReport && !machine.inherited)) return
+            machine.confirm()
+            dispatcher.markReachable(machine)
+            unconfirmed.remove(machine)
+            if (!machine.durable) recordWriter.bind(machine)
             placer.machinesChanged()
-            m.answeredAt = now.steady
+            machine.lastAnsweredAt = clock.steadyMs
             // It may have found the way back only now: its next report is due from here on.
-            m.reportedAt = now.steady
+            machine.lastHeartbeatAt = clock.steadyMs
             dirty = true
         }
-        tasks.listed(m, report.tasks)
-        if (m.preemptionAt != 0L) leave(m)
+        tasks.listed(machine, report.tasks)
+        if (machine.preemptionAt != 0L) leave(machine)
     }
 
     /**
      * The cloud takes [m] soon: replicas move, what can save its work does, and what would not be done by then begins
      * anew elsewhere without waiting for the end.
      */
-    private fun leave(m: Machine) {
-        val left = (m.preemptionAt - now.steady) / 1000.0
-        for (p in m.attempts.values) {
-            val job = p.job
-            if (job == null || !p.goesOn) continue
-            val ran = if (p.state == AttemptState.RUNNING) (now.steady - p.runningSince) / 1000.0 else 0.0
+    private fun leave(machine: Machine) {
+        val left = (machine.preemptionAt - clock.steadyMs) / 1000.0
+        for (attempt in machine.attempts.values) {
+            val job = attempt.job
+            if (job == null || !attempt.continues) continue
+            val ran =
+                if (attempt.state ==
+                    AttemptState.RUNNING
+                ) {
+                    (clock.steadyMs - attempt.runningSince) / 1000.0
+                } else {
+                    0.0
+                }
             if (!job.isService && job.spec.checkpointIntervalS == 0.0 && estimates.seconds(job) - ran <= left) continue
-            stop(p, left)
-            log.debug("{} leaves {}, which is taken in {} s", p.taskId, m.name, left)
+            stop(attempt, left)
+            log.debug("{} leaves {}, which is taken in {} s", attempt.taskId, machine.name, left)
         }
     }
 
     private fun newIncarnation(
-        m: Machine,
+        machine: Machine,
         incarnation: Long,
     ) {
-        if (m.incarnation != 0L &&
-            m.attempts.isNotEmpty()
+        if (machine.incarnation != 0L &&
+            machine.attempts.isNotEmpty()
         ) {
-            log.info("machine {}: new session, {} tasks lost", m.name, m.attempts.size)
+            log.info("machine {}: new session, {} tasks lost", machine.name, machine.attempts.size)
         }
-        m.attempts.values
+        machine.attempts.values
             .toList()
             .forEach(tasks::gone)
-        m.incarnation = incarnation
-        m.sequence = 0
-        m.reportSequence = 0
+        machine.incarnation = incarnation
+        machine.sequence = 0
+        machine.heartbeatSequence = 0
         dirty = true
     }
 
@@ -443,35 +476,35 @@
     private fun start(
         job: Job,
         index: Int,
-        m: Machine,
+        machine: Machine,
     ) {
         metrics.count("task.started")
-        val attempt = (term shl Tuning.ATTEMPT_BITS) or ++attemptSeq
-        val p = TaskAttempt(job, "${job.id}/$index", index, attempt, m, now.steady)
-        m.attach(p)
-        job.place(p)
-        job.servedAt = now.wall
-        m.touchImage(job.spec.image, job.spec.imageGb)
-        dispatcher.want(m)
-        log.debug("{} try {} starts on {}", p.taskId, attempt, m.name)
+        val number = (term shl Tuning.ATTEMPT_BITS) or ++attemptSeq
+        val attempt = TaskAttempt(job, "${job.id}/$index", index, number, machine, clock.steadyMs)
+        machine.attach(attempt)
+        job.place(attempt)
+        job.lastStartAt = clock.wallMs
+        machine.touchImage(job.spec.image, job.spec.imageGb)
+        dispatcher.enqueue(machine)
+        log.debug("{} try {} starts on {}", attempt.taskId, attempt, machine.name)
     }
 
     private fun preempt(
-        p: TaskAttempt,
+        attempt: TaskAttempt,
         by: Job,
     ) {
         metrics.count("task.preempted")
-        log.debug("{} on {} makes room for {} ({})", p.taskId, p.machine.name, by.id, by.spec.jobClass)
-        stop(p)
+        log.debug("{} on {} makes room for {} ({})", attempt.taskId, attempt.machine.name, by.id, by.spec.jobClass)
+        stop(attempt)
     }
 
     /** Tells [p] to stop, saving first if it can and [left] seconds suffice. */
     private fun stop(
-        p: TaskAttempt,
+        attempt: TaskAttempt,
         left: Double = Double.MAX_VALUE,
     ) {
-        val spec = p.job?.spec
-        p.stop =
+        val spec = attempt.job?.spec
+        attempt.stop =
             if (spec != null && spec.checkpointIntervalS > 0 &&
                 spec.checkpointS < left
             ) {
@@ -479,14 +512,14 @@
             } else {
                 StopMode.AT_ONCE
             }
-        dispatcher.want(p.machine)
+        dispatcher.enqueue(attempt.machine)
     }
 
     private fun stopAll(job: Job) {
-        for (p in job.attempts.values) {
-            if (p.stop == StopMode.AT_ONCE) continue
-            p.stop = StopMode.AT_ONCE
-            dispatcher.want(p.machine)
+        for (attempt in job.attempts.values) {
+            if (attempt.stop == StopMode.AT_ONCE) continue
+            attempt.stop = StopMode.AT_ONCE
+            dispatcher.enqueue(attempt.machine)
         }
     }
 
@@ -513,9 +546,9 @@
         closeCancelled()
         metrics.spend("silence") { failureDetector.drive() }
         if (!election.isLeader) return
-        if (now.steady - countedAt > Tuning.COUNT_MS) {
-            countedAt = now.steady
-            reliability.count(machines.values, now.steady)
+        if (clock.steadyMs - countedAt > Tuning.COUNT_MS) {
+            countedAt = clock.steadyMs
+            reliability.count(machines.values, clock.steadyMs)
             shelter()
         }
         metrics.spend("placement") { place() }
@@ -526,9 +559,9 @@
 
     /** Places what waits when something has changed, and now and then since time alone may open a way. */
     private fun place() {
-        if (!dirty && now.steady - passAt < Tuning.IDLE_PASS_MS) return
+        if (!dirty && clock.steadyMs - passAt < Tuning.IDLE_PASS_MS) return
         if (!stalls.mayPass()) return
-        passAt = now.steady
+        passAt = clock.steadyMs
         dirty = false
         if (guaranteesDirty) {
             guaranteesDirty = false
@@ -553,11 +586,11 @@
     private fun confirm() {
         // Also those to be released: the cloud may be out, and an earlier leader may keep them until the token is
         // shown.
-        for (m in unconfirmed) dispatcher.probe(m)
+        for (machine in unconfirmed) dispatcher.probe(machine)
         if (allConfirmedLogged || failover.anyUnreadable || unconfirmed.any { it.inherited }) return
         allConfirmedLogged = true
-        failoverMs = now.steady - election.electedAt
-        jobStore.jobs.values.forEach { it.trusted = true }
+        failoverMs = clock.steadyMs - election.electedAt
+        jobStore.jobs.values.forEach { it.accountedFor = true }
         recovery?.confirmed(jobStore.jobs.values.filter { it.modRevision <= term })
         dirty = true
         log.info("block 0: every recorded machine is confirmed, {} ms after the grant", failoverMs)
@@ -571,23 +604,23 @@
             stopAll(job)
             // Once it is over nothing of it is left, so that no later leader need count it for its team.
             // A job after a cancelled one was never released, by any leader: nothing of it can be anywhere.
-            val nothingLeft = job.dependencyCancelled || (job.trusted && job.attempts.isEmpty())
+            val nothingLeft = job.dependencyCancelled || (job.accountedFor && job.attempts.isEmpty())
             if (nothingLeft) recordWriter.close(job, JobState.CANCELLED)
         }
     }
 
     /** The machine and everything on it are gone. */
-    fun machineGone(m: Machine) {
+    fun machineGone(machine: Machine) {
         metrics.count("machine.gone")
-        m.attempts.values
+        machine.attempts.values
             .toList()
             .forEach(tasks::gone)
-        machines.remove(m.name)
-        m.left()
-        unconfirmed.remove(m)
-        dispatcher.forget(m)
-        placer.machinesChanged(m)
-        recordWriter.unbind(m)
+        machines.remove(machine.name)
+        machine.left()
+        unconfirmed.remove(machine)
+        dispatcher.forget(machine)
+        placer.machinesChanged(machine)
+        recordWriter.unbind(machine)
         dirty = true
     }
 
@@ -603,11 +636,11 @@
 /** A worker that goes on reports within so many intervals: a new leader then knows which zones are cut off. */
 private fun zoneRecovery(
     settings: Settings,
-    now: Now,
+    clock: Clock,
 ): ZoneRecovery? {
     if (!settings.operator.zoneRecovery.enabled) return null
     val detectionMs = settings.deployment.workers.reportS * MS_PER_S * Tuning.LOST_REPORTS
-    return ZoneRecovery(settings.operator.zoneRecovery, now, detectionMs.toLong())
+    return ZoneRecovery(settings.operator.zoneRecovery, clock, detectionMs.toLong())
 }
 
 private const val MS_PER_S = 1000.0
--- a/src/main/kotlin/ledgearch/leader/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -1,17 +1,17 @@
-package ledgearch.leader
+package ledgearch.election
 
 import ledgearch.Tuning
-import ledgearch.core.LeadershipRecord
-import ledgearch.core.JobStore
-import ledgearch.core.Keys
-import ledgearch.core.Now
-import ledgearch.core.StepDownRecord
-import ledgearch.core.decodeRecord
-import ledgearch.core.encodeRecord
-import ledgearch.state.RequestClass
-import ledgearch.state.ReadResult
-import ledgearch.state.StoreClient
-import ledgearch.state.TransactionResult
+import ledgearch.jobs.JobStore
+import ledgearch.records.Keys
+import ledgearch.records.LeadershipRecord
+import ledgearch.records.StepDownRecord
+import ledgearch.records.decodeRecord
+import ledgearch.records.encodeRecord
+import ledgearch.runtime.Clock
+import ledgearch.store.ReadResult
+import ledgearch.store.RequestClass
+import ledgearch.store.StoreClient
+import ledgearch.store.TransactionResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import org.slf4j.LoggerFactory
@@ -37,7 +37,7 @@
     private val instance: Long,
     private val state: StoreClient,
     private val jobStore: () -> JobStore,
-    private val now: Now,
+    private val clock: Clock,
     private val random: Random,
     private val listener: ElectionListener,
     /** ms that this node waits before it claims a free grant. */
@@ -71,7 +71,7 @@
     val isLeader: Boolean get() = token != 0L
 
     /** The grant was still this node's so lately that its lease can't have run out since. */
-    val hasValidLease: Boolean get() = isLeader && now.steady - confirmedAt < Tuning.LEASE_MS
+    val hasValidLease: Boolean get() = isLeader && clock.steadyMs - confirmedAt < Tuning.LEASE_MS
     val condition: Condition get() = Condition(Keys.leadership(0), token)
 
     /** A transaction with [condition] sent at [sentAt] under [under] went through. */
@@ -93,7 +93,7 @@
      */
     fun leadershipChanged() {
         compareJobStore()
-        claimAt = now.steady + claimDelayMs()
+        claimAt = clock.steadyMs + claimDelayMs()
     }
 
     /** The grant in the job store is the one held, the one that took its place, or this node holds nothing any more. */
@@ -122,13 +122,13 @@
     ) {
         if (!isLeader) return
         val old = token
-        pausedUntil = now.steady + Tuning.STEP_DOWN_PAUSE_MS
+        pausedUntil = clock.steadyMs + Tuning.STEP_DOWN_PAUSE_MS
         loseLeadership(why)
         releaseLeadership(old, if (silent) listOf(stepDownChange()) else emptyList())
     }
 
     private fun stepDownChange(): Change {
-        val record = StepDownRecord(node, now.wall)
+        val record = StepDownRecord(node, clock.wallMs)
         return Change(put = Keys.stepDown(0), value = encodeRecord(StepDownRecord.serializer(), record))
     }
 
@@ -136,7 +136,7 @@
     val steppedDownRecently: Boolean get() =
         jobStore().lastStepDown.let {
             it != null &&
-                now.wall - it.at < Tuning.RECENT_STEP_DOWN_MS
+                clock.wallMs - it.at < Tuning.RECENT_STEP_DOWN_MS
         }
 
     private fun releaseLeadership(
@@ -159,12 +159,12 @@
             return
         }
         val mine = b.leadership?.node == node
-        if (claiming || now.steady < claimAt || !(mine || b.leadershipRevision == 0L)) return
-        if (now.steady >= pausedUntil) {
+        if (claiming || clock.steadyMs < claimAt || !(mine || b.leadershipRevision == 0L)) return
+        if (clock.steadyMs >= pausedUntil) {
             // Free, or left by an earlier life of this node, or by a claim whose answer was lost.
             claim(b.leadershipRevision)
         } else if (mine) {
-            claimAt = now.steady + Tuning.STATE_RETRY_MS
+            claimAt = clock.steadyMs + Tuning.STATE_RETRY_MS
             releaseLeadership(b.leadershipRevision)
         }
     }
@@ -176,8 +176,8 @@
     fun challenge(leader: String) {
         val b = jobStore()
         if (isLeader || claiming || leaseId == 0L || !b.loaded || b.leadership?.node != leader) return
-        if (now.steady < pausedUntil || now.steady - challengedAt < Tuning.CHALLENGE_MS) return
-        challengedAt = now.steady
+        if (clock.steadyMs < pausedUntil || clock.steadyMs - challengedAt < Tuning.CHALLENGE_MS) return
+        challengedAt = clock.steadyMs
         log.info("block 0: {} refuses connections; its grant {} is claimed", leader, b.leadershipRevision)
         claim(b.leadershipRevision)
     }
@@ -206,9 +206,9 @@
 
     /** A new token for the same leader: fences direct commands that were lost on their way. */
     fun renewToken() {
-        if (!isLeader || renewingToken || now.steady - tokenRenewedAt < Tuning.TOKEN_RENEWAL_MS) return
+        if (!isLeader || renewingToken || clock.steadyMs - tokenRenewedAt < Tuning.TOKEN_RENEWAL_MS) return
         renewingToken = true
-        tokenRenewedAt = now.steady
+        tokenRenewedAt = clock.steadyMs
         val old = token
         state.transact(listOf(condition), listOf(put(renews = old)), RequestClass.CRITICAL) { result ->
             if (token != old || !renewingToken) return@transact
@@ -277,7 +277,7 @@
 
     private fun claim(modRevision: Long) {
         claiming = true
-        val sentAt = now.steady
+        val sentAt = clock.steadyMs
         state.transact(listOf(Condition(Keys.leadership(0), modRevision)), listOf(put()), RequestClass.CRITICAL) { result ->
             claiming = false
             when (result) {
@@ -285,7 +285,7 @@
                     if (superseded(result.revision)) return@transact
                     token = result.revision
                     confirmedAt = sentAt
-                    electedAt = now.steady
+                    electedAt = clock.steadyMs
                     log.info("block 0: granted to this node under token {}", token)
                     listener.elected(token, newTerm = true)
                 }
@@ -295,37 +295,37 @@
                 }
 
                 else -> {
-                    claimAt = now.steady + Tuning.STATE_RETRY_MS + random.nextLong(Tuning.ELECTION_SPREAD_MS)
+                    claimAt = clock.steadyMs + Tuning.STATE_RETRY_MS + random.nextLong(Tuning.ELECTION_SPREAD_MS)
                 }
             }
         }
     }
 
     private fun driveLease() {
-        if (leaseBusy || now.steady < keepAliveAt) return
+        if (leaseBusy || clock.steadyMs < keepAliveAt) return
         leaseBusy = true
-        keepAliveAt = now.steady + Tuning.KEEP_ALIVE_MS
+        keepAliveAt = clock.steadyMs + Tuning.KEEP_ALIVE_MS
         if (leaseId == 0L) {
             state.openLease { new ->
                 leaseBusy = false
                 leaseId = new ?: 0
-                if (new == null) keepAliveAt = now.steady + Tuning.STATE_RETRY_MS
+                if (new == null) keepAliveAt = clock.steadyMs + Tuning.STATE_RETRY_MS
             }
         } else {
             state.keepAlive(leaseId) { alive ->
                 leaseBusy = false
                 if (alive == false) leaseId = 0
-                if (alive != true) keepAliveAt = now.steady + Tuning.STATE_RETRY_MS
+                if (alive != true) keepAliveAt = clock.steadyMs + Tuning.STATE_RETRY_MS
             }
         }
     }
 
     private fun driveConfirmation() {
-        if (confirming || renewingToken || now.steady - confirmedAt < Tuning.CONFIRM_LEADERSHIP_MS || now.steady < confirmTryAt) return
+        if (confirming || renewingToken || clock.steadyMs - confirmedAt < Tuning.CONFIRM_LEADERSHIP_MS || clock.steadyMs < confirmTryAt) return
         confirming = true
-        confirmTryAt = now.steady + Tuning.STATE_RETRY_MS
+        confirmTryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
         val under = token
-        val sentAt = now.steady
+        val sentAt = clock.steadyMs
         state.transact(listOf(condition), emptyList(), RequestClass.CRITICAL) { result ->
             confirming = false
             when (result) {
--- a/src/main/kotlin/ledgearch/core/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -1,6 +1,9 @@
-package ledgearch.core
+package ledgearch.jobs
 
 import ledgearch.Tuning
+import ledgearch.model.Job
+import ledgearch.records.FinalRecord
+import ledgearch.runtime.Clock
 import ledgearch.wire.JobState
 import ledgearch.wire.Priority
 
@@ -33,7 +36,7 @@
  */
 internal class JobDependencies(
     private val records: JobRecordReader,
-    private val now: Now,
+    private val clock: Clock,
     private val openJobs: Map<String, Job>,
     private val finalOf: (String) -> FinalRecord?,
     private val listener: DependencyListener,
@@ -97,11 +100,11 @@
 
     /** Reads the final records of dependencies that are neither open nor known to be over, a few at a time. */
     fun drive() {
-        if (dependents.isEmpty() || now.steady < driveAt) return
-        driveAt = now.steady + Tuning.TICK_MS
+        if (dependents.isEmpty() || clock.steadyMs < driveAt) return
+        driveAt = clock.steadyMs + Tuning.TICK_MS
         for (id in dependents.keys) {
             if (reading >= Tuning.DEPENDENCY_READS) return
-            val isDue = now.steady >= (readAgainAt[id] ?: Long.MIN_VALUE)
+            val isDue = clock.steadyMs >= (readAgainAt[id] ?: Long.MIN_VALUE)
             if (isDue && id !in openJobs && finalOf(id) == null) read(id)
         }
     }
@@ -134,7 +137,7 @@
     ) {
         job.unfinishedDependencies.remove(id)
         if (job.waitsForOthers) return
-        job.readyAt = now.wall
+        job.readyAt = clock.wallMs
         listener.released(job)
     }
 
@@ -152,7 +155,7 @@
 
     private fun read(id: String) {
         reading++
-        readAgainAt[id] = now.steady + Tuning.DEPENDENCY_READ_MS
+        readAgainAt[id] = clock.steadyMs + Tuning.DEPENDENCY_READ_MS
         records.readFinal(id) { reading-- }
     }
 
--- a/src/main/kotlin/ledgearch/core/JobRecordReader.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobRecordReader.kt
@@ -1,8 +1,11 @@
-package ledgearch.core
+package ledgearch.jobs
 
-import ledgearch.state.RequestClass
-import ledgearch.state.ReadResult
-import ledgearch.state.StoreClient
+import ledgearch.records.FinalRecord
+import ledgearch.records.Keys
+import ledgearch.records.decodeRecord
+import ledgearch.store.ReadResult
+import ledgearch.store.RequestClass
+import ledgearch.store.StoreClient
 import ledgearch.wire.KeyValue
 
 /** What a reading of one job's records has shown. */
--- a/src/main/kotlin/ledgearch/core/JobStore.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobStore.kt
@@ -1,10 +1,20 @@
-package ledgearch.core
+package ledgearch.jobs
 
 import kotlinx.serialization.json.JsonElement
 import ledgearch.Tuning
-import ledgearch.state.RequestClass
-import ledgearch.state.ReadResult
-import ledgearch.state.StoreClient
+import ledgearch.model.Job
+import ledgearch.records.CatalogRecord
+import ledgearch.records.FinalRecord
+import ledgearch.records.JobRecord
+import ledgearch.records.Keys
+import ledgearch.records.LeadershipRecord
+import ledgearch.records.StepDownRecord
+import ledgearch.records.decodeRecord
+import ledgearch.runtime.Clock
+import ledgearch.runtime.LruMap
+import ledgearch.store.ReadResult
+import ledgearch.store.RequestClass
+import ledgearch.store.StoreClient
 import ledgearch.wire.KeyValue
 import ledgearch.wire.MachineType
 import ledgearch.wire.WatchEvent
@@ -30,7 +40,7 @@
  */
 internal class JobStore(
     private val state: StoreClient,
-    private val now: Now,
+    private val clock: Clock,
     private val listener: JobStoreListener,
     dependencyListener: DependencyListener,
     finalsKept: Long,
@@ -41,7 +51,7 @@
 
     /** Reads single jobs past the watch. */
     val records = JobRecordReader(state, ::rememberFinal)
-    val dependencies = JobDependencies(records, now, jobs, ::final, dependencyListener)
+    val dependencies = JobDependencies(records, clock, jobs, ::final, dependencyListener)
     var machineTypes: Map<String, MachineType> = emptyMap()
         private set
     var leadership: LeadershipRecord? = null
@@ -90,9 +100,9 @@
     /** Reads or watches on whenever neither is under way. */
     fun drive() {
         dependencies.drive()
-        if (reading || now.steady < retryAt) return
+        if (reading || clock.steadyMs < retryAt) return
         reading = true
-        if (loaded) watch() else load(Listing().also { it.askedAt = now.steady }, 0, null)
+        if (loaded) watch() else load(Listing().also { it.askedAt = clock.steadyMs }, 0, null)
     }
 
     /**
@@ -209,7 +219,7 @@
     }
 
     private fun watch() {
-        val askedAt = now.steady
+        val askedAt = clock.steadyMs
         state.watch(Keys.WATCHED, revision) { result ->
             takeIn()
             when (result) {
@@ -241,7 +251,7 @@
      */
     private fun takeIn() {
         reading = false
-        retryAt = now.steady + Tuning.STATE_RETRY_MS
+        retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
     }
 
     private fun apply(news: WatchEvent) {
@@ -302,7 +312,7 @@
         modRevision: Long,
     ) {
         if (modRevision == leadershipRevision) return
-        leadership?.let { heldUntil[it.node] = now.steady }
+        leadership?.let { heldUntil[it.node] = clock.steadyMs }
         leadership = value?.let { decodeRecord(LeadershipRecord.serializer(), it) }
         leadershipRevision = modRevision
         listener.leadershipChanged()
@@ -312,7 +322,7 @@
     fun recentLeaders(
         node: String,
         ms: Long,
-    ): Set<String> = (heldUntil.filterValues { now.steady - it < ms }.keys + setOfNotNull(leadership?.node)) - node
+    ): Set<String> = (heldUntil.filterValues { clock.steadyMs - it < ms }.keys + setOfNotNull(leadership?.node)) - node
 
     private fun setLastStepDown(value: JsonElement?) {
         lastStepDown = decodeRecord(StepDownRecord.serializer(), value)
--- a/src/main/kotlin/ledgearch/core/Room.kt
+++ b/src/main/kotlin/ledgearch/model/FreeResources.kt
@@ -1,10 +1,10 @@
-package ledgearch.core
+package ledgearch.model
 
 import ledgearch.wire.MachineType
 import kotlin.math.abs
 
 /** What is free of a machine's processors, accelerators and memory. */
-internal class Room(
+internal class FreeResources(
     private val machineType: MachineType,
 ) {
     var cpus = machineType.vcpus
@@ -13,7 +13,7 @@
     private var memory = machineType.memoryGb
 
     fun copy() =
-        Room(machineType).also {
+        FreeResources(machineType).also {
             it.cpus = cpus
             it.gpus = gpus
             it.memory = memory
@@ -53,7 +53,7 @@
             spec.memoryGb <= memory + Machine.ROUNDING
     }
 
-    fun isAbout(other: Room) =
+    fun isAbout(other: FreeResources) =
         listOf(cpus - other.cpus, gpus - other.gpus, memory - other.memory).all {
             abs(it) <=
                 Machine.ROUNDING
--- a/src/main/kotlin/ledgearch/core/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -1,7 +1,10 @@
-package ledgearch.core
+package ledgearch.model
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
-import ledgearch.mesh.Progress
+import ledgearch.peers.JobProgress
+import ledgearch.records.Chunks
+import ledgearch.records.JobRecord
+import ledgearch.records.Ranges
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
 import ledgearch.wire.MachineType
@@ -55,7 +58,7 @@
      * No machine that the present leader has not confirmed can have a task of this job: it was accepted under
      * the leader's own grant, or every recorded machine has been confirmed since.
      */
-    var trusted = false
+    var accountedFor = false
 
     /** Run times of its finished tasks, as far as the present leader saw them from start to end. */
     val runTime = RunTime()
@@ -67,12 +70,12 @@
     var notBefore = Long.MIN_VALUE
 
     /** Wall ms of the last start of one of its tasks by this leader. */
-    var servedAt = 0L
+    var lastStartAt = 0L
 
     /** Steady ms of the last writing of its finished tasks. */
     var progressAt = Long.MIN_VALUE / 2
     val errorMachines = HashSet<String>()
-    var badTries = 0
+    var failedAttempts = 0
 
     /** The final record is being written. */
     var closing = false
@@ -81,14 +84,14 @@
     var closed = false
 
     /** What the leader last told of it, on the nodes that are not leader; what was last told, on the leader. */
-    var shown: Progress? = null
+    var lastProgress: JobProgress? = null
 
     /** ms since a task of it was started, or since it could start. */
-    fun unservedMs(wallMs: Long) = wallMs - maxOf(servedAt, readyAt)
+    fun unservedMs(wallMs: Long) = wallMs - maxOf(lastStartAt, readyAt)
 
     /** Waits for room, and nothing else holds it back. */
     fun startable(nowMs: Long) =
-        trusted && !waitsForOthers && !closing && !record.cancelRequested && pendingCount > 0 && nowMs >= notBefore
+        accountedFor && !waitsForOthers && !closing && !record.cancelRequested && pendingCount > 0 && nowMs >= notBefore
 
     /** Its tasks may run on machines of this type, zone and kind. */
     fun allows(
@@ -108,17 +111,17 @@
 
     fun nextPending(from: Int = 0): Int? = taken.nextClearBit(from).takeIf { it < spec.taskCount }
 
-    fun place(p: TaskAttempt) {
-        attempts.put(p.index, p)
-        take(p.index)
+    fun place(attempt: TaskAttempt) {
+        attempts.put(attempt.index, attempt)
+        take(attempt.index)
     }
 
     /** The task [p] was placed for is on no machine any more. */
-    fun free(p: TaskAttempt) {
-        if (attempts.get(p.index) !== p) return
-        attempts.remove(p.index)
-        if (!finished.get(p.index) && taken.get(p.index)) {
-            taken.clear(p.index)
+    fun free(attempt: TaskAttempt) {
+        if (attempts.get(attempt.index) !== attempt) return
+        attempts.remove(attempt.index)
+        if (!finished.get(attempt.index) && taken.get(attempt.index)) {
+            taken.clear(attempt.index)
             takenCount--
         }
     }
@@ -158,13 +161,13 @@
         takenCount = 0
         runningCount = 0
         attempts.clear()
-        trusted = false
+        accountedFor = false
         closing = false
         notBefore = Long.MIN_VALUE
         progressAt = Long.MIN_VALUE / 2
-        servedAt = 0L
+        lastStartAt = 0L
         errorMachines.clear()
-        badTries = 0
+        failedAttempts = 0
         runTime.clear()
     }
 }
--- a/src/main/kotlin/ledgearch/core/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -1,8 +1,7 @@
-package ledgearch.core
+package ledgearch.model
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
 import ledgearch.Tuning
-import ledgearch.core.placement.MachineQueue
 import ledgearch.wire.MachineType
 
 /** A machine of the block, as its leader knows it. */
@@ -13,7 +12,7 @@
     val zone: String,
     val spot: Boolean,
     val knownSince: Long,
-    private val teams: Teams,
+    private val teams: TeamQuotas,
 ) {
     /** The record that binds the machine to the block is in the state service. */
     var durable = false
@@ -32,13 +31,13 @@
     /** The session that a command names: the one heard from the worker, or else the best guess. */
     val incarnationToName: Long get() = if (incarnation != 0L) incarnation else maxOf(incarnationHint, 1L)
     var sequence = 0L
-    var reportSequence = 0L
+    var heartbeatSequence = 0L
 
     /** Steady ms at which the report with that number first came. */
-    var reportAt = 0L
+    var sequenceFirstSeenAt = 0L
 
     /** Steady ms after which that report was sent: a worker sends the next one once the one before was answered. */
-    var reportSentAfter = 0L
+    var heartbeatSentAfter = 0L
     var token = 0L
 
     /** All attempts that may be on the machine, by attempt. */
@@ -46,29 +45,29 @@
     val queue = MachineQueue()
 
     /** Steady ms of the last news from the worker, and of the last answer that may have renewed its lease. */
-    var heardAt = knownSince
-    var answeredAt = 0L
+    var lastHeardAt = knownSince
+    var lastAnsweredAt = 0L
 
     /**
      * Steady ms of the last report: its answer alone renews the lease, whatever direct commands reach and bring back.
      */
-    var reportedAt = knownSince
+    var lastHeartbeatAt = knownSince
 
     /** No report has come for longer than a worker takes for one: what is started here now may end with the lease. */
     var overdue = false
 
     /** Steady ms at which the cloud takes the machine, or 0. */
     var preemptionAt = 0L
-    var pushing = false
+    var commandInFlight = false
 
     /** ms that its last answer to a direct command took. */
     var answerMs = 0L
 
     /** What was sent did not reach the machine: nothing new is given to it before it is reached again. */
-    var pushBroken = false
+    var unreachable = false
 
     /** Steady ms since when nothing sent has reached the machine, or 0. */
-    var brokenSince = 0L
+    var unreachableSince = 0L
     var probeAt = 0L
 
     /** Probes in a row without an answer, those left out that this node may have been too slow to read. */
@@ -96,25 +95,25 @@
     var heldBack = false
 
     /** Nothing new is started: to be emptied and returned. */
-    var draining = false
+    var quarantined = false
 
     /** Not needed at present: emptied and returned unless work comes first. */
-    var retiring = false
+    var draining = false
     var releasing = false
-    var releaseSent = false
+    var releaseRequested = false
 
     /** Serves, and nothing says that it will not go on. */
-    val inService: Boolean get() = confirmed && !releasing && !draining && !retiring && !overdue && probesFailed == 0
+    val inService: Boolean get() = confirmed && !releasing && !quarantined && !draining && !overdue && probesFailed == 0
 
     /** Failures in a row by tasks of different jobs. */
     val errorJobs = LinkedHashSet<String>()
-    var errorsInRow = 0
+    var consecutiveErrors = 0
     var refusedUntil = Long.MIN_VALUE
 
     /** Images seen here, the last used at the end. */
     val images = LinkedHashMap<String, Double>()
 
-    private val room = Room(machineType)
+    private val room = FreeResources(machineType)
     val usedCpus: Double get() = machineType.vcpus - room.cpus
 
     /** Attempts that wait for their image. */
@@ -136,27 +135,27 @@
         if (inherited && !confirmed) teams.countHidden(machineType, -1)
     }
 
-    fun attach(p: TaskAttempt) {
-        attempts.put(p.number, p)
-        p.attached = true
-        count(p, 1)
+    fun attach(attempt: TaskAttempt) {
+        attempts.put(attempt.number, attempt)
+        attempt.attached = true
+        count(attempt, 1)
     }
 
-    fun detach(p: TaskAttempt) {
-        if (!p.attached) return
-        attempts.remove(p.number)
-        count(p, -1)
-        p.attached = false
+    fun detach(attempt: TaskAttempt) {
+        if (!attempt.attached) return
+        attempts.remove(attempt.number)
+        count(attempt, -1)
+        attempt.attached = false
     }
 
     /** Makes a [change] to [p] that may alter what it counts for. */
-    inline fun recounting(
-        p: TaskAttempt,
+    inline fun updateCounted(
+        attempt: TaskAttempt,
         change: () -> Unit,
     ) {
-        if (p.attached) count(p, -1)
+        if (attempt.attached) count(attempt, -1)
         change()
-        if (p.attached) count(p, 1)
+        if (attempt.attached) count(attempt, 1)
     }
 
     /**
@@ -164,19 +163,19 @@
      * much.
      */
     fun count(
-        p: TaskAttempt,
+        attempt: TaskAttempt,
         sign: Int,
     ) {
-        if (p.exited) return
-        if (p.state == AttemptState.FETCHING || p.state == AttemptState.ASSIGNED) fetching += sign
-        if (p.state == AttemptState.RUNNING) p.job?.let { it.runningCount += sign }
-        if (sign > 0) room.take(p.job) else room.give(p.job)
-        teams.count(p, sign)
+        if (attempt.exited) return
+        if (attempt.state == AttemptState.FETCHING || attempt.state == AttemptState.ASSIGNED) fetching += sign
+        if (attempt.state == AttemptState.RUNNING) attempt.job?.let { it.runningCount += sign }
+        if (sign > 0) room.take(attempt.job) else room.give(attempt.job)
+        teams.count(attempt, sign)
     }
 
     /** Whether what is counted is what a count from scratch gives. */
     fun countsHold(): Boolean {
-        val newTerm = Room(machineType)
+        val newTerm = FreeResources(machineType)
         val here = attempts.values.filter { !it.exited }
         here.forEach { newTerm.take(it.job) }
         return room.isAbout(newTerm) &&
@@ -187,8 +186,8 @@
 
     /** A task of [job] would fit once all that ends by itself has ended. */
     fun couldTake(job: Job): Boolean {
-        val room = Room(machineType)
-        for (p in attempts.values) if (!p.exited && p.job?.isService != false) room.take(p.job)
+        val room = FreeResources(machineType)
+        for (attempt in attempts.values) if (!attempt.exited && attempt.job?.isService != false) room.take(attempt.job)
         return room.fits(job)
     }
 
--- a/src/main/kotlin/ledgearch/core/placement/MachineQueue.kt
+++ b/src/main/kotlin/ledgearch/model/MachineQueue.kt
@@ -1,7 +1,6 @@
-package ledgearch.core.placement
+package ledgearch.model
 
 import ledgearch.Tuning
-import ledgearch.core.Job
 
 /** Load state of a machine by the length of its queue (section 2 of the paper). */
 internal enum class Band {
--- a/src/main/kotlin/ledgearch/core/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -1,4 +1,4 @@
-package ledgearch.core
+package ledgearch.model
 
 import ledgearch.wire.ExitCause
 
@@ -25,19 +25,19 @@
     var attached = false
     var state = AttemptState.ASSIGNED
         set(value) {
-            if (value != field) machine.recounting(this) { field = value }
+            if (value != field) machine.updateCounted(this) { field = value }
         }
     var cause: ExitCause? = null
     var stop = StopMode.NONE
         set(value) {
-            if (value != field) machine.recounting(this) { field = value }
+            if (value != field) machine.updateCounted(this) { field = value }
         }
 
     /** Its job had starved: it is not stopped for others, for which the job would only starve again. */
-    var spared = false
+    var exemptFromPreemption = false
 
     /** The worker has listed it. */
-    var seen = false
+    var reported = false
 
     /** Sequence number of the last message of the worker that listed it. */
     var listedAt = 0L
@@ -47,23 +47,24 @@
     var sentInReplyTo = 0L
 
     /** A direct command with the start is under way. */
-    var pushOpen = false
+    var startInFlight = false
 
     /**
      * Token of a direct command with the start that was never answered. It may be executed at any later time
      * until the worker is known to have seen a higher token or has begun a new session.
      */
-    var lostToken = 0L
+    var unacknowledgedToken = 0L
 
     val exited: Boolean get() = state == AttemptState.EXITED
     val done: Boolean get() = exited && cause == ExitCause.DONE
 
     /** It may be on its machine and has not been told to stop. */
-    val goesOn: Boolean get() = !exited && stop == StopMode.NONE
+    val continues: Boolean get() = !exited && stop == StopMode.NONE
 
     /** Nothing is lost when the worker forgets it. */
     val clearable: Boolean get() = exited && (!done || job == null || job.closed || job.recorded.get(index))
 
     /** No start of this attempt is still on its way. Until then `clear` could let it start a second time. */
-    fun settled(lastReportSequence: Long): Boolean = !pushOpen && lostToken == 0L && lastReportSequence > sentInReplyTo
+    fun settled(lastReportSequence: Long): Boolean =
+        !startInFlight && unacknowledgedToken == 0L && lastReportSequence > sentInReplyTo
 }
--- a/src/main/kotlin/ledgearch/core/Teams.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -1,4 +1,4 @@
-package ledgearch.core
+package ledgearch.model
 
 import ledgearch.config.Team
 import ledgearch.wire.MachineType
@@ -6,7 +6,7 @@
 import kotlin.math.abs
 
 /** What each team's tasks may be using at most, and whether more may start. */
-internal class Teams(
+internal class TeamQuotas(
     teams: List<Team>,
 ) {
     private class Use(
@@ -68,15 +68,15 @@
 
     /** [p] comes ([sign] 1) or goes (-1); between the two it counts for its team's limit, stopped or not. */
     fun count(
-        p: TaskAttempt,
+        attempt: TaskAttempt,
         sign: Int,
     ) {
-        val job = p.job ?: return countUnknown(p.machine.machineType, sign)
-        if (p.stop == StopMode.NONE) goingOn[job.priority.ordinal] += sign
+        val job = attempt.job ?: return countUnknown(attempt.machine.machineType, sign)
+        if (attempt.stop == StopMode.NONE) goingOn[job.priority.ordinal] += sign
         val use = uses[job.spec.team] ?: return
         use.cpus += sign * job.spec.vcpus
         use.gpus += sign * job.spec.accelerators
-        if (p.stop != StopMode.NONE) return
+        if (attempt.stop != StopMode.NONE) return
         use.keptCpus += sign * job.spec.vcpus
         use.keptGpus += sign * job.spec.accelerators
     }
@@ -111,7 +111,7 @@
         }
         for (job in jobs) {
             val use = uses[job.spec.team]
-            if (job.trusted || use == null) continue
+            if (job.accountedFor || use == null) continue
             use.hiddenCpus += job.pendingCount * job.spec.vcpus
             use.hiddenGpus += job.pendingCount * job.spec.accelerators
         }
@@ -131,10 +131,10 @@
 
     /** Whether what is counted is what a count from scratch of [machines] gives. */
     fun countsHold(machines: Collection<Machine>): Boolean {
-        val newTerm = Teams(uses.values.map { it.team })
-        for (m in machines) {
-            if (m.inherited && !m.confirmed) newTerm.countHidden(m.machineType, 1)
-            for (p in m.attempts.values) if (!p.exited) newTerm.count(p, 1)
+        val newTerm = TeamQuotas(uses.values.map { it.team })
+        for (machine in machines) {
+            if (machine.inherited && !machine.confirmed) newTerm.countHidden(machine.machineType, 1)
+            for (attempt in machine.attempts.values) if (!attempt.exited) newTerm.count(attempt, 1)
         }
         return abs(unknownCpus - newTerm.unknownCpus) <= Machine.ROUNDING &&
             abs(hiddenCpus - newTerm.hiddenCpus) <= Machine.ROUNDING &&
@@ -181,7 +181,7 @@
     /** How many more tasks of [job] its team's limit allows once what is being stopped is gone. */
     fun roomOnceStopped(job: Job): Int {
         val use = uses[job.spec.team] ?: return 0
-        return Room.tasks(
+        return FreeResources.tasks(
             use.team.cpusMax - use.keptCpus,
             job.spec.vcpus,
             use.team.gpusMax - use.keptGpus,
@@ -196,7 +196,7 @@
         promised: Double = 0.0,
     ): Int {
         val use = uses[job.spec.team] ?: return 0
-        return Room.tasks(
+        return FreeResources.tasks(
             use.team.cpusMax - use.cpus - promised,
             job.spec.vcpus,
             use.team.gpusMax - use.gpus,
--- a/src/main/kotlin/ledgearch/core/Zones.kt
+++ b/src/main/kotlin/ledgearch/model/ZoneSpread.kt
@@ -1,16 +1,16 @@
-package ledgearch.core
+package ledgearch.model
 
 /**
  * Where the tasks of a job may be or are planned to be, by zone, and what `apart` and `samePlace` then allow. It begins
  * with every task that may still be on a machine; what a plan adds to it counts like those.
  */
-internal class Zones(
+internal class ZoneSpread(
     private val job: Job,
 ) {
     private val tasks = HashMap<String, Int>()
 
     init {
-        if (job.spec.spreadZones || job.spec.singleZone) for (p in job.attempts.values) add(p.machine.zone)
+        if (job.spec.spreadZones || job.spec.singleZone) for (attempt in job.attempts.values) add(attempt.machine.zone)
     }
 
     fun add(
--- a/src/main/kotlin/ledgearch/mesh/Frames.kt
+++ b/src/main/kotlin/ledgearch/peers/Frames.kt
@@ -1,4 +1,4 @@
-package ledgearch.mesh
+package ledgearch.peers
 
 import ledgearch.recovery.ZoneState
 import ledgearch.recovery.ZoneStatus
@@ -7,7 +7,7 @@
 import kotlin.math.roundToInt
 
 /** What is shown to users of an open job: how many of its tasks are done and how many run. */
-internal data class Progress(
+internal data class JobProgress(
     val job: String,
     val done: Int,
     val running: Int,
@@ -18,7 +18,7 @@
  * [zones]: those that are not up, or were not of late.
  */
 internal class LeaderStatus(
-    val progress: List<Progress>,
+    val progress: List<JobProgress>,
     val served: Boolean?,
     val zones: List<ZoneStatus> = emptyList(),
 )
@@ -40,7 +40,7 @@
 
     private fun write(
         body: Buffer,
-        entry: Progress,
+        entry: JobProgress,
     ) {
         val id = entry.job.toByteArray()
         body
@@ -50,14 +50,14 @@
             .writeInt(entry.running)
     }
 
-    private fun entryOf(zone: ZoneStatus): Progress {
+    private fun entryOf(zone: ZoneStatus): JobProgress {
         val penalty = (zone.penalty * THOUSANDTHS).roundToInt().coerceIn(0, PENALTY_MASK)
         val stateAndPenalty = (zone.state.code shl PENALTY_BITS) or penalty
-        return Progress(ZONE_MARK + zone.zone, stateAndPenalty, (zone.admittedShare * THOUSANDTHS).roundToInt())
+        return JobProgress(ZONE_MARK + zone.zone, stateAndPenalty, (zone.admittedShare * THOUSANDTHS).roundToInt())
     }
 
     /** Null for a state that this version does not know, or a share that is none. */
-    private fun zoneOf(entry: Progress): ZoneStatus? {
+    private fun zoneOf(entry: JobProgress): ZoneStatus? {
         val state = ZoneState.of(entry.done ushr PENALTY_BITS) ?: return null
         if (entry.running !in 0..THOUSANDTHS) return null
         val penalty = (entry.done and PENALTY_MASK).toDouble() / THOUSANDTHS
@@ -72,13 +72,13 @@
         if (buffer.size < Int.SIZE_BYTES + size) return null
         buffer.skip(Int.SIZE_BYTES.toLong())
         val body = Buffer().apply { write(buffer, size.toLong()) }
-        val list = ArrayList<Progress>()
+        val list = ArrayList<JobProgress>()
         var served: Boolean? = null
         val zones = ArrayList<ZoneStatus>()
         while (!body.exhausted()) {
             val length = body.readByte().toInt() and 0xff
             if (body.size < length + 2 * Int.SIZE_BYTES) throw MalformedFrame("a frame that ends too soon")
-            val entry = Progress(body.readUtf8(length.toLong()), body.readInt(), body.readInt())
+            val entry = JobProgress(body.readUtf8(length.toLong()), body.readInt(), body.readInt())
             when {
                 length == 0 -> served = entry.done != 0
                 entry.job.startsWith(ZONE_MARK) -> zoneOf(entry)?.let(zones::add)
--- a/src/main/kotlin/ledgearch/mesh/Mesh.kt
+++ b/src/main/kotlin/ledgearch/peers/Mesh.kt
@@ -1,4 +1,4 @@
-package ledgearch.mesh
+package ledgearch.peers
 
 import okio.ByteString
 
--- a/src/main/kotlin/ledgearch/mesh/MeshLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/MeshLinks.kt
@@ -1,4 +1,4 @@
-package ledgearch.mesh
+package ledgearch.peers
 
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.CoroutineScope
@@ -15,7 +15,6 @@
 import ledgearch.http.parseAddress
 import ledgearch.http.readSome
 import ledgearch.http.writeAll
-import ledgearch.standby.StandbyEvent
 import okio.Buffer
 import okio.ByteString
 import okio.ByteString.Companion.toByteString
--- a/src/main/kotlin/ledgearch/standby/StandbyEvent.kt
+++ b/src/main/kotlin/ledgearch/peers/StandbyEvent.kt
@@ -1,4 +1,4 @@
-package ledgearch.standby
+package ledgearch.peers
 
 /** What the connections between controllers tell the owner about decision streams. */
 internal sealed interface StandbyEvent {
--- a/src/main/kotlin/ledgearch/standby/StreamCodec.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamCodec.kt
@@ -1,8 +1,7 @@
-package ledgearch.standby
+package ledgearch.peers
 
 import ledgearch.Tuning
-import ledgearch.core.AttemptState
-import ledgearch.mesh.MalformedFrame
+import ledgearch.model.AttemptState
 import okio.Buffer
 import okio.ByteString
 import okio.EOFException
@@ -60,7 +59,7 @@
     ) {
         writeKey(body, record.key)
         when (record) {
-            is MachineImage -> {
+            is MachineSnapshot -> {
                 writeMachine(body, record)
             }
 
@@ -70,7 +69,7 @@
             }
 
             is ServiceTime -> {
-                body.writeLong(record.servedAt)
+                body.writeLong(record.lastStartAt)
             }
 
             is RentedMachine -> {
@@ -83,7 +82,7 @@
 
     private fun writeMachine(
         body: Buffer,
-        machine: MachineImage,
+        machine: MachineSnapshot,
     ) {
         body.writeLong(machine.incarnation)
         writeFlag(body, machine.returning)
@@ -114,12 +113,12 @@
     private fun readMachine(
         body: Buffer,
         name: String,
-    ): MachineImage {
+    ): MachineSnapshot {
         val incarnation = body.readLong()
         val returning = readFlag(body)
-        val attempts = readList(body) { AttemptImage(readString(body), body.readLong(), readStatus(body)) }
+        val attempts = readList(body) { AttemptSnapshot(readString(body), body.readLong(), readStatus(body)) }
         val images = readList(body) { CachedImage(readString(body), readDouble(body), readFlag(body)) }
-        return MachineImage(name, incarnation, returning, attempts, images)
+        return MachineSnapshot(name, incarnation, returning, attempts, images)
     }
 
     private fun readStatus(body: Buffer): AttemptState {
--- a/src/main/kotlin/ledgearch/standby/StreamFrame.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamFrame.kt
@@ -1,4 +1,4 @@
-package ledgearch.standby
+package ledgearch.peers
 
 /** One entry of the decision stream: the changes of one interval, or a piece of a snapshot, or both. */
 internal data class StreamFrame(
--- a/src/main/kotlin/ledgearch/mesh/StreamFrames.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamFrames.kt
@@ -1,8 +1,6 @@
-package ledgearch.mesh
+package ledgearch.peers
 
 import ledgearch.Tuning
-import ledgearch.standby.StreamCodec
-import ledgearch.standby.StreamFrame
 import okio.Buffer
 import okio.ByteString
 
--- a/src/main/kotlin/ledgearch/standby/StreamRecord.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamRecord.kt
@@ -1,6 +1,6 @@
-package ledgearch.standby
+package ledgearch.peers
 
-import ledgearch.core.AttemptState
+import ledgearch.model.AttemptState
 
 /** The identity of a record in the decision stream: one record of each kind and name exists at a time. */
 internal data class RecordKey(
@@ -32,13 +32,13 @@
 }
 
 /** What the leader knows of one machine. */
-internal data class MachineImage(
+internal data class MachineSnapshot(
     val name: String,
     /** The worker's session that the leader heard last. */
     val incarnation: Long,
     /** The machine is being returned: nothing new should be started on it. */
     val returning: Boolean,
-    val attempts: List<AttemptImage>,
+    val attempts: List<AttemptSnapshot>,
     val images: List<CachedImage>,
 ) : StreamRecord {
     override val key = RecordKey(RecordKind.MACHINE, name)
@@ -48,7 +48,7 @@
 }
 
 /** One attempt that the leader has bound to the machine. */
-internal data class AttemptImage(
+internal data class AttemptSnapshot(
     val taskId: String,
     val number: Long,
     val state: AttemptState,
@@ -74,7 +74,7 @@
 /** When the leader last started a task of the job (wall ms). */
 internal data class ServiceTime(
     val job: String,
-    val servedAt: Long,
+    val lastStartAt: Long,
 ) : StreamRecord {
     override val key = RecordKey(RecordKind.SERVICE_TIME, job)
     override val memoryBytes = OBJECT_BYTES + job.length
--- a/src/main/kotlin/ledgearch/core/KeyRevisions.kt
+++ b/src/main/kotlin/ledgearch/persistence/KeyRevisions.kt
@@ -1,8 +1,8 @@
-package ledgearch.core
+package ledgearch.persistence
 
-import ledgearch.state.RequestClass
-import ledgearch.state.ReadResult
-import ledgearch.state.StoreClient
+import ledgearch.store.ReadResult
+import ledgearch.store.RequestClass
+import ledgearch.store.StoreClient
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 
@@ -25,7 +25,12 @@
     }
 
     fun conditions(changes: List<Change>): List<Condition> =
-        changes.map { Condition(keyOf(it), keyRevisions[keyOf(it)] ?: 0) }
+        changes.map {
+            Condition(
+                keyOf(it),
+                keyRevisions[keyOf(it)] ?: 0,
+            )
+        }
 
     fun written(
         changes: List<Change>,
--- a/src/main/kotlin/ledgearch/core/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
@@ -1,8 +1,16 @@
-package ledgearch.core
+package ledgearch.persistence
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 import ledgearch.Tuning
+import ledgearch.model.Machine
+import ledgearch.model.TeamQuotas
+import ledgearch.records.Keys
+import ledgearch.records.MachineEntry
+import ledgearch.records.MachinesRecord
+import ledgearch.records.SingleMachineRecord
+import ledgearch.records.decodeRecord
+import ledgearch.records.encodeRecord
 import ledgearch.wire.Change
 import ledgearch.wire.KeyValue
 import ledgearch.wire.MachineType
@@ -58,15 +66,15 @@
     }
 
     /** [m] belongs to the block, or something that its record tells has changed. */
-    fun put(m: Machine) {
-        val group = groupOf[m.name]
-        if (group == null) arrivals[m.name] = m else change(group)
+    fun put(machine: Machine) {
+        val group = groupOf[machine.name]
+        if (group == null) arrivals[machine.name] = machine else change(group)
     }
 
-    fun remove(m: Machine) {
-        arrivals.remove(m.name)
-        val group = groupOf.remove(m.name) ?: return
-        group.machines.remove(m.name)
+    fun remove(machine: Machine) {
+        arrivals.remove(machine.name)
+        val group = groupOf.remove(machine.name) ?: return
+        group.machines.remove(machine.name)
         change(group)
     }
 
@@ -79,7 +87,7 @@
     fun restore(
         name: String,
         pair: KeyValue,
-        teams: Teams,
+        teams: TeamQuotas,
         nowMs: Long,
     ): List<Machine>? {
         val record =
@@ -109,18 +117,18 @@
             ).also {
                 it.inherited = true
                 it.durable = true
-                it.draining = entry.quarantined
+                it.quarantined = entry.quarantined
                 join(it, group)
             }
         }
     }
 
     private fun join(
-        m: Machine,
+        machine: Machine,
         group: Group,
     ) {
-        group.machines[m.name] = m
-        groupOf[m.name] = group
+        group.machines[machine.name] = machine
+        groupOf[machine.name] = group
     }
 
     /** What there is to write: new machines first, since nothing starts on them before. */
@@ -181,7 +189,7 @@
         // One machine that is too large by itself: as it is, the service tells.
         if (pieces.size == 1) return true
         if (pieces.size > maxChanges || pieces.size * mostBytes > Tuning.TRANSACTION_BYTES) return false
-        for (m in pieces.drop(1).flatten()) group.machines.remove(m.name)
+        for (machine in pieces.drop(1).flatten()) group.machines.remove(machine.name)
         val parts = listOf(group) + pieces.drop(1).map(::newGroup)
         parts.forEach { it.parts = parts }
         return true
@@ -201,17 +209,17 @@
                 0,
                 machineTypes,
                 members.map {
-                    entry(it, machineTypes.indexOf(it.machineType), it.draining)
+                    entry(it, machineTypes.indexOf(it.machineType), it.quarantined)
                 },
             ),
         )
     }
 
     private fun entry(
-        m: Machine,
+        machine: Machine,
         machineType: Int,
         quarantined: Boolean,
-    ) = MachineEntry(m.name, m.endpoint, machineType, m.zone, m.spot, quarantined)
+    ) = MachineEntry(machine.name, machine.endpoint, machineType, machine.zone, machine.spot, quarantined)
 
     /**
      * [machines] in order, in as few pieces as records have room for; each has room for every one to be quarantined.
@@ -220,25 +228,25 @@
         val pieces = ArrayList<ArrayList<Machine>>()
         val machineTypes = HashSet<MachineType>()
         var left = 0
-        for (m in machines) {
-            val own = entryBytes(m)
-            val need = own + if (m.machineType in machineTypes) 0 else machineTypeBytes(m.machineType)
+        for (machine in machines) {
+            val own = entryBytes(machine)
+            val need = own + if (machine.machineType in machineTypes) 0 else machineTypeBytes(machine.machineType)
             if (pieces.isEmpty() || need > left || pieces.last().size == Tuning.MACHINES_A_RECORD) {
                 pieces.add(ArrayList())
                 machineTypes.clear()
-                left = mostBytes - EMPTY_BYTES - own - machineTypeBytes(m.machineType)
+                left = mostBytes - EMPTY_BYTES - own - machineTypeBytes(machine.machineType)
             } else {
                 left -= need
             }
-            machineTypes.add(m.machineType)
-            pieces.last().add(m)
+            machineTypes.add(machine.machineType)
+            pieces.last().add(machine)
         }
         return pieces
     }
 
     /** With the comma after it. */
-    private fun entryBytes(m: Machine) =
-        bytes(encodeRecord(MachineEntry.serializer(), entry(m, ANY_MACHINE_TYPE, quarantined = true))) + 1
+    private fun entryBytes(machine: Machine) =
+        bytes(encodeRecord(MachineEntry.serializer(), entry(machine, ANY_MACHINE_TYPE, quarantined = true))) + 1
 
     private fun machineTypeBytes(machineType: MachineType) =
         bytes(encodeRecord(MachineType.serializer(), machineType)) + 1
--- a/src/main/kotlin/ledgearch/core/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -1,10 +1,23 @@
-package ledgearch.core
+package ledgearch.persistence
 
 import ledgearch.Tuning
-import ledgearch.leader.Election
-import ledgearch.state.RequestClass
-import ledgearch.state.StoreClient
-import ledgearch.state.TransactionResult
+import ledgearch.election.Election
+import ledgearch.jobs.JobStore
+import ledgearch.model.Job
+import ledgearch.model.Machine
+import ledgearch.model.TeamQuotas
+import ledgearch.records.CatalogRecord
+import ledgearch.records.Chunks
+import ledgearch.records.FinalRecord
+import ledgearch.records.FinishedRecord
+import ledgearch.records.Keys
+import ledgearch.records.Ranges
+import ledgearch.records.encodeRecord
+import ledgearch.records.within
+import ledgearch.runtime.Clock
+import ledgearch.store.RequestClass
+import ledgearch.store.StoreClient
+import ledgearch.store.TransactionResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import ledgearch.wire.JobState
@@ -22,7 +35,7 @@
     private val state: StoreClient,
     private val election: Election,
     private val jobStore: JobStore,
-    private val now: Now,
+    private val clock: Clock,
     private val valueBytes: Int,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.state")
@@ -55,7 +68,7 @@
 
         /** False when the batch is full. An entry that waits since it was too large is passed over. */
         fun add(entry: Entry): Boolean {
-            if (now.steady < (tooLarge[entry.key] ?: Long.MIN_VALUE)) return true
+            if (clock.steadyMs < (tooLarge[entry.key] ?: Long.MIN_VALUE)) return true
             if (entries.isNotEmpty() && (alone > 0 || bytes + entry.bytes > Tuning.TRANSACTION_BYTES)) return false
             if (entry.changes.size > room) return false
             room -= entry.changes.size
@@ -109,7 +122,7 @@
     fun restore(
         name: String,
         pair: KeyValue,
-        teams: Teams,
+        teams: TeamQuotas,
         nowMs: Long,
     ): List<Machine>? = machines.restore(name, pair, teams, nowMs)
 
@@ -152,18 +165,19 @@
     }
 
     fun drive() {
-        if (writing || !election.isLeader || now.steady < retryAt) return
+        if (writing || !election.isLeader || clock.steadyMs < retryAt) return
         val entries = collect()
         if (entries.isEmpty()) return
         writing = true
-        val sentAt = now.steady
+        val sentAt = clock.steadyMs
         val under = election.token
         val mine = term
         val conditions = ArrayList<Condition>()
         conditions.add(election.condition)
         for (entry in entries) {
             conditions +=
-                entry.closes?.let { listOf(Condition(Keys.job(it.id), it.modRevision)) } ?: keyRevisions.conditions(entry.changes)
+                entry.closes?.let { listOf(Condition(Keys.job(it.id), it.modRevision)) }
+                    ?: keyRevisions.conditions(entry.changes)
         }
         state.transact(conditions, entries.flatMap { it.changes }, RequestClass.ORDINARY) { result ->
             if (term != mine) return@transact
@@ -187,7 +201,7 @@
                 }
 
                 else -> {
-                    retryAt = now.steady + Tuning.STATE_RETRY_MS
+                    retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
                 }
             }
         }
@@ -201,7 +215,7 @@
         }
         val key = entries.first().key
         log.error("the state service takes the record under {} for too large; it waits", key)
-        tooLarge[key] = now.steady + Tuning.TOO_LARGE_RETRY_MS
+        tooLarge[key] = clock.steadyMs + Tuning.TOO_LARGE_RETRY_MS
     }
 
     /** Some comparison failed, so that nothing was written: what is to be compared is put right before the next try. */
@@ -210,7 +224,8 @@
         conditions: List<Condition>,
         under: Long,
     ) {
-        retryAt = now.steady + if (keys.isEmpty() || Keys.leadership(0) in keys) Tuning.STATE_RETRY_MS else Tuning.TICK_MS
+        retryAt =
+            clock.steadyMs + if (keys.isEmpty() || Keys.leadership(0) in keys) Tuning.STATE_RETRY_MS else Tuning.TICK_MS
         if (Keys.leadership(0) in keys) election.leadershipDoubted(under)
         val mine = term
         val own = ArrayList<String>()
@@ -251,7 +266,7 @@
         for (job in progress.values) {
             // Until then its finished tasks stay on their machines' lists, from where the next leader would learn of
             // them.
-            if (job.closing || now.steady - job.progressAt < Tuning.PROGRESS_MS) continue
+            if (job.closing || clock.steadyMs - job.progressAt < Tuning.PROGRESS_MS) continue
             if (batch.room == 0) return
             val written = unwritten(job).take(batch.room).associateWith { job.finished.within(chunks.tasksOfChunk(it)) }
             if (written.isEmpty()) continue
@@ -315,7 +330,7 @@
         job: Job,
         written: Map<Int, BitSet>,
     ) {
-        job.progressAt = now.steady
+        job.progressAt = clock.steadyMs
         written.values.forEach(job.recorded::or)
         // A final record written meanwhile would leave this chunk behind.
         if (jobStore.jobs[job.id] !== job) written.keys.forEach { removals.add(Keys.finished(job.id, it)) }
--- a/src/main/kotlin/ledgearch/core/Chunks.kt
+++ b/src/main/kotlin/ledgearch/records/Chunks.kt
@@ -1,4 +1,4 @@
-package ledgearch.core
+package ledgearch.records
 
 import java.util.BitSet
 
--- a/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
+++ b/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
@@ -1,7 +1,7 @@
 package ledgearch.recovery
 
-import ledgearch.core.Job
-import ledgearch.core.TaskAttempt
+import ledgearch.model.Job
+import ledgearch.model.TaskAttempt
 import org.roaringbitmap.RoaringBitmap
 
 /** The tasks that a lost zone displaced and that have not been started again, by job. */
@@ -24,10 +24,10 @@
     fun clear() = entries.clear()
 
     /** [p] is gone with its machine. */
-    fun lost(p: TaskAttempt) {
-        val job = p.job ?: return
-        if (job.closed || job.record.cancelRequested || job.finished.get(p.index)) return
-        entryOf(job).waiting.add(p.index)
+    fun lost(attempt: TaskAttempt) {
+        val job = attempt.job ?: return
+        if (job.closed || job.record.cancelRequested || job.finished.get(attempt.index)) return
+        entryOf(job).waiting.add(attempt.index)
     }
 
     /** All tasks of [job] that wait: a leader that took over after the loss can't tell which of them ran before. */
--- a/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
@@ -1,7 +1,7 @@
 package ledgearch.recovery
 
 import ledgearch.config.RecoveryGroup
-import ledgearch.core.Job
+import ledgearch.model.Job
 
 /**
  * The operators' order in which work is placed again that a lost zone displaced: the first group that a job's class and
--- a/src/main/kotlin/ledgearch/recovery/StartPacing.kt
+++ b/src/main/kotlin/ledgearch/recovery/StartPacing.kt
@@ -1,7 +1,7 @@
 package ledgearch.recovery
 
 import ledgearch.Tuning
-import ledgearch.state.TokenBucket
+import ledgearch.runtime.TokenBucket
 
 /**
  * Bounds how many displaced tasks of each group but the first are started a second, so that what still works is not
--- a/src/main/kotlin/ledgearch/recovery/WaitingTimes.kt
+++ b/src/main/kotlin/ledgearch/recovery/WaitingTimes.kt
@@ -1,6 +1,6 @@
 package ledgearch.recovery
 
-import ledgearch.core.Job
+import ledgearch.model.Job
 
 /** Since when each open job has waited for room without a start, as far as this leader saw it during a recovery. */
 internal class WaitingTimes {
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -2,12 +2,12 @@
 
 import ledgearch.Tuning
 import ledgearch.config.ZoneRecoverySettings
-import ledgearch.core.Job
-import ledgearch.core.Machine
-import ledgearch.core.Now
-import ledgearch.core.TaskAttempt
-import ledgearch.core.Zones
-import ledgearch.core.placement.RecoveryPolicy
+import ledgearch.model.Job
+import ledgearch.model.Machine
+import ledgearch.model.TaskAttempt
+import ledgearch.model.ZoneSpread
+import ledgearch.runtime.Clock
+import ledgearch.scheduling.RecoveryPolicy
 import org.slf4j.LoggerFactory
 import kotlin.math.ceil
 
@@ -18,7 +18,7 @@
  */
 internal class ZoneRecovery(
     settings: ZoneRecoverySettings,
-    private val now: Now,
+    private val clock: Clock,
     /** ms. Within this time a new leader finds out which zones are cut off. */
     private val detectionMs: Long,
 ) : RecoveryPolicy {
@@ -48,9 +48,9 @@
     /** This node leads under a new term. It goes on where the leader before was, if it heard of that lately. */
     fun begin() {
         forget()
-        beganAt = now.steady
-        if (now.steady - knownAt > Tuning.ZONE_STATUS_VALID_MS) return
-        for (status in known) zone(status.zone).restore(status, now.steady)
+        beganAt = clock.steadyMs
+        if (clock.steadyMs - knownAt > Tuning.ZONE_STATUS_VALID_MS) return
+        for (status in known) zone(status.zone).restore(status, clock.steadyMs)
         if (anyUnsettled) log.info("goes on with the recovery of {}", known.filter { it.state != ZoneState.UP })
     }
 
@@ -72,14 +72,14 @@
     /** What the leader tells. */
     fun heard(statuses: List<ZoneStatus>) {
         known = statuses
-        knownAt = now.steady
+        knownAt = clock.steadyMs
     }
 
     /** What the other controllers are told, while there is something to tell. */
     fun statuses(): List<ZoneStatus> =
         zones.values
-            .filter { it.state != ZoneState.UP || it.penalty(now.steady) >= PENALTY_TOLD }
-            .map { ZoneStatus(it.zone, it.state, it.penalty(now.steady), it.admittedShare) }
+            .filter { it.state != ZoneState.UP || it.penalty(clock.steadyMs) >= PENALTY_TOLD }
+            .map { ZoneStatus(it.zone, it.state, it.penalty(clock.steadyMs), it.admittedShare) }
 
     // --- The state of zones -----------------------------------------------------------------------------------
 
@@ -97,25 +97,33 @@
             val isCutOff = isPartitioned(health.zone) || staysLost(health, heardThere)
             val seen =
                 ZoneObservation(byZone[health.zone]?.size ?: 0, heardThere, isCutOff, anyWell && !isDetecting)
-            if (health.look(seen, now.steady)) changed(health)
+            if (health.look(seen, clock.steadyMs)) changed(health)
         }
         for ((zone, members) in byZone) holdBack(zones.getValue(zone), members)
         firstUnproven = if (order.isStated) firstUnproven(byZone) else NO_GROUP
         displaced.removeClosed()
         if (!anyUnsettled && !displaced.anyWaiting) displaced.clear()
-        if (isActive) pacing.look(machines.count { it.inService }, now.steady)
+        if (isActive) pacing.look(machines.count { it.inService }, clock.steadyMs)
     }
 
     private fun firstUnproven(byZone: Map<String, List<Machine>>): Int {
         val jobs = HashSet<Job>()
         for ((zone, members) in byZone) {
             if (!isLost(zone)) continue
-            for (m in members) for (p in m.attempts.values) if (p.goesOn) p.job?.let(jobs::add)
+            for (machine in members) {
+                for (attempt in machine.attempts.values) {
+                    if (attempt.continues) {
+                        attempt.job?.let(
+                            jobs::add,
+                        )
+                    }
+                }
+            }
         }
         return jobs.minOfOrNull(order::groupOf) ?: NO_GROUP
     }
 
-    private val isDetecting: Boolean get() = now.steady - beganAt < detectionMs
+    private val isDetecting: Boolean get() = clock.steadyMs - beganAt < detectionMs
 
     /**
      * A new leader that was told of the loss does not take the zone for heard before it could find out itself. Where no
@@ -125,7 +133,7 @@
         health: ZoneHealth,
         heard: Int,
     ) = health.state == ZoneState.LOST &&
-        (isDetecting || (heard == 0 && now.steady - health.since < Tuning.CUT_ZONE_MS))
+        (isDetecting || (heard == 0 && clock.steadyMs - health.since < Tuning.CUT_ZONE_MS))
 
     private fun changed(health: ZoneHealth) {
         if (health.state == ZoneState.LOST) zonesLost++
@@ -140,7 +148,7 @@
         val share = health.admittedShare
         if (share >= 1.0) return members.forEach { it.heldBack = false }
         val admitted = ceil(members.size * share).toInt()
-        members.sortedBy { it.name }.forEachIndexed { i, m -> m.heldBack = i >= admitted }
+        members.sortedBy { it.name }.forEachIndexed { i, machine -> machine.heldBack = i >= admitted }
     }
 
     private fun zone(name: String) = zones.getOrPut(name) { ZoneHealth(name) }
@@ -153,18 +161,18 @@
     // --- Displaced work ---------------------------------------------------------------------------------------
 
     /** [p] is gone from its machine, not by its own end. */
-    fun lost(p: TaskAttempt) {
-        if ((zones[p.machine.zone]?.state ?: ZoneState.UP) != ZoneState.UP) displaced.lost(p)
+    fun lost(attempt: TaskAttempt) {
+        if ((zones[attempt.machine.zone]?.state ?: ZoneState.UP) != ZoneState.UP) displaced.lost(attempt)
     }
 
     /** The machine is given up. */
-    fun machineFailed(m: Machine) {
-        zones[m.zone]?.machineFailed(now.steady)
+    fun machineFailed(machine: Machine) {
+        zones[machine.zone]?.machineFailed(clock.steadyMs)
     }
 
     /** Every recorded machine is confirmed: what waits of [older] jobs may have been displaced before this term. */
     fun confirmed(older: Collection<Job>) {
-        if (anyUnsettled) older.filter { it.startable(now.steady) }.forEach(displaced::allWaitingOf)
+        if (anyUnsettled) older.filter { it.startable(clock.steadyMs) }.forEach(displaced::allWaitingOf)
     }
 
     // --- Placement --------------------------------------------------------------------------------------------
@@ -173,15 +181,16 @@
         if (displaced.isEmpty) levels else order.arrange(levels, displaced::isWaiting)
 
     override fun look(waiting: Collection<Job>) {
-        if (isActive) this.waiting.look(waiting, now.steady) else this.waiting.clear()
+        if (isActive) this.waiting.look(waiting, clock.steadyMs) else this.waiting.clear()
     }
 
     override fun admits(
-        m: Machine,
+        machine: Machine,
         job: Job,
     ): Boolean {
-        if (m.heldBack && !mayUseHeldBack(job)) return false
-        return !isPaced(job) || m.imageDistance(job.spec.image) != NO_IMAGE || m.fetching < Tuning.RECOVERY_FETCHES
+        if (machine.heldBack && !mayUseHeldBack(job)) return false
+        return !isPaced(job) || machine.imageDistance(job.spec.image) != NO_IMAGE ||
+            machine.fetching < Tuning.RECOVERY_FETCHES
     }
 
     override fun mayStart(job: Job): Boolean {
@@ -197,7 +206,7 @@
     private fun waitsForProofs(
         job: Job,
         group: Int,
-    ) = firstUnproven < group && waiting.waitedMs(job, now.steady) < Tuning.ORDER_HOLD_MS
+    ) = firstUnproven < group && waiting.waitedMs(job, clock.steadyMs) < Tuning.ORDER_HOLD_MS
 
     override fun isSpecial(job: Job) = isActive && (isPaced(job) || mayUseHeldBack(job))
 
@@ -210,12 +219,12 @@
     /** Rules outrank the ramp: work that has waited long, or can keep apart in no other zone, is not held back. */
     private fun mayUseHeldBack(job: Job) = hasWaitedLong(job) || needsAnotherZone(job)
 
-    private fun hasWaitedLong(job: Job) = waiting.waitedMs(job, now.steady) > Tuning.HELD_BACK_WAIT_MS
+    private fun hasWaitedLong(job: Job) = waiting.waitedMs(job, clock.steadyMs) > Tuning.HELD_BACK_WAIT_MS
 
     /** Spread leaves it no zone whose machines are all admitted. A zone that is suppressed is not used for this. */
     private fun needsAnotherZone(job: Job): Boolean {
         if (!job.spec.spreadZones) return false
-        val allowed = Zones(job)
+        val allowed = ZoneSpread(job)
         val open = zones.values.filter { allowed.allows(it.zone) && it.state != ZoneState.LOST }
         return open.isNotEmpty() && open.none { it.admittedShare >= 1.0 } && open.any { !it.isSuppressed }
     }
@@ -225,7 +234,7 @@
         index: Int,
     ) {
         if (!isActive) return
-        waiting.started(job, now.steady)
+        waiting.started(job, clock.steadyMs)
         if (displaced.isWaiting(job)) displaced.groupOf(job)?.let(pacing::started)
         displaced.started(job, index)
     }
@@ -235,7 +244,7 @@
         job: Job,
     ): Boolean {
         if (!order.isStated || displaced.isEmpty) return false
-        if (waiting.waitedMs(job, now.steady) > Tuning.RECOVERY_PROTECT_MS) return false
+        if (waiting.waitedMs(job, clock.steadyMs) > Tuning.RECOVERY_PROTECT_MS) return false
         val group = displaced.groupOf(job) ?: return false
         val first = displaced.groupOf(victim) ?: return false
         return first < group
@@ -250,8 +259,8 @@
                     it.zone,
                     it.state.name.lowercase(),
                     it.reason,
-                    now.steady - it.since,
-                    it.penalty(now.steady),
+                    clock.steadyMs - it.since,
+                    it.penalty(clock.steadyMs),
                     it.admittedShare,
                 )
             },
--- a/src/main/kotlin/ledgearch/core/LruMap.kt
+++ b/src/main/kotlin/ledgearch/runtime/LruMap.kt
@@ -1,4 +1,4 @@
-package ledgearch.core
+package ledgearch.runtime
 
 /**
  * A map of at most [most] entries, from which the least recently used one goes first. For one thread, as all that the
--- a/src/main/kotlin/ledgearch/core/MeteredTransport.kt
+++ b/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
@@ -1,4 +1,4 @@
-package ledgearch.core
+package ledgearch.runtime
 
 import ledgearch.config.OutsideAddresses
 import ledgearch.http.Reply
@@ -8,7 +8,7 @@
     private val inner: Transport,
     private val outside: OutsideAddresses,
     private val metrics: Metrics,
-    private val now: Now,
+    private val clock: Clock,
 ) : Transport {
     override fun call(
         address: String,
@@ -29,7 +29,7 @@
 
                 else -> "state"
             }
-        val startedAt = now.steady
+        val startedAt = clock.steadyMs
         inner.call(address, method, target, body, timeoutMs) { reply ->
             metrics.answered(what, reply.status, startedAt)
             done(reply)
--- a/src/main/kotlin/ledgearch/core/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -1,4 +1,4 @@
-package ledgearch.core
+package ledgearch.runtime
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
@@ -9,7 +9,7 @@
 
 /** Counters, latencies and where the owner's time goes since the process began, as `GET /metrics` shows them. */
 internal class Metrics(
-    private val now: Now,
+    private val clock: Clock,
     private val nanos: () -> Long,
 ) {
     private val spent = LinkedHashMap<String, Long>()
@@ -55,7 +55,7 @@
         latencies
             .getOrPut(what) {
                 IntCountsHistogram(LONGEST_MS, DIGITS)
-            }.recordValue((now.steady - startedAt).coerceIn(0, LONGEST_MS))
+            }.recordValue((clock.steadyMs - startedAt).coerceIn(0, LONGEST_MS))
     }
 
     private val batches = IntCountsHistogram(LONGEST_US, DIGITS)
--- a/src/main/kotlin/ledgearch/core/StallCompensation.kt
+++ b/src/main/kotlin/ledgearch/runtime/StallCompensation.kt
@@ -1,4 +1,4 @@
-package ledgearch.core
+package ledgearch.runtime
 
 import ledgearch.Tuning
 
@@ -9,7 +9,7 @@
  * unread: nobody was silent, and a time-out may be this node's own.
  */
 internal class StallCompensation(
-    private val now: Now,
+    private val clock: Clock,
     private val metrics: Metrics,
 ) {
     /** A time (steady ms) in which this node was behind. */
@@ -30,20 +30,20 @@
 
     /** A batch begins: before anything of it is taken for a time-out, this node knows how late it is. */
     fun began() {
-        if (tickQueuedAt != 0L && now.steady - tickQueuedAt - Tuning.TICK_MS > Tuning.BEHIND_MS) addStall()
+        if (tickQueuedAt != 0L && clock.steadyMs - tickQueuedAt - Tuning.TICK_MS > Tuning.BEHIND_MS) addStall()
     }
 
     /** A tick has come that was put in line at [queuedAt] (steady ms); ticks are due every [Tuning.TICK_MS]. */
     fun ticked(queuedAt: Long) {
         began()
-        if (tickSeenAt != 0L) metrics.ticked(now.steady - tickSeenAt)
-        tickSeenAt = now.steady
+        if (tickSeenAt != 0L) metrics.ticked(clock.steadyMs - tickSeenAt)
+        tickSeenAt = clock.steadyMs
         tickQueuedAt = queuedAt
         began()
     }
 
     private fun addStall() {
-        val until = now.steady + Tuning.CATCH_UP_MS
+        val until = clock.steadyMs + Tuning.CATCH_UP_MS
         val last = stalls.lastOrNull()
         if (last != null &&
             tickQueuedAt <= last.until
@@ -52,30 +52,30 @@
         } else {
             stalls.addLast(Stall(tickQueuedAt, until))
         }
-        while (now.steady - stalls.first().until > Tuning.STALLS_KEPT_MS) stalls.removeFirst()
+        while (clock.steadyMs - stalls.first().until > Tuning.STALLS_KEPT_MS) stalls.removeFirst()
     }
 
     /** This node does not keep up, or did not a moment ago. */
-    val isBehind: Boolean get() = wasBehindSince(now.steady)
+    val isLagging: Boolean get() = wasLaggingSince(clock.steadyMs)
 
     /** This node was behind at some time from [time] (steady ms) on. */
-    fun wasBehindSince(time: Long): Boolean = stalls.lastOrNull().let { it != null && it.until > time }
+    fun wasLaggingSince(time: Long): Boolean = stalls.lastOrNull().let { it != null && it.until > time }
 
     /** ms since [time] (steady ms) in which this node kept up: who was silent for those was not heard here. */
-    fun heedfulSince(time: Long): Long {
+    fun attentiveMsSince(time: Long): Long {
         var behind = 0L
         for (i in stalls.indices.reversed()) {
             val stall = stalls[i]
             if (stall.until <= time) break
-            behind += minOf(stall.until, now.steady) - maxOf(stall.from, time)
+            behind += minOf(stall.until, clock.steadyMs) - maxOf(stall.from, time)
         }
-        return now.steady - time - behind
+        return clock.steadyMs - time - behind
     }
 
-    /** The latest time (steady ms) since which this node kept up for more than [ms]: the inverse of [heedfulSince]. */
-    fun heedfulAgo(ms: Long): Long {
+    /** The latest time (steady ms) since which this node kept up for more than [ms]: the inverse of [attentiveMsSince]. */
+    fun attentiveSince(ms: Long): Long {
         var left = ms
-        var end = now.steady
+        var end = clock.steadyMs
         for (i in stalls.indices.reversed()) {
             val stall = stalls[i]
             val kept = (end - stall.until).coerceAtLeast(0)
@@ -93,11 +93,11 @@
     fun mayPass(): Boolean {
         val pause =
             maxOf(
-                if (isBehind) Tuning.BEHIND_PASS_MS else Tuning.PASS_MS,
+                if (isLagging) Tuning.BEHIND_PASS_MS else Tuning.PASS_MS,
                 minOf(passTook * Tuning.PASS_REST, Tuning.MOST_PASS_MS),
             )
-        if (now.steady - passAt < pause) return false
-        passAt = now.steady
+        if (clock.steadyMs - passAt < pause) return false
+        passAt = clock.steadyMs
         return true
     }
 
--- a/src/main/kotlin/ledgearch/state/TokenBucket.kt
+++ b/src/main/kotlin/ledgearch/runtime/TokenBucket.kt
@@ -1,4 +1,4 @@
-package ledgearch.state
+package ledgearch.runtime
 
 /** Permits that refill steadily, with bursts of one second's worth. */
 internal class TokenBucket(
--- a/src/main/kotlin/ledgearch/core/Transport.kt
+++ b/src/main/kotlin/ledgearch/runtime/Transport.kt
@@ -1,4 +1,4 @@
-package ledgearch.core
+package ledgearch.runtime
 
 import ledgearch.http.Reply
 
@@ -15,10 +15,10 @@
 }
 
 /** Time as the owner sees it: set once for each batch of commands. */
-internal class Now {
+internal class Clock {
     /** ms on the steady clock. */
-    var steady = 0L
+    var steadyMs = 0L
 
     /** ms of the time of day. */
-    var wall = 0L
+    var wallMs = 0L
 }
--- a/src/main/kotlin/ledgearch/core/placement/Candidates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Candidates.kt
@@ -1,8 +1,8 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
-import ledgearch.core.Job
-import ledgearch.core.Machine
-import ledgearch.core.Zones
+import ledgearch.model.Job
+import ledgearch.model.Machine
+import ledgearch.model.ZoneSpread
 import java.util.PriorityQueue
 
 /**
@@ -40,8 +40,8 @@
     val isEmpty: Boolean get() = zones.all { it.choices.isEmpty() }
 
     init {
-        machines.forEachIndexed { order, m -> add(Choice(m, order)) }
-        if (job.isService) for (p in job.attempts.values) zone(p.machine.zone).replicas++
+        machines.forEachIndexed { order, machine -> add(Choice(machine, order)) }
+        if (job.isService) for (attempt in job.attempts.values) zone(attempt.machine.zone).replicas++
     }
 
     private fun zone(zone: String) = zones.firstOrNull { it.name == zone } ?: Zone(zone).also { zones.add(it) }
@@ -53,7 +53,7 @@
 
     /** The machine for the next task, which [start] places there; false when there is none. */
     inline fun next(
-        allowed: Zones,
+        allowed: ZoneSpread,
         start: (Machine) -> Unit,
     ): Boolean {
         val choice = take(allowed) ?: return false
@@ -62,7 +62,7 @@
         return true
     }
 
-    fun take(allowed: Zones): Choice? {
+    fun take(allowed: ZoneSpread): Choice? {
         var best: Zone? = null
         for (zone in zones) {
             val top = zone.choices.peek() ?: continue
--- a/src/main/kotlin/ledgearch/core/placement/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -1,9 +1,9 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
 import ledgearch.Tuning
 import ledgearch.config.Objective
-import ledgearch.core.Job
-import ledgearch.core.Now
+import ledgearch.model.Job
+import ledgearch.runtime.Clock
 
 /**
  * When jobs have to end so that deadlines are met: their own, and those of the jobs that depend on them. A job's end
@@ -13,7 +13,7 @@
 internal class Deadlines(
     objectives: List<Objective>,
     private val estimates: Estimates,
-    private val now: Now,
+    private val clock: Clock,
     private val dependentsOf: (Job) -> Collection<Job>,
 ) {
     /** For each class, the multiples of the deadline that its objectives ask for. */
@@ -30,8 +30,8 @@
      * The latest times, in wall-clock seconds and ascending, at which [job] may end; one for each deadline to be met.
      */
     fun latestEnds(job: Job): List<Double> {
-        if (knownAt != now.steady) {
-            knownAt = now.steady
+        if (knownAt != clock.steadyMs) {
+            knownAt = clock.steadyMs
             known.clear()
         }
         return latestEnds(job, Tuning.DEADLINE_LOOK_AHEAD)
--- a/src/main/kotlin/ledgearch/core/placement/Estimates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Estimates.kt
@@ -1,9 +1,9 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
 import ledgearch.Tuning
-import ledgearch.core.AttemptState
-import ledgearch.core.Job
-import ledgearch.core.Machine
+import ledgearch.model.AttemptState
+import ledgearch.model.Job
+import ledgearch.model.Machine
 import kotlin.math.exp
 import kotlin.math.ln
 
@@ -70,9 +70,13 @@
     /** The same of each zone. */
     fun freedASecondByZone(machines: Collection<Machine>): Map<String, Double> {
         val freed = HashMap<String, Double>()
-        for (m in machines) {
-            for (p in m.attempts.values) {
-                if (p.state == AttemptState.RUNNING) p.job?.let { freed.merge(m.zone, freedASecond(it), Double::plus) }
+        for (machine in machines) {
+            for (attempt in machine.attempts.values) {
+                if (attempt.state ==
+                    AttemptState.RUNNING
+                ) {
+                    attempt.job?.let { freed.merge(machine.zone, freedASecond(it), Double::plus) }
+                }
             }
         }
         return freed
--- a/src/main/kotlin/ledgearch/core/placement/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -1,12 +1,14 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
 import ledgearch.Tuning
-import ledgearch.core.Job
-import ledgearch.core.Machine
-import ledgearch.core.Metrics
-import ledgearch.core.Now
-import ledgearch.core.Teams
-import ledgearch.core.Zones
+import ledgearch.model.Band
+import ledgearch.model.Job
+import ledgearch.model.Machine
+import ledgearch.model.MachineQueue
+import ledgearch.model.TeamQuotas
+import ledgearch.model.ZoneSpread
+import ledgearch.runtime.Clock
+import ledgearch.runtime.Metrics
 
 /**
  * The ordinary path. Machines start the heads of their first-come queues as room shows; new tasks take a machine
@@ -15,8 +17,8 @@
  */
 internal class Placer(
     private val machines: Map<String, Machine>,
-    private val teams: Teams,
-    private val now: Now,
+    private val teams: TeamQuotas,
+    private val clock: Clock,
     private val ranking: Ranking,
     private val preemption: Preemption,
     private val reliability: Reliability,
@@ -63,7 +65,7 @@
     }
 
     fun pass(jobs: Collection<Job>) {
-        val open = jobs.filter { it.startable(now.steady) }
+        val open = jobs.filter { it.startable(clock.steadyMs) }
         recovery.look(open)
         if (open.isEmpty()) return
         val all = machines.values.filter { usable(it) }
@@ -113,7 +115,7 @@
         for (job in starved) {
             val free = withoutReserved(reserved, usable)
             startAnywhere(job, free, leave = job.pendingCount - maxOf(1, job.pendingCount / Tuning.STARVED_PARTS))
-            job.attempts.values.forEach { it.spared = true }
+            job.attempts.values.forEach { it.exemptFromPreemption = true }
             if (job.attempts.isEmpty() && teams.allows(job) &&
                 reserved.size < Tuning.RESERVED_AT_ONCE
             ) {
@@ -139,18 +141,18 @@
         free: List<Machine>,
     ): Machine? {
         val before = reservations[job]
-        if (before != null && now.steady < before.until) {
+        if (before != null && clock.steadyMs < before.until) {
             if (before.machine in free) return before.machine
-        } else if (before != null && now.steady < before.until + Tuning.RESERVATION_PAUSE_MS) {
+        } else if (before != null && clock.steadyMs < before.until + Tuning.RESERVATION_PAUSE_MS) {
             return null
         }
-        val zones = Zones(job)
-        val m =
+        val zones = ZoneSpread(job)
+        val machine =
             free
                 .filter { it.allows(job) && zones.allows(it.zone) && it.couldTake(job) }
                 .minByOrNull { it.usedCpus } ?: return null
-        reservations[job] = Reservation(m, now.steady + Tuning.RESERVATION_MS)
-        return m
+        reservations[job] = Reservation(machine, clock.steadyMs + Tuning.RESERVATION_MS)
+        return machine
     }
 
     /**
@@ -167,11 +169,13 @@
         for (job in jobs) startAnywhere(job, usable, leave = placed[job] ?: 0)
     }
 
-    fun usable(m: Machine) =
-        m.durable && m.confirmed && !m.draining && !m.retiring && !m.releasing && !m.pushBroken && !m.overdue &&
-            m.probesFailed == 0 &&
-            m.preemptionAt == 0L &&
-            now.steady >= m.refusedUntil
+    fun usable(machine: Machine) =
+        machine.durable && machine.confirmed && !machine.quarantined && !machine.draining && !machine.releasing &&
+            !machine.unreachable &&
+            !machine.overdue &&
+            machine.probesFailed == 0 &&
+            machine.preemptionAt == 0L &&
+            clock.steadyMs >= machine.refusedUntil
 
     private fun startAnywhere(
         job: Job,
@@ -193,15 +197,15 @@
         if (job.pendingCount <= leave || !teams.allows(job)) return true
         val fitting = places.filter { it.hasRoom(job) && it.allows(job) && recovery.admits(it, job) }
         val candidates = Candidates(job, fitting, rating(job))
-        val zones = Zones(job)
+        val zones = ZoneSpread(job)
         while (job.pendingCount > leave && teams.allows(job) && recovery.mayStart(job)) {
             val index = job.nextPending() ?: break
             val found =
-                candidates.next(zones) { m ->
-                    leaveQueue(job, m)
-                    start(job, index, m)
+                candidates.next(zones) { machine ->
+                    leaveQueue(job, machine)
+                    start(job, index, machine)
                     recovery.started(job, index)
-                    zones.add(m.zone)
+                    zones.add(machine.zone)
                 }
             if (!found) break
         }
@@ -211,11 +215,11 @@
     /** A bound task that starts leaves the queue that it waited in, its machine's own if it can be. */
     private fun leaveQueue(
         job: Job,
-        m: Machine,
+        machine: Machine,
     ) {
         val queues = bound[job] ?: return
         if (queues.size < job.pendingCount) return
-        val queue = if (m.queue in queues) m.queue else queues.first()
+        val queue = if (machine.queue in queues) machine.queue else queues.first()
         queue.unbind(job)
         unbound(job, queue)
     }
@@ -226,9 +230,9 @@
         val imageFirst = ranking.hurried(job)
         val pending = job.pendingCount
         return { c ->
-            val m = c.machine
-            c.distance = m.imageDistance(job.spec.image)
-            if (job.isService) c.replicas = job.attempts.values.count { it.machine === m }
+            val machine = c.machine
+            c.distance = machine.imageDistance(job.spec.image)
+            if (job.isService) c.replicas = job.attempts.values.count { it.machine === machine }
             // A replica is up once its image is there; beside it, replicas keep apart as far as they can.
             c.image =
                 if (imageFirst) {
@@ -236,17 +240,25 @@
                 } else if (job.isService) {
                     minOf(c.distance, 1)
                 } else {
-                    hurriedImagesOn(m)
+                    hurriedImagesOn(machine)
                 }
-            c.kind = if (m.spot == spotFirst) 0 else 1
-            c.fetching = if (c.distance == 2) m.fetching else 0
+            c.kind = if (machine.spot == spotFirst) 0 else 1
+            c.fetching = if (c.distance == 2) machine.fetching else 0
             // A job is late when any of its tasks is lost: on few spot machines it loses one less often.
-            c.room = if (m.spot && !job.isService) -m.roomFor(job, pending) else 0
-            c.free = m.machineType.vcpus - m.usedCpus
+            c.room = if (machine.spot && !job.isService) -machine.roomFor(job, pending) else 0
+            c.free = machine.machineType.vcpus - machine.usedCpus
         }
     }
 
-    private fun hurriedImagesOn(m: Machine) = if (m.fetched.isEmpty()) 0 else hurriedImages.count { it in m.fetched }
+    private fun hurriedImagesOn(machine: Machine) =
+        if (machine.fetched.isEmpty()) {
+            0
+        } else {
+            hurriedImages.count {
+                it in
+                    machine.fetched
+            }
+        }
 
     private fun bindWaiting(
         waiting: List<Job>,
@@ -275,7 +287,7 @@
         usable: List<Machine>,
         preferred: PreferredLists,
     ): Int {
-        val zones = Zones(job)
+        val zones = ZoneSpread(job)
         val fitting = usable.filter { it.allows(job) && zones.allows(it.zone) && recovery.admits(it, job) }
         if (fitting.isEmpty()) return 0
         var rest = job.pendingCount - (bound[job]?.size ?: 0)
--- a/src/main/kotlin/ledgearch/core/placement/Preemption.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Preemption.kt
@@ -1,14 +1,14 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
 import ledgearch.Tuning
-import ledgearch.core.AttemptState
-import ledgearch.core.Job
-import ledgearch.core.Machine
-import ledgearch.core.Now
-import ledgearch.core.Room
-import ledgearch.core.TaskAttempt
-import ledgearch.core.Teams
-import ledgearch.core.Zones
+import ledgearch.model.AttemptState
+import ledgearch.model.FreeResources
+import ledgearch.model.Job
+import ledgearch.model.Machine
+import ledgearch.model.TaskAttempt
+import ledgearch.model.TeamQuotas
+import ledgearch.model.ZoneSpread
+import ledgearch.runtime.Clock
 import ledgearch.wire.Priority
 import java.util.PriorityQueue
 
@@ -17,9 +17,9 @@
  * cost of work that another team runs beyond its own. What has run least is stopped first.
  */
 internal class Preemption(
-    private val teams: Teams,
+    private val teams: TeamQuotas,
     private val ranking: Ranking,
-    private val now: Now,
+    private val clock: Clock,
     private val recovery: RecoveryPolicy,
     private val stop: (TaskAttempt, Job) -> Unit,
 ) {
@@ -37,7 +37,7 @@
     ) {
         val room =
             machine.roomLeft().apply {
-                for (p in machine.attempts.values) if (!p.exited && !p.goesOn) give(p.job)
+                for (p in machine.attempts.values) if (!p.exited && !p.continues) give(p.job)
             }
 
         /** What goes on here and is not spared, the cheapest to stop first. */
@@ -50,7 +50,7 @@
 
     private fun victim(p: TaskAttempt): Victim? {
         val job = p.job
-        if (job == null || p.spared || !p.goesOn) return null
+        if (job == null || p.exemptFromPreemption || !p.continues) return null
         val missed = missed(p)
         // Work that is as urgent as what it makes room for goes last, however little it has done.
         return Victim(
@@ -124,7 +124,7 @@
         val allZones = prospects.mapTo(HashSet()) { it.machine.zone }
         for (job in waiting) {
             val places = if (sparing) prospects.filter { it.machine.imageDistance(job.spec.image) == 0 } else prospects
-            val zones = Zones(job)
+            val zones = ZoneSpread(job)
             val yielding by lazy(LazyThreadSafetyMode.NONE) {
                 yielding(job, if (running.any { mayYield(job, it) }) prospects else emptyList())
             }
@@ -191,7 +191,7 @@
         private val rest: Iterator<Pair<Prospect, TaskAttempt>>,
     ) {
         fun next(): Pair<Prospect, TaskAttempt>? {
-            while (rest.hasNext()) rest.next().let { if (it.second.goesOn) return it }
+            while (rest.hasNext()) rest.next().let { if (it.second.continues) return it }
             return null
         }
     }
@@ -210,7 +210,7 @@
         private val job: Job,
         val guaranteed: Boolean,
         prospects: List<Prospect>,
-        private val zones: Zones,
+        private val zones: ZoneSpread,
         private val sparing: Boolean,
         private val mayStopAny: Boolean,
     ) {
@@ -285,7 +285,7 @@
         val room = prospect.room
         var chosen: ArrayList<Victim>? = null
         for (v in prospect.victims) {
-            if (!v.task.goesOn || !mayStop(job, guaranteed, v.job) || (sparing && v.missed > 0)) continue
+            if (!v.task.continues || !mayStop(job, guaranteed, v.job) || (sparing && v.missed > 0)) continue
             // The team of an earlier choice may have nothing more to spare.
             if (v.job.priority == job.priority && !teams.canSpare(v.job, chosen.orEmpty().map { it.job })) continue
             val soFar = chosen ?: ArrayList<Victim>().also { chosen = it }
@@ -323,12 +323,12 @@
     private fun missed(p: TaskAttempt): Int {
         val job = p.job ?: return 0
         if (job.pendingCount > 0 || p.state != AttemptState.RUNNING) return 0
-        return ranking.missedByRestart(job, (now.steady - p.runningSince) / 1000.0)
+        return ranking.missedByRestart(job, (clock.steadyMs - p.runningSince) / 1000.0)
     }
 
     private fun spent(p: TaskAttempt): Double {
         val since = if (p.state == AttemptState.RUNNING) p.runningSince else p.assignedAt
-        return (now.steady - since) / 1000.0 * (p.job?.spec?.vcpus ?: 0.0) +
+        return (clock.steadyMs - since) / 1000.0 * (p.job?.spec?.vcpus ?: 0.0) +
             (if (p.state == AttemptState.RUNNING) Tuning.WORTH_STARTED else 0.0)
     }
 }
--- a/src/main/kotlin/ledgearch/core/placement/PreferredLists.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreferredLists.kt
@@ -1,7 +1,7 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
 import ledgearch.Tuning
-import ledgearch.core.Machine
+import ledgearch.model.Machine
 
 /**
  * Preferred lists inside one block and zone: the machines in the order of their names form a ring, and the k-th
@@ -20,12 +20,12 @@
 
     init {
         for (ring in machines.groupBy { it.zone }.values.map { list -> list.sortedBy { it.name } }) {
-            ring.forEachIndexed { at, m -> places[m] = Place(ring, at) }
+            ring.forEachIndexed { at, machine -> places[machine] = Place(ring, at) }
         }
     }
 
-    fun of(m: Machine): List<Machine> {
-        val place = places[m] ?: return emptyList()
+    fun of(machine: Machine): List<Machine> {
+        val place = places[machine] ?: return emptyList()
         val size = place.ring.size
         return offsets(size).map { place.ring[Math.floorMod(place.at + it, size)] }
     }
--- a/src/main/kotlin/ledgearch/core/placement/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -1,10 +1,10 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
 import ledgearch.Tuning
 import ledgearch.config.Objective
 import ledgearch.config.startWithinS
-import ledgearch.core.Job
-import ledgearch.core.Now
+import ledgearch.model.Job
+import ledgearch.runtime.Clock
 
 /**
  * The order in which jobs are served. The paper's queues are first-come with equal tasks; here tasks differ, so
@@ -14,7 +14,7 @@
 internal class Ranking(
     objectives: List<Objective>,
     private val estimates: Estimates,
-    private val now: Now,
+    private val clock: Clock,
     private val deadlines: Deadlines,
 ) {
     private val finishWithin: Map<String, List<Double>> =
@@ -57,7 +57,7 @@
      * No task of the job was started for so long that it goes before all others. Without this bound a steady stream of
      * little or more urgent work would keep a large job waiting for ever.
      */
-    fun starved(job: Job) = job.unservedMs(now.wall) > Tuning.STARVED_MS
+    fun starved(job: Job) = job.unservedMs(clock.wallMs) > Tuning.STARVED_MS
 
     private class Rank(
         val job: Job,
@@ -96,7 +96,7 @@
         return missed(job, end + delay) - missed(job, end)
     }
 
-    private fun age(job: Job) = (now.wall - job.readyAt) / 1000.0
+    private fun age(job: Job) = (clock.wallMs - job.readyAt) / 1000.0
 
     /** [end]: seconds after the job could start. */
     private fun missed(
--- a/src/main/kotlin/ledgearch/core/placement/RecoveryPolicy.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RecoveryPolicy.kt
@@ -1,7 +1,7 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
-import ledgearch.core.Job
-import ledgearch.core.Machine
+import ledgearch.model.Job
+import ledgearch.model.Machine
 
 /**
  * What the recovery from a lost zone changes in placement: in which order, where and how fast work is started. It never
@@ -19,7 +19,7 @@
 
     /** New tasks of [job] may go to [m] now, as far as the recovery is concerned. */
     fun admits(
-        m: Machine,
+        machine: Machine,
         job: Job,
     ): Boolean
 
@@ -53,7 +53,7 @@
     override fun arrange(levels: List<List<Job>>) = levels
 
     override fun admits(
-        m: Machine,
+        machine: Machine,
         job: Job,
     ) = true
 
--- a/src/main/kotlin/ledgearch/core/placement/Reliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Reliability.kt
@@ -1,8 +1,8 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
 import ledgearch.Tuning
-import ledgearch.core.Job
-import ledgearch.core.Machine
+import ledgearch.model.Job
+import ledgearch.model.Machine
 import kotlin.math.exp
 
 /** How often spot machines are lost, from what was seen, and what that means for a job. */
@@ -33,10 +33,10 @@
      * rate of loss and move all work off spot machines for the rest of the day.
      */
     fun lost(
-        m: Machine,
+        machine: Machine,
         nowMs: Long,
     ) {
-        if (!m.spot) return
+        if (!machine.spot) return
         if (nowMs - windowAt > Tuning.LOSS_WINDOW_MS) {
             windowAt = nowMs
             windowLeft =
--- a/src/main/kotlin/ledgearch/core/placement/UnplaceableSizes.kt
+++ b/src/main/kotlin/ledgearch/scheduling/UnplaceableSizes.kt
@@ -1,6 +1,6 @@
-package ledgearch.core.placement
+package ledgearch.scheduling
 
-import ledgearch.core.Job
+import ledgearch.model.Job
 
 /** Tasks that found no room in this pass: until room shows, none that asks for as much or more needs to look. */
 internal class UnplaceableSizes {
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -1,12 +1,17 @@
 package ledgearch.standby
 
 import ledgearch.Tuning
-import ledgearch.core.JobStore
-import ledgearch.core.Leader
-import ledgearch.core.Machine
-import ledgearch.core.Now
-import ledgearch.fleet.Fleet
-import ledgearch.fleet.RentalHint
+import ledgearch.autoscaling.Autoscaler
+import ledgearch.autoscaling.RentalHint
+import ledgearch.control.Leader
+import ledgearch.jobs.JobStore
+import ledgearch.model.Machine
+import ledgearch.peers.ClassRunTime
+import ledgearch.peers.MachineSnapshot
+import ledgearch.peers.RentedMachine
+import ledgearch.peers.ServiceTime
+import ledgearch.peers.StreamRecord
+import ledgearch.runtime.Clock
 import kotlin.math.abs
 
 /**
@@ -17,7 +22,7 @@
 internal class FailoverHints(
     records: Collection<StreamRecord>,
 ) {
-    private val machines = records.filterIsInstance<MachineImage>().associateBy { it.name }
+    private val machines = records.filterIsInstance<MachineSnapshot>().associateBy { it.name }
     private val runTimes = records.filterIsInstance<ClassRunTime>()
     private val serviceTimes = records.filterIsInstance<ServiceTime>()
     private val rented = records.filterIsInstance<RentedMachine>()
@@ -27,12 +32,12 @@
     /** [machine] has a record in the state service; hints for machines without one are never used. */
     fun recordRead(
         machine: Machine,
-        now: Now,
+        clock: Clock,
     ) {
         val hint = machines[machine.name] ?: return
         machine.incarnationHint = hint.incarnation.coerceAtLeast(0)
         if (hint.returning) {
-            machine.refusedUntil = now.steady + Tuning.RETURNING_HINT_MS
+            machine.refusedUntil = clock.steadyMs + Tuning.RETURNING_HINT_MS
             machine.returningHint = true
         }
         for (image in hint.images.take(Tuning.MACHINE_TASKS)) {
@@ -53,8 +58,8 @@
     fun takenOver(
         leader: Leader,
         jobStore: JobStore,
-        fleet: Fleet,
-        now: Now,
+        fleet: Autoscaler,
+        clock: Clock,
     ) {
         for (hint in runTimes) {
             if (abs(hint.logRatio) <= Tuning.RUN_TIME_HINT_MAX && hint.weight in 0.0..Tuning.ESTIMATE_JOBS) {
@@ -63,7 +68,7 @@
         }
         for (hint in serviceTimes) {
             val job = jobStore.jobs[hint.job] ?: continue
-            job.servedAt = maxOf(job.servedAt, minOf(hint.servedAt, now.wall))
+            job.lastStartAt = maxOf(job.lastStartAt, minOf(hint.lastStartAt, clock.wallMs))
         }
         for (hint in rented) {
             if (hint.name !in
--- a/src/main/kotlin/ledgearch/standby/LeaderImage.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -1,18 +1,26 @@
 package ledgearch.standby
 
-import ledgearch.core.JobStore
-import ledgearch.core.Leader
-import ledgearch.core.Machine
-import ledgearch.fleet.Fleet
+import ledgearch.autoscaling.Autoscaler
+import ledgearch.control.Leader
+import ledgearch.jobs.JobStore
+import ledgearch.model.Machine
+import ledgearch.peers.AttemptSnapshot
+import ledgearch.peers.CachedImage
+import ledgearch.peers.ClassRunTime
+import ledgearch.peers.MachineSnapshot
+import ledgearch.peers.RecordKey
+import ledgearch.peers.RentedMachine
+import ledgearch.peers.ServiceTime
+import ledgearch.peers.StreamRecord
 
 /**
  * Reads the leader's state as stream records. What would exceed [maxBytes] is left out, machines coming first: the
  * stream carries hints only, so an incomplete one costs time at a take-over and nothing else.
  */
-internal class LeaderImage(
+internal class LeaderSnapshot(
     private val leader: Leader,
     private val jobStore: JobStore,
-    private val fleet: Fleet,
+    private val fleet: Autoscaler,
     private val maxBytes: Long,
 ) {
     private var bytes = 0L
@@ -30,7 +38,7 @@
             add(records, ClassRunTime(jobClass, learnt.logRatio, learnt.weight))
         }
         for (job in jobStore.jobs.values) {
-            if (job.servedAt != 0L) add(records, ServiceTime(job.id, job.servedAt))
+            if (job.lastStartAt != 0L) add(records, ServiceTime(job.id, job.lastStartAt))
         }
         for (rented in fleet.rentedNotReported()) {
             add(records, RentedMachine(rented.name, rented.machineType, rented.zone, rented.spot))
@@ -47,11 +55,11 @@
     }
 
     private fun imageOf(machine: Machine) =
-        MachineImage(
+        MachineSnapshot(
             machine.name,
             machine.incarnation,
             machine.releasing,
-            machine.attempts.values.map { AttemptImage(it.taskId, it.number, it.state) },
+            machine.attempts.values.map { AttemptSnapshot(it.taskId, it.number, it.state) },
             machine.images.map { (name, gigabytes) -> CachedImage(name, gigabytes, name in machine.fetched) },
         )
 }
--- a/src/main/kotlin/ledgearch/standby/ReplacedTerm.kt
+++ b/src/main/kotlin/ledgearch/standby/PreviousTerm.kt
@@ -1,9 +1,9 @@
 package ledgearch.standby
 
-import ledgearch.core.LeadershipRecord
+import ledgearch.records.LeadershipRecord
 
 /** The term of the last leader other than this node, through all its renewed tokens, as the watched grant shows it. */
-internal class ReplacedTerm(
+internal class PreviousTerm(
     private val self: String,
 ) {
     private var node: String? = null
--- a/src/main/kotlin/ledgearch/standby/Replica.kt
+++ b/src/main/kotlin/ledgearch/standby/Replica.kt
@@ -1,5 +1,9 @@
 package ledgearch.standby
 
+import ledgearch.peers.RecordKey
+import ledgearch.peers.StreamFrame
+import ledgearch.peers.StreamRecord
+
 /** What became of a frame. */
 internal sealed interface ApplyResult {
     data object Applied : ApplyResult
--- a/src/main/kotlin/ledgearch/standby/StreamLog.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamLog.kt
@@ -1,5 +1,10 @@
 package ledgearch.standby
 
+import ledgearch.peers.RecordKey
+import ledgearch.peers.StreamCodec
+import ledgearch.peers.StreamFrame
+import ledgearch.peers.StreamRecord
+
 /**
  * The leader's side of the decision stream: the state as of the last interval, the log's sequence number, and for each
  * follower which records it still has to be sent. Changes of one record that have not been sent yet are coalesced, so a
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -3,9 +3,11 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import ledgearch.Tuning
-import ledgearch.core.LeadershipRecord
-import ledgearch.core.Now
-import ledgearch.mesh.Mesh
+import ledgearch.peers.Mesh
+import ledgearch.peers.StandbyEvent
+import ledgearch.peers.StreamCodec
+import ledgearch.records.LeadershipRecord
+import ledgearch.runtime.Clock
 import org.slf4j.LoggerFactory
 
 /** How far a standby is behind, or what a leader streams, as `GET /metrics` shows it. */
@@ -38,9 +40,9 @@
 internal class WarmStandby(
     node: String,
     private val mesh: Mesh,
-    private val now: Now,
+    private val clock: Clock,
     processorShare: Double,
-    private val image: LeaderImage,
+    private val image: LeaderSnapshot,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.standby")
     private var streamAt = 0L
@@ -51,7 +53,7 @@
 
     /** Steady ms of the last frame that left the replica equal to the leader's state. */
     private var currentAt = Long.MIN_VALUE
-    private val replaced = ReplacedTerm(node)
+    private val replaced = PreviousTerm(node)
 
     val streamLog = StreamLog(frameBytes(processorShare))
     val replica = Replica(Tuning.REPLICA_BYTES)
@@ -111,7 +113,7 @@
         val hadSnapshot = replica.hasSnapshot
         when (val result = replica.apply(event.frame)) {
             ApplyResult.Applied -> {
-                if (replica.isCurrent) currentAt = now.steady
+                if (replica.isCurrent) currentAt = clock.steadyMs
                 if (replica.hasSnapshot && !hadSnapshot) {
                     log.info("replica of term {} holds {} records", replica.term, replica.records.size)
                 }
@@ -127,8 +129,8 @@
 
     /** Streams the changes since the last interval; [leading]: this node holds the grant and has read the records. */
     fun drive(leading: Boolean) {
-        if (!leading || now.steady < streamAt || !streamLog.isFollowed) return
-        streamAt = now.steady + Tuning.STREAM_MS
+        if (!leading || clock.steadyMs < streamAt || !streamLog.isFollowed) return
+        streamAt = clock.steadyMs + Tuning.STREAM_MS
         streamLog.advance(image.read())
         if (image.isCutShort && !cutShortLogged) {
             cutShortLogged = true
@@ -157,7 +159,7 @@
     }
 
     /** ms since the replica was last equal to the leader's state, or -1 when none is held. */
-    private fun msBehind(): Long = if (replica.hasSnapshot) now.steady - currentAt else -1
+    private fun msBehind(): Long = if (replica.hasSnapshot) clock.steadyMs - currentAt else -1
 
     fun report(leading: Boolean) =
         StandbyReport(
