--- a/src/main/kotlin/ledgearch/state/StoreClient.kt
+++ b/src/main/kotlin/ledgearch/store/StoreClient.kt
@@ -1,20 +1,21 @@
-package ledgearch.state
+package ledgearch.store
 
 import kotlinx.serialization.SerializationException
 import ledgearch.Tuning
 import ledgearch.config.StateLimits
-import ledgearch.core.Now
-import ledgearch.core.Transport
 import ledgearch.http.Reply
+import ledgearch.runtime.Clock
+import ledgearch.runtime.TokenBucket
+import ledgearch.runtime.Transport
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import ledgearch.wire.KeyPage
 import ledgearch.wire.KeyValue
 import ledgearch.wire.LeaseReply
 import ledgearch.wire.LeaseRequest
-import ledgearch.wire.WatchReply
 import ledgearch.wire.Transaction
 import ledgearch.wire.TransactionReply
+import ledgearch.wire.WatchReply
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
@@ -62,7 +63,7 @@
     private val limits: StateLimits,
     private val nodes: Int,
     private val transport: Transport,
-    private val now: Now,
+    private val clock: Clock,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.state")
 
@@ -117,7 +118,7 @@
      * cost time.
      */
     private fun overRate(changes: Int) {
-        pausedUntil = now.steady + Tuning.STATE_RETRY_MS
+        pausedUntil = clock.steadyMs + Tuning.STATE_RETRY_MS
         val byWrites = changes > 0 && limits.lowerWriteRps < limits.writeRps
         if (lowered || !(byWrites || limits.lowerRps < limits.rps)) return
         lowered = true
@@ -156,7 +157,12 @@
                     200 -> {
                         parse(
                             reply,
-                        ) { WireJson.decodeFromString(TransactionReply.serializer(), it) }?.let { TransactionResult.Committed(it.revision) }
+                        ) {
+                            WireJson.decodeFromString(
+                                TransactionReply.serializer(),
+                                it,
+                            )
+                        }?.let { TransactionResult.Committed(it.revision) }
                             ?: TransactionResult.Unknown
                     }
 
@@ -173,7 +179,13 @@
                     }
 
                     400 -> {
-                        if ("no such lease" in reply.body) TransactionResult.LeaseExpired else TransactionResult.TooLarge
+                        if ("no such lease" in
+                            reply.body
+                        ) {
+                            TransactionResult.LeaseExpired
+                        } else {
+                            TransactionResult.TooLarge
+                        }
                     }
 
                     0 -> {
@@ -266,24 +278,24 @@
 
     /** Sends what the budget allows; called after every batch and on every tick. */
     fun pump() {
-        requests.refill(now.steady)
-        writes.refill(now.steady)
+        requests.refill(clock.steadyMs)
+        writes.refill(clock.steadyMs)
         for ((requestClass, queue) in lanes) {
             while (queue.isNotEmpty()) {
                 val next = queue.first()
-                if (now.steady - next.since > Tuning.STATE_MS) {
+                if (clock.steadyMs - next.since > Tuning.STATE_MS) {
                     queue.removeFirst()
                     next.done(Reply(429, ""))
                     continue
                 }
                 // It has just refused: whoever waits on this is told at once, and the budget is left to what finds out
                 // its end.
-                if (requestClass != RequestClass.CRITICAL && refuses && now.steady < refusedUntil) {
+                if (requestClass != RequestClass.CRITICAL && refuses && clock.steadyMs < refusedUntil) {
                     queue.removeFirst()
                     next.done(Reply(503, ""))
                     continue
                 }
-                if (requestClass != RequestClass.CRITICAL && now.steady < pausedUntil) return
+                if (requestClass != RequestClass.CRITICAL && clock.steadyMs < pausedUntil) return
                 if (!requests.has(1) || !writes.has(next.writes)) return
                 queue.removeFirst()
                 requests.take(1)
@@ -291,13 +303,13 @@
                 transport.call(address, next.method, next.target, next.body, next.timeoutMs) { reply ->
                     when (reply.status) {
                         200, 400, 404, 409, 410 -> {
-                            lastAnswer = now.steady
+                            lastAnswer = clock.steadyMs
                             refuses = false
                         }
 
                         503 -> {
                             refuses = true
-                            refusedUntil = now.steady + Tuning.STATE_RETRY_MS
+                            refusedUntil = clock.steadyMs + Tuning.STATE_RETRY_MS
                         }
 
                         429 -> {
@@ -319,7 +331,7 @@
         timeoutMs: Long,
         done: (Reply) -> Unit,
     ) {
-        lanes.getValue(requestClass).addLast(Waiting(writes, now.steady, method, target, body, timeoutMs, done))
+        lanes.getValue(requestClass).addLast(Waiting(writes, clock.steadyMs, method, target, body, timeoutMs, done))
     }
 
     private inline fun <T> read(
--- a/src/test/kotlin/ledgearch/ChunksTest.kt
+++ b/src/test/kotlin/ledgearch/ChunksTest.kt
@@ -1,9 +1,9 @@
 package ledgearch
 
-import ledgearch.core.Chunks
-import ledgearch.core.FinishedRecord
-import ledgearch.core.Ranges
-import ledgearch.core.within
+import ledgearch.records.Chunks
+import ledgearch.records.FinishedRecord
+import ledgearch.records.Ranges
+import ledgearch.records.within
 import ledgearch.wire.WireJson
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/ledgearch/FramesTest.kt
+++ b/src/test/kotlin/ledgearch/FramesTest.kt
@@ -1,9 +1,9 @@
 package ledgearch
 
-import ledgearch.mesh.Frames
-import ledgearch.mesh.LeaderStatus
-import ledgearch.mesh.MalformedFrame
-import ledgearch.mesh.Progress
+import ledgearch.peers.Frames
+import ledgearch.peers.JobProgress
+import ledgearch.peers.LeaderStatus
+import ledgearch.peers.MalformedFrame
 import okio.Buffer
 import okio.ByteString.Companion.decodeHex
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -13,7 +13,7 @@
 
 /** What controllers tell one another, also those of earlier versions. */
 internal class FramesTest {
-    private val progress = listOf(Progress("job-7", 3, 2))
+    private val progress = listOf(JobProgress("job-7", 3, 2))
 
     private fun read(frame: okio.ByteString) = Frames.take(Buffer().write(frame))!!
 
--- a/src/test/kotlin/ledgearch/LossesTest.kt
+++ b/src/test/kotlin/ledgearch/LossesTest.kt
@@ -1,15 +1,15 @@
 package ledgearch
 
 import ledgearch.config.Objective
-import ledgearch.core.Job
-import ledgearch.core.JobRecord
-import ledgearch.core.Machine
-import ledgearch.core.Now
-import ledgearch.core.Teams
-import ledgearch.core.placement.Deadlines
-import ledgearch.core.placement.Estimates
-import ledgearch.core.placement.Ranking
-import ledgearch.core.placement.Reliability
+import ledgearch.model.Job
+import ledgearch.model.Machine
+import ledgearch.model.TeamQuotas
+import ledgearch.records.JobRecord
+import ledgearch.runtime.Clock
+import ledgearch.scheduling.Deadlines
+import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.Ranking
+import ledgearch.scheduling.Reliability
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
 import ledgearch.wire.MachineType
@@ -20,12 +20,12 @@
 
 /** What lost spot machines mean for the jobs that come after. */
 internal class LossesTest {
-    private val now = Now()
+    private val clock = Clock()
     private val estimates = Estimates()
     private val objectives = listOf(Objective("deadline", "c"))
-    private val deadlines = Deadlines(objectives, estimates, now) { emptyList() }
-    private val reliability = Reliability(estimates, Ranking(objectives, estimates, now, deadlines))
-    private val teams = Teams(emptyList())
+    private val deadlines = Deadlines(objectives, estimates, clock) { emptyList() }
+    private val reliability = Reliability(estimates, Ranking(objectives, estimates, clock, deadlines))
+    private val teams = TeamQuotas(emptyList())
     private val spot =
         List(300) { Machine("host-$it", "h:1", MachineType("r", 8.0, memoryGb = 16.0), "a", true, 0, teams) }
     private val job =
--- a/src/test/kotlin/ledgearch/LruMapTest.kt
+++ b/src/test/kotlin/ledgearch/LruMapTest.kt
@@ -1,6 +1,6 @@
 package ledgearch
 
-import ledgearch.core.LruMap
+import ledgearch.runtime.LruMap
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
--- a/src/test/kotlin/ledgearch/MeshLinksTest.kt
+++ b/src/test/kotlin/ledgearch/MeshLinksTest.kt
@@ -5,14 +5,14 @@
 import kotlinx.coroutines.asCoroutineDispatcher
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import ledgearch.mesh.LeaderStatus
-import ledgearch.mesh.MeshEvents
-import ledgearch.mesh.MeshLinks
-import ledgearch.mesh.Progress
-import ledgearch.mesh.StreamFrames
-import ledgearch.standby.StandbyEvent
-import ledgearch.standby.StreamCodec
-import ledgearch.standby.StreamFrame
+import ledgearch.peers.JobProgress
+import ledgearch.peers.LeaderStatus
+import ledgearch.peers.MeshEvents
+import ledgearch.peers.MeshLinks
+import ledgearch.peers.StandbyEvent
+import ledgearch.peers.StreamCodec
+import ledgearch.peers.StreamFrame
+import ledgearch.peers.StreamFrames
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -102,7 +102,7 @@
         val follower = Heard()
         follow(address, follower, streams = true)
         next(atLeader.standby)
-        val jobs = List(2 * Tuning.JOBS_A_FRAME + 1) { Progress("job-$it", it, 1) }
+        val jobs = List(2 * Tuning.JOBS_A_FRAME + 1) { JobProgress("job-$it", it, 1) }
         onOwner { leader.publish(LeaderStatus(jobs, served = true)) }
         val heard = List(3) { next(follower.statuses)?.progress.orEmpty() }
         assertEquals(jobs, heard.flatten())
--- a/src/test/kotlin/ledgearch/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/MixedVersionsTest.kt
@@ -5,18 +5,18 @@
 import ledgearch.config.NextStateLimits
 import ledgearch.config.SettingsLoader
 import ledgearch.config.StateLimits
-import ledgearch.core.CatalogRecord
-import ledgearch.core.FinalRecord
-import ledgearch.core.FinishedRecord
-import ledgearch.core.LeadershipRecord
-import ledgearch.core.JobRecord
-import ledgearch.core.MachineEntry
-import ledgearch.core.MachinesRecord
-import ledgearch.core.StepDownRecord
-import ledgearch.core.SingleMachineRecord
-import ledgearch.mesh.Frames
-import ledgearch.mesh.LeaderStatus
-import ledgearch.mesh.Progress
+import ledgearch.peers.Frames
+import ledgearch.peers.JobProgress
+import ledgearch.peers.LeaderStatus
+import ledgearch.records.CatalogRecord
+import ledgearch.records.FinalRecord
+import ledgearch.records.FinishedRecord
+import ledgearch.records.JobRecord
+import ledgearch.records.LeadershipRecord
+import ledgearch.records.MachineEntry
+import ledgearch.records.MachinesRecord
+import ledgearch.records.SingleMachineRecord
+import ledgearch.records.StepDownRecord
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
 import ledgearch.wire.JobState
@@ -74,7 +74,11 @@
     /** Every record of the state service with its file: one example of each kind, and each form that it takes. */
     private val records: List<Example<*, *>> =
         listOf(
-            example("job-all-fields", JobRecord(FULL_REQUEST, AT, cancelRequested = true), ProductionJobRecord.serializer()),
+            example(
+                "job-all-fields",
+                JobRecord(FULL_REQUEST, AT, cancelRequested = true),
+                ProductionJobRecord.serializer(),
+            ),
             example("job-required-fields", JobRecord(SHORT_REQUEST, AT), ProductionJobRecord.serializer()),
             example("final-done", FinalRecord(JobState.DONE, 12), ProductionFinalRecord.serializer()),
             example("final-withdrawn", FinalRecord(JobState.CANCELLED), ProductionFinalRecord.serializer()),
@@ -248,6 +252,6 @@
 
         val SINGLE_MACHINE = SingleMachineRecord("10.0.1.2:9000", SHORT_RACK, "b", spot = true, quarantined = true)
 
-        val PROGRESS = listOf(Progress("job-1", 3, 2), Progress("job-ä", 0, 1_000_000))
+        val PROGRESS = listOf(JobProgress("job-1", 3, 2), JobProgress("job-ä", 0, 1_000_000))
     }
 }
--- a/src/test/kotlin/ledgearch/OwnerQueueTest.kt
+++ b/src/test/kotlin/ledgearch/OwnerQueueTest.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.runBlocking
 import ledgearch.cli.OwnerQueue
-import ledgearch.core.OwnerCommand
+import ledgearch.control.OwnerCommand
 import ledgearch.http.Request
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
--- a/src/test/kotlin/ledgearch/ReportCostTest.kt
+++ b/src/test/kotlin/ledgearch/ReportCostTest.kt
@@ -1,7 +1,7 @@
 package ledgearch
 
 import com.sun.management.ThreadMXBean
-import ledgearch.core.OwnerCommand
+import ledgearch.control.OwnerCommand
 import ledgearch.http.Request
 import ledgearch.simulation.Simulation
 import ledgearch.simulation.WorkerStandIn
--- a/src/test/kotlin/ledgearch/StallCompensationTest.kt
+++ b/src/test/kotlin/ledgearch/StallCompensationTest.kt
@@ -1,8 +1,8 @@
 package ledgearch
 
-import ledgearch.core.Metrics
-import ledgearch.core.Now
-import ledgearch.core.StallCompensation
+import ledgearch.runtime.Clock
+import ledgearch.runtime.Metrics
+import ledgearch.runtime.StallCompensation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -10,15 +10,15 @@
 
 /** When a node knows that it does not keep up, and what silence it counts. */
 internal class StallCompensationTest {
-    private val now = Now()
-    private val stalls = StallCompensation(now, Metrics(now) { 0L })
+    private val clock = Clock()
+    private val stalls = StallCompensation(clock, Metrics(clock) { 0L })
 
     /** A tick is seen at [ms] that waited for [waited] ms. */
     private fun tickAt(
         ms: Long,
         waited: Long = 0,
     ) {
-        now.steady = ms
+        clock.steadyMs = ms
         stalls.ticked(ms - waited)
     }
 
@@ -33,33 +33,33 @@
     @Test
     fun `ticks in time are no sign of being behind`() {
         ticksInTime(1_000, 2_000)
-        assertFalse(stalls.isBehind)
-        assertEquals(900, stalls.heedfulSince(1_100))
+        assertFalse(stalls.isLagging)
+        assertEquals(900, stalls.attentiveMsSince(1_100))
     }
 
     @Test
     fun `a late tick shows a node that is behind for a while`() {
         tickAt(1_000)
         tickAt(1_000 + Tuning.TICK_MS + Tuning.BEHIND_MS + 1)
-        assertTrue(stalls.isBehind)
-        now.steady += Tuning.CATCH_UP_MS
-        assertFalse(stalls.isBehind)
+        assertTrue(stalls.isLagging)
+        clock.steadyMs += Tuning.CATCH_UP_MS
+        assertFalse(stalls.isLagging)
     }
 
     @Test
     fun `ticks that come regularly show it too when each has waited long`() {
         ticksInTime(1_000, 3_000, waited = 600)
-        assertTrue(stalls.isBehind)
-        assertEquals(0, stalls.heedfulSince(1_500))
+        assertTrue(stalls.isLagging)
+        assertEquals(0, stalls.attentiveMsSince(1_500))
     }
 
     @Test
     fun `a tick that is missing shows it before it comes`() {
         tickAt(1_000)
-        now.steady = 3_000
+        clock.steadyMs = 3_000
         stalls.began()
-        assertTrue(stalls.isBehind)
-        assertTrue(stalls.wasBehindSince(2_900))
+        assertTrue(stalls.isLagging)
+        assertTrue(stalls.wasLaggingSince(2_900))
     }
 
     @Test
@@ -68,10 +68,10 @@
         tickAt(8_000)
         ticksInTime(8_050, 20_000)
         val behind = 8_000 + Tuning.CATCH_UP_MS - 5_000
-        assertEquals(19_000 - behind, stalls.heedfulSince(1_000))
-        assertEquals(20_000 - 8_000 - Tuning.CATCH_UP_MS, stalls.heedfulSince(7_000))
-        assertEquals(10_000, stalls.heedfulSince(10_000))
-        assertFalse(stalls.wasBehindSince(10_000))
+        assertEquals(19_000 - behind, stalls.attentiveMsSince(1_000))
+        assertEquals(20_000 - 8_000 - Tuning.CATCH_UP_MS, stalls.attentiveMsSince(7_000))
+        assertEquals(10_000, stalls.attentiveMsSince(10_000))
+        assertFalse(stalls.wasLaggingSince(10_000))
     }
 
     @Test
@@ -83,8 +83,8 @@
         ticksInTime(13_550, 20_000)
         for (ms in 0L..14_000L step 137) {
             for (time in 1_000L..20_000L step 89) {
-                val since = stalls.heedfulAgo(ms)
-                assertEquals(stalls.heedfulSince(time) > ms, time <= since, "$ms ms, since $time: $since")
+                val since = stalls.attentiveSince(ms)
+                assertEquals(stalls.attentiveMsSince(time) > ms, time <= since, "$ms ms, since $time: $since")
             }
         }
     }
--- a/src/test/kotlin/ledgearch/SubmittedTest.kt
+++ b/src/test/kotlin/ledgearch/SubmittedTest.kt
@@ -1,7 +1,7 @@
 package ledgearch
 
-import ledgearch.intake.Malformed
-import ledgearch.intake.Submitted
+import ledgearch.api.MalformedSubmission
+import ledgearch.api.SubmittedJob
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
@@ -13,9 +13,9 @@
     @Test
     fun `nesting as deep as a body allows is malformed`() {
         for (bracket in listOf("[", "{\"a\":")) {
-            assertThrows(Malformed::class.java) { Submitted.read(bracket.repeat(most / bracket.length)) }
-            assertThrows(Malformed::class.java) {
-                Submitted.read("""{"ref":"job-1","x":""" + bracket.repeat(most / bracket.length - 9))
+            assertThrows(MalformedSubmission::class.java) { SubmittedJob.read(bracket.repeat(most / bracket.length)) }
+            assertThrows(MalformedSubmission::class.java) {
+                SubmittedJob.read("""{"ref":"job-1","x":""" + bracket.repeat(most / bracket.length - 9))
             }
         }
     }
@@ -24,13 +24,13 @@
     fun `brackets within strings do not nest`() {
         assertEquals(
             "job-1",
-            Submitted.read("""{"ref":"job-1","x":"\"${"[".repeat(Tuning.SUBMISSION_DEPTH + 1)}"}""").id,
+            SubmittedJob.read("""{"ref":"job-1","x":"\"${"[".repeat(Tuning.SUBMISSION_DEPTH + 1)}"}""").id,
         )
     }
 
     @Test
     fun `nesting within the bound can be read`() {
         val deep = "[".repeat(Tuning.SUBMISSION_DEPTH - 1) + "]".repeat(Tuning.SUBMISSION_DEPTH - 1)
-        assertEquals("job-1", Submitted.read("""{"ref":"job-1","x":$deep}""").id)
+        assertEquals("job-1", SubmittedJob.read("""{"ref":"job-1","x":$deep}""").id)
     }
 }
--- a/src/test/kotlin/ledgearch/WarmStandbyTest.kt
+++ b/src/test/kotlin/ledgearch/WarmStandbyTest.kt
@@ -1,25 +1,25 @@
 package ledgearch
 
-import ledgearch.core.AttemptState
-import ledgearch.core.LeadershipRecord
-import ledgearch.mesh.MalformedFrame
-import ledgearch.mesh.MeshFrame
-import ledgearch.mesh.StreamFrames
+import ledgearch.model.AttemptState
+import ledgearch.peers.AttemptSnapshot
+import ledgearch.peers.CachedImage
+import ledgearch.peers.ClassRunTime
+import ledgearch.peers.MachineSnapshot
+import ledgearch.peers.MalformedFrame
+import ledgearch.peers.MeshFrame
+import ledgearch.peers.RecordKey
+import ledgearch.peers.RecordKind
+import ledgearch.peers.RentedMachine
+import ledgearch.peers.ServiceTime
+import ledgearch.peers.StreamCodec
+import ledgearch.peers.StreamFrame
+import ledgearch.peers.StreamFrames
+import ledgearch.peers.StreamRecord
+import ledgearch.records.LeadershipRecord
 import ledgearch.standby.ApplyResult
-import ledgearch.standby.AttemptImage
-import ledgearch.standby.CachedImage
-import ledgearch.standby.ClassRunTime
-import ledgearch.standby.MachineImage
-import ledgearch.standby.RecordKey
-import ledgearch.standby.RecordKind
-import ledgearch.standby.RentedMachine
-import ledgearch.standby.ReplacedTerm
+import ledgearch.standby.PreviousTerm
 import ledgearch.standby.Replica
-import ledgearch.standby.ServiceTime
-import ledgearch.standby.StreamCodec
-import ledgearch.standby.StreamFrame
 import ledgearch.standby.StreamLog
-import ledgearch.standby.StreamRecord
 import okio.Buffer
 import okio.ByteString.Companion.toByteString
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -33,11 +33,11 @@
 /** The decision stream's parts, each by itself. */
 internal class WarmStandbyTest {
     private val machine =
-        MachineImage(
+        MachineSnapshot(
             "host-1",
             7,
             true,
-            listOf(AttemptImage("job-1/3", 1L shl 40, AttemptState.RUNNING)),
+            listOf(AttemptSnapshot("job-1/3", 1L shl 40, AttemptState.RUNNING)),
             listOf(CachedImage("soup", 1.5, true)),
         )
     private val frame =
@@ -149,7 +149,7 @@
 
     @Test
     fun `a term is of the leader that was replaced, through its renewals and not before`() {
-        val replaced = ReplacedTerm("n1")
+        val replaced = PreviousTerm("n1")
         replaced.changed(LeadershipRecord("n2", instance = 1), 10)
         assertTrue(replaced.changed(LeadershipRecord("n3", instance = 1), 20))
         assertFalse(replaced.changed(LeadershipRecord("n3", instance = 1, renews = 20), 30))
--- a/src/test/kotlin/ledgearch/ZoneRecoveryTest.kt
+++ b/src/test/kotlin/ledgearch/ZoneRecoveryTest.kt
@@ -1,10 +1,10 @@
 package ledgearch
 
 import ledgearch.config.RecoveryGroup
-import ledgearch.core.Job
-import ledgearch.core.JobRecord
-import ledgearch.mesh.Frames
-import ledgearch.mesh.LeaderStatus
+import ledgearch.model.Job
+import ledgearch.peers.Frames
+import ledgearch.peers.LeaderStatus
+import ledgearch.records.JobRecord
 import ledgearch.recovery.FlapPenalty
 import ledgearch.recovery.RecoveryOrder
 import ledgearch.recovery.ReturnRamp
--- a/src/test/kotlin/ledgearch/simulation/ReplicaRule.kt
+++ b/src/test/kotlin/ledgearch/simulation/ReplicaRule.kt
@@ -1,7 +1,7 @@
 package ledgearch.simulation
 
-import ledgearch.standby.RecordKey
-import ledgearch.standby.StreamRecord
+import ledgearch.peers.RecordKey
+import ledgearch.peers.StreamRecord
 import ledgearch.standby.WarmStandby
 
 /** A replica that says it is current equals the leader's state at the same term and sequence number. */
--- a/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
@@ -1,11 +1,11 @@
 package ledgearch.simulation
 
-import ledgearch.core.OwnerCommand
-import ledgearch.mesh.LeaderStatus
-import ledgearch.mesh.MalformedFrame
-import ledgearch.mesh.Mesh
-import ledgearch.standby.StandbyEvent
-import ledgearch.standby.StreamCodec
+import ledgearch.control.OwnerCommand
+import ledgearch.peers.LeaderStatus
+import ledgearch.peers.MalformedFrame
+import ledgearch.peers.Mesh
+import ledgearch.peers.StandbyEvent
+import ledgearch.peers.StreamCodec
 import okio.ByteString
 
 /** One controller's connections to the others. Frames of the decision stream pass through their binary form. */
--- a/src/test/kotlin/ledgearch/simulation/Simulation.kt
+++ b/src/test/kotlin/ledgearch/simulation/Simulation.kt
@@ -14,13 +14,13 @@
 import ledgearch.config.StateLimits
 import ledgearch.config.Team
 import ledgearch.config.WorkerTimes
-import ledgearch.core.Controller
-import ledgearch.core.OwnerCommand
-import ledgearch.core.Transport
+import ledgearch.control.Controller
+import ledgearch.control.OwnerCommand
 import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
 import ledgearch.recovery.ZoneRecovery
+import ledgearch.runtime.Transport
 import ledgearch.standby.WarmStandby
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
--- a/src/test/kotlin/ledgearch/simulation/StateStandIn.kt
+++ b/src/test/kotlin/ledgearch/simulation/StateStandIn.kt
@@ -6,15 +6,15 @@
 import kotlinx.serialization.json.jsonPrimitive
 import ledgearch.config.StateLimits
 import ledgearch.http.Reply
-import ledgearch.state.TokenBucket
+import ledgearch.runtime.TokenBucket
 import ledgearch.wire.KeyPage
 import ledgearch.wire.KeyValue
 import ledgearch.wire.LeaseReply
 import ledgearch.wire.LeaseRequest
-import ledgearch.wire.WatchEvent
-import ledgearch.wire.WatchReply
 import ledgearch.wire.Transaction
 import ledgearch.wire.TransactionReply
+import ledgearch.wire.WatchEvent
+import ledgearch.wire.WatchReply
 import ledgearch.wire.WireJson
 import java.util.TreeMap
 import kotlin.random.Random
@@ -294,7 +294,10 @@
 
     private fun get(key: String): Reply {
         val e = keys[key] ?: return Reply(404, """{"edition":$revision}""")
-        return Reply(200, WireJson.encodeToString(KeyValue.serializer(), KeyValue(key, e.value, e.modRevision, e.leaseId)))
+        return Reply(
+            200,
+            WireJson.encodeToString(KeyValue.serializer(), KeyValue(key, e.value, e.modRevision, e.leaseId)),
+        )
     }
 
     private fun page(query: Map<String, String>): Reply {
--- a/src/test/kotlin/ledgearch/simulation/StreamFaults.kt
+++ b/src/test/kotlin/ledgearch/simulation/StreamFaults.kt
@@ -1,6 +1,6 @@
 package ledgearch.simulation
 
-import ledgearch.standby.StreamCodec
+import ledgearch.peers.StreamCodec
 import okio.ByteString
 import okio.ByteString.Companion.toByteString
 
--- a/src/test/kotlin/ledgearch/simulation/StreamNonsense.kt
+++ b/src/test/kotlin/ledgearch/simulation/StreamNonsense.kt
@@ -1,14 +1,14 @@
 package ledgearch.simulation
 
-import ledgearch.core.AttemptState
-import ledgearch.standby.AttemptImage
-import ledgearch.standby.CachedImage
-import ledgearch.standby.ClassRunTime
-import ledgearch.standby.MachineImage
-import ledgearch.standby.RentedMachine
-import ledgearch.standby.ServiceTime
-import ledgearch.standby.StreamCodec
-import ledgearch.standby.StreamRecord
+import ledgearch.model.AttemptState
+import ledgearch.peers.AttemptSnapshot
+import ledgearch.peers.CachedImage
+import ledgearch.peers.ClassRunTime
+import ledgearch.peers.MachineSnapshot
+import ledgearch.peers.RentedMachine
+import ledgearch.peers.ServiceTime
+import ledgearch.peers.StreamCodec
+import ledgearch.peers.StreamRecord
 import okio.ByteString
 import kotlin.random.Random
 
@@ -25,20 +25,20 @@
 
     private fun garbled(record: StreamRecord): List<StreamRecord> =
         when (record) {
-            is MachineImage -> listOf(machine(record.name), machine("host-" + random.nextInt()), rented(record.name))
+            is MachineSnapshot -> listOf(machine(record.name), machine("host-" + random.nextInt()), rented(record.name))
             is ClassRunTime -> listOf(ClassRunTime(record.jobClass, number(), number()))
             is ServiceTime -> listOf(ServiceTime(record.job, random.nextLong()))
             is RentedMachine -> listOf(rented("host-" + random.nextInt()))
         }
 
     private fun machine(name: String) =
-        MachineImage(
+        MachineSnapshot(
             name,
             if (random.nextBoolean()) random.nextLong() else random.nextLong(SMALL.toLong()),
             random.nextBoolean(),
             List(
                 random.nextInt(SMALL),
-            ) { AttemptImage(task(), random.nextLong(), AttemptState.entries.random(random)) },
+            ) { AttemptSnapshot(task(), random.nextLong(), AttemptState.entries.random(random)) },
             List(
                 random.nextInt(SMALL),
             ) { CachedImage("image-" + random.nextInt(SMALL), number(), random.nextBoolean()) },
