--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -1,7 +1,6 @@
 package ledgearch.agents
 
 import kotlinx.serialization.SerializationException
-import ledgearch.Tuning
 import ledgearch.election.Election
 import ledgearch.http.Reply
 import ledgearch.model.AttemptState
@@ -102,7 +101,7 @@
             }
         }
         // A message has a size that it may not pass; what is left over goes with the next one.
-        return (halts + starts).take(Tuning.COMMANDS_AT_ONCE)
+        return (halts + starts).take(AgentTuning.COMMANDS_AT_ONCE)
     }
 
     fun drive() {
@@ -150,7 +149,7 @@
         callsOpen++
         val token = election.token
         val sentAt = clock.steadyMs
-        direct(machine, list, Tuning.PUSH_MS) { answer ->
+        direct(machine, list, AgentTuning.PUSH_MS) { answer ->
             machine.commandInFlight = false
             callsOpen--
             for (attempt in started) {
@@ -163,7 +162,7 @@
             // A time-out of our own, while this node was behind with its work, says nothing about the machine.
             if (answer == null && !stalls.wasLaggingSince(sentAt)) markUnreachable(machine)
             if (answer != null && isHere(machine)) heard(machine, answer)
-            if (list.size == Tuning.COMMANDS_AT_ONCE) enqueue(machine)
+            if (list.size == AgentTuning.COMMANDS_AT_ONCE) enqueue(machine)
         }
     }
 
@@ -227,14 +226,16 @@
         // Hundreds that stay silent for long, in a zone that is cut off, are asked more and more seldom.
         machine.probeAt =
             clock.steadyMs +
-            Tuning.PROBE_MS * (1 + (machine.probesFailed - Tuning.PROBES).coerceIn(0, Tuning.MOST_PROBE_PAUSES))
+            AgentTuning.PROBE_MS *
+            (1 + (machine.probesFailed - AgentTuning.PROBES).coerceIn(0, AgentTuning.MOST_PROBE_PAUSES))
         probesOpen++
         val sentAt = clock.steadyMs
         val incarnation = machine.incarnation
         direct(
             machine,
             emptyList(),
-            Tuning.PROBE_MS * (1 + (machine.probesFailed + 1 - Tuning.PROBES).coerceIn(0, Tuning.MOST_PROBE_PAUSES)),
+            AgentTuning.PROBE_MS *
+                (1 + (machine.probesFailed + 1 - AgentTuning.PROBES).coerceIn(0, AgentTuning.MOST_PROBE_PAUSES)),
         ) { answer ->
             machine.commandInFlight = false
             probesOpen--
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -1,10 +1,10 @@
 package ledgearch.agents
 
-import ledgearch.Tuning
 import ledgearch.autoscaling.Autoscaler
 import ledgearch.config.WorkerTimes
 import ledgearch.election.Election
 import ledgearch.model.Machine
+import ledgearch.recovery.RecoveryTuning
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
 import ledgearch.runtime.StallCompensation
@@ -31,10 +31,10 @@
     private val leaseMs = (times.leaseS * 1000).toLong()
     private var watchAt = 0L
     private val partitionedZones = PartitionedZones(clock)
-    private val missingMachines = MissingMachines(election, stalls, (reportMs * Tuning.CUT_REPORTS).toLong())
-    private val overdue = Silence(Tuning.OVERDUE_REPORTS)
-    private val cut = Silence(Tuning.CUT_REPORTS)
-    private val lost = Silence(Tuning.LOST_REPORTS)
+    private val missingMachines = MissingMachines(election, stalls, (reportMs * AgentTuning.CUT_REPORTS).toLong())
+    private val overdue = Silence(AgentTuning.OVERDUE_REPORTS)
+    private val cut = Silence(AgentTuning.CUT_REPORTS)
+    private val lost = Silence(AgentTuning.LOST_REPORTS)
 
     fun clear() = partitionedZones.clear()
 
@@ -46,7 +46,7 @@
 
     fun drive() {
         if (clock.steadyMs < watchAt) return
-        watchAt = clock.steadyMs + Tuning.WATCH_SILENCE_MS
+        watchAt = clock.steadyMs + AgentTuning.WATCH_SILENCE_MS
         overdue.look()
         cut.look()
         lost.look()
@@ -86,13 +86,13 @@
     private fun releaseUnreached() {
         val unreached =
             dispatcher.unreachableMachines.filter {
-                !it.releasing && !mayComeBack(it) && it.probesFailed >= Tuning.PROBES &&
-                    stalls.attentiveMsSince(it.unreachableSince) > (reportMs * Tuning.LOST_REPORTS).toLong()
+                !it.releasing && !mayComeBack(it) && it.probesFailed >= AgentTuning.PROBES &&
+                    stalls.attentiveMsSince(it.unreachableSince) > (reportMs * AgentTuning.LOST_REPORTS).toLong()
             }
-        val mostBroken = dispatcher.unreachableMachines.size > machines.size * Tuning.MOST
+        val mostBroken = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MOST
         for (machine in unreached) {
             // Then it may be this node, for a time.
-            if (mostBroken && clock.steadyMs - machine.unreachableSince < Tuning.PATH_FAULT_MS) continue
+            if (mostBroken && clock.steadyMs - machine.unreachableSince < AgentTuning.PATH_FAULT_MS) continue
             log.warn(
                 "machine {} is heard but not reached for {} ms; it is released",
                 machine.name,
@@ -123,14 +123,14 @@
     private fun watch() {
         val active = machines.values.filter { !it.releasing }
         val quiet = active.count { silentFor(it, cut) }
-        if (quiet > 1 && active.size - quiet < active.size * Tuning.HEARD_SHARE && !election.steppedDownRecently) {
+        if (quiet > 1 && active.size - quiet < active.size * AgentTuning.HEARD_SHARE && !election.steppedDownRecently) {
             // Nearly all workers at once: the fault is on this node's side. Their leases run out unless another, whom
             // they may reach, takes the block soon.
             election.stepDown("$quiet of ${active.size} machines are silent", silent = true)
             return
         }
         val heard by lazy(LazyThreadSafetyMode.NONE) { Heard(active) }
-        val mostMute = active.count { isMute(it) } > active.size * Tuning.MOST
+        val mostMute = active.count { isMute(it) } > active.size * RecoveryTuning.MOST
         for (machine in dispatcher.unreachableMachines) if (!machine.releasing) dispatcher.probe(machine)
         for (machine in machines.values.toList()) {
             if (!silentFor(machine, overdue)) {
@@ -164,12 +164,12 @@
     private fun isMute(machine: Machine) =
         machine.confirmed && machine.probesFailed == 0 && !machine.unreachable &&
             machine.lastHeardAt > machine.lastHeartbeatAt &&
-            silentFor(machine, cut) && clock.steadyMs - machine.lastHeartbeatAt < Tuning.PATH_FAULT_MS
+            silentFor(machine, cut) && clock.steadyMs - machine.lastHeartbeatAt < AgentTuning.PATH_FAULT_MS
 
     /** The time that its notice gave is over, and it was not heard since. */
     private fun isTaken(machine: Machine) =
         machine.confirmed && machine.preemptionAt != 0L && machine.lastHeardAt < machine.preemptionAt &&
-            clock.steadyMs > machine.preemptionAt + Tuning.TAKEN_MARGIN_MS
+            clock.steadyMs > machine.preemptionAt + AgentTuning.TAKEN_MARGIN_MS
 
     /**
      * [m] is overdue and answers no probe, while most others, and one of its zone, were heard since it was due: so it
@@ -179,9 +179,9 @@
         machine: Machine,
         heard: Heard,
     ): Boolean {
-        if (machine.releasing || !machine.confirmed || machine.probesFailed < Tuning.PROBES) return false
-        val due = machine.lastHeardAt + (reportMs * Tuning.DUE_REPORTS).toLong()
-        return heard.since(due) > heard.size * Tuning.MOST && heard.inZoneSince(machine.zone, due)
+        if (machine.releasing || !machine.confirmed || machine.probesFailed < AgentTuning.PROBES) return false
+        val due = machine.lastHeardAt + (reportMs * AgentTuning.DUE_REPORTS).toLong()
+        return heard.since(due) > heard.size * RecoveryTuning.MOST && heard.inZoneSince(machine.zone, due)
     }
 
     /** When [machines] were last heard, ordered once: hundreds that are silent each ask how many others are not. */
@@ -209,7 +209,7 @@
      */
     private fun leaseRanOut(machine: Machine) {
         if (!machine.confirmed || machine.attempts.isEmpty()) return
-        val end = machine.lastAnsweredAt + (leaseMs * Tuning.DRIFT).toLong() + Tuning.LEASE_MARGIN_MS
+        val end = machine.lastAnsweredAt + (leaseMs * AgentTuning.DRIFT).toLong() + AgentTuning.LEASE_MARGIN_MS
         if (clock.steadyMs <= end || election.confirmedAt <= end) return
         log.info("machine {}: its lease has run out", machine.name)
         incarnationEnded(machine)
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -1,8 +1,8 @@
 package ledgearch.agents
 
-import ledgearch.Tuning
 import ledgearch.election.Election
 import ledgearch.model.Machine
+import ledgearch.recovery.RecoveryTuning
 import ledgearch.runtime.StallCompensation
 
 /**
@@ -21,7 +21,7 @@
         if (inherited.none(::isUnconfirmed)) return emptyList()
         val confirmed = inherited.count { it.confirmed }
         if (!hearsEnough(confirmed, inherited.size)) return emptyList()
-        val mostConfirmed = confirmed > inherited.size * Tuning.MOST
+        val mostConfirmed = confirmed > inherited.size * RecoveryTuning.MOST
         val others = ReportTimes(inherited)
         return inherited.filter { isUnconfirmed(it) && isMissing(it, others, mostConfirmed) }
     }
@@ -32,7 +32,7 @@
         machine: Machine,
         others: ReportTimes,
         mostConfirmed: Boolean,
-    ) = machine.probesFailed >= Tuning.PROBES ||
+    ) = machine.probesFailed >= AgentTuning.PROBES ||
         (mostConfirmed && (wasBeingReturned(machine) || isPassedByOthers(machine, others)))
 
     private fun wasBeingReturned(machine: Machine) = machine.returningHint && machine.probesUnanswered > 0
@@ -47,12 +47,12 @@
         machine: Machine,
         others: ReportTimes,
     ): Boolean {
-        if (machine.probesUnanswered < Tuning.PROBES ||
+        if (machine.probesUnanswered < AgentTuning.PROBES ||
             machine.sequenceFirstSeenAt > machine.unansweredSince
         ) {
             return false
         }
-        return others.sentAfter(machine.unansweredSince) > others.machines * Tuning.MOST
+        return others.sentAfter(machine.unansweredSince) > others.machines * RecoveryTuning.MOST
     }
 
     /** When the confirmed machines among [inherited] sent their last reports, ordered once for all that are missing. */
@@ -75,9 +75,9 @@
     private fun hearsEnough(
         confirmed: Int,
         all: Int,
-    ) = confirmed > all * Tuning.MOST ||
+    ) = confirmed > all * RecoveryTuning.MOST ||
         (
-            confirmed > all * Tuning.HEARD_SHARE &&
+            confirmed > all * AgentTuning.HEARD_SHARE &&
                 stalls.attentiveMsSince(election.electedAt) > reportedWithinMs
         )
 }
--- a/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
+++ b/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
@@ -1,7 +1,7 @@
 package ledgearch.agents
 
-import ledgearch.Tuning
 import ledgearch.model.Machine
+import ledgearch.recovery.RecoveryTuning
 import ledgearch.runtime.Clock
 import org.slf4j.LoggerFactory
 
@@ -56,11 +56,11 @@
             counts.machines++
             if (isHeard(machine)) counts.heard++
         }
-        val anyWell = zones.values.any { it.heard > it.machines * Tuning.MOST }
+        val anyWell = zones.values.any { it.heard > it.machines * RecoveryTuning.MOST }
         val cut =
             zones.filterValues {
-                anyWell && it.machines >= Tuning.ZONE_MACHINES &&
-                    it.heard < it.machines * Tuning.HEARD_SHARE
+                anyWell && it.machines >= RecoveryTuning.ZONE_MACHINES &&
+                    it.heard < it.machines * AgentTuning.HEARD_SHARE
             }
         val back = since.filterTo(HashMap()) { (zone, began) -> isBack(zones[zone], began) }.keys
         for (zone in back) {
@@ -85,13 +85,13 @@
         counts: ZoneCounts?,
         began: Long,
     ) = when {
-        counts == null || (counts.machines < Tuning.ZONE_MACHINES && counts.heard == 0) -> {
+        counts == null || (counts.machines < RecoveryTuning.ZONE_MACHINES && counts.heard == 0) -> {
             clock.steadyMs - began >=
-                Tuning.CUT_ZONE_MS
+                RecoveryTuning.CUT_ZONE_MS
         }
 
         else -> {
-            counts.heard >= counts.machines * Tuning.HEARD_SHARE
+            counts.heard >= counts.machines * AgentTuning.HEARD_SHARE
         }
     }
 
@@ -109,7 +109,11 @@
         machine: Machine,
         servedWithin: Set<String>,
     ): Boolean {
-        if (others >= 2 || clock.steadyMs - (since[machine.zone] ?: return false) >= Tuning.CUT_ZONE_MS) return false
+        if (others >= 2 ||
+            clock.steadyMs - (since[machine.zone] ?: return false) >= RecoveryTuning.CUT_ZONE_MS
+        ) {
+            return false
+        }
         if (!machine.confirmed) return machine.zone in servedWithin
         return machine in kept || holdsTwoZoneReplica(machine).also { if (it) kept.add(machine) }
     }
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -1,6 +1,5 @@
 package ledgearch.agents
 
-import ledgearch.Tuning
 import ledgearch.jobs.JobStore
 import ledgearch.model.AttemptState
 import ledgearch.model.Job
@@ -153,11 +152,11 @@
             }
 
             ExitCause.FULL, ExitCause.BUSY -> {
-                machine.refusedUntil = clock.steadyMs + Tuning.REFUSED_MS
+                machine.refusedUntil = clock.steadyMs + AgentTuning.REFUSED_MS
             }
 
             ExitCause.UNKNOWN_TASK -> {
-                job.notBefore = clock.steadyMs + Tuning.REFUSED_MS
+                job.notBefore = clock.steadyMs + AgentTuning.REFUSED_MS
             }
 
             ExitCause.STOPPED, ExitCause.UNRECOGNIZED, null -> {
@@ -174,9 +173,9 @@
         machine.errorJobs.add(job.id)
         machine.consecutiveErrors++
         job.errorMachines.add(machine.name)
-        if (job.errorMachines.size >= Tuning.BAD_JOB_MACHINES) {
+        if (job.errorMachines.size >= AgentTuning.BAD_JOB_MACHINES) {
             // Fails wherever it goes: the job is at fault, and no machine is blamed for it.
-            val pause = minOf(Tuning.BAD_JOB_MS shl minOf(job.failedAttempts, 6), Tuning.BAD_JOB_MAX_MS)
+            val pause = minOf(AgentTuning.BAD_JOB_MS shl minOf(job.failedAttempts, 6), AgentTuning.BAD_JOB_MAX_MS)
             job.failedAttempts++
             job.notBefore = clock.steadyMs + pause
             job.errorMachines.forEach { name ->
@@ -187,7 +186,7 @@
             }
             job.errorMachines.clear()
         } else {
-            machine.refusedUntil = clock.steadyMs + Tuning.ERROR_PAUSE_MS
+            machine.refusedUntil = clock.steadyMs + AgentTuning.ERROR_PAUSE_MS
             blame(machine, job)
         }
     }
@@ -197,9 +196,9 @@
         machine: Machine,
         job: Job,
     ) {
-        val several = machine.errorJobs.size >= Tuning.SICK_ERRORS
+        val several = machine.errorJobs.size >= AgentTuning.SICK_ERRORS
         val provenElsewhere =
-            machine.consecutiveErrors >= Tuning.SICK_ERRORS && job.id in machine.errorJobs && !job.finished.isEmpty
+            machine.consecutiveErrors >= AgentTuning.SICK_ERRORS && job.id in machine.errorJobs && !job.finished.isEmpty
         if (machine.quarantined || !(several || provenElsewhere)) return
         log.warn(
             "machine {} fails everything ({} tasks in a row); it is put aside",
--- a/src/main/kotlin/ledgearch/api/Cancellations.kt
+++ b/src/main/kotlin/ledgearch/api/Cancellations.kt
@@ -1,6 +1,5 @@
 package ledgearch.api
 
-import ledgearch.Tuning
 import ledgearch.jobs.JobStore
 import ledgearch.records.JobRecord
 import ledgearch.records.Keys
@@ -9,6 +8,7 @@
 import ledgearch.runtime.Clock
 import ledgearch.store.RequestClass
 import ledgearch.store.StoreClient
+import ledgearch.store.StoreTuning
 import ledgearch.store.TransactionResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
@@ -96,7 +96,7 @@
     }
 
     private fun isTurnedAway(cancellation: Cancellation): Boolean {
-        if (clock.steadyMs - cancellation.since < Tuning.CANCEL_MS) return false
+        if (clock.steadyMs - cancellation.since < ApiTuning.CANCEL_MS) return false
         cancellation.respond(answers.tryAgain())
         return true
     }
@@ -118,7 +118,7 @@
     ) {
         val id = record.spec.id
         if (clock.steadyMs < (markAgainAt[id] ?: Long.MIN_VALUE)) return
-        markAgainAt[id] = clock.steadyMs + Tuning.STATE_MS
+        markAgainAt[id] = clock.steadyMs + StoreTuning.STATE_MS
         val value = encodeRecord(JobRecord.serializer(), record.copy(cancelRequested = true))
         val condition = Condition(Keys.job(id), modRevision)
         val change = Change(put = Keys.job(id), value = value)
@@ -130,7 +130,7 @@
         result: TransactionResult,
     ) {
         // Once written, the watch brings the mark.
-        markAgainAt[id] = clock.steadyMs + Tuning.STATE_RETRY_MS
+        markAgainAt[id] = clock.steadyMs + StoreTuning.STATE_RETRY_MS
         when (result) {
             // It is tried again when a user asks again.
             TransactionResult.Refused, TransactionResult.TooLarge -> {
--- a/src/main/kotlin/ledgearch/api/JobLookup.kt
+++ b/src/main/kotlin/ledgearch/api/JobLookup.kt
@@ -1,6 +1,5 @@
 package ledgearch.api
 
-import ledgearch.Tuning
 import ledgearch.jobs.JobReading
 import ledgearch.jobs.JobStore
 import ledgearch.model.Job
@@ -17,7 +16,7 @@
     private var underWay = 0
 
     /** No further reading may begin for a request. */
-    val isFull: Boolean get() = underWay >= Tuning.INTAKE_BACKLOG
+    val isFull: Boolean get() = underWay >= ApiTuning.INTAKE_BACKLOG
 
     /** Counts a reading as under way until the returned function, which calls [done], is called. */
     fun <T> counted(done: (T) -> Unit): (T) -> Unit {
--- a/src/main/kotlin/ledgearch/api/Polls.kt
+++ b/src/main/kotlin/ledgearch/api/Polls.kt
@@ -1,12 +1,12 @@
 package ledgearch.api
 
-import ledgearch.Tuning
 import ledgearch.jobs.JobStore
 import ledgearch.model.Job
 import ledgearch.records.Keys
 import ledgearch.runtime.Clock
 import ledgearch.store.RequestClass
 import ledgearch.store.StoreClient
+import ledgearch.store.StoreTuning
 import ledgearch.store.TransactionResult
 import ledgearch.wire.Condition
 
@@ -60,13 +60,13 @@
     ) {
         if (!Validation.isJobId(id)) return respond(answers.unknownJob())
         jobStore.final(id)?.let { return respond(answers.over(id, it)) }
-        if (waiting.size >= Tuning.INTAKE_BACKLOG) return respond(answers.tryAgain())
+        if (waiting.size >= ApiTuning.INTAKE_BACKLOG) return respond(answers.tryAgain())
         waiting.addLast(Poll(id, clock.steadyMs, respond))
     }
 
     /** Turns away those that have waited too long. */
     fun expire() {
-        while (waiting.isNotEmpty() && clock.steadyMs - waiting.first().since >= Tuning.POLL_MS) {
+        while (waiting.isNotEmpty() && clock.steadyMs - waiting.first().since >= ApiTuning.POLL_MS) {
             waiting.removeFirst().respond(answers.tryAgain())
         }
     }
@@ -122,7 +122,7 @@
             }
 
             TransactionResult.Unknown -> {
-                retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
+                retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
                 batch.polls.asReversed().forEach(waiting::addFirst)
             }
         }
--- a/src/main/kotlin/ledgearch/api/SubmissionBatch.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionBatch.kt
@@ -1,11 +1,11 @@
 package ledgearch.api
 
-import ledgearch.Tuning
 import ledgearch.http.Response
 import ledgearch.records.FinalRecord
 import ledgearch.records.JobRecord
 import ledgearch.records.Keys
 import ledgearch.records.encodeRecord
+import ledgearch.store.StoreTuning
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import ledgearch.wire.JobState
@@ -62,7 +62,7 @@
     ): Boolean {
         val change = if (isCancelled) cancelledChange(submission.id) else openChange(submission.record)
         val size = sizeOf(change)
-        val isFull = changes.size >= maxChanges || bytes + size > Tuning.TRANSACTION_BYTES
+        val isFull = changes.size >= maxChanges || bytes + size > StoreTuning.TRANSACTION_BYTES
         if (isFull && submissions.isNotEmpty()) return false
         bytes += size
         submissions.add(submission)
--- a/src/main/kotlin/ledgearch/api/Submissions.kt
+++ b/src/main/kotlin/ledgearch/api/Submissions.kt
@@ -1,6 +1,5 @@
 package ledgearch.api
 
-import ledgearch.Tuning
 import ledgearch.config.Team
 import ledgearch.http.HttpStatus
 import ledgearch.jobs.JobStore
@@ -10,6 +9,7 @@
 import ledgearch.runtime.Clock
 import ledgearch.store.RequestClass
 import ledgearch.store.StoreClient
+import ledgearch.store.StoreTuning
 import ledgearch.store.TransactionResult
 import ledgearch.wire.JobState
 import ledgearch.wire.WireJson
@@ -65,7 +65,7 @@
         val late = waiting.values.iterator()
         while (late.hasNext()) {
             val submission = late.next()
-            if (clock.steadyMs - submission.since < Tuning.SUBMIT_MS) continue
+            if (clock.steadyMs - submission.since < ApiTuning.SUBMIT_MS) continue
             late.remove()
             submission.answer(answers.tryAgain())
         }
@@ -96,7 +96,11 @@
             return refuse(id, HttpStatus.BAD_REQUEST, "too large", respond)
         }
         if (joined(id, respond)) return
-        if (jobStore.machineTypes.isEmpty() || waiting.size >= Tuning.INTAKE_BACKLOG) return respond(answers.tryAgain())
+        if (jobStore.machineTypes.isEmpty() ||
+            waiting.size >= ApiTuning.INTAKE_BACKLOG
+        ) {
+            return respond(answers.tryAgain())
+        }
         val impossible = Validation.impossible(spec, limits.teams[spec.team], jobStore.machineTypes.values)
         when {
             impossible != null -> refuse(id, HttpStatus.UNPROCESSABLE, impossible, respond)
@@ -234,7 +238,7 @@
 
             // A repeat is harmless: if the first was executed, the condition fails and the job is found.
             TransactionResult.Unknown -> {
-                retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
+                retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
             }
         }
     }
--- a/src/main/kotlin/ledgearch/api/SubmittedJob.kt
+++ b/src/main/kotlin/ledgearch/api/SubmittedJob.kt
@@ -9,7 +9,6 @@
 import kotlinx.serialization.json.booleanOrNull
 import kotlinx.serialization.json.doubleOrNull
 import kotlinx.serialization.json.longOrNull
-import ledgearch.Tuning
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
 import ledgearch.wire.Priority
@@ -142,7 +141,7 @@
         private val NUMBER = Regex("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
 
         fun read(body: String): SubmittedJob {
-            if (depth(body) > Tuning.SUBMISSION_DEPTH) throw MalformedSubmission("too deep")
+            if (depth(body) > ApiTuning.SUBMISSION_DEPTH) throw MalformedSubmission("too deep")
             val json =
                 try {
                     WireJson.parseToJsonElement(body) as? JsonObject ?: throw MalformedSubmission("not an object")
--- a/src/main/kotlin/ledgearch/api/UserApi.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -1,6 +1,5 @@
 package ledgearch.api
 
-import ledgearch.Tuning
 import ledgearch.config.Settings
 import ledgearch.http.HttpStatus
 import ledgearch.http.Request
@@ -32,7 +31,7 @@
     clock: Clock,
 ) {
     private val deployment = settings.deployment
-    private val freshMs = (deployment.workers.cancelS * 1000 * Tuning.FRESH_SHARE).toLong()
+    private val freshMs = (deployment.workers.cancelS * 1000 * ApiTuning.FRESH_SHARE).toLong()
     private val limits = SubmissionLimits(deployment.teams.associateBy { it.name }, deployment.state.safeValueBytes)
     private val answers = JobAnswers(leadership, settings.operator.retryAfterS)
     private val dependencies = DependencyKnowledge(jobStore, clock, freshMs)
--- a/src/main/kotlin/ledgearch/api/Validation.kt
+++ b/src/main/kotlin/ledgearch/api/Validation.kt
@@ -6,6 +6,7 @@
 import ledgearch.wire.JobSpec
 import ledgearch.wire.MachineType
 
+/** Checks of what users send that need nothing but the settings and the catalog. */
 internal object Validation {
     private val JOB_ID = Regex("job-[0-9]{1,18}")
 
--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -1,9 +1,7 @@
 package ledgearch.autoscaling
 
 import kotlinx.serialization.SerializationException
-import ledgearch.Tuning
 import ledgearch.config.Settings
-import ledgearch.control.Leader
 import ledgearch.election.Election
 import ledgearch.http.Reply
 import ledgearch.jobs.JobStore
@@ -12,10 +10,13 @@
 import ledgearch.model.Machine
 import ledgearch.persistence.RecordWriter
 import ledgearch.records.CatalogRecord
+import ledgearch.recovery.RecoveryTuning
 import ledgearch.runtime.Clock
+import ledgearch.runtime.RuntimeTuning
 import ledgearch.runtime.StallCompensation
 import ledgearch.runtime.TokenBucket
 import ledgearch.runtime.Transport
+import ledgearch.scheduling.SchedulingTuning
 import ledgearch.wire.Catalog
 import ledgearch.wire.ListedMachine
 import ledgearch.wire.MachineList
@@ -30,11 +31,11 @@
 internal class Autoscaler(
     private val settings: Settings,
     private val transport: Transport,
-    private val election: () -> Election,
-    private val jobStore: () -> JobStore,
+    private val election: Election,
+    private val jobStore: JobStore,
     private val clock: Clock,
     private val stalls: StallCompensation,
-    private val recordWriter: () -> RecordWriter,
+    private val recordWriter: RecordWriter,
 ) {
     private data class Pool(
         val machineType: MachineType,
@@ -50,7 +51,7 @@
             private set
 
         fun observe(used: Double) {
-            value = maxOf(used, value - (value - used) * Tuning.PLAN_MS / Tuning.PEAK_MEMORY_MS)
+            value = maxOf(used, value - (value - used) * AutoscalingTuning.PLAN_MS / AutoscalingTuning.PEAK_MEMORY_MS)
         }
     }
 
@@ -62,7 +63,7 @@
     private val log = LoggerFactory.getLogger("ledgearch.fleet")
     private val address = settings.outside.cloud
     private val listLagMs = (settings.deployment.cloud.listLagS * 1000).toLong()
-    private val callsASecond = settings.deployment.cloud.rps * Tuning.BUDGET_USED
+    private val callsASecond = settings.deployment.cloud.rps * RuntimeTuning.BUDGET_USED
     private val bucket = TokenBucket(callsASecond)
     private var catalogAt = Long.MIN_VALUE
     private var catalogBusy = false
@@ -125,49 +126,51 @@
 
     fun driveCatalog(isLeader: Boolean) {
         bucket.refill(clock.steadyMs)
-        val wanted = jobStore().machineTypes.isEmpty() || isLeader
+        val wanted = jobStore.machineTypes.isEmpty() || isLeader
         if (!wanted || catalogBusy || clock.steadyMs < catalogAt || !bucket.has(1)) return
         catalogBusy = true
         call("GET", "/catalog", null) { reply ->
             catalogBusy = false
             val machineTypes = parse(reply) { WireJson.decodeFromString(Catalog.serializer(), it) }?.machineTypes
-            catalogAt = clock.steadyMs + if (machineTypes == null) Tuning.CLOUD_RETRY_MS else Tuning.CATALOG_MS
+            catalogAt =
+                clock.steadyMs +
+                if (machineTypes == null) AutoscalingTuning.CLOUD_RETRY_MS else AutoscalingTuning.CATALOG_MS
             if (machineTypes.isNullOrEmpty()) return@call
-            val known = jobStore().machineTypes
+            val known = jobStore.machineTypes
             if (known.keys != machineTypes.mapTo(HashSet()) { it.name } &&
-                election().isLeader
+                election.isLeader
             ) {
-                recordWriter().catalog(CatalogRecord(machineTypes))
+                recordWriter.catalog(CatalogRecord(machineTypes))
             }
-            jobStore().setMachineTypes(machineTypes)
+            jobStore.setMachineTypes(machineTypes)
         }
     }
 
     // --- The leader's part --------------------------------------------------------------------------------------
 
-    fun drive(leader: Leader) {
-        driveList(leader)
+    fun drive(cluster: Cluster) {
+        driveList(cluster)
         // A leader that is cut off with its zone misses all other machines. What it asks for then may be carried out
         // when the cut is over: hundreds of machines given back that serve the next leader, and hundreds rented.
-        if (!election().hasValidLease) return
-        driveRelease(leader)
+        if (!election.hasValidLease) return
+        driveRelease(cluster)
         if (clock.steadyMs < planAt) return
-        planAt = clock.steadyMs + Tuning.PLAN_MS
-        plan(leader)
+        planAt = clock.steadyMs + AutoscalingTuning.PLAN_MS
+        plan(cluster)
     }
 
-    private fun driveRelease(leader: Leader) {
+    private fun driveRelease(cluster: Cluster) {
         if (releasing || toRelease.isEmpty() || clock.steadyMs < releaseRetryAt || !bucket.has(1)) return
         val names = toRelease.take(MAX_RELEASE)
         releasing = true
-        names.forEach { leader.machines[it]?.releaseRequested = true }
-        val token = election().token
+        names.forEach { cluster.machines[it]?.releaseRequested = true }
+        val token = election.token
         val body = WireJson.encodeToString(MachineNames.serializer(), MachineNames(names))
         call("POST", "/hosts/release", body) { reply ->
-            if (election().token == 0L) return@call
+            if (election.token == 0L) return@call
             releasing = false
             if (reply.status != 200) {
-                releaseRetryAt = clock.steadyMs + Tuning.CLOUD_RETRY_MS
+                releaseRetryAt = clock.steadyMs + AutoscalingTuning.CLOUD_RETRY_MS
                 return@call
             }
             log.info("returned under token {}: {}", token, names)
@@ -175,21 +178,21 @@
                 toRelease.remove(name)
                 returned.add(name)
                 booting.remove(name)
-                leader.machines[name]?.let(leader::machineGone)
+                cluster.machines[name]?.let(cluster::machineGone)
             }
-            val kept = maxOf(Tuning.RETURNED_KEPT, leader.machines.size)
+            val kept = maxOf(AutoscalingTuning.RETURNED_KEPT, cluster.machines.size)
             while (returned.size > kept) returned.remove(returned.first())
         }
     }
 
-    private fun driveList(leader: Leader) {
+    private fun driveList(cluster: Cluster) {
         if (listBusy || clock.steadyMs < listAt || !bucket.has(1)) return
         listBusy = true
-        listPage(leader, "", 1)
+        listPage(cluster, "", 1)
     }
 
     private fun listPage(
-        leader: Leader,
+        cluster: Cluster,
         since: String,
         page: Int,
     ) {
@@ -198,58 +201,65 @@
             // Thousands of machines take several calls, and rentals and returns need some of those allowed too.
             listAt =
                 clock.steadyMs +
-                maxOf(Tuning.LIST_MS, (page * Tuning.LIST_PAGE_CALLS * MS_PER_S / callsASecond).toLong())
+                maxOf(
+                    AutoscalingTuning.LIST_MS,
+                    (page * AutoscalingTuning.LIST_PAGE_CALLS * MS_PER_S / callsASecond).toLong(),
+                )
             val list = parse(reply) { WireJson.decodeFromString(MachineList.serializer(), it) } ?: return@call
-            if (!election().isLeader) return@call
-            list.machines.forEach { listed(leader, it) }
+            if (!election.isLeader) return@call
+            list.machines.forEach { listed(cluster, it) }
             if (list.hasNext && list.machines.isNotEmpty()) {
                 listBusy = true
-                listPage(leader, list.machines.last().name, page + 1)
+                listPage(cluster, list.machines.last().name, page + 1)
             }
         }
     }
 
     private fun listed(
-        leader: Leader,
+        cluster: Cluster,
         machine: ListedMachine,
     ) {
-        val m = leader.machines[machine.name]
+        val m = cluster.machines[machine.name]
         if (machine.name in returned || machine.name in toRelease) return
         when (machine.state) {
             MachineState.FAILED -> {
                 log.info("machine {} has failed", machine.name)
                 toRelease.add(machine.name)
-                m?.let(leader::machineGone)
+                m?.let(cluster::machineGone)
             }
 
             MachineState.BOOTING -> {
                 if (m == null) {
-                    val machineType = jobStore().machineTypes[machine.machineType] ?: return
-                    val patience = machineType.bootS * Tuning.BOOT_PATIENCE
+                    val machineType = jobStore.machineTypes[machine.machineType] ?: return
+                    val patience = machineType.bootS * AutoscalingTuning.BOOT_PATIENCE
                     if (machine.ageS > patience) {
                         log.info("machine {} does not come up; it is returned", machine.name)
                         booting.remove(machine.name)
                         toRelease.add(machine.name)
                     } else {
                         val pool = Pool(machineType, machine.zone, machine.spot)
-                        expectBoot(leader, machine.name, Booting(pool, clock.steadyMs - (machine.ageS * 1000).toLong()))
+                        expectBoot(
+                            cluster,
+                            machine.name,
+                            Booting(pool, clock.steadyMs - (machine.ageS * 1000).toLong()),
+                        )
                     }
                 }
             }
 
             MachineState.RUNNING, MachineState.UNRECOGNIZED -> {
-                if (m == null) unheard(leader, machine)
+                if (m == null) unheard(cluster, machine)
             }
         }
     }
 
     /** No machine that is known boots: it may have been up and at work before the answer to its rental came. */
     private fun expectBoot(
-        leader: Leader,
+        cluster: Cluster,
         name: String,
         machine: Booting,
     ) {
-        if (name !in leader.machines) booting.putIfAbsent(name, machine)
+        if (name !in cluster.machines) booting.putIfAbsent(name, machine)
     }
 
     /**
@@ -257,85 +267,93 @@
      * boots.
      */
     private fun unheard(
-        leader: Leader,
+        cluster: Cluster,
         machine: ListedMachine,
     ) {
         val since = unheard.getOrPut(machine.name) { clock.steadyMs }
-        if (stalls.attentiveMsSince(since) < Tuning.UNHEARD_MS || leader.isCutOff(machine.zone)) return
+        if (stalls.attentiveMsSince(since) < AutoscalingTuning.UNHEARD_MS || cluster.isCutOff(machine.zone)) return
         log.info("machine {} is up and does not report; it is returned", machine.name)
         unheard.remove(machine.name)
         booting.remove(machine.name)
         toRelease.add(machine.name)
     }
 
-    private fun plan(leader: Leader) {
+    private fun plan(cluster: Cluster) {
         for ((name, b) in booting.entries.toList()) {
-            if (clock.steadyMs - b.since > b.pool.machineType.bootS * 1000 * Tuning.BOOT_PATIENCE + listLagMs &&
-                !isProbeMachine(leader, name, b)
-            ) {
+            val patienceMs = b.pool.machineType.bootS * MS_PER_S * AutoscalingTuning.BOOT_PATIENCE + listLagMs
+            if (clock.steadyMs - b.since > patienceMs && !isProbeMachine(cluster, name, b)) {
                 booting.remove(name)
                 toRelease.add(name)
             }
         }
-        val churn = leader.estimates.freedASecond(jobStore().jobs.values)
-        load.observe(leader.machines.values.sumOf { it.usedCpus })
-        ordinaryLoad.observe(jobStore().jobs.values.sumOf { ordinaryCpus(leader, it) })
-        val needs = Demand.of(jobStore().jobs.values, leader, clock)
+        val churn = cluster.estimates.freedASecond(jobStore.jobs.values)
+        load.observe(cluster.machines.values.sumOf { it.usedCpus })
+        ordinaryLoad.observe(jobStore.jobs.values.sumOf { ordinaryCpus(cluster, it) })
+        val needs = Demand.of(jobStore.jobs.values, cluster, clock)
         // With a zone cut off, tasks that may run there wait for it unseen: what is up now will be needed.
-        if (needs.isEmpty() && !leader.anyZoneUnsettled) {
+        if (needs.isEmpty() && !cluster.anyZoneUnsettled) {
             if (calmSince == 0L) calmSince = clock.steadyMs
         } else {
             calmSince = 0L
-            cancelDraining(leader)
+            cancelDraining(cluster)
         }
-        rentFor(leader, needs, churn)
-        returnEmpty(leader)
-        if (calmSince != 0L && clock.steadyMs - calmSince > Tuning.CALM_MS) retire(leader, churn)
+        rentFor(cluster, needs, churn)
+        returnEmpty(cluster)
+        if (calmSince != 0L && clock.steadyMs - calmSince > AutoscalingTuning.CALM_MS) retire(cluster, churn)
     }
 
     /** Rents for what waits, less what running tasks will free before it is late or a machine could be up. */
     private fun rentFor(
-        leader: Leader,
+        cluster: Cluster,
         needs: List<Demand>,
         churn: Double,
     ) {
         if (clock.steadyMs < rentRetryAt) return
         val coming =
             booting.values
-                .filter { !leader.isCutOff(it.pool.zone) }
+                .filter { !cluster.isCutOff(it.pool.zone) }
                 .map { Supply(it.pool.machineType, it.pool.zone, it.pool.spot) }
                 .toMutableList()
-        val unlisted = hinted.notIn(booting.keys, leader.machines.keys)
+        val unlisted = hinted.notIn(booting.keys, cluster.machines.keys)
         coming +=
             unlisted.mapNotNull { hint ->
-                jobStore().machineTypes[hint.machineType]?.let { Supply(it, hint.zone, hint.spot) }
+                jobStore.machineTypes[hint.machineType]?.let { Supply(it, hint.zone, hint.spot) }
             }
-        coming += heldBackRoom(leader)
+        coming += heldBackRoom(cluster)
         val planned = LinkedHashMap<Pool, Int>()
-        val known = leader.machines.size + booting.size + unlisted.size
-        val atOnce = if (leader.recovery?.isActive == true) Tuning.RECOVERY_RENT_AT_ONCE else Tuning.RENT_AT_ONCE
+        val known = cluster.machines.size + booting.size + unlisted.size
+        val atOnce =
+            if (cluster.recovery?.isActive ==
+                true
+            ) {
+                AutoscalingTuning.RECOVERY_RENT_AT_ONCE
+            } else {
+                AutoscalingTuning.RENT_AT_ONCE
+            }
         val mayRent = minOf(atOnce, settings.operator.maxMachines - known)
         var freed = 0.0
-        val churnIn by lazy(LazyThreadSafetyMode.NONE) { leader.estimates.freedASecondByZone(leader.machines.values) }
+        val churnIn by lazy(LazyThreadSafetyMode.NONE) { cluster.estimates.freedASecondByZone(cluster.machines.values) }
         for (need in needs) {
             var left = need.unmetBy(coming)
             val spec = need.job.spec
             // One that has starved beside all that frees is not served by it.
-            if (!need.job.isService && spec.vcpus > 0 && need.job.unservedMs(clock.wallMs) <= Tuning.STARVED_MS) {
+            if (!need.job.isService && spec.vcpus > 0 &&
+                need.job.unservedMs(clock.wallMs) <= SchedulingTuning.STARVED_MS
+            ) {
                 val startup = bootS()
                 // Where only dear machines are left to rent, all that frees before one could be up is counted on.
-                val dear = isDear(need.job, cheapest(leader, need, planned))
-                val within = if (dear) startup else leader.reserve.startWithinS(need.job, startup)
+                val dear = isDear(need.job, cheapest(cluster, need, planned))
+                val within = if (dear) startup else cluster.headroom.startWithinS(need.job, startup)
                 val soon =
                     (need.onlyZone?.let { churnIn[it] ?: 0.0 } ?: churn) * within *
-                        (if (dear) 1.0 else Tuning.CHURN_COUNTED) -
+                        (if (dear) 1.0 else SchedulingTuning.CHURN_COUNTED) -
                         freed
                 val served = minOf(left, (soon / spec.vcpus).toInt().coerceAtLeast(0))
                 left -= served
                 freed += served * spec.vcpus
             }
             while (left > 0 && planned.values.sum() < mayRent) {
-                val pool = cheapest(leader, need, planned) ?: break
+                val pool = cheapest(cluster, need, planned) ?: break
                 val supply = Supply(pool.machineType, pool.zone, pool.spot)
                 val taken = supply.take(need.job, left, need.zones)
                 if (taken == 0) break
@@ -357,29 +375,29 @@
             if (key(pool) !in renting &&
                 bucket.has(1)
             ) {
-                rent(leader, pool, minOf(count, MAX_RENT))
+                rent(cluster, pool, minOf(count, MAX_RENT))
             }
         }
     }
 
     /** Room of a returning zone that is to be admitted soon. */
-    private fun heldBackRoom(leader: Leader): List<Supply> =
-        leader.machines.values
-            .filter { it.heldBack && it.inService && leader.recovery?.isSuppressed(it.zone) == false }
+    private fun heldBackRoom(cluster: Cluster): List<Supply> =
+        cluster.machines.values
+            .filter { it.heldBack && it.inService && cluster.recovery?.isSuppressed(it.zone) == false }
             .map { Supply(it.machineType, it.zone, it.spot, it.roomLeft()) }
 
     /** Not in a zone that is cut off: what is rented there can't be reached, and no more than a probe machine is. */
     private fun cheapest(
-        leader: Leader,
+        cluster: Cluster,
         need: Demand,
         planned: Map<Pool, Int>,
     ): Pool? {
         val pools = pools(need.job).filter { need.zones.allows(it.zone) }
-        val reached = pools.filter { !leader.isCutOff(it.zone) && leader.recovery?.isSuppressed(it.zone) != true }
+        val reached = pools.filter { !cluster.isCutOff(it.zone) && cluster.recovery?.isSuppressed(it.zone) != true }
         // Where displaced work finds nothing more to rent, it is worth knowing when its zone is back.
-        val enough = if (leader.recovery?.isActive == true) reached.filter(::mayHaveCapacity) else reached
+        val enough = if (cluster.recovery?.isActive == true) reached.filter(::mayHaveCapacity) else reached
         return enough
-            .ifEmpty { pools.filter { mayRentProbeMachine(leader, it.zone, planned) } }
+            .ifEmpty { pools.filter { mayRentProbeMachine(cluster, it.zone, planned) } }
             .filter(::mayHaveCapacity)
             .minWithOrNull(
                 compareBy({ it.price }, { p ->
@@ -393,25 +411,26 @@
 
     /** It is up in a zone that is cut off, and its first report will tell that the zone is back. */
     private fun isProbeMachine(
-        leader: Leader,
+        cluster: Cluster,
         name: String,
         b: Booting,
-    ) = leader.isCutOff(b.pool.zone) && unheard[name].let { it != null && clock.steadyMs - it < Tuning.CUT_ZONE_MS }
+    ) = cluster.isCutOff(b.pool.zone) &&
+        unheard[name].let { it != null && clock.steadyMs - it < RecoveryTuning.CUT_ZONE_MS }
 
     /**
      * No machine is left in the zone that would tell when it is heard again: one is rented, for work that can go
      * nowhere else.
      */
     private fun mayRentProbeMachine(
-        leader: Leader,
+        cluster: Cluster,
         zone: String,
         planned: Map<Pool, Int>,
     ) = booting.values.none { it.pool.zone == zone } && planned.keys.none { it.zone == zone } &&
         renting.none { "/$zone/" in it } &&
-        leader.machines.values.none { it.zone == zone && !it.releasing }
+        cluster.machines.values.none { it.zone == zone && !it.releasing }
 
     private fun pools(job: Job): List<Pool> =
-        jobStore()
+        jobStore
             .machineTypes.values
             .filter { FreeResources(it).fits(job) }
             .flatMap { machineType ->
@@ -427,19 +446,19 @@
         pool: Pool?,
     ): Boolean {
         val least = pools(job).minOfOrNull { it.price } ?: return false
-        return pool != null && pool.price > least * Tuning.DEAR
+        return pool != null && pool.price > least * AutoscalingTuning.DEAR
     }
 
     private fun key(p: Pool) = "${p.machineType.name}/${p.zone}/${p.spot}"
 
     private fun rent(
-        leader: Leader,
+        cluster: Cluster,
         pool: Pool,
         count: Int,
     ) {
         renting.add(key(pool))
         // The token is this grant's alone, so no other node and no later life of this one ever uses the name again.
-        val booking = "b-${election().token}-${++bookingSeq}"
+        val booking = "b-${election.token}-${++bookingSeq}"
         val body =
             WireJson.encodeToString(
                 RentalRequest.serializer(),
@@ -461,33 +480,33 @@
                         pool.zone,
                         if (pool.spot) " (spot)" else "",
                     )
-                    for (name in names) expectBoot(leader, name, Booting(pool, clock.steadyMs))
-                    if (names.size < count) exhausted[key(pool)] = clock.steadyMs + Tuning.NO_CAPACITY_MS
+                    for (name in names) expectBoot(cluster, name, Booting(pool, clock.steadyMs))
+                    if (names.size < count) exhausted[key(pool)] = clock.steadyMs + AutoscalingTuning.NO_CAPACITY_MS
                 }
 
                 503 -> {
                     if ("no capacity" in
                         reply.body
                     ) {
-                        exhausted[key(pool)] = clock.steadyMs + Tuning.NO_CAPACITY_MS
+                        exhausted[key(pool)] = clock.steadyMs + AutoscalingTuning.NO_CAPACITY_MS
                     } else {
                         rentRetryAt =
-                            clock.steadyMs + Tuning.CLOUD_RETRY_MS
+                            clock.steadyMs + AutoscalingTuning.CLOUD_RETRY_MS
                     }
                 }
 
                 // Without an answer machines may have been rented; they show in the list and in their reports.
                 else -> {
-                    rentRetryAt = clock.steadyMs + Tuning.CLOUD_RETRY_MS
+                    rentRetryAt = clock.steadyMs + AutoscalingTuning.CLOUD_RETRY_MS
                 }
             }
         }
     }
 
-    private fun returnEmpty(leader: Leader) {
-        val active = leader.machines.values.filter { it.inService }
-        for (m in leader.machines.values.toList()) {
-            if (m.quarantined && m.confirmed && leader.replicas.canMove(m, active)) leader.replicas.move(m)
+    private fun returnEmpty(cluster: Cluster) {
+        val active = cluster.machines.values.filter { it.inService }
+        for (m in cluster.machines.values.toList()) {
+            if (m.quarantined && m.confirmed && cluster.replicas.canMove(m, active)) cluster.replicas.move(m)
             if ((m.quarantined || m.draining) && m.attempts.isEmpty() && m.confirmed && !m.releasing) {
                 log.info("machine {} is empty and not needed; it is returned", m.name)
                 release(m)
@@ -496,43 +515,43 @@
     }
 
     /** Work waits: machines on their way out serve again, the cheapest first, before any is rented. */
-    private fun cancelDraining(leader: Leader) {
-        for (m in leader.machines.values) {
+    private fun cancelDraining(cluster: Cluster) {
+        for (m in cluster.machines.values) {
             if (m.draining && !m.releasing) {
                 m.draining = false
-                leader.changed()
+                cluster.changed()
             }
         }
     }
 
     /** Machines are emptied for good, the dearest first, as long as what is left holds the load and the reserve. */
     private fun retire(
-        leader: Leader,
+        cluster: Cluster,
         churn: Double,
     ) {
-        if (clock.steadyMs - drainedAt < Tuning.RETIRE_MS) return
+        if (clock.steadyMs - drainedAt < AutoscalingTuning.RETIRE_MS) return
         drainedAt = clock.steadyMs
-        while (retireOne(leader, churn)) Unit
+        while (retireOne(cluster, churn)) Unit
     }
 
     private fun retireOne(
-        leader: Leader,
+        cluster: Cluster,
         churn: Double,
     ): Boolean {
-        val active = leader.machines.values.filter { it.inService }
+        val active = cluster.machines.values.filter { it.inService }
         val capacity = active.sumOf { it.machineType.vcpus }
         val used = load.value
         val ordinary = active.sumOf { if (it.spot) 0.0 else it.machineType.vcpus }
-        val reserve = leader.reserve.cpus(churn, bootS())
+        val reserve = cluster.headroom.cpus(churn, bootS())
         val fixed = active.filter { !it.spot }.groupingBy { it.zone }.eachCount()
         val m =
             active
-                .filter { c -> clock.steadyMs - c.knownSince > Tuning.KEEP_MS }
+                .filter { c -> clock.steadyMs - c.knownSince > AutoscalingTuning.KEEP_MS }
                 .filter { capacity - it.machineType.vcpus >= used + reserve }
                 .filter { c -> c.spot || ordinary - c.machineType.vcpus >= ordinaryLoad.value }
                 .filter { c -> c.spot || (fixed[c.zone] ?: 0) > 1 }
                 .sortedWith(compareBy({ -price(it.machineType, it.spot) }, { it.usedCpus }))
-                .firstOrNull { leader.replicas.canMove(it, active) } ?: return false
+                .firstOrNull { cluster.replicas.canMove(it, active) } ?: return false
         m.draining = true
         log.info(
             "machine {} is not needed: {} of {} processors used, {} to spare",
@@ -542,17 +561,17 @@
             reserve.toInt(),
         )
         // Replicas of several machines would move to the same room, and some wait for their image elsewhere.
-        return !leader.replicas.move(m)
+        return !cluster.replicas.move(m)
     }
 
     /** What the tasks of [job] take if they belong on ordinary machines: they may not or should not run on spot. */
     private fun ordinaryCpus(
-        leader: Leader,
+        cluster: Cluster,
         job: Job,
-    ): Double = if (!leader.reliability.wantsOrdinary(job)) 0.0 else job.attempts.size * job.spec.vcpus
+    ): Double = if (!cluster.reliability.wantsOrdinary(job)) 0.0 else job.attempts.size * job.spec.vcpus
 
     /** Seconds until a machine of the quickest type is up. */
-    fun bootS() = jobStore().machineTypes.values.minOfOrNull { it.bootS } ?: 0.0
+    fun bootS() = jobStore.machineTypes.values.minOfOrNull { it.bootS } ?: 0.0
 
     private fun call(
         method: String,
@@ -561,7 +580,7 @@
         done: (Reply) -> Unit,
     ) {
         bucket.take(1)
-        transport.call(address, method, target, body, Tuning.CLOUD_MS, done)
+        transport.call(address, method, target, body, AutoscalingTuning.CLOUD_MS, done)
     }
 
     private inline fun <T> parse(
--- a/src/main/kotlin/ledgearch/autoscaling/Demand.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Demand.kt
@@ -1,6 +1,5 @@
 package ledgearch.autoscaling
 
-import ledgearch.control.Leader
 import ledgearch.model.FreeResources
 import ledgearch.model.Job
 import ledgearch.model.ZoneSpread
@@ -63,16 +62,16 @@
     companion object {
         fun of(
             jobs: Collection<Job>,
-            leader: Leader,
+            cluster: Cluster,
             clock: Clock,
         ): List<Demand> {
             val perTeam = HashMap<String, Double>()
             val waiting =
                 jobs.filter { it.startable(clock.steadyMs) }.sortedWith(compareBy({ it.priority }, { it.readyAt }))
-            return (leader.recovery?.arrange(listOf(waiting))?.single() ?: waiting)
+            return (cluster.recovery?.arrange(listOf(waiting))?.single() ?: waiting)
                 .mapNotNull { job ->
                     val taken = perTeam[job.spec.team] ?: 0.0
-                    val tasks = minOf(job.pendingCount, leader.teams.roomFor(job, taken))
+                    val tasks = minOf(job.pendingCount, cluster.teams.roomFor(job, taken))
                     if (tasks <= 0) return@mapNotNull null
                     perTeam[job.spec.team] = taken + tasks * job.spec.vcpus
                     Demand(job, tasks)
--- a/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -1,10 +1,10 @@
 package ledgearch.autoscaling
 
-import ledgearch.Tuning
 import ledgearch.config.Settings
 import ledgearch.config.startWithinS
 import ledgearch.model.Job
 import ledgearch.runtime.Clock
+import ledgearch.scheduling.SchedulingTuning
 import kotlin.math.exp
 import kotlin.math.sqrt
 
@@ -26,7 +26,7 @@
         private var at = 0L
 
         fun fade(nowMs: Long) {
-            val left = exp(-(nowMs - at) / Tuning.ARRIVALS_MS.toDouble())
+            val left = exp(-(nowMs - at) / AutoscalingTuning.ARRIVALS_MS.toDouble())
             jobs *= left
             cpus *= left
             squares *= left
@@ -71,7 +71,13 @@
         bootS: Double,
     ): Double {
         val (processors, within) = expected(bootS) { true }
-        return if (processors == 0.0) 0.0 else (processors - churn * within * Tuning.CHURN_COUNTED).coerceAtLeast(0.0)
+        return if (processors ==
+            0.0
+        ) {
+            0.0
+        } else {
+            (processors - churn * within * SchedulingTuning.CHURN_COUNTED).coerceAtLeast(0.0)
+        }
     }
 
     /** Processors of ordinary machines that classes which may go nowhere else are likely to need within a boot time. */
@@ -88,7 +94,7 @@
             val wait = withinS[name] ?: continue
             if (wait >= bootS || !counted(a)) continue
             a.fade(clock.steadyMs)
-            val horizons = bootS * 1000.0 / Tuning.ARRIVALS_MS
+            val horizons = bootS * 1000.0 / AutoscalingTuning.ARRIVALS_MS
             expected += a.cpus * horizons
             variance += a.squares * horizons
             within = minOf(within, wait)
--- a/src/main/kotlin/ledgearch/autoscaling/RentalHints.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/RentalHints.kt
@@ -1,6 +1,5 @@
 package ledgearch.autoscaling
 
-import ledgearch.Tuning
 import ledgearch.runtime.Clock
 
 /** A machine that the leader before may have rented. */
@@ -23,7 +22,7 @@
 
     fun add(hint: RentalHint) {
         hints[hint.name] = hint
-        until = clock.steadyMs + Tuning.RENTED_HINT_MS
+        until = clock.steadyMs + AutoscalingTuning.RENTED_HINT_MS
     }
 
     fun clear() = hints.clear()
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -6,7 +6,6 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
-import ledgearch.Tuning
 import ledgearch.api.errorResponse
 import ledgearch.config.Settings
 import ledgearch.control.Controller
@@ -14,6 +13,7 @@
 import ledgearch.http.EventLoop
 import ledgearch.http.HttpClient
 import ledgearch.http.HttpServer
+import ledgearch.http.HttpTuning
 import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
@@ -22,6 +22,7 @@
 import ledgearch.peers.MeshEvents
 import ledgearch.peers.MeshLinks
 import ledgearch.peers.StandbyEvent
+import ledgearch.runtime.RuntimeTuning
 import ledgearch.runtime.Transport
 import org.slf4j.LoggerFactory
 import java.io.IOException
@@ -38,7 +39,7 @@
     private val failures = CoroutineExceptionHandler { _, e -> crash.uncaught(e) }
     private val scope = CoroutineScope(loop + SupervisorJob() + failures)
     private val group = loop.group
-    private val client = HttpClient(group, (settings.deployment.quota.fdLimit * Tuning.OUTGOING_SHARE).toInt())
+    private val client = HttpClient(group, (settings.deployment.quota.fdLimit * DaemonTuning.OUTGOING_SHARE).toInt())
     private val queue = OwnerQueue()
     private val random = Random(System.nanoTime() xor settings.node.hashCode().toLong())
     private val mesh = MeshLinks(scope, group, OwnerEvents(), settings.operator.standby.enabled)
@@ -52,8 +53,8 @@
      * controllers are refused as long: if this node led before it ended, they take the block without waiting for it.
      */
     fun start() {
-        val sockets = (settings.deployment.quota.fdLimit * Tuning.INCOMING_SHARE).toInt()
-        val staleMs = (settings.deployment.workers.reportS * 1000 * Tuning.STALE_REPORTS).toLong()
+        val sockets = (settings.deployment.quota.fdLimit * DaemonTuning.INCOMING_SHARE).toInt()
+        val staleMs = (settings.deployment.workers.reportS * 1000 * DaemonTuning.STALE_REPORTS).toLong()
         val server = HttpServer(scope, group, sockets, { it.path == "/checkin" }, staleMs, ::handle)
         checkFree(settings.listen)
         checkFree(settings.meshAddress)
@@ -61,13 +62,13 @@
         scope.launch { listenWhenReady(server) }
         scope.launch {
             while (true) {
-                delay(Tuning.TICK_MS)
+                delay(RuntimeTuning.TICK_MS)
                 queue.tick()
             }
         }
         scope.launch {
             while (true) {
-                delay(Tuning.POOLED_IDLE_MS / 2)
+                delay(HttpTuning.POOLED_IDLE_MS / 2)
                 client.sweep()
                 log.debug(
                     "sockets: {} incoming, {} outgoing, {} commands wait",
@@ -80,8 +81,8 @@
     }
 
     private suspend fun listenWhenReady(server: HttpServer) {
-        withTimeoutOrNull(Tuning.LISTEN_WAIT_MS) {
-            while (!controller.isReady) delay(Tuning.TICK_MS)
+        withTimeoutOrNull(DaemonTuning.LISTEN_WAIT_MS) {
+            while (!controller.isReady) delay(RuntimeTuning.TICK_MS)
         }
         listen(settings.meshAddress, mesh::listen)
         listen(settings.listen, server::start)
--- a/src/main/kotlin/ledgearch/cli/OwnerLoop.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerLoop.kt
@@ -1,6 +1,5 @@
 package ledgearch.cli
 
-import ledgearch.Tuning
 import ledgearch.control.OwnerCommand
 
 /** Takes the owner's commands from its queue in batches; it ends only with the process. */
@@ -20,7 +19,7 @@
     }
 
     private suspend fun workForEver() {
-        val batch = ArrayList<OwnerCommand>(Tuning.BATCH)
+        val batch = ArrayList<OwnerCommand>(DaemonTuning.BATCH)
         while (true) {
             batch.clear()
             queue.take(batch)
--- a/src/main/kotlin/ledgearch/cli/Version.kt
+++ b/src/main/kotlin/ledgearch/cli/Version.kt
@@ -1,5 +1,6 @@
 package ledgearch.cli
 
+/** The version of this build. */
 internal object Version {
     val text: String by lazy {
         Version::class.java
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -11,7 +11,7 @@
 import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
-import ledgearch.peers.JobProgress
+import ledgearch.model.JobProgress
 import ledgearch.peers.LeaderStatus
 import ledgearch.peers.MeshEvents
 import ledgearch.peers.MeshLinks
--- a/src/main/kotlin/ledgearch/client/ControllerStatus.kt
+++ b/src/main/kotlin/ledgearch/client/ControllerStatus.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.SerializationException
 import ledgearch.http.HttpClient
-import ledgearch.runtime.MetricsReport
+import ledgearch.status.MetricsReport
 import ledgearch.wire.WireJson
 
 /** What one controller answered when it was asked how it is. */
--- a/src/main/kotlin/ledgearch/client/StatusText.kt
+++ b/src/main/kotlin/ledgearch/client/StatusText.kt
@@ -2,8 +2,8 @@
 
 import ledgearch.recovery.RecoveryReport
 import ledgearch.recovery.ZoneReport
-import ledgearch.runtime.MetricsReport
 import ledgearch.standby.StandbyReport
+import ledgearch.status.MetricsReport
 import java.util.Locale
 
 /** The status of a controller as text for people: one line, and one more for each feature that is switched on. */
--- a/src/main/kotlin/ledgearch/config/OperatorSettings.kt
+++ b/src/main/kotlin/ledgearch/config/OperatorSettings.kt
@@ -1,7 +1,6 @@
 package ledgearch.config
 
 import kotlinx.serialization.Serializable
-import ledgearch.Tuning
 
 /**
  * What operators may set beyond the platform's file; `ledgearch-operator.schema.json` says what is allowed. Without
@@ -12,11 +11,11 @@
     /** Spot machines may be rented for jobs that allow them. */
     val spot: Boolean = true,
     /** Machines of the block beyond which none is rented. */
-    val maxMachines: Int = Tuning.MAX_MACHINES,
+    val maxMachines: Int = ConfigTuning.MAX_MACHINES,
     /** Standard deviations of what a boot time brings that are kept free beyond what is expected. */
-    val reserveDeviations: Double = Tuning.RESERVE_DEVIATIONS,
+    val reserveDeviations: Double = ConfigTuning.RESERVE_DEVIATIONS,
     /** Seconds after which users who are turned away are told to come back. */
-    val retryAfterS: Int = Tuning.RETRY_AFTER_S,
+    val retryAfterS: Int = ConfigTuning.RETRY_AFTER_S,
     val standby: StandbySettings = StandbySettings(),
     val zoneRecovery: ZoneRecoverySettings = ZoneRecoverySettings(),
 )
--- a/src/main/kotlin/ledgearch/config/Settings.kt
+++ b/src/main/kotlin/ledgearch/config/Settings.kt
@@ -17,6 +17,7 @@
     @Transient val operator: OperatorSettings = OperatorSettings(),
 )
 
+/** Another controller of the deployment. */
 @Serializable
 data class Member(
     val node: String,
@@ -24,12 +25,14 @@
     val addr: String,
 )
 
+/** Addresses (HOST:PORT) of the services that belong to no zone. */
 @Serializable
 data class OutsideAddresses(
     val cloud: String,
     val state: String,
 )
 
+/** What the platform says of the deployment: zones, teams, aims and the limits of everything around. */
 @Serializable
 data class Deployment(
     val zones: List<String> = emptyList(),
@@ -42,6 +45,7 @@
     @SerialName("clock_off_ms") val clockOffMs: Double = 0.0,
 )
 
+/** A team's guaranteed share and its quota; 0 means none. */
 @Serializable
 data class Team(
     val name: String,
@@ -51,6 +55,7 @@
     @SerialName("gpus_max") val gpusMax: Double = 0.0,
 )
 
+/** A service-level objective, as the settings state it. */
 @Serializable
 data class Objective(
     val kind: String,
@@ -67,6 +72,7 @@
         .groupBy { it.jobClass.orEmpty() }
         .mapValues { (_, list) -> list.minOf { it.withinS ?: 0.0 } }
 
+/** Times of the workers (seconds): between heartbeats, of their lease, and within which a cancellation takes effect. */
 @Serializable
 data class WorkerTimes(
     @SerialName("report_s") val reportS: Double,
@@ -103,12 +109,14 @@
     @SerialName("txn_ops") val txnOps: Int? = null,
 )
 
+/** The limits of the cloud's interface: calls a second, and how late its lists are (seconds). */
 @Serializable
 data class CloudLimits(
     val rps: Double,
     @SerialName("list_lag_s") val listLagS: Double = 0.0,
 )
 
+/** What a controller's process may use. */
 @Serializable
 data class NodeQuota(
     val cpu: Double = 1.0,
--- a/src/main/kotlin/ledgearch/config/SettingsLoader.kt
+++ b/src/main/kotlin/ledgearch/config/SettingsLoader.kt
@@ -4,7 +4,6 @@
 import kotlinx.serialization.json.Json
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.jsonObject
-import ledgearch.Tuning
 import java.io.IOException
 import java.nio.file.Files
 import java.nio.file.NoSuchFileException
@@ -30,6 +29,7 @@
         throw SettingsException("$path: ${e.message?.lineSequence()?.first()}")
     }
 
+/** Reads, checks and prints the platform's settings file. */
 object SettingsLoader {
     private val json = Json { ignoreUnknownKeys = true }
     private val printer by lazy {
@@ -116,13 +116,14 @@
     /** No memory is told of by 0. */
     private fun tooSmall(quota: NodeQuota): String? =
         when {
-            quota.memoryMb > 0.0 && quota.memoryMb < Tuning.LEAST_MEMORY_MB -> {
+            quota.memoryMb > 0.0 && quota.memoryMb < ConfigTuning.LEAST_MEMORY_MB -> {
                 "deployment.quota.memory_mb: ${quota.memoryMb} can't hold the service; " +
-                    "it takes ${Tuning.LEAST_MEMORY_MB}"
+                    "it takes ${ConfigTuning.LEAST_MEMORY_MB}"
             }
 
-            quota.fdLimit < Tuning.LEAST_SOCKETS -> {
-                "deployment.quota.fd_limit: ${quota.fdLimit} can't hold the service; it takes ${Tuning.LEAST_SOCKETS}"
+            quota.fdLimit < ConfigTuning.LEAST_SOCKETS -> {
+                "deployment.quota.fd_limit: ${quota.fdLimit} can't hold the service; " +
+                    "it takes ${ConfigTuning.LEAST_SOCKETS}"
             }
 
             else -> {
@@ -131,7 +132,7 @@
         }
 
     private fun tooFewChanges(limits: StateLimits): String? {
-        if (limits.safeTxnOps >= Tuning.FEW_CHANGES) return null
+        if (limits.safeTxnOps >= ConfigTuning.FEW_CHANGES) return null
         return "deployment.state.txn_ops: ${limits.safeTxnOps} is too little; " +
             "what closes a job takes two changes in one transaction"
     }
@@ -140,16 +141,16 @@
     fun warnings(s: Settings): List<String> {
         val quota = s.deployment.quota
         return listOfNotNull(
-            "deployment.quota.memory_mb: ${quota.memoryMb} is little; the service takes up to ${Tuning.MEMORY_MB}"
+            "deployment.quota.memory_mb: ${quota.memoryMb} is little; the service takes up to ${ConfigTuning.MEMORY_MB}"
                 .takeIf {
                     quota.memoryMb >
                         0.0 &&
-                        quota.memoryMb < Tuning.MEMORY_MB
+                        quota.memoryMb < ConfigTuning.MEMORY_MB
                 },
             tooFewChanges(s.deployment.state),
             "deployment.quota.fd_limit: ${quota.fdLimit} is little; every worker and user needs one".takeIf {
                 quota.fdLimit <
-                    Tuning.FEW_SOCKETS
+                    ConfigTuning.FEW_SOCKETS
             },
         ) +
             s.deployment.teams
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -1,6 +1,5 @@
 package ledgearch.control
 
-import ledgearch.Tuning
 import ledgearch.api.LeadershipView
 import ledgearch.api.UserApi
 import ledgearch.api.errorResponse
@@ -8,6 +7,7 @@
 import ledgearch.config.Settings
 import ledgearch.election.Election
 import ledgearch.election.ElectionListener
+import ledgearch.election.ElectionTuning
 import ledgearch.http.Reply
 import ledgearch.http.Request
 import ledgearch.http.Response
@@ -15,7 +15,7 @@
 import ledgearch.jobs.JobStore
 import ledgearch.jobs.JobStoreListener
 import ledgearch.model.Job
-import ledgearch.peers.JobProgress
+import ledgearch.model.JobProgress
 import ledgearch.peers.LeaderStatus
 import ledgearch.peers.Mesh
 import ledgearch.peers.StandbyEvent
@@ -24,11 +24,12 @@
 import ledgearch.runtime.Clock
 import ledgearch.runtime.MeteredTransport
 import ledgearch.runtime.Metrics
-import ledgearch.runtime.MetricsReport
 import ledgearch.runtime.StallCompensation
 import ledgearch.runtime.Transport
 import ledgearch.standby.LeaderSnapshot
+import ledgearch.standby.StandbyTuning
 import ledgearch.standby.WarmStandby
+import ledgearch.status.MetricsReport
 import ledgearch.store.StoreClient
 import ledgearch.wire.Condition
 import ledgearch.wire.Heartbeat
@@ -83,7 +84,7 @@
     private val random: Random,
     instance: Long,
     nanos: () -> Long,
-    finalsKept: Long = Tuning.FINAL_CACHE,
+    finalsKept: Long = ControlTuning.FINAL_CACHE,
     private val stepFailed: (RuntimeException) -> Unit = ::logFailure,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.core")
@@ -96,11 +97,11 @@
         StoreClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, clock)
     private val jobStore = JobStore(state, clock, JobStoreEvents(), DependencyEvents(), finalsKept)
     private val election: Election =
-        Election(node, instance, state, { jobStore }, clock, random, ElectionEvents(), ::claimDelayMs)
+        Election(node, instance, state, jobStore, clock, random, ElectionEvents(), ::claimDelayMs)
     private val recordWriter = RecordWriter(state, election, jobStore, clock, settings.deployment.state.safeValueBytes)
     private val stalls = StallCompensation(clock, metrics)
     private val fleet: Autoscaler =
-        Autoscaler(settings, metered, { election }, { jobStore }, clock, stalls) { recordWriter }
+        Autoscaler(settings, metered, election, jobStore, clock, stalls, recordWriter)
     private val leader =
         Leader(settings, state, metered, election, jobStore, clock, recordWriter, fleet, metrics, stalls)
     private val intake = UserApi(settings, jobStore, state, LeadershipEvents(), clock)
@@ -108,7 +109,7 @@
     /** Null unless the operators have switched it on. */
     val standby: WarmStandby? =
         if (settings.operator.standby.enabled) {
-            val image = LeaderSnapshot(leader, jobStore, fleet, Tuning.REPLICA_BYTES)
+            val image = LeaderSnapshot(leader.machines, leader.estimates, jobStore, fleet, StandbyTuning.REPLICA_BYTES)
             WarmStandby(node, mesh, clock, settings.deployment.quota.cpu, image)
         } else {
             null
@@ -193,7 +194,7 @@
     /** For finding out from a log what a busy node is busy with. */
     private fun logLoad() {
         if (!log.isDebugEnabled || clock.steadyMs < loadLogAt) return
-        loadLogAt = clock.steadyMs + Tuning.LOG_LOAD_MS
+        loadLogAt = clock.steadyMs + ControlTuning.LOG_LOAD_MS
         log.debug("owner's time so far, in ms: {}", metrics.spentMs())
     }
 
@@ -206,7 +207,7 @@
     /** The leader's other half of a poll: the rest of the nodes know a job's progress only from here. */
     private fun tellProgress() {
         if (!election.isLeader || clock.steadyMs < publishAt) return
-        publishAt = clock.steadyMs + Tuning.PUBLISH_MS
+        publishAt = clock.steadyMs + ControlTuning.PUBLISH_MS
         val all = mesh.joined != publishedTo
         publishedTo = mesh.joined
         val news =
@@ -215,7 +216,7 @@
                 if (!all && p == job.lastProgress) null else p.also { job.lastProgress = it }
             }
         // Empty frames too: they show that this node lives.
-        val served = clock.steadyMs - state.lastAnswer < Tuning.LEADER_UNSERVED_MS
+        val served = clock.steadyMs - state.lastAnswer < ControlTuning.LEADER_UNSERVED_MS
         mesh.publish(LeaderStatus(news, served, leader.recovery?.statuses().orEmpty()))
     }
 
@@ -266,22 +267,23 @@
     }
 
     private fun report() =
-        metrics.report(
-            node,
-            election.token,
-            jobStore.jobs.size,
-            leader.machines.size,
-            leader.machines.values.sumOf {
-                it.attempts.size
-            },
-            standby?.report(election.isLeader),
-            if (election.isLeader) leader.recovery?.report() else null,
+        MetricsReport(
+            node = node,
+            token = election.token,
+            openJobs = jobStore.jobs.size,
+            machines = leader.machines.size,
+            tasks = leader.machines.values.sumOf { it.attempts.size },
+            owner = metrics.ownerLoad(),
+            counters = metrics.counters(),
+            latencyMs = metrics.latencies(),
+            standby = standby?.report(election.isLeader),
+            recovery = if (election.isLeader) leader.recovery?.report() else null,
         )
 
     /** The more current replica has a head start; the longest wait is the same with and without it. */
     private fun claimDelayMs(): Long {
-        val headStartMs = standby?.headStartMs() ?: return random.nextLong(Tuning.ELECTION_SPREAD_MS)
-        return headStartMs + random.nextLong(Tuning.ELECTION_SPREAD_MS - Tuning.HEAD_START_MS)
+        val headStartMs = standby?.headStartMs() ?: return random.nextLong(ElectionTuning.ELECTION_SPREAD_MS)
+        return headStartMs + random.nextLong(ElectionTuning.ELECTION_SPREAD_MS - ElectionTuning.HEAD_START_MS)
     }
 
     /**
@@ -292,8 +294,8 @@
     private fun healthy() =
         jobStore.loaded && jobStore.machineTypes.isNotEmpty() &&
             (
-                clock.steadyMs - state.lastAnswer < Tuning.STATE_SILENT_MS ||
-                    clock.steadyMs - leaderUnservedAt < Tuning.OUTAGE_HEARD_MS
+                clock.steadyMs - state.lastAnswer < ControlTuning.STATE_SILENT_MS ||
+                    clock.steadyMs - leaderUnservedAt < ControlTuning.OUTAGE_HEARD_MS
             )
 
     private fun heartbeat(
--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -1,6 +1,5 @@
 package ledgearch.control
 
-import ledgearch.Tuning
 import ledgearch.jobs.JobStore
 import ledgearch.model.Machine
 import ledgearch.model.TeamQuotas
@@ -12,6 +11,7 @@
 import ledgearch.store.ReadResult
 import ledgearch.store.RequestClass
 import ledgearch.store.StoreClient
+import ledgearch.store.StoreTuning
 import ledgearch.wire.KeyValue
 import org.slf4j.LoggerFactory
 
@@ -81,7 +81,7 @@
                 }
 
                 else -> {
-                    retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
+                    retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
                 }
             }
         }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -1,10 +1,11 @@
 package ledgearch.control
 
-import ledgearch.Tuning
+import ledgearch.agents.AgentTuning
 import ledgearch.agents.CommandDispatcher
 import ledgearch.agents.FailureDetector
 import ledgearch.agents.TaskStatusHandler
 import ledgearch.autoscaling.Autoscaler
+import ledgearch.autoscaling.Cluster
 import ledgearch.autoscaling.Headroom
 import ledgearch.config.Settings
 import ledgearch.election.Election
@@ -16,6 +17,7 @@
 import ledgearch.model.TaskAttempt
 import ledgearch.model.TeamQuotas
 import ledgearch.persistence.RecordWriter
+import ledgearch.recovery.RecoveryTuning
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
 import ledgearch.runtime.Metrics
@@ -53,20 +55,20 @@
     private val fleet: Autoscaler,
     private val metrics: Metrics,
     private val stalls: StallCompensation,
-) {
-    private val log = LoggerFactory.getLogger("ledgearch.core")
+) : Cluster {
+    private val log = LoggerFactory.getLogger("ledgearch.control")
 
-    val machines = LinkedHashMap<String, Machine>()
-    val teams = TeamQuotas(settings.deployment.teams)
-    val estimates = Estimates()
-    val reserve = Headroom(settings, clock)
+    override val machines = LinkedHashMap<String, Machine>()
+    override val teams = TeamQuotas(settings.deployment.teams)
+    override val estimates = Estimates()
+    override val headroom = Headroom(settings, clock)
     private val deadlines =
         Deadlines(settings.deployment.objectives, estimates, clock, jobStore.dependencies::dependentsOf)
 
     /** Null unless the operators have switched it on. */
-    val recovery: ZoneRecovery? = zoneRecovery(settings, clock)
+    override val recovery: ZoneRecovery? = zoneRecovery(settings, clock)
     private val ranking = Ranking(settings.deployment.objectives, estimates, clock, deadlines)
-    val reliability = Reliability(estimates, ranking)
+    override val reliability = Reliability(estimates, ranking)
     private val placer =
         Placer(
             machines,
@@ -86,9 +88,9 @@
             election,
             clock,
             stalls,
-            Tuning.probesAtOnce(settings.deployment.quota.cpu),
-            Tuning.callsAtOnce(settings.deployment.quota.fdLimit),
-            (settings.deployment.workers.reportS * 1000 * Tuning.DUE_REPORTS).toLong(),
+            AgentTuning.probesAtOnce(settings.deployment.quota.cpu),
+            AgentTuning.callsAtOnce(settings.deployment.quota.fdLimit),
+            (settings.deployment.workers.reportS * 1000 * AgentTuning.DUE_REPORTS).toLong(),
             { machines[it.name] === it },
             ::answered,
             ::restarted,
@@ -120,7 +122,7 @@
         TaskStatusHandler(jobStore, machines, estimates, recordWriter, metrics, clock, dispatcher::enqueue, ::changed) {
             recovery?.lost(it)
         }
-    val replicas = ReplicaMover(clock, placer::usable) { stop(it) }
+    override val replicas = ReplicaMover(clock, placer::usable) { stop(it) }
 
     /** What a replica of the replaced leader's state suggests; it proves nothing. */
     private var hints: FailoverHints? = null
@@ -185,7 +187,7 @@
     }
 
     fun jobOpened(job: Job) {
-        if (!job.waitsForOthers) reserve.opened(job)
+        if (!job.waitsForOthers) headroom.opened(job)
         log.debug(
             "{} opened: {} {} tasks of {} processors for {}, estimate {} s, image {} of {} GB",
             job.id,
@@ -208,7 +210,7 @@
 
     /** Every job that [job] depends on is done. */
     fun jobReleased(job: Job) {
-        reserve.opened(job)
+        headroom.opened(job)
         if (term == 0L) return
         log.debug("{} may start: all that it depends on is done", job.id)
         guaranteesDirty = true
@@ -248,7 +250,7 @@
         dirty = true
     }
 
-    fun changed() {
+    override fun changed() {
         dirty = true
     }
 
@@ -278,7 +280,7 @@
     private fun useHints() {
         val used = hints ?: return
         hints = null
-        used.takenOver(this, jobStore, fleet, clock)
+        used.takenOver(machines, estimates, jobStore, fleet, clock)
         val ordered = used.inProbeOrder(unconfirmed)
         unconfirmed.clear()
         unconfirmed.addAll(ordered)
@@ -327,7 +329,7 @@
                 report.sequence < machine.heartbeatSequence ||
                     (
                         report.sequence == machine.heartbeatSequence &&
-                            clock.steadyMs - machine.sequenceFirstSeenAt > Tuning.ANSWER_AWAITED_MS
+                            clock.steadyMs - machine.sequenceFirstSeenAt > ControlTuning.ANSWER_AWAITED_MS
                     )
             )
     )
@@ -479,7 +481,7 @@
         machine: Machine,
     ) {
         metrics.count("task.started")
-        val number = (term shl Tuning.ATTEMPT_BITS) or ++attemptSeq
+        val number = (term shl ControlTuning.ATTEMPT_BITS) or ++attemptSeq
         val attempt = TaskAttempt(job, "${job.id}/$index", index, number, machine, clock.steadyMs)
         machine.attach(attempt)
         job.place(attempt)
@@ -526,27 +528,27 @@
     // --- Time -------------------------------------------------------------------------------------------------
 
     private fun areasBefore(): Set<String> {
-        val leaders = jobStore.recentLeaders(settings.node, Tuning.CUT_ZONE_MS)
+        val leaders = jobStore.recentLeaders(settings.node, RecoveryTuning.CUT_ZONE_MS)
         return settings.members.filter { it.node in leaders }.mapTo(HashSet()) { it.area }
     }
 
     /** Next to nothing is heard from some zone, or one is not yet back as it was. */
-    val anyZoneUnsettled get() = failureDetector.anyCutOff || recovery?.anyUnsettled == true
+    override val anyZoneUnsettled get() = failureDetector.anyCutOff || recovery?.anyUnsettled == true
 
     /** Next to nothing is heard from this zone. */
-    fun isCutOff(zone: String) = failureDetector.isCutOff(zone) || recovery?.isLost(zone) == true
+    override fun isCutOff(zone: String) = failureDetector.isCutOff(zone) || recovery?.isLost(zone) == true
 
     fun drive() {
         if (term == 0L || !election.isLeader) return
         if (!ready) takeOver()
         if (!ready) return
         // A number used twice could be taken for the attempt that a replica has run under since long ago.
-        if (attemptSeq > Tuning.ATTEMPTS_PER_TERM) return election.stepDown("attempt numbers are used up")
+        if (attemptSeq > ControlTuning.ATTEMPTS_PER_TERM) return election.stepDown("attempt numbers are used up")
         confirm()
         closeCancelled()
         metrics.spend("silence") { failureDetector.drive() }
         if (!election.isLeader) return
-        if (clock.steadyMs - countedAt > Tuning.COUNT_MS) {
+        if (clock.steadyMs - countedAt > ControlTuning.COUNT_MS) {
             countedAt = clock.steadyMs
             reliability.count(machines.values, clock.steadyMs)
             shelter()
@@ -559,7 +561,7 @@
 
     /** Places what waits when something has changed, and now and then since time alone may open a way. */
     private fun place() {
-        if (!dirty && clock.steadyMs - passAt < Tuning.IDLE_PASS_MS) return
+        if (!dirty && clock.steadyMs - passAt < ControlTuning.IDLE_PASS_MS) return
         if (!stalls.mayPass()) return
         passAt = clock.steadyMs
         dirty = false
@@ -579,7 +581,7 @@
                     !it.waitsForOthers
                 },
                 machines.values,
-                reserve.ordinaryCpus(fleet.bootS()),
+                headroom.ordinaryCpus(fleet.bootS()),
             )
         }
 
@@ -610,7 +612,7 @@
     }
 
     /** The machine and everything on it are gone. */
-    fun machineGone(machine: Machine) {
+    override fun machineGone(machine: Machine) {
         metrics.count("machine.gone")
         machine.attempts.values
             .toList()
@@ -639,7 +641,7 @@
     clock: Clock,
 ): ZoneRecovery? {
     if (!settings.operator.zoneRecovery.enabled) return null
-    val detectionMs = settings.deployment.workers.reportS * MS_PER_S * Tuning.LOST_REPORTS
+    val detectionMs = settings.deployment.workers.reportS * MS_PER_S * AgentTuning.LOST_REPORTS
     return ZoneRecovery(settings.operator.zoneRecovery, clock, detectionMs.toLong())
 }
 
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -1,6 +1,5 @@
 package ledgearch.election
 
-import ledgearch.Tuning
 import ledgearch.jobs.JobStore
 import ledgearch.records.Keys
 import ledgearch.records.LeadershipRecord
@@ -11,12 +10,14 @@
 import ledgearch.store.ReadResult
 import ledgearch.store.RequestClass
 import ledgearch.store.StoreClient
+import ledgearch.store.StoreTuning
 import ledgearch.store.TransactionResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
 
+/** Told when this node's leadership begins, changes its token or ends. */
 internal interface ElectionListener {
     /** This node holds the block under [token]. [newTerm]: by a new grant, not by a renewed token of its own. */
     fun elected(
@@ -24,6 +25,7 @@
         newTerm: Boolean,
     )
 
+    /** This node leads no more. */
     fun lost()
 }
 
@@ -36,12 +38,12 @@
     private val node: String,
     private val instance: Long,
     private val state: StoreClient,
-    private val jobStore: () -> JobStore,
+    private val jobStore: JobStore,
     private val clock: Clock,
     private val random: Random,
     private val listener: ElectionListener,
     /** ms that this node waits before it claims a free grant. */
-    private val claimDelayMs: () -> Long = { random.nextLong(Tuning.ELECTION_SPREAD_MS) },
+    private val claimDelayMs: () -> Long = { random.nextLong(ElectionTuning.ELECTION_SPREAD_MS) },
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.leader")
     private var leaseId = 0L
@@ -71,7 +73,7 @@
     val isLeader: Boolean get() = token != 0L
 
     /** The grant was still this node's so lately that its lease can't have run out since. */
-    val hasValidLease: Boolean get() = isLeader && clock.steadyMs - confirmedAt < Tuning.LEASE_MS
+    val hasValidLease: Boolean get() = isLeader && clock.steadyMs - confirmedAt < StoreTuning.LEASE_MS
     val condition: Condition get() = Condition(Keys.leadership(0), token)
 
     /** A transaction with [condition] sent at [sentAt] under [under] went through. */
@@ -98,13 +100,16 @@
 
     /** The grant in the job store is the one held, the one that took its place, or this node holds nothing any more. */
     private fun compareJobStore() {
-        val b = jobStore()
-        if (isLeader && b.leadershipRevision > token &&
-            !renewed(b.leadership, b.leadershipRevision)
+        if (isLeader && jobStore.leadershipRevision > token &&
+            !renewed(jobStore.leadership, jobStore.leadershipRevision)
         ) {
-            loseLeadership("another grant was made: ${b.leadership?.node}")
+            loseLeadership("another grant was made: ${jobStore.leadership?.node}")
+        }
+        if (isLeader && jobStore.leadershipRevision == 0L &&
+            jobStore.revision >= token
+        ) {
+            loseLeadership("the grant's lease ran out")
         }
-        if (isLeader && b.leadershipRevision == 0L && b.revision >= token) loseLeadership("the grant's lease ran out")
     }
 
     fun loseLeadership(why: String) {
@@ -122,7 +127,7 @@
     ) {
         if (!isLeader) return
         val old = token
-        pausedUntil = clock.steadyMs + Tuning.STEP_DOWN_PAUSE_MS
+        pausedUntil = clock.steadyMs + ElectionTuning.STEP_DOWN_PAUSE_MS
         loseLeadership(why)
         releaseLeadership(old, if (silent) listOf(stepDownChange()) else emptyList())
     }
@@ -134,9 +139,9 @@
 
     /** A leader before this one has given the block up of late, and the change of leader did not help. */
     val steppedDownRecently: Boolean get() =
-        jobStore().lastStepDown.let {
+        jobStore.lastStepDown.let {
             it != null &&
-                clock.wallMs - it.at < Tuning.RECENT_STEP_DOWN_MS
+                clock.wallMs - it.at < ElectionTuning.RECENT_STEP_DOWN_MS
         }
 
     private fun releaseLeadership(
@@ -152,20 +157,19 @@
 
     fun drive() {
         driveLease()
-        val b = jobStore()
-        if (!b.loaded || leaseId == 0L) return
+        if (!jobStore.loaded || leaseId == 0L) return
         if (isLeader) {
             driveConfirmation()
             return
         }
-        val mine = b.leadership?.node == node
-        if (claiming || clock.steadyMs < claimAt || !(mine || b.leadershipRevision == 0L)) return
+        val mine = jobStore.leadership?.node == node
+        if (claiming || clock.steadyMs < claimAt || !(mine || jobStore.leadershipRevision == 0L)) return
         if (clock.steadyMs >= pausedUntil) {
             // Free, or left by an earlier life of this node, or by a claim whose answer was lost.
-            claim(b.leadershipRevision)
+            claim(jobStore.leadershipRevision)
         } else if (mine) {
-            claimAt = clock.steadyMs + Tuning.STATE_RETRY_MS
-            releaseLeadership(b.leadershipRevision)
+            claimAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+            releaseLeadership(jobStore.leadershipRevision)
         }
     }
 
@@ -174,18 +178,17 @@
      * live after all, it is deposed like any other; nothing unsafe can come of it.
      */
     fun challenge(leader: String) {
-        val b = jobStore()
-        if (isLeader || claiming || leaseId == 0L || !b.loaded || b.leadership?.node != leader) return
-        if (clock.steadyMs < pausedUntil || clock.steadyMs - challengedAt < Tuning.CHALLENGE_MS) return
+        if (isLeader || claiming || leaseId == 0L || !jobStore.loaded || jobStore.leadership?.node != leader) return
+        if (clock.steadyMs < pausedUntil || clock.steadyMs - challengedAt < ElectionTuning.CHALLENGE_MS) return
         challengedAt = clock.steadyMs
-        log.info("block 0: {} refuses connections; its grant {} is claimed", leader, b.leadershipRevision)
-        claim(b.leadershipRevision)
+        log.info("block 0: {} refuses connections; its grant {} is claimed", leader, jobStore.leadershipRevision)
+        claim(jobStore.leadershipRevision)
     }
 
     /**
-     * [leadership], made at [modRevision], is this life's own: a renewed token whose transaction was answered too late. It was
-     * written over the token held till then, so nobody else had the block in between. A claim of this life that is
-     * carried out late says no such thing.
+     * [leadership], made at [modRevision], is this life's own: a renewed token whose transaction was answered too late.
+     * It was written over the token held till then, so nobody else had the block in between. A claim of this life that
+     * is carried out late says no such thing.
      */
     private fun renewed(
         leadership: LeadershipRecord?,
@@ -206,7 +209,7 @@
 
     /** A new token for the same leader: fences direct commands that were lost on their way. */
     fun renewToken() {
-        if (!isLeader || renewingToken || clock.steadyMs - tokenRenewedAt < Tuning.TOKEN_RENEWAL_MS) return
+        if (!isLeader || renewingToken || clock.steadyMs - tokenRenewedAt < ElectionTuning.TOKEN_RENEWAL_MS) return
         renewingToken = true
         tokenRenewedAt = clock.steadyMs
         val old = token
@@ -225,7 +228,11 @@
                 }
 
                 // Perhaps written: the job store shows it, now or later.
-                TransactionResult.Unknown, TransactionResult.LeaseExpired, TransactionResult.Refused, TransactionResult.TooLarge -> {
+                TransactionResult.Unknown,
+                TransactionResult.LeaseExpired,
+                TransactionResult.Refused,
+                TransactionResult.TooLarge,
+                -> {
                     compareJobStore()
                 }
             }
@@ -263,10 +270,8 @@
     }
 
     /** The watch has already shown what came after the grant made at [revision]. */
-    private fun superseded(revision: Long): Boolean {
-        val b = jobStore()
-        return b.leadershipRevision > revision || (b.leadershipRevision == 0L && b.revision > revision)
-    }
+    private fun superseded(revision: Long): Boolean =
+        jobStore.leadershipRevision > revision || (jobStore.leadershipRevision == 0L && jobStore.revision > revision)
 
     private fun put(renews: Long = 0) =
         Change(
@@ -278,7 +283,11 @@
     private fun claim(modRevision: Long) {
         claiming = true
         val sentAt = clock.steadyMs
-        state.transact(listOf(Condition(Keys.leadership(0), modRevision)), listOf(put()), RequestClass.CRITICAL) { result ->
+        state.transact(
+            listOf(Condition(Keys.leadership(0), modRevision)),
+            listOf(put()),
+            RequestClass.CRITICAL,
+        ) { result ->
             claiming = false
             when (result) {
                 is TransactionResult.Committed -> {
@@ -295,7 +304,8 @@
                 }
 
                 else -> {
-                    claimAt = clock.steadyMs + Tuning.STATE_RETRY_MS + random.nextLong(Tuning.ELECTION_SPREAD_MS)
+                    claimAt =
+                        clock.steadyMs + StoreTuning.STATE_RETRY_MS + random.nextLong(ElectionTuning.ELECTION_SPREAD_MS)
                 }
             }
         }
@@ -304,26 +314,30 @@
     private fun driveLease() {
         if (leaseBusy || clock.steadyMs < keepAliveAt) return
         leaseBusy = true
-        keepAliveAt = clock.steadyMs + Tuning.KEEP_ALIVE_MS
+        keepAliveAt = clock.steadyMs + ElectionTuning.KEEP_ALIVE_MS
         if (leaseId == 0L) {
             state.openLease { new ->
                 leaseBusy = false
                 leaseId = new ?: 0
-                if (new == null) keepAliveAt = clock.steadyMs + Tuning.STATE_RETRY_MS
+                if (new == null) keepAliveAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
             }
         } else {
             state.keepAlive(leaseId) { alive ->
                 leaseBusy = false
                 if (alive == false) leaseId = 0
-                if (alive != true) keepAliveAt = clock.steadyMs + Tuning.STATE_RETRY_MS
+                if (alive != true) keepAliveAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
             }
         }
     }
 
     private fun driveConfirmation() {
-        if (confirming || renewingToken || clock.steadyMs - confirmedAt < Tuning.CONFIRM_LEADERSHIP_MS || clock.steadyMs < confirmTryAt) return
+        if (confirming || renewingToken || clock.steadyMs - confirmedAt < ElectionTuning.CONFIRM_LEADERSHIP_MS ||
+            clock.steadyMs < confirmTryAt
+        ) {
+            return
+        }
         confirming = true
-        confirmTryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
+        confirmTryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
         val under = token
         val sentAt = clock.steadyMs
         state.transact(listOf(condition), emptyList(), RequestClass.CRITICAL) { result ->
--- a/src/main/kotlin/ledgearch/http/EventLoop.kt
+++ b/src/main/kotlin/ledgearch/http/EventLoop.kt
@@ -6,7 +6,6 @@
 import kotlinx.coroutines.DisposableHandle
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.InternalCoroutinesApi
-import ledgearch.Tuning
 import java.nio.channels.AsynchronousChannelGroup
 import java.util.PriorityQueue
 import java.util.concurrent.Executor
@@ -21,7 +20,7 @@
  * that waits for it: with a thread pool behind the channel group each message would be handed from thread to thread
  * several times, which costs more than handling it.
  *
- * Timers fire at the step of [Tuning.TIMER_STEP_MS] that is nearest; a clock thread wakes the loop for them.
+ * Timers fire at the step of [HttpTuning.TIMER_STEP_MS] that is nearest; a clock thread wakes the loop for them.
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 internal class EventLoop(
@@ -49,9 +48,9 @@
     private var socketEvents = 0L
 
     /**
-     * Work that waits until no socket has anything more, or for [Tuning.SOCKETS_MS] of looking at the sockets: it then
-     * sees together what has come. A look accepts one connection at most, so without this work that takes long would
-     * let hundreds of callers wait to be accepted.
+     * Work that waits until no socket has anything more, or for [HttpTuning.SOCKETS_MS] of looking at the sockets: it
+     * then sees together what has come. A look accepts one connection at most, so without this work that takes long
+     * would let hundreds of callers wait to be accepted.
      */
     val afterSockets: CoroutineDispatcher =
         object : CoroutineDispatcher() {
@@ -59,7 +58,7 @@
                 context: CoroutineContext,
                 block: Runnable,
             ) {
-                val until = nowMs() + Tuning.SOCKETS_MS
+                val until = nowMs() + HttpTuning.SOCKETS_MS
                 execute { afterSockets(block, until) }
             }
         }
@@ -146,7 +145,7 @@
     /** The clock thread: one wake-up at a time, so that they do not pile up in a loop that is behind. */
     private fun tellTime() {
         while (!group.isShutdown) {
-            Thread.sleep(Tuning.TIMER_STEP_MS)
+            Thread.sleep(HttpTuning.TIMER_STEP_MS)
             if (isWoken.compareAndSet(false, true)) wake()
         }
     }
@@ -161,7 +160,7 @@
 
     private fun fireTimers() {
         isWoken.set(false)
-        val until = nowMs() + Tuning.TIMER_STEP_MS / 2
+        val until = nowMs() + HttpTuning.TIMER_STEP_MS / 2
         while (true) {
             val next = timers.peek() ?: break
             if (next.dueAt > until) break
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -2,7 +2,6 @@
 
 import kotlinx.coroutines.CancellationException
 import kotlinx.coroutines.withTimeoutOrNull
-import ledgearch.Tuning
 import org.slf4j.LoggerFactory
 import java.io.IOException
 import java.net.StandardSocketOptions
@@ -71,7 +70,7 @@
         val lists = idle.values.iterator()
         while (lists.hasNext()) {
             val list = lists.next()
-            while (list.isNotEmpty() && now - list.first().idleSince > Tuning.POOLED_IDLE_MS) {
+            while (list.isNotEmpty() && now - list.first().idleSince > HttpTuning.POOLED_IDLE_MS) {
                 idleCount--
                 close(list.removeFirst().channel)
             }
@@ -85,7 +84,7 @@
         while (list.isNotEmpty()) {
             val c = list.removeLast()
             idleCount--
-            if (now - c.idleSince <= Tuning.POOLED_IDLE_MS) return c
+            if (now - c.idleSince <= HttpTuning.POOLED_IDLE_MS) return c
             close(c.channel)
         }
         return null
@@ -129,7 +128,7 @@
         open++
         makeRoom()
         try {
-            withTimeoutOrNull(Tuning.CONNECT_MS) {
+            withTimeoutOrNull(HttpTuning.CONNECT_MS) {
                 channel.connectTo(parseAddress(address))
                 true
             }
@@ -139,7 +138,7 @@
             close(channel)
             throw e
         }
-        return Pooled(channel, MessageReader(Tuning.MAX_RESPONSE), 0)
+        return Pooled(channel, MessageReader(HttpTuning.MAX_RESPONSE), 0)
     }
 
     private suspend fun send(
@@ -166,11 +165,11 @@
         val head = text.append("\r\n").toString().toByteArray(Charsets.ISO_8859_1)
         val out = ByteBuffer.allocate(head.size + (bytes?.size ?: 0)).put(head)
         bytes?.let { out.put(it) }
-        c.channel.writeAll(out.flip(), Tuning.WRITE_MS)
+        c.channel.writeAll(out.flip(), HttpTuning.WRITE_MS)
     }
 
     private suspend fun receive(c: Pooled): Pair<Reply, Boolean> {
-        val buffer = ByteBuffer.allocate(Tuning.READ_BUFFER * 2)
+        val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER * 2)
         while (true) {
             val head = c.reader.head()
             val body = if (head != null) c.reader.body() else null
--- a/src/main/kotlin/ledgearch/http/HttpServer.kt
+++ b/src/main/kotlin/ledgearch/http/HttpServer.kt
@@ -5,7 +5,6 @@
 import kotlinx.coroutines.Job
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import ledgearch.Tuning
 import org.slf4j.LoggerFactory
 import java.io.IOException
 import java.net.StandardSocketOptions
@@ -37,14 +36,14 @@
         val server = listenOn(address, group)
         scope.launch {
             while (true) {
-                delay(Tuning.LATE_CALLERS_MS)
+                delay(HttpTuning.LATE_CALLERS_MS)
                 connections.closeLate(nowMs())
             }
         }
         return scope.launch {
             while (true) {
                 if (!connections.makeRoom(nowMs())) {
-                    delay(Tuning.TICK_MS)
+                    delay(HttpTuning.ACCEPT_RETRY_MS)
                     continue
                 }
                 val channel = server.acceptPatiently(log)
@@ -72,8 +71,8 @@
         connection: Connection,
     ) {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-        val reader = MessageReader(Tuning.MAX_BODY)
-        val buffer = ByteBuffer.allocate(Tuning.READ_BUFFER)
+        val reader = MessageReader(HttpTuning.MAX_BODY)
+        val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER)
         while (true) {
             val request =
                 try {
@@ -97,7 +96,7 @@
         buffer: ByteBuffer,
     ): Request? {
         var isBegun = !reader.isEmpty
-        connection.deadline = nowMs() + if (isBegun) Tuning.SLOW_REQUEST_MS else Tuning.IDLE_MS
+        connection.deadline = nowMs() + if (isBegun) HttpTuning.SLOW_REQUEST_MS else HttpTuning.IDLE_MS
         if (!isBegun) connections.unused(connection, nowMs())
         while (true) {
             val head = reader.head()
@@ -118,7 +117,7 @@
             if (!isBegun) {
                 isBegun = true
                 connections.used(connection)
-                connection.deadline = nowMs() + Tuning.SLOW_REQUEST_MS
+                connection.deadline = nowMs() + HttpTuning.SLOW_REQUEST_MS
             }
             reader.append(buffer.array(), n)
         }
@@ -150,7 +149,7 @@
                 .put(headBytes)
                 .put(body)
                 .flip()
-        channel.writeAll(out, Tuning.WRITE_MS)
+        channel.writeAll(out, HttpTuning.WRITE_MS)
     }
 
     private fun reason(status: Int) =
--- a/src/main/kotlin/ledgearch/http/MessageReader.kt
+++ b/src/main/kotlin/ledgearch/http/MessageReader.kt
@@ -1,6 +1,5 @@
 package ledgearch.http
 
-import ledgearch.Tuning
 import java.io.ByteArrayOutputStream
 
 /** The head of a message: its first line and the few header fields that matter here. */
@@ -18,7 +17,7 @@
 internal class MessageReader(
     private val maxBody: Int,
 ) {
-    private var bytes = ByteArray(Tuning.READ_BUFFER)
+    private var bytes = ByteArray(HttpTuning.READ_BUFFER)
     private var end = 0
     private var scanned = 0
     private var bodyStart = -1
@@ -49,7 +48,7 @@
                 return parseHead(String(bytes, 0, scanned, Charsets.ISO_8859_1)).also { head = it }
             }
             scanned++
-            if (scanned > Tuning.MAX_HEAD) throw BadMessage(431, "header too large")
+            if (scanned > HttpTuning.MAX_HEAD) throw BadMessage(431, "header too large")
         }
         return null
     }
@@ -104,7 +103,7 @@
         bodyStart = -1
         chunkAt = -1
         head = null
-        if (end == 0 && bytes.size > Tuning.READ_BUFFER * 4) bytes = ByteArray(Tuning.READ_BUFFER)
+        if (end == 0 && bytes.size > HttpTuning.READ_BUFFER * 4) bytes = ByteArray(HttpTuning.READ_BUFFER)
     }
 
     private fun parseHead(text: String): Head {
--- a/src/main/kotlin/ledgearch/http/Messages.kt
+++ b/src/main/kotlin/ledgearch/http/Messages.kt
@@ -1,5 +1,6 @@
 package ledgearch.http
 
+/** A request that came in; [target] is the path with its query. */
 internal data class Request(
     val method: String,
     val target: String,
@@ -9,6 +10,7 @@
     val path: String get() = target.substringBefore('?')
 }
 
+/** The answer to a request; [retryAfterS]: when the caller is to come back (seconds), if it is told. */
 internal data class Response(
     val status: Int,
     val body: String = "",
--- a/src/main/kotlin/ledgearch/http/Nio.kt
+++ b/src/main/kotlin/ledgearch/http/Nio.kt
@@ -3,7 +3,6 @@
 import kotlinx.coroutines.CancellableContinuation
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.suspendCancellableCoroutine
-import ledgearch.Tuning
 import org.slf4j.Logger
 import java.io.IOException
 import java.net.InetSocketAddress
@@ -52,7 +51,7 @@
 ): AsynchronousServerSocketChannel =
     AsynchronousServerSocketChannel.open(group).apply {
         setOption(StandardSocketOptions.SO_REUSEADDR, true)
-        bind(parseAddress(address), Tuning.ACCEPT_BACKLOG)
+        bind(parseAddress(address), HttpTuning.ACCEPT_BACKLOG)
     }
 
 /** The next connection, however long it takes: a failure is logged and waited out. */
@@ -62,7 +61,7 @@
             return acceptNext()
         } catch (e: IOException) {
             log.warn("accept failed: {}", e.message)
-            delay(Tuning.TICK_MS)
+            delay(HttpTuning.ACCEPT_RETRY_MS)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -1,9 +1,9 @@
 package ledgearch.jobs
 
-import ledgearch.Tuning
 import ledgearch.model.Job
 import ledgearch.records.FinalRecord
 import ledgearch.runtime.Clock
+import ledgearch.runtime.RuntimeTuning
 import ledgearch.wire.JobState
 import ledgearch.wire.Priority
 
@@ -101,9 +101,9 @@
     /** Reads the final records of dependencies that are neither open nor known to be over, a few at a time. */
     fun drive() {
         if (dependents.isEmpty() || clock.steadyMs < driveAt) return
-        driveAt = clock.steadyMs + Tuning.TICK_MS
+        driveAt = clock.steadyMs + RuntimeTuning.TICK_MS
         for (id in dependents.keys) {
-            if (reading >= Tuning.DEPENDENCY_READS) return
+            if (reading >= JobsTuning.DEPENDENCY_READS) return
             val isDue = clock.steadyMs >= (readAgainAt[id] ?: Long.MIN_VALUE)
             if (isDue && id !in openJobs && finalOf(id) == null) read(id)
         }
@@ -155,7 +155,7 @@
 
     private fun read(id: String) {
         reading++
-        readAgainAt[id] = clock.steadyMs + Tuning.DEPENDENCY_READ_MS
+        readAgainAt[id] = clock.steadyMs + JobsTuning.DEPENDENCY_READ_MS
         records.readFinal(id) { reading-- }
     }
 
--- a/src/main/kotlin/ledgearch/jobs/JobStore.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobStore.kt
@@ -1,7 +1,6 @@
 package ledgearch.jobs
 
 import kotlinx.serialization.json.JsonElement
-import ledgearch.Tuning
 import ledgearch.model.Job
 import ledgearch.records.CatalogRecord
 import ledgearch.records.FinalRecord
@@ -15,6 +14,7 @@
 import ledgearch.store.ReadResult
 import ledgearch.store.RequestClass
 import ledgearch.store.StoreClient
+import ledgearch.store.StoreTuning
 import ledgearch.wire.KeyValue
 import ledgearch.wire.MachineType
 import ledgearch.wire.WatchEvent
@@ -251,7 +251,7 @@
      */
     private fun takeIn() {
         reading = false
-        retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
+        retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
     }
 
     private fun apply(news: WatchEvent) {
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -1,7 +1,6 @@
 package ledgearch.model
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
-import ledgearch.peers.JobProgress
 import ledgearch.records.Chunks
 import ledgearch.records.JobRecord
 import ledgearch.records.Ranges
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -1,7 +1,6 @@
 package ledgearch.model
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap
-import ledgearch.Tuning
 import ledgearch.wire.MachineType
 
 /** A machine of the block, as its leader knows it. */
@@ -182,7 +181,7 @@
             fetching == here.count { it.state == AttemptState.FETCHING || it.state == AttemptState.ASSIGNED }
     }
 
-    fun hasRoom(job: Job): Boolean = attempts.size < Tuning.MACHINE_TASKS && room.fits(job)
+    fun hasRoom(job: Job): Boolean = attempts.size < ModelTuning.MACHINE_TASKS && room.fits(job)
 
     /** A task of [job] would fit once all that ends by itself has ended. */
     fun couldTake(job: Job): Boolean {
--- a/src/main/kotlin/ledgearch/model/MachineQueue.kt
+++ b/src/main/kotlin/ledgearch/model/MachineQueue.kt
@@ -1,7 +1,5 @@
 package ledgearch.model
 
-import ledgearch.Tuning
-
 /** Load state of a machine by the length of its queue (section 2 of the paper). */
 internal enum class Band {
     UNDERLOADED,
@@ -13,9 +11,9 @@
     companion object {
         fun of(length: Int) =
             when {
-                length <= Tuning.TH_U -> UNDERLOADED
-                length <= Tuning.TH_F -> MEDIUM
-                length <= Tuning.TH_V -> FULL
+                length <= ModelTuning.TH_U -> UNDERLOADED
+                length <= ModelTuning.TH_F -> MEDIUM
+                length <= ModelTuning.TH_V -> FULL
                 else -> OVERLOADED
             }
     }
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -2,6 +2,10 @@
 
 import ledgearch.wire.ExitCause
 
+/**
+ * The state of an attempt as the leader knows it. The order is part of the decision stream between controllers and never
+ * changes.
+ */
 internal enum class AttemptState { ASSIGNED, FETCHING, RUNNING, SAVING, EXITED }
 
 /** Grace that a stopped task gets. */
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -90,7 +90,9 @@
         unknownGpus += sign * machineType.accelerators
     }
 
-    /** [machineType] may hold any task of a job that is older than this leader and whose tasks have not all been found. */
+    /**
+     * [machineType] may hold any task of a job that is older than this leader and whose tasks have not all been found.
+     */
     fun countHidden(
         machineType: MachineType,
         sign: Int,
--- a/src/main/kotlin/ledgearch/peers/Frames.kt
+++ b/src/main/kotlin/ledgearch/peers/Frames.kt
@@ -1,18 +1,12 @@
 package ledgearch.peers
 
+import ledgearch.model.JobProgress
 import ledgearch.recovery.ZoneState
 import ledgearch.recovery.ZoneStatus
 import okio.Buffer
 import okio.ByteString
 import kotlin.math.roundToInt
 
-/** What is shown to users of an open job: how many of its tasks are done and how many run. */
-internal data class JobProgress(
-    val job: String,
-    val done: Int,
-    val running: Int,
-)
-
 /**
  * What the leader tells the others at one time. [served]: the state service answers it; null when it does not say.
  * [zones]: those that are not up, or were not of late.
@@ -97,6 +91,7 @@
     private const val THOUSANDTHS = 1000
 }
 
+/** A frame that can't be decoded; the connection that it came over is closed. */
 internal class MalformedFrame(
     message: String,
 ) : Exception(message, null, false, false)
--- a/src/main/kotlin/ledgearch/peers/MeshLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/MeshLinks.kt
@@ -7,7 +7,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
-import ledgearch.Tuning
+import ledgearch.http.HttpTuning
 import ledgearch.http.acceptPatiently
 import ledgearch.http.closeQuietly
 import ledgearch.http.connectTo
@@ -66,20 +66,26 @@
         scope.launch {
             while (true) {
                 val channel = server.acceptPatiently(log)
-                if (followers.size >= Tuning.MAX_FOLLOWERS) channel.closeQuietly() else scope.launch { feed(channel) }
+                if (followers.size >=
+                    PeerTuning.MAX_FOLLOWERS
+                ) {
+                    channel.closeQuietly()
+                } else {
+                    scope.launch { feed(channel) }
+                }
             }
         }
     }
 
     private suspend fun feed(channel: AsynchronousSocketChannel) {
         // Small: a follower that does not keep up is dropped, and comes back for the whole.
-        val queue = Channel<ByteString>(Tuning.MESH_QUEUE)
+        val queue = Channel<ByteString>(PeerTuning.MESH_QUEUE)
         val follower = (++joined).toLong()
         val connection = Follower(queue, channel)
         followers[follower] = connection
         if (streams) scope.launch { awaitHello(connection, follower) }
         try {
-            for (frame in queue) channel.writeAll(ByteBuffer.wrap(frame.toByteArray()), Tuning.WRITE_MS)
+            for (frame in queue) channel.writeAll(ByteBuffer.wrap(frame.toByteArray()), HttpTuning.WRITE_MS)
         } catch (_: IOException) {
             // The follower went away.
         } finally {
@@ -125,7 +131,7 @@
         link?.cancel()
         link =
             scope.launch {
-                delay(Tuning.MESH_RETRY_MS)
+                delay(PeerTuning.MESH_RETRY_MS)
                 keep(address)
             }
     }
@@ -133,7 +139,7 @@
     override fun publish(news: LeaderStatus) {
         if (followers.isEmpty()) return
         // Several frames where there are very many jobs: a frame has a size that it may not pass.
-        for (part in news.progress.chunked(Tuning.JOBS_A_FRAME).ifEmpty { listOf(emptyList()) }) {
+        for (part in news.progress.chunked(PeerTuning.JOBS_A_FRAME).ifEmpty { listOf(emptyList()) }) {
             val frame = Frames.encode(LeaderStatus(part, news.served, news.zones))
             followers.values.forEach { it.queue.trySend(frame) }
         }
@@ -152,19 +158,19 @@
             val channel = AsynchronousSocketChannel.open(group)
             try {
                 val connected =
-                    withTimeoutOrNull(Tuning.CONNECT_MS) {
+                    withTimeoutOrNull(HttpTuning.CONNECT_MS) {
                         channel.connectTo(parseAddress(address))
                         true
                     }
                 if (connected != null) {
                     refusals = 0
-                    if (streams) channel.writeAll(StreamFrames.hello.asByteBuffer(), Tuning.WRITE_MS)
+                    if (streams) channel.writeAll(StreamFrames.hello.asByteBuffer(), HttpTuning.WRITE_MS)
                     read(channel, address)
                 }
             } catch (e: CancellationException) {
                 throw e
             } catch (_: ConnectException) {
-                if (++refusals == Tuning.REFUSALS) events.refused(address)
+                if (++refusals == PeerTuning.REFUSALS) events.refused(address)
             } catch (_: IOException) {
                 // Ended or silent; the next connection tells more.
             } catch (e: MalformedFrame) {
@@ -172,7 +178,7 @@
             } finally {
                 channel.closeQuietly()
             }
-            delay(Tuning.MESH_RETRY_MS)
+            delay(PeerTuning.MESH_RETRY_MS)
         }
     }
 
@@ -180,11 +186,11 @@
         channel: AsynchronousSocketChannel,
         address: String,
     ) {
-        val bytes = ByteBuffer.allocate(Tuning.READ_BUFFER)
+        val bytes = ByteBuffer.allocate(HttpTuning.READ_BUFFER)
         val buffer = Buffer()
         while (true) {
             bytes.clear()
-            val n = channel.readSome(bytes, Tuning.MESH_SILENT_MS)
+            val n = channel.readSome(bytes, PeerTuning.MESH_SILENT_MS)
             if (n < 0) return
             buffer.write(bytes.array(), 0, n)
             while (true) tell(address, StreamFrames.take(buffer) ?: break)
--- a/src/main/kotlin/ledgearch/peers/StreamCodec.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamCodec.kt
@@ -1,6 +1,5 @@
 package ledgearch.peers
 
-import ledgearch.Tuning
 import ledgearch.model.AttemptState
 import okio.Buffer
 import okio.ByteString
@@ -186,6 +185,6 @@
     private const val MAX_STRING = 0xffff
 
     init {
-        check(Tuning.STREAM_FRAME_MAX < 1 shl 24) { "the length of a frame has 24 bits" }
+        check(PeerTuning.STREAM_FRAME_MAX < 1 shl 24) { "the length of a frame has 24 bits" }
     }
 }
--- a/src/main/kotlin/ledgearch/peers/StreamFrames.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamFrames.kt
@@ -1,6 +1,5 @@
 package ledgearch.peers
 
-import ledgearch.Tuning
 import okio.Buffer
 import okio.ByteString
 
@@ -28,7 +27,7 @@
             .readByteString()
 
     fun encode(body: ByteString): ByteString {
-        require(body.size <= Tuning.STREAM_FRAME_MAX) { "a stream frame of ${body.size} bytes" }
+        require(body.size <= PeerTuning.STREAM_FRAME_MAX) { "a stream frame of ${body.size} bytes" }
         return Buffer()
             .writeInt((STREAM shl KIND_SHIFT) or body.size)
             .write(body)
@@ -45,7 +44,7 @@
 
     private fun takeStream(buffer: Buffer): StreamFrame? {
         val size = buffer.peek().readInt() and SIZE
-        if (size > Tuning.STREAM_FRAME_MAX) throw MalformedFrame("a stream frame of $size bytes")
+        if (size > PeerTuning.STREAM_FRAME_MAX) throw MalformedFrame("a stream frame of $size bytes")
         if (buffer.size < Int.SIZE_BYTES + size) return null
         buffer.skip(Int.SIZE_BYTES.toLong())
         return StreamCodec.decode(buffer.readByteString(size.toLong()))
--- a/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
@@ -2,7 +2,6 @@
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
-import ledgearch.Tuning
 import ledgearch.model.Machine
 import ledgearch.model.TeamQuotas
 import ledgearch.records.Keys
@@ -11,6 +10,7 @@
 import ledgearch.records.SingleMachineRecord
 import ledgearch.records.decodeRecord
 import ledgearch.records.encodeRecord
+import ledgearch.store.StoreTuning
 import ledgearch.wire.Change
 import ledgearch.wire.KeyValue
 import ledgearch.wire.MachineType
@@ -50,7 +50,7 @@
         val done: () -> Unit,
     )
 
-    private val mostBytes = (valueBytes * Tuning.VALUE_FILLED).toInt()
+    private val mostBytes = (valueBytes * PersistenceTuning.VALUE_FILLED).toInt()
     private val groups = LinkedHashMap<String, Group>()
     private val groupOf = HashMap<String, Group>()
     private val arrivals = LinkedHashMap<String, Machine>()
@@ -188,7 +188,7 @@
         val pieces = pieces(group.machines.values)
         // One machine that is too large by itself: as it is, the service tells.
         if (pieces.size == 1) return true
-        if (pieces.size > maxChanges || pieces.size * mostBytes > Tuning.TRANSACTION_BYTES) return false
+        if (pieces.size > maxChanges || pieces.size * mostBytes > StoreTuning.TRANSACTION_BYTES) return false
         for (machine in pieces.drop(1).flatten()) group.machines.remove(machine.name)
         val parts = listOf(group) + pieces.drop(1).map(::newGroup)
         parts.forEach { it.parts = parts }
@@ -231,7 +231,7 @@
         for (machine in machines) {
             val own = entryBytes(machine)
             val need = own + if (machine.machineType in machineTypes) 0 else machineTypeBytes(machine.machineType)
-            if (pieces.isEmpty() || need > left || pieces.last().size == Tuning.MACHINES_A_RECORD) {
+            if (pieces.isEmpty() || need > left || pieces.last().size == PersistenceTuning.MACHINES_A_RECORD) {
                 pieces.add(ArrayList())
                 machineTypes.clear()
                 left = mostBytes - EMPTY_BYTES - own - machineTypeBytes(machine.machineType)
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -1,6 +1,5 @@
 package ledgearch.persistence
 
-import ledgearch.Tuning
 import ledgearch.election.Election
 import ledgearch.jobs.JobStore
 import ledgearch.model.Job
@@ -15,8 +14,10 @@
 import ledgearch.records.encodeRecord
 import ledgearch.records.within
 import ledgearch.runtime.Clock
+import ledgearch.runtime.RuntimeTuning
 import ledgearch.store.RequestClass
 import ledgearch.store.StoreClient
+import ledgearch.store.StoreTuning
 import ledgearch.store.TransactionResult
 import ledgearch.wire.Change
 import ledgearch.wire.Condition
@@ -69,7 +70,7 @@
         /** False when the batch is full. An entry that waits since it was too large is passed over. */
         fun add(entry: Entry): Boolean {
             if (clock.steadyMs < (tooLarge[entry.key] ?: Long.MIN_VALUE)) return true
-            if (entries.isNotEmpty() && (alone > 0 || bytes + entry.bytes > Tuning.TRANSACTION_BYTES)) return false
+            if (entries.isNotEmpty() && (alone > 0 || bytes + entry.bytes > StoreTuning.TRANSACTION_BYTES)) return false
             if (entry.changes.size > room) return false
             room -= entry.changes.size
             bytes += entry.bytes
@@ -201,7 +202,7 @@
                 }
 
                 else -> {
-                    retryAt = clock.steadyMs + Tuning.STATE_RETRY_MS
+                    retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
                 }
             }
         }
@@ -215,7 +216,7 @@
         }
         val key = entries.first().key
         log.error("the state service takes the record under {} for too large; it waits", key)
-        tooLarge[key] = clock.steadyMs + Tuning.TOO_LARGE_RETRY_MS
+        tooLarge[key] = clock.steadyMs + PersistenceTuning.TOO_LARGE_RETRY_MS
     }
 
     /** Some comparison failed, so that nothing was written: what is to be compared is put right before the next try. */
@@ -225,7 +226,8 @@
         under: Long,
     ) {
         retryAt =
-            clock.steadyMs + if (keys.isEmpty() || Keys.leadership(0) in keys) Tuning.STATE_RETRY_MS else Tuning.TICK_MS
+            clock.steadyMs +
+            if (keys.isEmpty() || Keys.leadership(0) in keys) StoreTuning.STATE_RETRY_MS else RuntimeTuning.TICK_MS
         if (Keys.leadership(0) in keys) election.leadershipDoubted(under)
         val mine = term
         val own = ArrayList<String>()
@@ -266,7 +268,7 @@
         for (job in progress.values) {
             // Until then its finished tasks stay on their machines' lists, from where the next leader would learn of
             // them.
-            if (job.closing || clock.steadyMs - job.progressAt < Tuning.PROGRESS_MS) continue
+            if (job.closing || clock.steadyMs - job.progressAt < PersistenceTuning.PROGRESS_MS) continue
             if (batch.room == 0) return
             val written = unwritten(job).take(batch.room).associateWith { job.finished.within(chunks.tasksOfChunk(it)) }
             if (written.isEmpty()) continue
--- a/src/main/kotlin/ledgearch/recovery/FlapPenalty.kt
+++ b/src/main/kotlin/ledgearch/recovery/FlapPenalty.kt
@@ -1,14 +1,13 @@
 package ledgearch.recovery
 
-import ledgearch.Tuning
 import kotlin.math.exp
 import kotlin.math.ln
 
 /**
  * Flap damping, as routers do it with routes (RFC 2439): each loss of a zone adds one to a penalty that halves with
- * every [Tuning.FLAP_HALF_LIFE_MS]. Above [Tuning.FLAP_SUPPRESS] the zone stays out of new placement until the penalty
- * is below [Tuning.FLAP_REUSE]. The penalty has an upper bound, so that this takes a bounded time however often a zone
- * flaps.
+ * every [RecoveryTuning.FLAP_HALF_LIFE_MS]. Above [RecoveryTuning.FLAP_SUPPRESS] the zone stays out of new placement
+ * until the penalty is below [RecoveryTuning.FLAP_REUSE]. The penalty has an upper bound, so that this takes a bounded
+ * time however often a zone flaps.
  */
 internal class FlapPenalty {
     private var value = 0.0
@@ -18,7 +17,7 @@
     var isSuppressed = false
         private set
 
-    fun at(nowMs: Long): Double = value * exp(-ln(2.0) * (nowMs - at) / Tuning.FLAP_HALF_LIFE_MS)
+    fun at(nowMs: Long): Double = value * exp(-ln(2.0) * (nowMs - at) / RecoveryTuning.FLAP_HALF_LIFE_MS)
 
     /** The zone was lost once more. */
     fun lost(nowMs: Long) = set(at(nowMs) + 1.0, nowMs)
@@ -33,12 +32,12 @@
         penalty: Double,
         nowMs: Long,
     ) {
-        value = penalty.coerceIn(0.0, Tuning.FLAP_MOST)
+        value = penalty.coerceIn(0.0, RecoveryTuning.FLAP_MOST)
         at = nowMs
-        if (value >= Tuning.FLAP_SUPPRESS) isSuppressed = true
+        if (value >= RecoveryTuning.FLAP_SUPPRESS) isSuppressed = true
     }
 
     fun look(nowMs: Long) {
-        if (at(nowMs) < Tuning.FLAP_REUSE) isSuppressed = false
+        if (at(nowMs) < RecoveryTuning.FLAP_REUSE) isSuppressed = false
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Jobs by levels of priority, each in serving order: those that [displaced] picks change places among themselves, by
-     * their groups. All others keep their places, and so do the displaced ones taken together.
+     * Jobs by levels of priority, each in serving order: those that [displaced] picks change places among themselves,
+     * by their groups. All others keep their places, and so do the displaced ones taken together.
      */
     fun arrange(
         levels: List<List<Job>>,
--- a/src/main/kotlin/ledgearch/recovery/ReturnRamp.kt
+++ b/src/main/kotlin/ledgearch/recovery/ReturnRamp.kt
@@ -1,7 +1,5 @@
 package ledgearch.recovery
 
-import ledgearch.Tuning
-
 /**
  * The share of a returning zone's machines that may take new work. It rises step by step; a failure seen meanwhile
  * takes one step back and makes the next wait longer.
@@ -11,8 +9,8 @@
     private var nextAt = 0L
     private var slowedUntil = 0L
 
-    val share: Double get() = Tuning.RAMP_SHARES[step]
-    val isOver: Boolean get() = step == Tuning.RAMP_SHARES.lastIndex
+    val share: Double get() = RecoveryTuning.RAMP_SHARES[step]
+    val isOver: Boolean get() = step == RecoveryTuning.RAMP_SHARES.lastIndex
 
     fun begin(nowMs: Long) = beginAt(0.0, nowMs)
 
@@ -21,22 +19,22 @@
         admitted: Double,
         nowMs: Long,
     ) {
-        step = Tuning.RAMP_SHARES.indexOfLast { it <= admitted + ROUNDING }.coerceAtLeast(0)
-        nextAt = nowMs + Tuning.RAMP_STEP_MS
+        step = RecoveryTuning.RAMP_SHARES.indexOfLast { it <= admitted + ROUNDING }.coerceAtLeast(0)
+        nextAt = nowMs + RecoveryTuning.RAMP_STEP_MS
     }
 
     /** A machine of the zone failed again. Several at one time count as one failure. */
     fun failed(nowMs: Long) {
         if (nowMs < slowedUntil) return
-        slowedUntil = nowMs + Tuning.RAMP_STEP_MS
+        slowedUntil = nowMs + RecoveryTuning.RAMP_STEP_MS
         step = (step - 1).coerceAtLeast(0)
-        nextAt = nowMs + Tuning.RAMP_SLOWED_MS
+        nextAt = nowMs + RecoveryTuning.RAMP_SLOWED_MS
     }
 
     fun look(nowMs: Long) {
         if (isOver || nowMs < nextAt) return
         step++
-        nextAt = nowMs + Tuning.RAMP_STEP_MS
+        nextAt = nowMs + RecoveryTuning.RAMP_STEP_MS
     }
 
     private companion object {
--- a/src/main/kotlin/ledgearch/recovery/StartPacing.kt
+++ b/src/main/kotlin/ledgearch/recovery/StartPacing.kt
@@ -1,6 +1,5 @@
 package ledgearch.recovery
 
-import ledgearch.Tuning
 import ledgearch.runtime.TokenBucket
 
 /**
@@ -9,14 +8,14 @@
  */
 internal class StartPacing {
     private val buckets = HashMap<Int, TokenBucket>()
-    private var startsASecond = Tuning.RECOVERY_STARTS_LEAST
+    private var startsASecond = RecoveryTuning.RECOVERY_STARTS_LEAST
 
     /** [machines]: those that may take work. */
     fun look(
         machines: Int,
         nowMs: Long,
     ) {
-        startsASecond = maxOf(machines * Tuning.RECOVERY_STARTS_A_MACHINE, Tuning.RECOVERY_STARTS_LEAST)
+        startsASecond = maxOf(machines * RecoveryTuning.RECOVERY_STARTS_A_MACHINE, RecoveryTuning.RECOVERY_STARTS_LEAST)
         for (bucket in buckets.values) {
             bucket.perSecond = startsASecond
             bucket.refill(nowMs)
--- a/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
@@ -1,7 +1,5 @@
 package ledgearch.recovery
 
-import ledgearch.Tuning
-
 /** One zone's state machine: up, suspect, lost, returning, up. It decides on load only and proves nothing. */
 internal class ZoneHealth(
     val zone: String,
@@ -64,14 +62,15 @@
             }
 
             // Recovers at a higher share than it became suspect at, so that it does not change to and fro.
-            state == ZoneState.SUSPECT && seen.heardShare >= Tuning.ZONE_WELL_SHARE -> {
+            state == ZoneState.SUSPECT && seen.heardShare >= RecoveryTuning.ZONE_WELL_SHARE -> {
                 enter(ZoneState.UP, heard, nowMs)
             }
         }
     }
 
     private fun isFailing(seen: ZoneObservation) =
-        seen.anyZoneWell && seen.machines >= Tuning.ZONE_MACHINES && seen.heardShare < Tuning.ZONE_SUSPECT_SHARE
+        seen.anyZoneWell && seen.machines >= RecoveryTuning.ZONE_MACHINES &&
+            seen.heardShare < RecoveryTuning.ZONE_SUSPECT_SHARE
 
     private fun lookWhileReturning(
         seen: ZoneObservation,
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -1,6 +1,5 @@
 package ledgearch.recovery
 
-import ledgearch.Tuning
 import ledgearch.config.ZoneRecoverySettings
 import ledgearch.model.Job
 import ledgearch.model.Machine
@@ -14,7 +13,7 @@
 /**
  * Recovery from the loss of zones, on the leader: the state of each zone, the order in which displaced work is placed
  * again, and the gradual return. Everything here decides on order, pace and preference; what is gone is proven as ever,
- * and no job waits for the return of a zone for longer than [Tuning.HELD_BACK_WAIT_MS].
+ * and no job waits for the return of a zone for longer than [RecoveryTuning.HELD_BACK_WAIT_MS].
  */
 internal class ZoneRecovery(
     settings: ZoneRecoverySettings,
@@ -49,7 +48,7 @@
     fun begin() {
         forget()
         beganAt = clock.steadyMs
-        if (clock.steadyMs - knownAt > Tuning.ZONE_STATUS_VALID_MS) return
+        if (clock.steadyMs - knownAt > RecoveryTuning.ZONE_STATUS_VALID_MS) return
         for (status in known) zone(status.zone).restore(status, clock.steadyMs)
         if (anyUnsettled) log.info("goes on with the recovery of {}", known.filter { it.state != ZoneState.UP })
     }
@@ -91,7 +90,7 @@
         val byZone = machines.filter { !it.releasing }.groupBy { it.zone }
         byZone.keys.forEach(::zone)
         val heard = byZone.mapValues { (_, members) -> members.count(isHeard) }
-        val anyWell = byZone.any { (zone, members) -> heard.getValue(zone) > members.size * Tuning.MOST }
+        val anyWell = byZone.any { (zone, members) -> heard.getValue(zone) > members.size * RecoveryTuning.MOST }
         for (health in zones.values) {
             val heardThere = heard[health.zone] ?: 0
             val isCutOff = isPartitioned(health.zone) || staysLost(health, heardThere)
@@ -133,7 +132,7 @@
         health: ZoneHealth,
         heard: Int,
     ) = health.state == ZoneState.LOST &&
-        (isDetecting || (heard == 0 && clock.steadyMs - health.since < Tuning.CUT_ZONE_MS))
+        (isDetecting || (heard == 0 && clock.steadyMs - health.since < RecoveryTuning.CUT_ZONE_MS))
 
     private fun changed(health: ZoneHealth) {
         if (health.state == ZoneState.LOST) zonesLost++
@@ -190,7 +189,7 @@
     ): Boolean {
         if (machine.heldBack && !mayUseHeldBack(job)) return false
         return !isPaced(job) || machine.imageDistance(job.spec.image) != NO_IMAGE ||
-            machine.fetching < Tuning.RECOVERY_FETCHES
+            machine.fetching < RecoveryTuning.RECOVERY_FETCHES
     }
 
     override fun mayStart(job: Job): Boolean {
@@ -206,7 +205,7 @@
     private fun waitsForProofs(
         job: Job,
         group: Int,
-    ) = firstUnproven < group && waiting.waitedMs(job, clock.steadyMs) < Tuning.ORDER_HOLD_MS
+    ) = firstUnproven < group && waiting.waitedMs(job, clock.steadyMs) < RecoveryTuning.ORDER_HOLD_MS
 
     override fun isSpecial(job: Job) = isActive && (isPaced(job) || mayUseHeldBack(job))
 
@@ -219,7 +218,7 @@
     /** Rules outrank the ramp: work that has waited long, or can keep apart in no other zone, is not held back. */
     private fun mayUseHeldBack(job: Job) = hasWaitedLong(job) || needsAnotherZone(job)
 
-    private fun hasWaitedLong(job: Job) = waiting.waitedMs(job, clock.steadyMs) > Tuning.HELD_BACK_WAIT_MS
+    private fun hasWaitedLong(job: Job) = waiting.waitedMs(job, clock.steadyMs) > RecoveryTuning.HELD_BACK_WAIT_MS
 
     /** Spread leaves it no zone whose machines are all admitted. A zone that is suppressed is not used for this. */
     private fun needsAnotherZone(job: Job): Boolean {
@@ -244,13 +243,13 @@
         job: Job,
     ): Boolean {
         if (!order.isStated || displaced.isEmpty) return false
-        if (waiting.waitedMs(job, clock.steadyMs) > Tuning.RECOVERY_PROTECT_MS) return false
+        if (waiting.waitedMs(job, clock.steadyMs) > RecoveryTuning.RECOVERY_PROTECT_MS) return false
         val group = displaced.groupOf(job) ?: return false
         val first = displaced.groupOf(victim) ?: return false
         return first < group
     }
 
-    override fun yieldsFor(job: Job): Double = (displaced.groupOf(job) ?: 0) * Tuning.WORTH_RECOVERY_GROUP
+    override fun yieldsFor(job: Job): Double = (displaced.groupOf(job) ?: 0) * RecoveryTuning.WORTH_RECOVERY_GROUP
 
     fun report() =
         RecoveryReport(
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -2,9 +2,6 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import ledgearch.Tuning
-import ledgearch.recovery.RecoveryReport
-import ledgearch.standby.StandbyReport
 import org.HdrHistogram.IntCountsHistogram
 
 /** Counters, latencies and where the owner's time goes since the process began, as `GET /metrics` shows them. */
@@ -59,7 +56,7 @@
     }
 
     private val batches = IntCountsHistogram(LONGEST_US, DIGITS)
-    private val queue = IntCountsHistogram(Tuning.QUEUE.toLong(), DIGITS)
+    private val queue = IntCountsHistogram(RuntimeTuning.QUEUE.toLong(), DIGITS)
     private val gaps = IntCountsHistogram(LONGEST_MS, DIGITS)
 
     /** The owner worked off a batch in [micros] and left [waiting] commands in its queue. */
@@ -68,32 +65,19 @@
         waiting: Int,
     ) {
         batches.recordValue(micros.coerceIn(0, LONGEST_US))
-        queue.recordValue(waiting.toLong().coerceIn(0, Tuning.QUEUE.toLong()))
+        queue.recordValue(waiting.toLong().coerceIn(0, RuntimeTuning.QUEUE.toLong()))
     }
 
     /** A tick came [gapMs] after the one before. */
     fun ticked(gapMs: Long) = gaps.recordValue(gapMs.coerceIn(0, LONGEST_MS))
 
-    fun report(
-        node: String,
-        token: Long,
-        jobs: Int,
-        machines: Int,
-        tasks: Int,
-        standby: StandbyReport? = null,
-        recovery: RecoveryReport? = null,
-    ) = MetricsReport(
-        node,
-        token,
-        jobs,
-        machines,
-        tasks,
-        OwnerLoad(summary(batches), summary(queue), summary(gaps), spentMs()),
-        counters.toSortedMap(),
-        latencies.toSortedMap().mapValues { (_, h) -> summary(h) },
-        standby,
-        recovery,
-    )
+    /** How the owner keeps up, since the process began. */
+    fun ownerLoad() = OwnerLoad(summary(batches), summary(queue), summary(gaps), spentMs())
+
+    fun counters(): Map<String, Long> = counters.toSortedMap()
+
+    /** Latencies (ms) by the kind of exchange. */
+    fun latencies(): Map<String, Summary> = latencies.toSortedMap().mapValues { (_, histogram) -> summary(histogram) }
 
     private fun summary(h: IntCountsHistogram) =
         Summary(
@@ -118,21 +102,6 @@
     }
 }
 
-/** What `GET /metrics` answers. [token] is 0 and machines and tasks are not known on a node that holds no block. */
-@Serializable
-internal data class MetricsReport(
-    val node: String,
-    val token: Long,
-    @SerialName("open_jobs") val openJobs: Int,
-    val machines: Int,
-    val tasks: Int,
-    val owner: OwnerLoad,
-    val counters: Map<String, Long>,
-    @SerialName("latency_ms") val latencyMs: Map<String, Summary>,
-    val standby: StandbyReport? = null,
-    val recovery: RecoveryReport? = null,
-)
-
 /**
  * How the owner keeps up: time of a batch, commands left waiting after it, time between two ticks, and what its time
  * went to.
@@ -145,6 +114,7 @@
     @SerialName("spent_ms") val spentMs: Map<String, Long>,
 )
 
+/** A distribution: its percentiles in the unit of what was measured. */
 @Serializable
 internal data class Summary(
     val count: Long,
--- a/src/main/kotlin/ledgearch/runtime/StallCompensation.kt
+++ b/src/main/kotlin/ledgearch/runtime/StallCompensation.kt
@@ -1,7 +1,5 @@
 package ledgearch.runtime
 
-import ledgearch.Tuning
-
 /**
  * How far this node is behind with its own work, by one measure: the time since it was due to see the next tick. A tick
  * waits in the same line as reports and answers, so it is late by the time that they wait, and by the time for which
@@ -30,10 +28,14 @@
 
     /** A batch begins: before anything of it is taken for a time-out, this node knows how late it is. */
     fun began() {
-        if (tickQueuedAt != 0L && clock.steadyMs - tickQueuedAt - Tuning.TICK_MS > Tuning.BEHIND_MS) addStall()
+        if (tickQueuedAt != 0L &&
+            clock.steadyMs - tickQueuedAt - RuntimeTuning.TICK_MS > RuntimeTuning.BEHIND_MS
+        ) {
+            addStall()
+        }
     }
 
-    /** A tick has come that was put in line at [queuedAt] (steady ms); ticks are due every [Tuning.TICK_MS]. */
+    /** A tick has come that was put in line at [queuedAt] (steady ms); ticks are due every [RuntimeTuning.TICK_MS]. */
     fun ticked(queuedAt: Long) {
         began()
         if (tickSeenAt != 0L) metrics.ticked(clock.steadyMs - tickSeenAt)
@@ -43,7 +45,7 @@
     }
 
     private fun addStall() {
-        val until = clock.steadyMs + Tuning.CATCH_UP_MS
+        val until = clock.steadyMs + RuntimeTuning.CATCH_UP_MS
         val last = stalls.lastOrNull()
         if (last != null &&
             tickQueuedAt <= last.until
@@ -52,7 +54,7 @@
         } else {
             stalls.addLast(Stall(tickQueuedAt, until))
         }
-        while (clock.steadyMs - stalls.first().until > Tuning.STALLS_KEPT_MS) stalls.removeFirst()
+        while (clock.steadyMs - stalls.first().until > RuntimeTuning.STALLS_KEPT_MS) stalls.removeFirst()
     }
 
     /** This node does not keep up, or did not a moment ago. */
@@ -72,7 +74,9 @@
         return clock.steadyMs - time - behind
     }
 
-    /** The latest time (steady ms) since which this node kept up for more than [ms]: the inverse of [attentiveMsSince]. */
+    /**
+     * The latest time (steady ms) since which this node kept up for more than [ms]: the inverse of [attentiveMsSince].
+     */
     fun attentiveSince(ms: Long): Long {
         var left = ms
         var end = clock.steadyMs
@@ -93,8 +97,8 @@
     fun mayPass(): Boolean {
         val pause =
             maxOf(
-                if (isLagging) Tuning.BEHIND_PASS_MS else Tuning.PASS_MS,
-                minOf(passTook * Tuning.PASS_REST, Tuning.MOST_PASS_MS),
+                if (isLagging) RuntimeTuning.BEHIND_PASS_MS else RuntimeTuning.PASS_MS,
+                minOf(passTook * RuntimeTuning.PASS_REST, RuntimeTuning.MOST_PASS_MS),
             )
         if (clock.steadyMs - passAt < pause) return false
         passAt = clock.steadyMs
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -1,6 +1,5 @@
 package ledgearch.scheduling
 
-import ledgearch.Tuning
 import ledgearch.config.Objective
 import ledgearch.model.Job
 import ledgearch.runtime.Clock
@@ -34,7 +33,7 @@
             knownAt = clock.steadyMs
             known.clear()
         }
-        return latestEnds(job, Tuning.DEADLINE_LOOK_AHEAD)
+        return latestEnds(job, SchedulingTuning.DEADLINE_LOOK_AHEAD)
     }
 
     private fun latestEnds(
--- a/src/main/kotlin/ledgearch/scheduling/Estimates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Estimates.kt
@@ -1,6 +1,5 @@
 package ledgearch.scheduling
 
-import ledgearch.Tuning
 import ledgearch.model.AttemptState
 import ledgearch.model.Job
 import ledgearch.model.Machine
@@ -35,7 +34,7 @@
         // Every job counts the same, however many tasks it has.
         val w = 1.0 / job.spec.taskCount
         val s = seen.getOrPut(job.spec.jobClass) { Seen() }
-        s.weight = minOf(s.weight + w, Tuning.ESTIMATE_JOBS)
+        s.weight = minOf(s.weight + w, SchedulingTuning.ESTIMATE_JOBS)
         s.logRatio += (ln(seconds / job.spec.estimatedRunS) - s.logRatio) * minOf(1.0, w / s.weight)
     }
 
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -1,6 +1,5 @@
 package ledgearch.scheduling
 
-import ledgearch.Tuning
 import ledgearch.model.Band
 import ledgearch.model.Job
 import ledgearch.model.Machine
@@ -114,10 +113,15 @@
         val reserved = HashSet<Machine>()
         for (job in starved) {
             val free = withoutReserved(reserved, usable)
-            startAnywhere(job, free, leave = job.pendingCount - maxOf(1, job.pendingCount / Tuning.STARVED_PARTS))
+            startAnywhere(
+                job,
+                free,
+                leave =
+                    job.pendingCount - maxOf(1, job.pendingCount / SchedulingTuning.STARVED_PARTS),
+            )
             job.attempts.values.forEach { it.exemptFromPreemption = true }
             if (job.attempts.isEmpty() && teams.allows(job) &&
-                reserved.size < Tuning.RESERVED_AT_ONCE
+                reserved.size < SchedulingTuning.RESERVED_AT_ONCE
             ) {
                 reserve(job, free)?.let { reserved.add(it) }
             }
@@ -143,7 +147,7 @@
         val before = reservations[job]
         if (before != null && clock.steadyMs < before.until) {
             if (before.machine in free) return before.machine
-        } else if (before != null && clock.steadyMs < before.until + Tuning.RESERVATION_PAUSE_MS) {
+        } else if (before != null && clock.steadyMs < before.until + SchedulingTuning.RESERVATION_PAUSE_MS) {
             return null
         }
         val zones = ZoneSpread(job)
@@ -151,7 +155,7 @@
             free
                 .filter { it.allows(job) && zones.allows(it.zone) && it.couldTake(job) }
                 .minByOrNull { it.usedCpus } ?: return null
-        reservations[job] = Reservation(machine, clock.steadyMs + Tuning.RESERVATION_MS)
+        reservations[job] = Reservation(machine, clock.steadyMs + SchedulingTuning.RESERVATION_MS)
         return machine
     }
 
--- a/src/main/kotlin/ledgearch/scheduling/Preemption.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Preemption.kt
@@ -1,6 +1,5 @@
 package ledgearch.scheduling
 
-import ledgearch.Tuning
 import ledgearch.model.AttemptState
 import ledgearch.model.FreeResources
 import ledgearch.model.Job
@@ -57,8 +56,8 @@
             p,
             job,
             missed,
-            spent(p) + missed * Tuning.WORTH_AIM +
-                (Priority.entries.size - 1 - job.priority.ordinal) * Tuning.WORTH_PRIORITY -
+            spent(p) + missed * SchedulingTuning.WORTH_AIM +
+                (Priority.entries.size - 1 - job.priority.ordinal) * SchedulingTuning.WORTH_PRIORITY -
                 recovery.yieldsFor(job),
         )
     }
@@ -81,10 +80,11 @@
         running: List<Job>,
         freesASecond: Double,
     ) {
-        var freed = freesASecond * Tuning.PATIENCE_S * Tuning.CHURN_COUNTED
+        var freed = freesASecond * SchedulingTuning.PATIENCE_S * SchedulingTuning.CHURN_COUNTED
         val claimants =
             waiting.filter { job ->
-                val served = ranking.patient(job, Tuning.PATIENCE_S) && freed >= job.pendingCount * job.spec.vcpus
+                val served =
+                    ranking.patient(job, SchedulingTuning.PATIENCE_S) && freed >= job.pendingCount * job.spec.vcpus
                 freed -= job.pendingCount * job.spec.vcpus
                 !served && (teams.anyLowerPriority(job) || mayClaim(job, 1))
             }
@@ -271,7 +271,7 @@
             return Offer(
                 p,
                 victims.map { it.task },
-                victims.sumOf { it.cost } + p.machine.imageDistance(job.spec.image) * Tuning.WORTH_IMAGE,
+                victims.sumOf { it.cost } + p.machine.imageDistance(job.spec.image) * SchedulingTuning.WORTH_IMAGE,
             )
         }
     }
@@ -329,6 +329,6 @@
     private fun spent(p: TaskAttempt): Double {
         val since = if (p.state == AttemptState.RUNNING) p.runningSince else p.assignedAt
         return (clock.steadyMs - since) / 1000.0 * (p.job?.spec?.vcpus ?: 0.0) +
-            (if (p.state == AttemptState.RUNNING) Tuning.WORTH_STARTED else 0.0)
+            (if (p.state == AttemptState.RUNNING) SchedulingTuning.WORTH_STARTED else 0.0)
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/PreferredLists.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreferredLists.kt
@@ -1,6 +1,5 @@
 package ledgearch.scheduling
 
-import ledgearch.Tuning
 import ledgearch.model.Machine
 
 /**
@@ -31,7 +30,7 @@
     }
 
     private fun offsets(size: Int): List<Int> {
-        val count = minOf(Tuning.BUDDIES, size - 1)
+        val count = minOf(SchedulingTuning.BUDDIES, size - 1)
         // +1, -1, +2, -2, ...: near neighbours first, and no place twice.
         return (0 until count).map { if (it % 2 == 0) it / 2 + 1 else -(it / 2 + 1) }
     }
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -1,6 +1,5 @@
 package ledgearch.scheduling
 
-import ledgearch.Tuning
 import ledgearch.config.Objective
 import ledgearch.config.startWithinS
 import ledgearch.model.Job
@@ -27,7 +26,7 @@
     /** The job's class is to start sooner than an image can be fetched, and it is not too late for that. */
     fun hurried(job: Job): Boolean {
         val within = startWithin[job.spec.jobClass] ?: return false
-        return within < job.spec.imageGb * Tuning.FETCH_S_PER_GB && age(job) < within
+        return within < job.spec.imageGb * SchedulingTuning.FETCH_S_PER_GB && age(job) < within
     }
 
     private val guaranteeWithin: Double? =
@@ -44,7 +43,7 @@
      */
     fun claims(job: Job): Boolean {
         val within = guaranteeWithin ?: return true
-        return age(job) >= (within - job.spec.imageGb * Tuning.FETCH_S_PER_GB) / 2
+        return age(job) >= (within - job.spec.imageGb * SchedulingTuning.FETCH_S_PER_GB) / 2
     }
 
     /** An array that came less than [seconds] ago, and half the time in which it is to start is not over. */
@@ -57,7 +56,7 @@
      * No task of the job was started for so long that it goes before all others. Without this bound a steady stream of
      * little or more urgent work would keep a large job waiting for ever.
      */
-    fun starved(job: Job) = job.unservedMs(clock.wallMs) > Tuning.STARVED_MS
+    fun starved(job: Job) = job.unservedMs(clock.wallMs) > SchedulingTuning.STARVED_MS
 
     private class Rank(
         val job: Job,
@@ -115,6 +114,6 @@
         val age = age(job)
         if (job.isService) return -age
         val work = job.pendingCount * job.spec.vcpus * estimates.seconds(job)
-        return work - age * job.spec.vcpus * job.spec.taskCount * Tuning.AGE_CREDIT
+        return work - age * job.spec.vcpus * job.spec.taskCount * SchedulingTuning.AGE_CREDIT
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/Reliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Reliability.kt
@@ -1,6 +1,5 @@
 package ledgearch.scheduling
 
-import ledgearch.Tuning
 import ledgearch.model.Job
 import ledgearch.model.Machine
 import kotlin.math.exp
@@ -10,8 +9,8 @@
     private val estimates: Estimates,
     private val ranking: Ranking,
 ) {
-    private var hours = Tuning.LOSS_PRIOR_HOURS
-    private var losses = Tuning.LOSS_PRIOR_HOURS * Tuning.LOSS_PRIOR_RATE
+    private var hours = SchedulingTuning.LOSS_PRIOR_HOURS
+    private var losses = SchedulingTuning.LOSS_PRIOR_HOURS * SchedulingTuning.LOSS_PRIOR_RATE
     private var countedAt = 0L
     private var spotMachines = 0
 
@@ -37,11 +36,12 @@
         nowMs: Long,
     ) {
         if (!machine.spot) return
-        if (nowMs - windowAt > Tuning.LOSS_WINDOW_MS) {
+        if (nowMs - windowAt > SchedulingTuning.LOSS_WINDOW_MS) {
             windowAt = nowMs
             windowLeft =
-                Tuning.LOSSES_ALONE +
-                Tuning.LOSSES_TIMES * losses / hours * spotMachines * Tuning.LOSS_WINDOW_MS / MS_PER_HOUR
+                SchedulingTuning.LOSSES_ALONE +
+                SchedulingTuning.LOSSES_TIMES * losses / hours * spotMachines * SchedulingTuning.LOSS_WINDOW_MS /
+                MS_PER_HOUR
         }
         if (windowLeft < 1.0) return
         windowLeft -= 1.0
@@ -49,7 +49,7 @@
     }
 
     /** More likely than not the job would lose a task on spot machines, and be late by as much as it had run. */
-    private fun spotIsRisky(job: Job): Boolean = expectedLosses(job) > Tuning.EXPECTED_LOSSES
+    private fun spotIsRisky(job: Job): Boolean = expectedLosses(job) > SchedulingTuning.EXPECTED_LOSSES
 
     private fun expectedLosses(job: Job) =
         losses / hours * estimates.seconds(job) / SECONDS_PER_HOUR * (job.spec.taskCount - job.finishedCount)
@@ -100,9 +100,9 @@
                 if (job.runTime.tasks >
                     0
                 ) {
-                    Tuning.RUN_TIMES_KNOWN
+                    SchedulingTuning.RUN_TIMES_KNOWN
                 } else {
-                    Tuning.RUN_TIMES_GUESSED
+                    SchedulingTuning.RUN_TIMES_GUESSED
                 }
             ).map { missedOnSpot(job, seconds * it) }.average()
         return missed / (cpus(job) * seconds).coerceAtLeast(1.0)
@@ -118,8 +118,8 @@
         // Lost tasks put off the end: the last of them, and the last lost once more, and so on.
         var lost = expected
         var delay = 0.0
-        while (lost > Tuning.EXPECTED_LOSSES && delay < Tuning.MOST_DELAY_S) {
-            delay += seconds * lost / (lost + 1) + Tuning.FOUND_OUT_S
+        while (lost > SchedulingTuning.EXPECTED_LOSSES && delay < SchedulingTuning.MOST_DELAY_S) {
+            delay += seconds * lost / (lost + 1) + SchedulingTuning.FOUND_OUT_S
             lost *= lossesATask
         }
         return (1 - exp(-expected)) * ranking.missedByLoss(job, seconds, delay)
--- a/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
@@ -1,6 +1,5 @@
 package ledgearch.scheduling
 
-import ledgearch.Tuning
 import ledgearch.model.AttemptState
 import ledgearch.model.Machine
 import ledgearch.model.StopMode
@@ -30,7 +29,8 @@
         return replicas.all { attempt ->
             val job = attempt.job ?: return false
             val settled =
-                attempt.state == AttemptState.RUNNING && clock.steadyMs - attempt.runningSince > Tuning.SETTLED_MS &&
+                attempt.state == AttemptState.RUNNING &&
+                    clock.steadyMs - attempt.runningSince > SchedulingTuning.SETTLED_MS &&
                     attempt.stop == StopMode.NONE
             val anywhere = !job.spec.spreadZones && !job.spec.singleZone
             val target =
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -1,17 +1,18 @@
 package ledgearch.standby
 
-import ledgearch.Tuning
 import ledgearch.autoscaling.Autoscaler
 import ledgearch.autoscaling.RentalHint
-import ledgearch.control.Leader
 import ledgearch.jobs.JobStore
 import ledgearch.model.Machine
+import ledgearch.model.ModelTuning
 import ledgearch.peers.ClassRunTime
 import ledgearch.peers.MachineSnapshot
 import ledgearch.peers.RentedMachine
 import ledgearch.peers.ServiceTime
 import ledgearch.peers.StreamRecord
 import ledgearch.runtime.Clock
+import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.SchedulingTuning
 import kotlin.math.abs
 
 /**
@@ -37,10 +38,10 @@
         val hint = machines[machine.name] ?: return
         machine.incarnationHint = hint.incarnation.coerceAtLeast(0)
         if (hint.returning) {
-            machine.refusedUntil = clock.steadyMs + Tuning.RETURNING_HINT_MS
+            machine.refusedUntil = clock.steadyMs + StandbyTuning.RETURNING_HINT_MS
             machine.returningHint = true
         }
-        for (image in hint.images.take(Tuning.MACHINE_TASKS)) {
+        for (image in hint.images.take(ModelTuning.MACHINE_TASKS)) {
             if (!(image.gigabytes >= 0.0) || image.gigabytes.isInfinite()) continue
             machine.touchImage(image.name, image.gigabytes)
             if (image.fetched && image.name in machine.images) machine.fetched.add(image.name)
@@ -56,14 +57,17 @@
 
     /** All records are read. */
     fun takenOver(
-        leader: Leader,
+        knownMachines: Map<String, Machine>,
+        estimates: Estimates,
         jobStore: JobStore,
         fleet: Autoscaler,
         clock: Clock,
     ) {
         for (hint in runTimes) {
-            if (abs(hint.logRatio) <= Tuning.RUN_TIME_HINT_MAX && hint.weight in 0.0..Tuning.ESTIMATE_JOBS) {
-                leader.estimates.learn(hint.jobClass, hint.logRatio, hint.weight)
+            if (abs(hint.logRatio) <= StandbyTuning.RUN_TIME_HINT_MAX &&
+                hint.weight in 0.0..SchedulingTuning.ESTIMATE_JOBS
+            ) {
+                estimates.learn(hint.jobClass, hint.logRatio, hint.weight)
             }
         }
         for (hint in serviceTimes) {
@@ -72,7 +76,7 @@
         }
         for (hint in rented) {
             if (hint.name !in
-                leader.machines
+                knownMachines
             ) {
                 fleet.mayBoot(RentalHint(hint.name, hint.machineType, hint.zone, hint.spot))
             }
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -1,7 +1,6 @@
 package ledgearch.standby
 
 import ledgearch.autoscaling.Autoscaler
-import ledgearch.control.Leader
 import ledgearch.jobs.JobStore
 import ledgearch.model.Machine
 import ledgearch.peers.AttemptSnapshot
@@ -12,13 +11,15 @@
 import ledgearch.peers.RentedMachine
 import ledgearch.peers.ServiceTime
 import ledgearch.peers.StreamRecord
+import ledgearch.scheduling.Estimates
 
 /**
  * Reads the leader's state as stream records. What would exceed [maxBytes] is left out, machines coming first: the
  * stream carries hints only, so an incomplete one costs time at a take-over and nothing else.
  */
 internal class LeaderSnapshot(
-    private val leader: Leader,
+    private val machines: Map<String, Machine>,
+    private val estimates: Estimates,
     private val jobStore: JobStore,
     private val fleet: Autoscaler,
     private val maxBytes: Long,
@@ -31,10 +32,10 @@
     fun read(): Map<RecordKey, StreamRecord> {
         bytes = 0
         val records = HashMap<RecordKey, StreamRecord>()
-        for (machine in leader.machines.values) {
+        for (machine in machines.values) {
             if (machine.incarnation != 0L) add(records, imageOf(machine))
         }
-        for ((jobClass, learnt) in leader.estimates.learnt()) {
+        for ((jobClass, learnt) in estimates.learnt()) {
             add(records, ClassRunTime(jobClass, learnt.logRatio, learnt.weight))
         }
         for (job in jobStore.jobs.values) {
--- a/src/main/kotlin/ledgearch/standby/PreviousTerm.kt
+++ b/src/main/kotlin/ledgearch/standby/PreviousTerm.kt
@@ -14,8 +14,8 @@
     private var revisionBefore = 0L
 
     /**
-     * The grant is now [leadership], made at [modRevision]. True: another term has begun. A grant that ended, or is this node's
-     * own, changes nothing: the term before it is still the one that was replaced.
+     * The grant is now [leadership], made at [modRevision]. True: another term has begun. A grant that ended, or is
+     * this node's own, changes nothing: the term before it is still the one that was replaced.
      */
     fun changed(
         leadership: LeadershipRecord?,
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import ledgearch.Tuning
+import ledgearch.election.ElectionTuning
 import ledgearch.peers.Mesh
 import ledgearch.peers.StandbyEvent
 import ledgearch.peers.StreamCodec
@@ -56,7 +56,7 @@
     private val replaced = PreviousTerm(node)
 
     val streamLog = StreamLog(frameBytes(processorShare))
-    val replica = Replica(Tuning.REPLICA_BYTES)
+    val replica = Replica(StandbyTuning.REPLICA_BYTES)
 
     /** This node leads under a new term. Returns what its replica suggests, or null when there is no fitting one. */
     fun begin(term: Long): FailoverHints? {
@@ -130,11 +130,11 @@
     /** Streams the changes since the last interval; [leading]: this node holds the grant and has read the records. */
     fun drive(leading: Boolean) {
         if (!leading || clock.steadyMs < streamAt || !streamLog.isFollowed) return
-        streamAt = clock.steadyMs + Tuning.STREAM_MS
+        streamAt = clock.steadyMs + StandbyTuning.STREAM_MS
         streamLog.advance(image.read())
         if (image.isCutShort && !cutShortLogged) {
             cutShortLogged = true
-            log.warn("the state exceeds {} bytes; the stream carries a part of it", Tuning.REPLICA_BYTES)
+            log.warn("the state exceeds {} bytes; the stream carries a part of it", StandbyTuning.REPLICA_BYTES)
         }
         for (follower in streamLog.followers.toList()) send(follower)
     }
@@ -151,11 +151,15 @@
         log.warn("follower {} is too slow for the decision stream; its connection is closed", follower)
     }
 
-    /** ms that this node waits before it claims a free grant; up to [Tuning.ELECTION_SPREAD_MS], as without standby. */
+    /**
+     * ms that this node waits before it claims a free grant; up to [ElectionTuning.ELECTION_SPREAD_MS], as without
+     * standby.
+     */
     fun headStartMs(): Long {
         val behind = msBehind()
-        if (behind < 0) return Tuning.HEAD_START_MS
-        return Tuning.HEAD_START_MS * minOf(behind, Tuning.HEAD_START_LAG_MS) / Tuning.HEAD_START_LAG_MS
+        if (behind < 0) return ElectionTuning.HEAD_START_MS
+        return ElectionTuning.HEAD_START_MS * minOf(behind, StandbyTuning.HEAD_START_LAG_MS) /
+            StandbyTuning.HEAD_START_LAG_MS
     }
 
     /** ms since the replica was last equal to the leader's state, or -1 when none is held. */
@@ -180,8 +184,8 @@
     private companion object {
         /** A snapshot is paced by the share of the processor that the leader may use. */
         fun frameBytes(processorShare: Double) =
-            (Tuning.STREAM_FRAME_BYTES * processorShare)
+            (StandbyTuning.STREAM_FRAME_BYTES * processorShare)
                 .toInt()
-                .coerceIn(Tuning.STREAM_FRAME_LEAST, Tuning.STREAM_FRAME_BYTES)
+                .coerceIn(StandbyTuning.STREAM_FRAME_LEAST, StandbyTuning.STREAM_FRAME_BYTES)
     }
 }
--- a/src/main/kotlin/ledgearch/store/StoreClient.kt
+++ b/src/main/kotlin/ledgearch/store/StoreClient.kt
@@ -1,10 +1,10 @@
 package ledgearch.store
 
 import kotlinx.serialization.SerializationException
-import ledgearch.Tuning
 import ledgearch.config.StateLimits
 import ledgearch.http.Reply
 import ledgearch.runtime.Clock
+import ledgearch.runtime.RuntimeTuning
 import ledgearch.runtime.TokenBucket
 import ledgearch.runtime.Transport
 import ledgearch.wire.Change
@@ -19,11 +19,14 @@
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
+/** What became of a transaction. */
 internal sealed interface TransactionResult {
+    /** All its changes were made, at [revision]. */
     data class Committed(
         val revision: Long,
     ) : TransactionResult
 
+    /** The conditions on the keys in [failed] did not hold: nothing was changed. */
     data class Conflict(
         val failed: List<String>,
     ) : TransactionResult
@@ -52,6 +55,7 @@
     data object Failed : ReadResult<Nothing>
 }
 
+/** Critical requests are sent before ordinary ones, and are never refused here for a pause. */
 internal enum class RequestClass { CRITICAL, ORDINARY }
 
 /**
@@ -105,11 +109,11 @@
         val part =
             when {
                 nodes <= 1 -> 1.0
-                leader -> Tuning.LEADER_SHARE
-                else -> (1 - Tuning.LEADER_SHARE) / (nodes - 1)
+                leader -> StoreTuning.LEADER_SHARE
+                else -> (1 - StoreTuning.LEADER_SHARE) / (nodes - 1)
             }
-        requests.perSecond = (if (lowered) limits.lowerRps else limits.rps) * Tuning.BUDGET_USED * part
-        writes.perSecond = (if (lowered) limits.lowerWriteRps else limits.writeRps) * Tuning.BUDGET_USED * part
+        requests.perSecond = (if (lowered) limits.lowerRps else limits.rps) * RuntimeTuning.BUDGET_USED * part
+        writes.perSecond = (if (lowered) limits.lowerWriteRps else limits.writeRps) * RuntimeTuning.BUDGET_USED * part
     }
 
     /**
@@ -118,7 +122,7 @@
      * cost time.
      */
     private fun overRate(changes: Int) {
-        pausedUntil = clock.steadyMs + Tuning.STATE_RETRY_MS
+        pausedUntil = clock.steadyMs + StoreTuning.STATE_RETRY_MS
         val byWrites = changes > 0 && limits.lowerWriteRps < limits.writeRps
         if (lowered || !(byWrites || limits.lowerRps < limits.rps)) return
         lowered = true
@@ -145,7 +149,7 @@
             "POST",
             "/txn",
             body,
-            if (changes.isEmpty()) Tuning.COMPARE_MS else Tuning.TRANSACTION_MS,
+            if (changes.isEmpty()) StoreTuning.COMPARE_MS else StoreTuning.TRANSACTION_MS,
         ) { reply ->
             if (reply.status !=
                 200
@@ -204,7 +208,7 @@
         key: String,
         requestClass: RequestClass,
         done: (ReadResult<KeyValue>) -> Unit,
-    ) = enqueue(requestClass, 0, "GET", "/keys/$key", null, Tuning.STATE_MS) {
+    ) = enqueue(requestClass, 0, "GET", "/keys/$key", null, StoreTuning.STATE_MS) {
         read(it, done) { text -> WireJson.decodeFromString(KeyValue.serializer(), text) }
     }
 
@@ -215,7 +219,14 @@
         done: (ReadResult<KeyPage>) -> Unit,
     ) {
         val after = if (since == null) "" else "&since=$since"
-        enqueue(requestClass, 0, "GET", "/keys?under=$prefix$after&limit=${Tuning.PAGE}", null, Tuning.STATE_PAGE_MS) {
+        enqueue(
+            requestClass,
+            0,
+            "GET",
+            "/keys?under=$prefix$after&limit=${StoreTuning.PAGE}",
+            null,
+            StoreTuning.STATE_PAGE_MS,
+        ) {
             read(it, { page -> done(page.takeUnless(::endsNowhere) ?: ReadResult.Failed) }) { text ->
                 WireJson.decodeFromString(KeyPage.serializer(), text)
             }
@@ -232,8 +243,8 @@
             0,
             "POST",
             "/leases",
-            WireJson.encodeToString(LeaseRequest.serializer(), LeaseRequest(Tuning.LEASE_MS)),
-            Tuning.STATE_MS,
+            WireJson.encodeToString(LeaseRequest.serializer(), LeaseRequest(StoreTuning.LEASE_MS)),
+            StoreTuning.STATE_MS,
         ) { reply ->
             done(
                 if (reply.status ==
@@ -250,7 +261,7 @@
     fun keepAlive(
         leaseId: Long,
         done: (Boolean?) -> Unit,
-    ) = enqueue(RequestClass.CRITICAL, 0, "POST", "/leases/$leaseId/touch", "{}", Tuning.STATE_MS) { reply ->
+    ) = enqueue(RequestClass.CRITICAL, 0, "POST", "/leases/$leaseId/touch", "{}", StoreTuning.STATE_MS) { reply ->
         done(
             when (reply.status) {
                 200 -> true
@@ -269,9 +280,9 @@
         RequestClass.CRITICAL,
         0,
         "GET",
-        "/changes?under=$prefix&since=$since&blockMs=${Tuning.WATCH_MS}",
+        "/changes?under=$prefix&since=$since&blockMs=${StoreTuning.WATCH_MS}",
         null,
-        Tuning.WATCH_MS + Tuning.WATCH_GRACE_MS,
+        StoreTuning.WATCH_MS + StoreTuning.WATCH_GRACE_MS,
     ) {
         read(it, done) { text -> WireJson.decodeFromString(WatchReply.serializer(), text) }
     }
@@ -283,7 +294,7 @@
         for ((requestClass, queue) in lanes) {
             while (queue.isNotEmpty()) {
                 val next = queue.first()
-                if (clock.steadyMs - next.since > Tuning.STATE_MS) {
+                if (clock.steadyMs - next.since > StoreTuning.STATE_MS) {
                     queue.removeFirst()
                     next.done(Reply(429, ""))
                     continue
@@ -309,7 +320,7 @@
 
                         503 -> {
                             refuses = true
-                            refusedUntil = clock.steadyMs + Tuning.STATE_RETRY_MS
+                            refusedUntil = clock.steadyMs + StoreTuning.STATE_RETRY_MS
                         }
 
                         429 -> {
--- a/src/main/kotlin/ledgearch/wire/WireEnum.kt
+++ b/src/main/kotlin/ledgearch/wire/WireEnum.kt
@@ -15,8 +15,8 @@
 }
 
 /**
- * Reads and writes an enum by the protocol's texts. A text that this version does not know becomes [unrecognized]; where
- * there is no such value, reading throws [SerializationException], so that nothing is ever written back changed.
+ * Reads and writes an enum by the protocol's texts. A text that this version does not know becomes [unrecognized];
+ * where there is no such value, reading throws [SerializationException], so that nothing is ever written back changed.
  */
 open class WireEnumSerializer<E>(
     name: String,
--- a/src/test/kotlin/ledgearch/EventLoopTest.kt
+++ b/src/test/kotlin/ledgearch/EventLoopTest.kt
@@ -9,6 +9,7 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import ledgearch.http.EventLoop
 import ledgearch.http.HttpServer
+import ledgearch.http.HttpTuning
 import ledgearch.http.Response
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -66,7 +67,7 @@
     @Test
     fun `callers do not keep the owner's turn waiting for longer than they may`() {
         val looks = AtomicLong()
-        val served = servedBeforeTurn { looks.incrementAndGet() * (Tuning.SOCKETS_MS + 1) * NANOS_PER_MS }
+        val served = servedBeforeTurn { looks.incrementAndGet() * (HttpTuning.SOCKETS_MS + 1) * NANOS_PER_MS }
         assertTrue(served < CALLERS, "$served callers were served first")
     }
 
--- a/src/test/kotlin/ledgearch/FramesTest.kt
+++ b/src/test/kotlin/ledgearch/FramesTest.kt
@@ -1,7 +1,7 @@
 package ledgearch
 
+import ledgearch.model.JobProgress
 import ledgearch.peers.Frames
-import ledgearch.peers.JobProgress
 import ledgearch.peers.LeaderStatus
 import ledgearch.peers.MalformedFrame
 import okio.Buffer
--- a/src/test/kotlin/ledgearch/MeshLinksTest.kt
+++ b/src/test/kotlin/ledgearch/MeshLinksTest.kt
@@ -5,10 +5,11 @@
 import kotlinx.coroutines.asCoroutineDispatcher
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import ledgearch.peers.JobProgress
+import ledgearch.model.JobProgress
 import ledgearch.peers.LeaderStatus
 import ledgearch.peers.MeshEvents
 import ledgearch.peers.MeshLinks
+import ledgearch.peers.PeerTuning
 import ledgearch.peers.StandbyEvent
 import ledgearch.peers.StreamCodec
 import ledgearch.peers.StreamFrame
@@ -102,11 +103,11 @@
         val follower = Heard()
         follow(address, follower, streams = true)
         next(atLeader.standby)
-        val jobs = List(2 * Tuning.JOBS_A_FRAME + 1) { JobProgress("job-$it", it, 1) }
+        val jobs = List(2 * PeerTuning.JOBS_A_FRAME + 1) { JobProgress("job-$it", it, 1) }
         onOwner { leader.publish(LeaderStatus(jobs, served = true)) }
         val heard = List(3) { next(follower.statuses)?.progress.orEmpty() }
         assertEquals(jobs, heard.flatten())
-        assertTrue(heard.all { it.size <= Tuning.JOBS_A_FRAME })
+        assertTrue(heard.all { it.size <= PeerTuning.JOBS_A_FRAME })
     }
 
     @Test
--- a/src/test/kotlin/ledgearch/MessageTest.kt
+++ b/src/test/kotlin/ledgearch/MessageTest.kt
@@ -1,6 +1,7 @@
 package ledgearch
 
 import ledgearch.http.BadMessage
+import ledgearch.http.HttpTuning
 import ledgearch.http.MessageReader
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -55,7 +56,7 @@
         bytes: ByteArray,
         cut: Int,
     ): String {
-        val reader = MessageReader(Tuning.MAX_BODY)
+        val reader = MessageReader(HttpTuning.MAX_BODY)
         val bodies = ArrayList<String>()
         try {
             for (part in listOf(
--- a/src/test/kotlin/ledgearch/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/MixedVersionsTest.kt
@@ -5,8 +5,8 @@
 import ledgearch.config.NextStateLimits
 import ledgearch.config.SettingsLoader
 import ledgearch.config.StateLimits
+import ledgearch.model.JobProgress
 import ledgearch.peers.Frames
-import ledgearch.peers.JobProgress
 import ledgearch.peers.LeaderStatus
 import ledgearch.records.CatalogRecord
 import ledgearch.records.FinalRecord
--- a/src/test/kotlin/ledgearch/OperatorSettingsTest.kt
+++ b/src/test/kotlin/ledgearch/OperatorSettingsTest.kt
@@ -1,5 +1,6 @@
 package ledgearch
 
+import ledgearch.config.ConfigTuning
 import ledgearch.config.OperatorLoader
 import ledgearch.config.SettingsException
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -48,6 +49,6 @@
         val file = folder.resolve("operator.json").apply { writeText("""{"spot":false,"maxMachines":10}""") }
         val settings = OperatorLoader.load(file)
         assertEquals(false to 10, settings.spot to settings.maxMachines)
-        assertEquals(Tuning.RETRY_AFTER_S, settings.retryAfterS)
+        assertEquals(ConfigTuning.RETRY_AFTER_S, settings.retryAfterS)
     }
 }
--- a/src/test/kotlin/ledgearch/OwnerQueueTest.kt
+++ b/src/test/kotlin/ledgearch/OwnerQueueTest.kt
@@ -1,6 +1,7 @@
 package ledgearch
 
 import kotlinx.coroutines.runBlocking
+import ledgearch.cli.DaemonTuning
 import ledgearch.cli.OwnerQueue
 import ledgearch.control.OwnerCommand
 import ledgearch.http.Request
@@ -23,16 +24,16 @@
     @Test
     fun `reports overtake users, who still get their part`() {
         repeat(200) { assertTrue(queue.offer(request("/work"))) }
-        runBlocking { repeat(Tuning.BATCH) { queue.put(request("/checkin")) } }
+        runBlocking { repeat(DaemonTuning.BATCH) { queue.put(request("/checkin")) } }
         val taken = batch()
-        assertEquals(Tuning.BATCH, taken.size)
-        assertEquals(Tuning.USERS_IN_BATCH, taken.count { it == "/work" })
-        assertTrue(taken.takeLast(Tuning.USERS_IN_BATCH).all { it == "/work" })
+        assertEquals(DaemonTuning.BATCH, taken.size)
+        assertEquals(DaemonTuning.USERS_IN_BATCH, taken.count { it == "/work" })
+        assertTrue(taken.takeLast(DaemonTuning.USERS_IN_BATCH).all { it == "/work" })
     }
 
     @Test
     fun `one user too many is turned away at once, reports are not`() {
-        repeat(Tuning.USERS_QUEUE) { assertTrue(queue.offer(request("/work"))) }
+        repeat(DaemonTuning.USERS_QUEUE) { assertTrue(queue.offer(request("/work"))) }
         assertFalse(queue.offer(request("/work")))
         runBlocking { queue.put(request("/checkin")) }
         queue.tick()
--- a/src/test/kotlin/ledgearch/StallCompensationTest.kt
+++ b/src/test/kotlin/ledgearch/StallCompensationTest.kt
@@ -2,6 +2,7 @@
 
 import ledgearch.runtime.Clock
 import ledgearch.runtime.Metrics
+import ledgearch.runtime.RuntimeTuning
 import ledgearch.runtime.StallCompensation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -27,7 +28,7 @@
         until: Long,
         waited: Long = 0,
     ) {
-        for (ms in from..until step Tuning.TICK_MS) tickAt(ms, waited)
+        for (ms in from..until step RuntimeTuning.TICK_MS) tickAt(ms, waited)
     }
 
     @Test
@@ -40,9 +41,9 @@
     @Test
     fun `a late tick shows a node that is behind for a while`() {
         tickAt(1_000)
-        tickAt(1_000 + Tuning.TICK_MS + Tuning.BEHIND_MS + 1)
+        tickAt(1_000 + RuntimeTuning.TICK_MS + RuntimeTuning.BEHIND_MS + 1)
         assertTrue(stalls.isLagging)
-        clock.steadyMs += Tuning.CATCH_UP_MS
+        clock.steadyMs += RuntimeTuning.CATCH_UP_MS
         assertFalse(stalls.isLagging)
     }
 
@@ -67,9 +68,9 @@
         ticksInTime(1_000, 5_000)
         tickAt(8_000)
         ticksInTime(8_050, 20_000)
-        val behind = 8_000 + Tuning.CATCH_UP_MS - 5_000
+        val behind = 8_000 + RuntimeTuning.CATCH_UP_MS - 5_000
         assertEquals(19_000 - behind, stalls.attentiveMsSince(1_000))
-        assertEquals(20_000 - 8_000 - Tuning.CATCH_UP_MS, stalls.attentiveMsSince(7_000))
+        assertEquals(20_000 - 8_000 - RuntimeTuning.CATCH_UP_MS, stalls.attentiveMsSince(7_000))
         assertEquals(10_000, stalls.attentiveMsSince(10_000))
         assertFalse(stalls.wasLaggingSince(10_000))
     }
--- a/src/test/kotlin/ledgearch/SubmittedTest.kt
+++ b/src/test/kotlin/ledgearch/SubmittedTest.kt
@@ -1,5 +1,6 @@
 package ledgearch
 
+import ledgearch.api.ApiTuning
 import ledgearch.api.MalformedSubmission
 import ledgearch.api.SubmittedJob
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -24,13 +25,13 @@
     fun `brackets within strings do not nest`() {
         assertEquals(
             "job-1",
-            SubmittedJob.read("""{"ref":"job-1","x":"\"${"[".repeat(Tuning.SUBMISSION_DEPTH + 1)}"}""").id,
+            SubmittedJob.read("""{"ref":"job-1","x":"\"${"[".repeat(ApiTuning.SUBMISSION_DEPTH + 1)}"}""").id,
         )
     }
 
     @Test
     fun `nesting within the bound can be read`() {
-        val deep = "[".repeat(Tuning.SUBMISSION_DEPTH - 1) + "]".repeat(Tuning.SUBMISSION_DEPTH - 1)
+        val deep = "[".repeat(ApiTuning.SUBMISSION_DEPTH - 1) + "]".repeat(ApiTuning.SUBMISSION_DEPTH - 1)
         assertEquals("job-1", SubmittedJob.read("""{"ref":"job-1","x":$deep}""").id)
     }
 }
--- a/src/test/kotlin/ledgearch/WarmStandbyTest.kt
+++ b/src/test/kotlin/ledgearch/WarmStandbyTest.kt
@@ -7,6 +7,7 @@
 import ledgearch.peers.MachineSnapshot
 import ledgearch.peers.MalformedFrame
 import ledgearch.peers.MeshFrame
+import ledgearch.peers.PeerTuning
 import ledgearch.peers.RecordKey
 import ledgearch.peers.RecordKind
 import ledgearch.peers.RentedMachine
@@ -19,6 +20,7 @@
 import ledgearch.standby.ApplyResult
 import ledgearch.standby.PreviousTerm
 import ledgearch.standby.Replica
+import ledgearch.standby.StandbyTuning
 import ledgearch.standby.StreamLog
 import okio.Buffer
 import okio.ByteString.Companion.toByteString
@@ -88,7 +90,7 @@
 
     @Test
     fun `an oversized frame and one of an unknown kind are refused before they are read`() {
-        for (length in listOf((1 shl 24) or Tuning.STREAM_FRAME_MAX + 1, 2 shl 24, -1)) {
+        for (length in listOf((1 shl 24) or PeerTuning.STREAM_FRAME_MAX + 1, 2 shl 24, -1)) {
             assertThrows(MalformedFrame::class.java) { StreamFrames.take(Buffer().writeInt(length)) }
         }
     }
@@ -104,7 +106,7 @@
                 frame.copy(term = 4),
             )
         for (fault in faults) {
-            val replica = Replica(Tuning.REPLICA_BYTES)
+            val replica = Replica(StandbyTuning.REPLICA_BYTES)
             assertTrue(replica.apply(frame.copy(first = false)) is ApplyResult.Rejected)
             assertEquals(ApplyResult.Applied, replica.apply(frame))
             assertFalse(replica.isCurrent)
@@ -129,7 +131,7 @@
         val random = Random(2)
         val log = StreamLog(frameBytes = 200)
         log.begin(5)
-        val replica = Replica(Tuning.REPLICA_BYTES)
+        val replica = Replica(StandbyTuning.REPLICA_BYTES)
         var state = states(*Array(50) { machine.copy(name = "host-$it") })
         log.join(1)
         var frames = 0
--- a/src/test/kotlin/ledgearch/ZoneRecoveryTest.kt
+++ b/src/test/kotlin/ledgearch/ZoneRecoveryTest.kt
@@ -7,6 +7,7 @@
 import ledgearch.records.JobRecord
 import ledgearch.recovery.FlapPenalty
 import ledgearch.recovery.RecoveryOrder
+import ledgearch.recovery.RecoveryTuning
 import ledgearch.recovery.ReturnRamp
 import ledgearch.recovery.ZoneHealth
 import ledgearch.recovery.ZoneObservation
@@ -40,7 +41,7 @@
         zone.look(cutOff, 3_000)
         assertEquals(ZoneState.LOST to 0.0, zone.state to zone.admittedShare)
         zone.look(heard, 10_000)
-        assertEquals(ZoneState.RETURNING to Tuning.RAMP_SHARES.first(), zone.state to zone.admittedShare)
+        assertEquals(ZoneState.RETURNING to RecoveryTuning.RAMP_SHARES.first(), zone.state to zone.admittedShare)
         for (second in 11..40L) zone.look(heard, second * 1000)
         assertEquals(ZoneState.UP to 1.0, zone.state to zone.admittedShare)
     }
@@ -93,15 +94,15 @@
     fun `a failure takes the ramp one step back and slows it, several at once count as one`() {
         val ramp = ReturnRamp()
         ramp.begin(0)
-        ramp.look(Tuning.RAMP_STEP_MS)
-        ramp.look(2 * Tuning.RAMP_STEP_MS)
-        assertEquals(Tuning.RAMP_SHARES[2], ramp.share)
-        repeat(5) { ramp.failed(2 * Tuning.RAMP_STEP_MS + it) }
-        assertEquals(Tuning.RAMP_SHARES[1], ramp.share)
-        ramp.look(3 * Tuning.RAMP_STEP_MS + 10)
-        assertEquals(Tuning.RAMP_SHARES[1], ramp.share)
-        ramp.look(2 * Tuning.RAMP_STEP_MS + Tuning.RAMP_SLOWED_MS)
-        assertEquals(Tuning.RAMP_SHARES[2], ramp.share)
+        ramp.look(RecoveryTuning.RAMP_STEP_MS)
+        ramp.look(2 * RecoveryTuning.RAMP_STEP_MS)
+        assertEquals(RecoveryTuning.RAMP_SHARES[2], ramp.share)
+        repeat(5) { ramp.failed(2 * RecoveryTuning.RAMP_STEP_MS + it) }
+        assertEquals(RecoveryTuning.RAMP_SHARES[1], ramp.share)
+        ramp.look(3 * RecoveryTuning.RAMP_STEP_MS + 10)
+        assertEquals(RecoveryTuning.RAMP_SHARES[1], ramp.share)
+        ramp.look(2 * RecoveryTuning.RAMP_STEP_MS + RecoveryTuning.RAMP_SLOWED_MS)
+        assertEquals(RecoveryTuning.RAMP_SHARES[2], ramp.share)
     }
 
     @Test
--- a/src/test/kotlin/ledgearch/loopback/TakeoverWatch.kt
+++ b/src/test/kotlin/ledgearch/loopback/TakeoverWatch.kt
@@ -1,6 +1,6 @@
 package ledgearch.loopback
 
-import ledgearch.Tuning
+import ledgearch.control.ControlTuning
 
 /** ms from the failure of a leader, each null until it was seen. */
 internal class TakeoverTimes {
@@ -36,7 +36,7 @@
 
     private fun token() = simulation.state.modRevision(LoopbackCluster.LEADERSHIP_KEY)
 
-    private fun term() = simulation.rules.lastAttempt shr Tuning.ATTEMPT_BITS
+    private fun term() = simulation.rules.lastAttempt shr ControlTuning.ATTEMPT_BITS
 
     private fun look() {
         val sinceMs = simulation.clock.now - beganAt
--- a/src/test/kotlin/ledgearch/simulation/Pipelines.kt
+++ b/src/test/kotlin/ledgearch/simulation/Pipelines.kt
@@ -5,7 +5,8 @@
     private const val PREVIOUS = "depends-on=previous"
 
     /**
-     * The words of the job at [index] of a row numbered from [first]: `depends-on=previous` names the one before, if any.
+     * The words of the job at [index] of a row numbered from [first]: `depends-on=previous` names the one before, if
+     * any.
      */
     fun ofChain(
         words: List<String>,
--- a/src/test/kotlin/ledgearch/simulation/Rules.kt
+++ b/src/test/kotlin/ledgearch/simulation/Rules.kt
@@ -1,6 +1,6 @@
 package ledgearch.simulation
 
-import ledgearch.Tuning
+import ledgearch.control.ControlTuning
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
 import ledgearch.wire.JobState
@@ -144,7 +144,7 @@
         task: WorkerStandIn.Task,
     ) {
         lastAttempt = maxOf(lastAttempt, task.attempt)
-        termsSeen.add(task.attempt shr Tuning.ATTEMPT_BITS)
+        termsSeen.add(task.attempt shr ControlTuning.ATTEMPT_BITS)
         if (task.taskId.substringBefore('/') in
             cancelledAt
         ) {
--- a/src/test/kotlin/ledgearch/simulation/Scenario.kt
+++ b/src/test/kotlin/ledgearch/simulation/Scenario.kt
@@ -1,11 +1,12 @@
 package ledgearch.simulation
 
-import ledgearch.Tuning
+import ledgearch.config.ConfigTuning
 import ledgearch.config.NextStateLimits
 import ledgearch.config.OperatorSettings
 import ledgearch.config.RecoveryGroup
 import ledgearch.config.StateLimits
 import ledgearch.config.ZoneRecoverySettings
+import ledgearch.control.ControlTuning
 
 /**
  * A scenario in a text file. A line is a time in seconds, a step and its words; `#` begins a comment. Steps of the
@@ -71,7 +72,7 @@
             stateLimits(),
             options["lease-ms"]?.toLong() ?: LEASE_MS,
             // finals-kept COUNT: so many final states a controller remembers.
-            options["finals-kept"]?.toLong() ?: Tuning.FINAL_CACHE,
+            options["finals-kept"]?.toLong() ?: ControlTuning.FINAL_CACHE,
             // next LIMITS: what the settings announce, as `value-kb=2 txn-ops=5 write-rps=18 rps=100`.
             options["next"]?.let { ScenarioLimits.next(it.split(' ')) },
             // standby NODES: those have warm standby, as `n1 n2`.
@@ -85,7 +86,7 @@
     private fun operator() =
         OperatorSettings(
             spot = options["spot"] != "no",
-            maxMachines = options["max-machines"]?.toInt() ?: Tuning.MAX_MACHINES,
+            maxMachines = options["max-machines"]?.toInt() ?: ConfigTuning.MAX_MACHINES,
             zoneRecovery = zoneRecovery(),
         )
 
--- a/src/test/kotlin/ledgearch/simulation/Simulation.kt
+++ b/src/test/kotlin/ledgearch/simulation/Simulation.kt
@@ -1,6 +1,6 @@
 package ledgearch.simulation
 
-import ledgearch.Tuning
+import ledgearch.cli.DaemonTuning
 import ledgearch.config.CloudLimits
 import ledgearch.config.Deployment
 import ledgearch.config.Member
@@ -14,6 +14,7 @@
 import ledgearch.config.StateLimits
 import ledgearch.config.Team
 import ledgearch.config.WorkerTimes
+import ledgearch.control.ControlTuning
 import ledgearch.control.Controller
 import ledgearch.control.OwnerCommand
 import ledgearch.http.Reply
@@ -40,7 +41,7 @@
     private val cpu: Double = 1.0,
     private val limits: StateLimits = StateLimits(200.0, 60.0, 8.0, 16),
     val leaseMs: Long = 14_000L,
-    private val finalsKept: Long = Tuning.FINAL_CACHE,
+    private val finalsKept: Long = ControlTuning.FINAL_CACHE,
     /** The limits that the settings of controllers that start from now on announce. */
     var nextLimits: NextStateLimits? = null,
     /** Controllers with warm standby. */
@@ -153,7 +154,7 @@
 
         /** A process listens once it has read the state service, or after a while. */
         val isListening: Boolean
-            get() = controller?.let { it.isReady || clock.now - startedAt >= Tuning.LISTEN_WAIT_MS } == true
+            get() = controller?.let { it.isReady || clock.now - startedAt >= DaemonTuning.LISTEN_WAIT_MS } == true
         val standby: WarmStandby? get() = controller?.standby
         val failoverMs: Long? get() = controller?.failoverMs
         val zoneRecovery: ZoneRecovery? get() = controller?.zoneRecovery
@@ -259,7 +260,7 @@
 
         /** As the owner's loop does: one batch after the other, each begun when the one before is over. */
         private fun workOff() {
-            val batch = List(minOf(waiting.size, Tuning.BATCH)) { waiting.removeFirst() }
+            val batch = List(minOf(waiting.size, DaemonTuning.BATCH)) { waiting.removeFirst() }
             working = batch.isNotEmpty()
             if (batch.isEmpty()) return
             val mine = instance
