--- a/src/main/kotlin/ledgearch/peers/Frames.kt
+++ b/src/main/kotlin/ledgearch/peers/Frames.kt
@@ -8,90 +8,113 @@
 import kotlin.math.roundToInt
 
 /**
- * What the leader tells the others at one time. [served]: the state service answers it; null when it does not say.
- * [zones]: those that are not up, or were not of late.
- */
-internal class LeaderStatus(
-    val progress: List<JobProgress>,
-    val served: Boolean?,
-    val zones: List<ZoneStatus> = emptyList(),
-)
-
-/**
- * What the leader tells the other controllers. No rule depends on it, and nothing in it is durable. A frame is a length
- * (4 bytes) and that many bytes: repeatedly a job's id (length, UTF-8) and two counts. An entry with an empty id is no
- * job: its first count tells whether the state service answers the leader. An entry whose id begins with a colon is no
- * job either, but a zone with its state and penalty, and the admitted share of its machines. Versions that don't know
- * these find no such job.
+ * Status frames: the binary form of a [LeaderStatus]. After the [FrameHeader] the body is a sequence of entries up to
+ * its end. Numbers are big-endian, texts UTF-8.
+ *
+ * | bytes  | field                  |
+ * |--------|------------------------|
+ * | 1      | length of the id       |
+ * | length | id                     |
+ * | 4      | first value            |
+ * | 4      | second value           |
+ *
+ * | id               | first value                                                                  | second value   |
+ * |------------------|------------------------------------------------------------------------------|----------------|
+ * | a job's id       | tasks done                                                                   | tasks running  |
+ * | empty            | 1 if the state service answers the leader, else 0                            | 0              |
+ * | colon and a zone | top 8 bits: [ZoneState.code]; other 24 bits: the zone's penalty, thousandths | admitted share |
+ *
+ * The admitted share is that of the zone's machines, in thousandths. The entry with the empty id comes first, then the
+ * jobs, then the zones. Earlier versions take every entry for a job: no job has such an id, so they find none to
+ * update.
  */
 internal object Frames {
-    fun encode(news: LeaderStatus): ByteString {
+    private const val JOBLESS_ID = ""
+
+    /** No job's id begins so. */
+    private const val ZONE_PREFIX = ":"
+    private const val PENALTY_BITS = 24
+    private const val PENALTY_MASK = (1 shl PENALTY_BITS) - 1
+    private const val THOUSANDTHS = 1000
+    private const val BYTE_MASK = 0xff
+    private const val VALUES_BYTES = 2 * Int.SIZE_BYTES
+
+    /** The whole frame, with its header. */
+    fun encode(status: LeaderStatus): ByteString {
         val body = Buffer()
-        news.served?.let { body.writeByte(0).writeInt(if (it) 1 else 0).writeInt(0) }
-        (news.progress + news.zones.map(::entryOf)).forEach { write(body, it) }
-        return Buffer().writeInt(body.size.toInt()).apply { writeAll(body) }.readByteString()
+        status.served?.let { writeEntry(body, JOBLESS_ID, if (it) 1 else 0, 0) }
+        status.progress.forEach { writeEntry(body, it.job, it.done, it.running) }
+        status.zones.forEach { writeZone(body, it) }
+        val frame = Buffer().writeInt(FrameHeader.encode(FrameKind.STATUS, body.size.toInt()))
+        frame.writeAll(body)
+        return frame.readByteString()
     }
 
-    private fun write(
-        body: Buffer,
-        entry: JobProgress,
-    ) {
-        val id = entry.job.toByteArray()
-        body
-            .writeByte(id.size)
-            .write(id)
-            .writeInt(entry.done)
-            .writeInt(entry.running)
+    /**
+     * Takes one whole frame out of [buffer], or returns null and leaves [buffer] as it is while the frame is
+     * incomplete. Throws [MalformedFrame].
+     */
+    fun take(buffer: Buffer): LeaderStatus? {
+        if (buffer.size < FrameHeader.BYTES) return null
+        // The kind is read as a part of the size, as earlier versions do: one that is not 0 makes the frame too large.
+        val size = FrameHeader.peek(buffer)
+        if (size !in 0..PeerTuning.STATUS_FRAME_MAX) throw MalformedFrame("a frame of $size bytes")
+        if (buffer.size < FrameHeader.BYTES + size) return null
+        buffer.skip(FrameHeader.BYTES.toLong())
+        val body = Buffer().apply { write(buffer, size.toLong()) }
+        return readStatus(body)
+    }
+
+    private fun readStatus(body: Buffer): LeaderStatus {
+        val progress = ArrayList<JobProgress>()
+        var served: Boolean? = null
+        val zones = ArrayList<ZoneStatus>()
+        while (!body.exhausted()) {
+            val entry = readEntry(body)
+            when {
+                entry.job.isEmpty() -> served = entry.done != 0
+                entry.job.startsWith(ZONE_PREFIX) -> zoneOf(entry)?.let(zones::add)
+                else -> progress.add(entry)
+            }
+        }
+        return LeaderStatus(progress, served, zones)
     }
 
-    private fun entryOf(zone: ZoneStatus): JobProgress {
+    private fun writeZone(
+        body: Buffer,
+        zone: ZoneStatus,
+    ) {
         val penalty = (zone.penalty * THOUSANDTHS).roundToInt().coerceIn(0, PENALTY_MASK)
         val stateAndPenalty = (zone.state.code shl PENALTY_BITS) or penalty
-        return JobProgress(ZONE_MARK + zone.zone, stateAndPenalty, (zone.admittedShare * THOUSANDTHS).roundToInt())
+        writeEntry(body, ZONE_PREFIX + zone.zone, stateAndPenalty, (zone.admittedShare * THOUSANDTHS).roundToInt())
     }
 
-    /** Null for a state that this version does not know, or a share that is none. */
+    /** Null for a state that this version does not know, or a share out of range. */
     private fun zoneOf(entry: JobProgress): ZoneStatus? {
         val state = ZoneState.of(entry.done ushr PENALTY_BITS) ?: return null
         if (entry.running !in 0..THOUSANDTHS) return null
         val penalty = (entry.done and PENALTY_MASK).toDouble() / THOUSANDTHS
-        return ZoneStatus(entry.job.removePrefix(ZONE_MARK), state, penalty, entry.running.toDouble() / THOUSANDTHS)
+        return ZoneStatus(entry.job.removePrefix(ZONE_PREFIX), state, penalty, entry.running.toDouble() / THOUSANDTHS)
     }
 
-    /** Takes one whole frame out of [buffer], or returns null while it is not all there. */
-    fun take(buffer: Buffer): LeaderStatus? {
-        if (buffer.size < Int.SIZE_BYTES) return null
-        val size = buffer.peek().readInt()
-        if (size !in 0..MAX_FRAME) throw MalformedFrame("a frame of $size bytes")
-        if (buffer.size < Int.SIZE_BYTES + size) return null
-        buffer.skip(Int.SIZE_BYTES.toLong())
-        val body = Buffer().apply { write(buffer, size.toLong()) }
-        val list = ArrayList<JobProgress>()
-        var served: Boolean? = null
-        val zones = ArrayList<ZoneStatus>()
-        while (!body.exhausted()) {
-            val length = body.readByte().toInt() and 0xff
-            if (body.size < length + 2 * Int.SIZE_BYTES) throw MalformedFrame("a frame that ends too soon")
-            val entry = JobProgress(body.readUtf8(length.toLong()), body.readInt(), body.readInt())
-            when {
-                length == 0 -> served = entry.done != 0
-                entry.job.startsWith(ZONE_MARK) -> zoneOf(entry)?.let(zones::add)
-                else -> list.add(entry)
-            }
-        }
-        return LeaderStatus(list, served, zones)
+    private fun writeEntry(
+        body: Buffer,
+        id: String,
+        first: Int,
+        second: Int,
+    ) {
+        val idBytes = id.toByteArray()
+        body
+            .writeByte(idBytes.size)
+            .write(idBytes)
+            .writeInt(first)
+            .writeInt(second)
     }
 
-    private const val MAX_FRAME = 1 shl 20
-
-    /** No job's id begins so. */
-    private const val ZONE_MARK = ":"
-    private const val PENALTY_BITS = 24
-    private const val PENALTY_MASK = (1 shl PENALTY_BITS) - 1
-    private const val THOUSANDTHS = 1000
+    /** Every entry has the form of a job's progress. */
+    private fun readEntry(body: Buffer): JobProgress {
+        val idLength = body.readByte().toInt() and BYTE_MASK
+        if (body.size < idLength + VALUES_BYTES) throw MalformedFrame("a frame that ends too soon")
+        return JobProgress(body.readUtf8(idLength.toLong()), body.readInt(), body.readInt())
+    }
 }
-
-/** A frame that can't be decoded; the connection that it came over is closed. */
-internal class MalformedFrame(
-    message: String,
-) : Exception(message, null, false, false)
--- a/src/main/kotlin/ledgearch/peers/StandbyEvent.kt
+++ b/src/main/kotlin/ledgearch/peers/StandbyEvent.kt
@@ -1,17 +1,18 @@
 package ledgearch.peers
 
-/** What the connections between controllers tell the owner about decision streams. */
+/** An event on the connections between controllers that concerns decision streams. */
 internal sealed interface StandbyEvent {
-    /** A follower asks for the stream. */
+    /** The connection [follower] to this node asks for the stream. */
     data class FollowerJoined(
         val follower: Long,
     ) : StandbyEvent
 
+    /** The connection [follower] to this node has ended, whether or not it had asked for the stream. */
     data class FollowerLeft(
         val follower: Long,
     ) : StandbyEvent
 
-    /** A frame arrived from the controller at this mesh address. */
+    /** [frame] arrived from the controller at the mesh address [address]. */
     data class FrameReceived(
         val address: String,
         val frame: StreamFrame,
--- a/src/main/kotlin/ledgearch/peers/StreamCodec.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamCodec.kt
@@ -6,23 +6,46 @@
 import okio.EOFException
 
 /**
- * The binary form of a [StreamFrame]'s body: term, sequence number, first, remaining, records, removed keys. Strings
- * are a length (2 bytes) and UTF-8. Whatever can't be decoded in full is a [MalformedFrame].
+ * The binary form of a [StreamFrame], which is the body of a frame of kind [FrameKind.STREAM]. Numbers are big-endian;
+ * a text is a length (2 bytes) and that many bytes of UTF-8; a flag is one byte; a list is a count (4 bytes) and that
+ * many entries.
+ *
+ * | bytes    | field                                                        |
+ * |----------|--------------------------------------------------------------|
+ * | 8        | [StreamFrame.term]                                           |
+ * | 8        | [StreamFrame.sequence]                                       |
+ * | 1        | [StreamFrame.first], a flag                                  |
+ * | 4        | [StreamFrame.remaining], not negative                        |
+ * | list     | records: each a key, then its fields by kind                 |
+ * | list     | keys of removed records                                      |
+ *
+ * A key is the record's kind ([RecordKind.code], 1 byte) and its name (a text). The fields, in their order:
+ *
+ * | kind           | fields                                                                                     |
+ * |----------------|--------------------------------------------------------------------------------------------|
+ * | MACHINE        | incarnation (8), returning (flag), list of attempts, list of cached images                 |
+ * | - attempt      | task (text), number (8), state (1, the place in [AttemptState])                            |
+ * | - cached image | name (text), gigabytes (8, floating point), fetched (flag)                                 |
+ * | CLASS_RUN_TIME | logarithm of the ratio (8, floating point), weight (8, floating point)                     |
+ * | SERVICE_TIME   | last start (8, wall ms)                                                                    |
+ * | RENTED_MACHINE | machine type (text), zone (text), spot (flag)                                              |
  */
 internal object StreamCodec {
+    /** The body of [frame], without a header. */
     fun encode(frame: StreamFrame): ByteString {
         val body = Buffer()
         body.writeLong(frame.term)
         body.writeLong(frame.sequence)
-        body.writeByte(if (frame.first) 1 else 0)
+        body.writeFlag(frame.first)
         body.writeInt(frame.remaining)
         body.writeInt(frame.records.size)
-        frame.records.forEach { write(body, it) }
+        frame.records.forEach { writeRecord(body, it) }
         body.writeInt(frame.removed.size)
         frame.removed.forEach { writeKey(body, it) }
         return body.readByteString()
     }
 
+    /** The frame whose body is [bytes]. Throws [MalformedFrame] for whatever can't be decoded in full. */
     fun decode(bytes: ByteString): StreamFrame {
         val body = Buffer().write(bytes)
         try {
@@ -34,25 +57,25 @@
         }
     }
 
+    /** Bytes that [record] takes in a frame. */
+    fun sizeOf(record: StreamRecord): Int {
+        val body = Buffer()
+        writeRecord(body, record)
+        return body.size.toInt()
+    }
+
     private fun readFrame(body: Buffer): StreamFrame {
         val term = body.readLong()
         val sequence = body.readLong()
-        val first = readFlag(body)
+        val first = body.readFlag()
         val remaining = body.readInt()
         if (remaining < 0) throw MalformedFrame("a stream frame with $remaining records remaining")
-        val records = readList(body) { readRecord(body) }
-        val removed = readList(body) { readKey(body) }
+        val records = body.readList { readRecord(body) }
+        val removed = body.readList { readKey(body) }
         return StreamFrame(term, sequence, first, remaining, records, removed)
     }
 
-    /** Bytes that [record] takes in a frame. */
-    fun sizeOf(record: StreamRecord): Int {
-        val body = Buffer()
-        write(body, record)
-        return body.size.toInt()
-    }
-
-    private fun write(
+    private fun writeRecord(
         body: Buffer,
         record: StreamRecord,
     ) {
@@ -63,8 +86,8 @@
             }
 
             is ClassRunTime -> {
-                writeDouble(body, record.logRatio)
-                writeDouble(body, record.weight)
+                body.writeDouble(record.logRatio)
+                body.writeDouble(record.weight)
             }
 
             is ServiceTime -> {
@@ -72,40 +95,40 @@
             }
 
             is RentedMachine -> {
-                writeString(body, record.machineType)
-                writeString(body, record.zone)
-                writeFlag(body, record.spot)
+                body.writeText(record.machineType)
+                body.writeText(record.zone)
+                body.writeFlag(record.spot)
             }
         }
     }
 
+    private fun readRecord(body: Buffer): StreamRecord {
+        val key = readKey(body)
+        return when (key.kind) {
+            RecordKind.MACHINE -> readMachine(body, key.name)
+            RecordKind.CLASS_RUN_TIME -> ClassRunTime(key.name, body.readDouble(), body.readDouble())
+            RecordKind.SERVICE_TIME -> ServiceTime(key.name, body.readLong())
+            RecordKind.RENTED_MACHINE -> RentedMachine(key.name, body.readText(), body.readText(), body.readFlag())
+        }
+    }
+
     private fun writeMachine(
         body: Buffer,
         machine: MachineSnapshot,
     ) {
         body.writeLong(machine.incarnation)
-        writeFlag(body, machine.returning)
+        body.writeFlag(machine.returning)
         body.writeInt(machine.attempts.size)
         for (attempt in machine.attempts) {
-            writeString(body, attempt.taskId)
+            body.writeText(attempt.taskId)
             body.writeLong(attempt.number)
             body.writeByte(attempt.state.ordinal)
         }
         body.writeInt(machine.images.size)
         for (image in machine.images) {
-            writeString(body, image.name)
-            writeDouble(body, image.gigabytes)
-            writeFlag(body, image.fetched)
-        }
-    }
-
-    private fun readRecord(body: Buffer): StreamRecord {
-        val key = readKey(body)
-        return when (key.kind) {
-            RecordKind.MACHINE -> readMachine(body, key.name)
-            RecordKind.CLASS_RUN_TIME -> ClassRunTime(key.name, readDouble(body), readDouble(body))
-            RecordKind.SERVICE_TIME -> ServiceTime(key.name, body.readLong())
-            RecordKind.RENTED_MACHINE -> RentedMachine(key.name, readString(body), readString(body), readFlag(body))
+            body.writeText(image.name)
+            body.writeDouble(image.gigabytes)
+            body.writeFlag(image.fetched)
         }
     }
 
@@ -114,13 +137,13 @@
         name: String,
     ): MachineSnapshot {
         val incarnation = body.readLong()
-        val returning = readFlag(body)
-        val attempts = readList(body) { AttemptSnapshot(readString(body), body.readLong(), readStatus(body)) }
-        val images = readList(body) { CachedImage(readString(body), readDouble(body), readFlag(body)) }
+        val returning = body.readFlag()
+        val attempts = body.readList { AttemptSnapshot(body.readText(), body.readLong(), readAttemptState(body)) }
+        val images = body.readList { CachedImage(body.readText(), body.readDouble(), body.readFlag()) }
         return MachineSnapshot(name, incarnation, returning, attempts, images)
     }
 
-    private fun readStatus(body: Buffer): AttemptState {
+    private fun readAttemptState(body: Buffer): AttemptState {
         val code = body.readByte().toInt()
         return AttemptState.entries.getOrNull(code) ?: throw MalformedFrame("a stream frame with task status $code")
     }
@@ -130,61 +153,12 @@
         key: RecordKey,
     ) {
         body.writeByte(key.kind.code)
-        writeString(body, key.name)
+        body.writeText(key.name)
     }
 
     private fun readKey(body: Buffer): RecordKey {
         val code = body.readByte().toInt()
         val kind = RecordKind.of(code) ?: throw MalformedFrame("a stream frame with record kind $code")
-        return RecordKey(kind, readString(body))
-    }
-
-    private fun writeString(
-        body: Buffer,
-        text: String,
-    ) {
-        val bytes = text.toByteArray()
-        require(bytes.size <= MAX_STRING) { "a name of ${bytes.size} bytes" }
-        body.writeShort(bytes.size).write(bytes)
-    }
-
-    private fun readString(body: Buffer): String {
-        val size = body.readShort().toInt() and MAX_STRING
-        return body.readUtf8(size.toLong())
-    }
-
-    private fun writeDouble(
-        body: Buffer,
-        value: Double,
-    ) {
-        body.writeLong(value.toRawBits())
-    }
-
-    private fun readDouble(body: Buffer) = Double.fromBits(body.readLong())
-
-    private fun writeFlag(
-        body: Buffer,
-        value: Boolean,
-    ) {
-        body.writeByte(if (value) 1 else 0)
-    }
-
-    private fun readFlag(body: Buffer): Boolean = body.readByte().toInt() != 0
-
-    /** The count comes from outside: no list is allocated beyond what the remaining bytes can hold. */
-    private inline fun <T> readList(
-        body: Buffer,
-        read: () -> T,
-    ): List<T> {
-        val count = body.readInt()
-        if (count < 0 || count > body.size) throw MalformedFrame("a stream frame with a list of $count entries")
-        return List(count) { read() }
-    }
-
-    /** Bytes. What a length of 2 bytes can say. */
-    private const val MAX_STRING = 0xffff
-
-    init {
-        check(PeerTuning.STREAM_FRAME_MAX < 1 shl 24) { "the length of a frame has 24 bits" }
+        return RecordKey(kind, body.readText())
     }
 }
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -5,6 +5,7 @@
 import ledgearch.jobs.JobStore
 import ledgearch.model.Machine
 import ledgearch.model.ModelTuning
+import ledgearch.peers.CachedImage
 import ledgearch.peers.ClassRunTime
 import ledgearch.peers.MachineSnapshot
 import ledgearch.peers.RentedMachine
@@ -26,8 +27,9 @@
     private val machines = records.filterIsInstance<MachineSnapshot>().associateBy { it.name }
     private val runTimes = records.filterIsInstance<ClassRunTime>()
     private val serviceTimes = records.filterIsInstance<ServiceTime>()
-    private val rented = records.filterIsInstance<RentedMachine>()
+    private val rentedMachines = records.filterIsInstance<RentedMachine>()
 
+    /** Machines that the replica knows. */
     val machineCount: Int get() = machines.size
 
     /** [machine] has a record in the state service; hints for machines without one are never used. */
@@ -41,21 +43,17 @@
             machine.refusedUntil = clock.steadyMs + StandbyTuning.RETURNING_HINT_MS
             machine.returningHint = true
         }
-        for (image in hint.images.take(ModelTuning.MACHINE_TASKS)) {
-            if (!(image.gigabytes >= 0.0) || image.gigabytes.isInfinite()) continue
-            machine.touchImage(image.name, image.gigabytes)
-            if (image.fetched && image.name in machine.images) machine.fetched.add(image.name)
-        }
+        hint.images.take(ModelTuning.MACHINE_TASKS).forEach { useImage(machine, it) }
     }
 
-    /** The machines in the order in which they are shown the token: most attempts first. */
+    /** The machines in the order in which they are probed: most attempts first. */
     fun inProbeOrder(unconfirmed: Collection<Machine>): List<Machine> =
         unconfirmed.sortedByDescending {
             machines[it.name]?.attempts?.size
                 ?: 0
         }
 
-    /** All records are read. */
+    /** The new leader has read all records. */
     fun takenOver(
         knownMachines: Map<String, Machine>,
         estimates: Estimates,
@@ -63,23 +61,47 @@
         fleet: Autoscaler,
         clock: Clock,
     ) {
-        for (hint in runTimes) {
-            if (abs(hint.logRatio) <= StandbyTuning.RUN_TIME_HINT_MAX &&
-                hint.weight in 0.0..SchedulingTuning.ESTIMATE_JOBS
-            ) {
-                estimates.learn(hint.jobClass, hint.logRatio, hint.weight)
-            }
-        }
-        for (hint in serviceTimes) {
-            val job = jobStore.jobs[hint.job] ?: continue
-            job.lastStartAt = maxOf(job.lastStartAt, minOf(hint.lastStartAt, clock.wallMs))
-        }
-        for (hint in rented) {
-            if (hint.name !in
-                knownMachines
-            ) {
-                fleet.mayBoot(RentalHint(hint.name, hint.machineType, hint.zone, hint.spot))
-            }
+        runTimes.forEach { useRunTime(estimates, it) }
+        serviceTimes.forEach { useServiceTime(jobStore, it, clock) }
+        rentedMachines.forEach { useRentedMachine(knownMachines, fleet, it) }
+    }
+
+    private fun useImage(
+        machine: Machine,
+        image: CachedImage,
+    ) {
+        // Written so that a NaN is out of range.
+        if (!(image.gigabytes >= 0.0) || image.gigabytes.isInfinite()) return
+        machine.touchImage(image.name, image.gigabytes)
+        if (image.fetched && image.name in machine.images) machine.fetched.add(image.name)
+    }
+
+    private fun useRunTime(
+        estimates: Estimates,
+        hint: ClassRunTime,
+    ) {
+        val isPlausible = abs(hint.logRatio) <= StandbyTuning.RUN_TIME_HINT_MAX
+        if (isPlausible && hint.weight in 0.0..SchedulingTuning.ESTIMATE_JOBS) {
+            estimates.learn(hint.jobClass, hint.logRatio, hint.weight)
         }
     }
+
+    /** A start is never taken for later than now. */
+    private fun useServiceTime(
+        jobStore: JobStore,
+        hint: ServiceTime,
+        clock: Clock,
+    ) {
+        val job = jobStore.jobs[hint.job] ?: return
+        job.lastStartAt = maxOf(job.lastStartAt, minOf(hint.lastStartAt, clock.wallMs))
+    }
+
+    private fun useRentedMachine(
+        knownMachines: Map<String, Machine>,
+        fleet: Autoscaler,
+        hint: RentedMachine,
+    ) {
+        if (hint.name in knownMachines) return
+        fleet.mayBoot(RentalHint(hint.name, hint.machineType, hint.zone, hint.spot))
+    }
 }
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -15,7 +15,7 @@
 
 /**
  * Reads the leader's state as stream records. What would exceed [maxBytes] is left out, machines coming first: the
- * stream carries hints only, so an incomplete one costs time at a take-over and nothing else.
+ * stream carries hints only, so an incomplete one costs time at a failover and nothing else.
  */
 internal class LeaderSnapshot(
     private val machines: Map<String, Machine>,
@@ -26,14 +26,15 @@
 ) {
     private var bytes = 0L
 
-    /** The bound was reached when the state was last read. */
-    val isCutShort: Boolean get() = bytes > maxBytes
+    /** Records were left out when the state was last read. */
+    val isTruncated: Boolean get() = bytes > maxBytes
 
+    /** The leader's state now, in a new map. Machines that have not sent a heartbeat yet are not part of it. */
     fun read(): Map<RecordKey, StreamRecord> {
         bytes = 0
         val records = HashMap<RecordKey, StreamRecord>()
         for (machine in machines.values) {
-            if (machine.incarnation != 0L) add(records, imageOf(machine))
+            if (machine.incarnation != 0L) add(records, snapshotOf(machine))
         }
         for ((jobClass, learnt) in estimates.learnt()) {
             add(records, ClassRunTime(jobClass, learnt.logRatio, learnt.weight))
@@ -55,7 +56,7 @@
         if (bytes <= maxBytes) records[record.key] = record
     }
 
-    private fun imageOf(machine: Machine) =
+    private fun snapshotOf(machine: Machine) =
         MachineSnapshot(
             machine.name,
             machine.incarnation,
--- a/src/main/kotlin/ledgearch/standby/Replica.kt
+++ b/src/main/kotlin/ledgearch/standby/Replica.kt
@@ -4,8 +4,9 @@
 import ledgearch.peers.StreamFrame
 import ledgearch.peers.StreamRecord
 
-/** What became of a frame. */
+/** What became of a frame that was applied to a replica. */
 internal sealed interface ApplyResult {
+    /** The replica now includes the frame. */
     data object Applied : ApplyResult
 
     /** The frame does not continue the replica, which is dropped: a new snapshot is needed. */
@@ -14,18 +15,24 @@
     ) : ApplyResult
 }
 
-/** The follower's copy of the leader's state. It is a source of hints and proves nothing. */
+/**
+ * The follower's copy of the leader's state. It is a source of hints and proves nothing. [maxBytes]: a replica that
+ * would take more memory is dropped.
+ */
 internal class Replica(
     private val maxBytes: Long,
 ) {
     private val held = HashMap<RecordKey, StreamRecord>()
     private var bytes = 0L
 
+    /** The records held, by their identity. */
     val records: Map<RecordKey, StreamRecord> get() = held
 
-    /** 0: nothing is held. */
+    /** The leadership term that the replica is of; 0: nothing is held. */
     var term = 0L
         private set
+
+    /** Sequence number of the last frame within the term. */
     var sequence = 0L
         private set
 
@@ -33,13 +40,17 @@
     var remaining = 0
         private set
 
-    /** The whole snapshot has arrived; the log may have run ahead since. */
+    /** The whole snapshot has arrived; the stream may have run ahead since. */
     var hasSnapshot = false
         private set
 
+    /** At least one frame is held. */
+    val isHeld: Boolean get() = term != 0L
+
     /** The replica equals the leader's state at [sequence]. */
     val isCurrent: Boolean get() = hasSnapshot && remaining == 0
 
+    /** Drops everything that is held. */
     fun clear() {
         held.clear()
         bytes = 0
@@ -49,6 +60,7 @@
         hasSnapshot = false
     }
 
+    /** Applies [frame] if it continues the replica or begins a new one, and else drops the replica. */
     fun apply(frame: StreamFrame): ApplyResult {
         val fault = faultOf(frame)
         if (fault != null) return reject(fault)
@@ -59,14 +71,16 @@
         frame.removed.forEach(::remove)
         frame.records.forEach(::put)
         if (remaining == 0) hasSnapshot = true
-        return if (bytes > maxBytes) reject("the replica would take more than $maxBytes bytes") else ApplyResult.Applied
+        if (bytes > maxBytes) return reject("the replica would take more than $maxBytes bytes")
+        return ApplyResult.Applied
     }
 
+    /** Why [frame] does not continue the replica, or null. */
     private fun faultOf(frame: StreamFrame): String? =
         when {
             frame.term < term -> "term ${frame.term} after term $term"
             frame.first -> null
-            term == 0L -> "sequence number ${frame.sequence} without a snapshot"
+            !isHeld -> "sequence number ${frame.sequence} without a snapshot"
             frame.term != term -> "term ${frame.term} without a snapshot"
             frame.sequence != sequence + 1 -> "sequence number ${frame.sequence} after $sequence"
             else -> null
--- a/src/main/kotlin/ledgearch/standby/StreamLog.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamLog.kt
@@ -6,23 +6,31 @@
 import ledgearch.peers.StreamRecord
 
 /**
- * The leader's side of the decision stream: the state as of the last interval, the log's sequence number, and for each
- * follower which records it still has to be sent. Changes of one record that have not been sent yet are coalesced, so a
- * follower's backlog is never longer than the state itself.
+ * The leader's log of the decision stream: the state as of the last interval, the sequence number, and for each
+ * follower which records it still has to be sent. Changes of one record that have not been sent yet are coalesced, so
+ * a follower's backlog is never longer than the state itself. [frameBytes]: a frame takes no further record once its
+ * records have so many bytes.
  */
 internal class StreamLog(
     private val frameBytes: Int,
 ) {
+    /** How far one follower has been sent the stream. */
     private class Cursor {
+        /** No frame of the present snapshot was sent yet. */
         var first = true
         var inSnapshot = true
+
+        /** Records that have to be sent, in the order in which they are. */
         val pending = LinkedHashSet<RecordKey>()
     }
 
     private val cursors = LinkedHashMap<Long, Cursor>()
 
+    /** The leadership term; 0: none has begun. */
     var term = 0L
         private set
+
+    /** Intervals of the term that have ended. */
     var sequence = 0L
         private set
 
@@ -30,13 +38,18 @@
     var records: Map<RecordKey, StreamRecord> = emptyMap()
         private set
 
-    /** Records that changed, counted once for each interval, and encoded bytes: the standing cost of the stream. */
+    /** Records changed or removed, counted once an interval: with the bytes sent, the standing cost of the stream. */
     var changes = 0L
         private set
+
+    /** Snapshots sent in full. */
     var snapshotsSent = 0L
         private set
 
+    /** Ids of the followers, in the order in which they joined. */
     val followers: Set<Long> get() = cursors.keys
+
+    /** Whether there is a follower. */
     val isFollowed: Boolean get() = cursors.isNotEmpty()
 
     /** Records that the follower furthest behind has still to be sent. */
@@ -56,12 +69,14 @@
         cursors.values.forEach { it.pending.clear() }
     }
 
+    /** [follower] gets the stream from now on, beginning with a snapshot; also if it had it before. */
     fun join(follower: Long) {
         val cursor = Cursor()
         cursor.pending.addAll(records.keys)
         cursors[follower] = cursor
     }
 
+    /** [follower] gets the stream no more. */
     fun leave(follower: Long) {
         cursors.remove(follower)
     }
@@ -79,7 +94,10 @@
         }
     }
 
-    /** The frame of the present sequence number for [follower]; to be called once for each interval. */
+    /**
+     * The frame of the present sequence number for [follower], or null for one that has not joined. To be called once
+     * an interval.
+     */
     fun nextFrame(follower: Long): StreamFrame? {
         val cursor = cursors[follower] ?: return null
         val sent = ArrayList<StreamRecord>()
@@ -94,7 +112,7 @@
         return frame
     }
 
-    /** At least one record goes into each frame, so that the backlog always shrinks. */
+    /** Takes what fits into one frame, but at least one record, so that the backlog always shrinks. */
     private fun takePending(
         cursor: Cursor,
         sent: MutableList<StreamRecord>,
