--- a/src/main/kotlin/ledgearch/api/JobAnswers.kt
+++ b/src/main/kotlin/ledgearch/api/JobAnswers.kt
@@ -12,11 +12,11 @@
 /** Takes the answer to a request; called exactly once for each. */
 internal typealias Respond = (Response) -> Unit
 
-/** The answer with status [code] to a request that failed; [why] is the error text in its body. */
+/** The answer with HTTP [status] to a request that failed; [reason] is the error text in its body. */
 internal fun errorResponse(
-    code: Int,
-    why: String,
-) = Response(code, WireJson.encodeToString(ErrorBody.serializer(), ErrorBody(why)))
+    status: Int,
+    reason: String,
+) = Response(status, WireJson.encodeToString(ErrorBody.serializer(), ErrorBody(reason)))
 
 /**
  * Builds the answers to requests about jobs. Whether an answer may be given is for the callers to decide.
@@ -30,7 +30,7 @@
     fun accepted(
         id: String,
         state: JobState,
-    ) = status(HttpStatus.CREATED, JobStatus(id, state))
+    ) = response(HttpStatus.CREATED, JobStatus(id, state))
 
     /**
      * 200: the open [job] with its progress, which the leader knows from the job's own tasks and the other nodes from
@@ -40,11 +40,11 @@
         val running = if (leadership.isLeader) job.runningCount else job.lastProgress?.running ?: 0
         val done = if (leadership.isLeader) job.finishedCount else job.lastProgress?.done ?: 0
         val state = if (running > 0) JobState.RUNNING else JobState.PENDING
-        return status(HttpStatus.OK, JobStatus(job.id, state, done, running))
+        return response(HttpStatus.OK, JobStatus(job.id, state, done, running))
     }
 
     /** 200: the job [id] is open; nothing more is known of it here. */
-    fun pending(id: String) = status(HttpStatus.OK, JobStatus(id, JobState.PENDING))
+    fun pending(id: String) = response(HttpStatus.OK, JobStatus(id, JobState.PENDING))
 
     /** 200: the job [id] is over. */
     fun over(
@@ -52,7 +52,7 @@
         record: FinalRecord,
     ): Response {
         val done = if (record.state == JobState.DONE) record.taskCount else 0
-        return status(HttpStatus.OK, JobStatus(id, record.state, done, 0))
+        return response(HttpStatus.OK, JobStatus(id, record.state, done, 0))
     }
 
     /** 404: the job was never accepted. */
@@ -61,10 +61,10 @@
     /** 503: nothing can be confirmed now; the user has to come back. */
     fun tryAgain() = Response(HttpStatus.UNAVAILABLE, TRY_AGAIN, retryAfterS)
 
-    private fun status(
-        code: Int,
+    private fun response(
+        status: Int,
         body: JobStatus,
-    ) = Response(code, WireJson.encodeToString(JobStatus.serializer(), body))
+    ) = Response(status, WireJson.encodeToString(JobStatus.serializer(), body))
 
     private companion object {
         const val TRY_AGAIN = """{"error":"try again later"}"""
--- a/src/main/kotlin/ledgearch/api/Submissions.kt
+++ b/src/main/kotlin/ledgearch/api/Submissions.kt
@@ -39,8 +39,8 @@
         val submitted =
             try {
                 SubmittedJob.read(body)
-            } catch (e: MalformedSubmission) {
-                return respond(errorResponse(HttpStatus.BAD_REQUEST, e.message.orEmpty()))
+            } catch (malformed: MalformedSubmission) {
+                return respond(errorResponse(HttpStatus.BAD_REQUEST, malformed.message.orEmpty()))
             }
         val id = submitted.id
         jobStore.final(id)?.let { return respond(answers.over(id, it)) }
@@ -48,8 +48,8 @@
         val spec =
             try {
                 submitted.request()
-            } catch (e: MalformedSubmission) {
-                return refuse(id, HttpStatus.BAD_REQUEST, e.message.orEmpty(), respond)
+            } catch (malformed: MalformedSubmission) {
+                return refuse(id, HttpStatus.BAD_REQUEST, malformed.message.orEmpty(), respond)
             }
         check(JobRecord(spec, clock.wallMs), respond)
     }
