--- a/src/main/kotlin/ledgearch/standby/StandbyReport.kt
+++ b/src/main/kotlin/ledgearch/standby/StandbyReport.kt
@@ -25,7 +25,7 @@
     val followers: Int,
     /** Snapshots sent in full. */
     @SerialName("snapshots_sent") val snapshotsSent: Long,
-    /** Streams ended since the follower did not keep up. */
+    /** Streams ended since the follower did not keep up or was gone. */
     @SerialName("streams_dropped") val streamsDropped: Long,
     /** Replicas dropped since a frame did not continue them. */
     @SerialName("replicas_dropped") val replicasDropped: Long,
--- a/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
@@ -26,7 +26,7 @@
     /** The log of the stream, with how far each follower has been sent it. */
     val streamLog = StreamLog(frameBytes(processorShare))
 
-    /** Streams ended since their follower did not keep up. */
+    /** Streams ended since their follower did not keep up or was gone. */
     var streamsDropped = 0L
         private set
 
