--- /dev/null
+++ b/src/main/kotlin/ledgearch/agents/DispatchLimits.kt
@@ -0,0 +1,21 @@
+package ledgearch.agents
+
+import ledgearch.config.Deployment
+
+/** How many direct commands may be under way, and for how long a heartbeat is awaited before a probe. */
+internal class DispatchLimits(
+    val probesAtOnce: Int,
+    val callsAtOnce: Int,
+    /** ms within which every agent sends a heartbeat by itself. */
+    val heartbeatDueMs: Long,
+) {
+    companion object {
+        /** The limits that the quota and the times of [deployment] leave. */
+        fun of(deployment: Deployment) =
+            DispatchLimits(
+                AgentTuning.probesAtOnce(deployment.quota.cpu),
+                AgentTuning.callsAtOnce(deployment.quota.fdLimit),
+                (deployment.workers.reportS * AgentTuning.MS_PER_SECOND * AgentTuning.DUE_HEARTBEATS).toLong(),
+            )
+    }
+}
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -1,6 +1,5 @@
 package ledgearch.agents
 
-import ledgearch.autoscaling.Autoscaler
 import ledgearch.config.WorkerTimes
 import ledgearch.election.Election
 import ledgearch.model.Machine
@@ -8,210 +7,193 @@
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
 import ledgearch.runtime.StallCompensation
-import ledgearch.scheduling.Reliability
 import org.slf4j.LoggerFactory
 
-/** Which machines are lost, by what is not heard from them and by what does not reach them. */
+/**
+ * Finds failed machines by the heartbeats that don't come and the commands that aren't answered, and releases them. It
+ * tells failures of machines from partitions of zones and from trouble of this node, for which it keeps the machines or
+ * steps down.
+ */
 internal class FailureDetector(
     times: WorkerTimes,
     private val machines: Map<String, Machine>,
     private val election: Election,
     private val dispatcher: CommandDispatcher,
-    private val fleet: Autoscaler,
-    private val reliability: Reliability,
+    private val releases: MachineReleases,
+    private val zones: PartitionedZones,
+    private val recovery: ZoneRecovery?,
+    leaseListener: LeaseExpiryListener,
     private val clock: Clock,
     private val stalls: StallCompensation,
-    private val recovery: ZoneRecovery?,
-    /** The zones of the controllers that held the block of late. */
-    private val areasBefore: () -> Set<String>,
-    private val incarnationEnded: (Machine) -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger("ledgearch.core")
-    private val reportMs = (times.reportS * 1000).toLong()
-    private val leaseMs = (times.leaseS * 1000).toLong()
-    private var watchAt = 0L
-    private val partitionedZones = PartitionedZones(clock)
-    private val missingMachines = MissingMachines(election, stalls, (reportMs * AgentTuning.CUT_REPORTS).toLong())
-    private val overdue = Silence(AgentTuning.OVERDUE_REPORTS)
-    private val cut = Silence(AgentTuning.CUT_REPORTS)
-    private val lost = Silence(AgentTuning.LOST_REPORTS)
-
-    fun clear() = partitionedZones.clear()
-
-    private fun mayComeBack(machine: Machine) = partitionedZones.mayComeBack(machine, areasBefore())
-
-    val anyCutOff get() = !partitionedZones.isEmpty
-
-    fun isCutOff(zone: String) = zone in partitionedZones
-
+    private val log = LoggerFactory.getLogger("ledgearch.agents")
+    private val reportMs = (times.reportS * AgentTuning.MS_PER_SECOND).toLong()
+    private val dueMs = (reportMs * AgentTuning.DUE_HEARTBEATS).toLong()
+    private val lostMs = (reportMs * AgentTuning.LOST_HEARTBEATS).toLong()
+    private val leases =
+        LeaseExpiry((times.leaseS * AgentTuning.MS_PER_SECOND).toLong(), election, clock, leaseListener)
+    private val silence = HeartbeatSilence(reportMs, election, stalls, zones)
+    private val missingMachines =
+        MissingMachines(election, stalls, (reportMs * AgentTuning.CUT_OFF_HEARTBEATS).toLong())
+    private var checkAt = 0L
+
+    /** The term has ended. */
+    fun clear() = zones.clear()
+
+    /** Checks all machines when a check is due. */
     fun drive() {
-        if (clock.steadyMs < watchAt) return
-        watchAt = clock.steadyMs + AgentTuning.WATCH_SILENCE_MS
-        overdue.look()
-        cut.look()
-        lost.look()
-        val back = partitionedZones.update(machines.values, ::isHeard)
-        recovery?.look(machines.values, partitionedZones::contains, ::isHeard)
-        for (machine in machines.values) machine.overdue = silentFor(machine, overdue)
-        if (back.isNotEmpty()) machines.values.filter { it.zone in back }.forEach(::startAnew)
-        for (machine in missingMachines.among(machines.values.filter { it.inherited && !mayComeBack(it) })) {
-            log.warn("machine {} of the block answers no probe; it is released", machine.name)
-            release(machine)
-        }
-        releaseUnreached()
-        watch()
+        if (clock.steadyMs < checkAt) return
+        checkAt = clock.steadyMs + AgentTuning.CHECK_INTERVAL_MS
+        silence.update()
+        val zonesBack = zones.update(machines.values, ::isReceived)
+        recovery?.look(machines.values, zones::contains, ::isReceived)
+        for (machine in machines.values) machine.overdue = silence.isOverdue(machine)
+        if (zonesBack.isNotEmpty()) machines.values.filter { it.zone in zonesBack }.forEach(::forgetUnanswered)
+        releaseMissing()
+        releaseUnreachable()
+        checkSilent()
     }
 
-    private fun isHeard(machine: Machine) = (machine.confirmed || !machine.inherited) && !silentFor(machine, cut)
+    private fun isReceived(machine: Machine) = (machine.confirmed || !machine.inherited) && !silence.isCutOff(machine)
 
     /**
-     * The zone of [m] is heard again: what went unanswered before says nothing, but [m] itself is still to be heard.
+     * The zone of [machine] is received again: what went unanswered before says nothing, but the machine itself has yet
+     * to be received.
      */
-    private fun startAnew(machine: Machine) {
+    private fun forgetUnanswered(machine: Machine) {
         machine.probesFailed = minOf(machine.probesFailed, 1)
         machine.probeAt = clock.steadyMs
         if (machine.unreachableSince != 0L) machine.unreachableSince = clock.steadyMs
     }
 
-    private fun release(machine: Machine) {
-        reliability.lost(machine, clock.steadyMs)
-        recovery?.machineFailed(machine)
-        fleet.release(machine)
+    private fun releaseMissing() {
+        // While a zone is cut off the filter below also notes which of its confirmed machines are kept.
+        if (zones.isEmpty && machines.values.none(missingMachines::isCandidate)) return
+        for (machine in missingMachines.among(machines.values.filter { it.inherited && !zones.mayComeBack(it) })) {
+            log.warn("recorded machine released: it answers no probe; machine={}", machine.name)
+            releases.release(machine)
+        }
     }
 
     /**
-     * Reports alone are no health: a machine that is heard, but that neither answers nor commands reach, would hold its
-     * tasks for ever and be given more.
+     * Heartbeats alone are no health: a machine that sends them, but that neither answers nor commands reach, would
+     * hold its tasks for ever and be given more.
      */
-    private fun releaseUnreached() {
-        val unreached =
-            dispatcher.unreachableMachines.filter {
-                !it.releasing && !mayComeBack(it) && it.probesFailed >= AgentTuning.PROBES &&
-                    stalls.attentiveMsSince(it.unreachableSince) > (reportMs * AgentTuning.LOST_REPORTS).toLong()
-            }
-        val mostBroken = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MOST
-        for (machine in unreached) {
-            // Then it may be this node, for a time.
-            if (mostBroken && clock.steadyMs - machine.unreachableSince < AgentTuning.PATH_FAULT_MS) continue
+    private fun releaseUnreachable() {
+        val candidates = dispatcher.unreachableMachines.filter(::isUnreachableForLong)
+        val mostUnreachable = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MOST
+        for (machine in candidates) {
+            val unreachableMs = clock.steadyMs - machine.unreachableSince
+            // Where most are, it may be this node, for a time.
+            if (mostUnreachable && unreachableMs < AgentTuning.PATH_FAULT_MS) continue
             log.warn(
-                "machine {} is heard but not reached for {} ms; it is released",
+                "machine released: it sends heartbeats but commands don't reach it; machine={} ms={}",
                 machine.name,
-                clock.steadyMs - machine.unreachableSince,
+                unreachableMs,
             )
-            release(machine)
+            releases.release(machine)
         }
     }
 
-    /** Silence counts only while no report may wait here unread. */
-    private fun silentFor(
-        machine: Machine,
-        silence: Silence,
-    ) = maxOf(machine.lastHeartbeatAt, election.electedAt, partitionedZones.backAt(machine.zone)) <= silence.since
+    private fun isUnreachableForLong(machine: Machine) =
+        !machine.releasing &&
+            !zones.mayComeBack(machine) &&
+            machine.probesFailed >= AgentTuning.PROBES &&
+            stalls.attentiveMsSince(machine.unreachableSince) > lostMs
 
-    /** So many intervals without a report. [since] (steady ms) is worked out once a look, not for each machine. */
-    private inner class Silence(
-        private val reports: Double,
-    ) {
-        var since = Long.MIN_VALUE
-            private set
-
-        fun look() {
-            since = stalls.attentiveSince((reportMs * reports).toLong())
-        }
-    }
-
-    private fun watch() {
+    private fun checkSilent() {
         val active = machines.values.filter { !it.releasing }
-        val quiet = active.count { silentFor(it, cut) }
-        if (quiet > 1 && active.size - quiet < active.size * AgentTuning.HEARD_SHARE && !election.steppedDownRecently) {
-            // Nearly all workers at once: the fault is on this node's side. Their leases run out unless another, whom
-            // they may reach, takes the block soon.
-            election.stepDown("$quiet of ${active.size} machines are silent", silent = true)
-            return
-        }
-        val heard by lazy(LazyThreadSafetyMode.NONE) { Heard(active) }
+        if (stepsDown(active)) return
+        val lastHeard by lazy(LazyThreadSafetyMode.NONE) { LastHeard(active) }
         val mostMute = active.count { isMute(it) } > active.size * RecoveryTuning.MOST
         for (machine in dispatcher.unreachableMachines) if (!machine.releasing) dispatcher.probe(machine)
         for (machine in machines.values.toList()) {
-            if (!silentFor(machine, overdue)) {
-                if (isTaken(machine)) {
-                    dispatcher.probe(machine)
-                    if (machine.probesFailed > 0 && !machine.releasing) {
-                        log.info("machine {} was taken; it is released", machine.name)
-                        release(machine)
-                    }
-                }
+            if (!silence.isOverdue(machine)) {
+                if (isPreempted(machine)) checkPreempted(machine)
                 continue
             }
             if (machine.confirmed && !machine.releasing) dispatcher.probe(machine)
-            if (!silentFor(machine, lost) && !surelyLost(machine, heard)) continue
-            if (!machine.releasing && !mayComeBack(machine) && !(mostMute && isMute(machine))) {
-                log.warn(
-                    "machine {} is silent for {} ms; it is released",
-                    machine.name,
-                    clock.steadyMs - machine.lastHeartbeatAt,
-                )
-                release(machine)
-            }
-            leaseRanOut(machine)
+            if (!silence.isLost(machine) && !(mayBeLost(machine) && isLostAlone(machine, lastHeard))) continue
+            releaseSilent(machine, mostMute)
+            leases.check(machine)
         }
     }
 
     /**
-     * Its worker answers direct commands and reports to nobody here. Where most do so the fault may be this node's, and
-     * they are kept for some time: a fleet is not given back for a fault on one path.
+     * With nearly all machines silent at once the fault is on this node's side. Their leases expire unless another
+     * node, whom they may reach, leads soon.
+     */
+    private fun stepsDown(active: List<Machine>): Boolean {
+        val silent = active.count(silence::isCutOff)
+        if (silent <= 1 || active.size - silent >= active.size * AgentTuning.RECEIVED_SHARE) return false
+        if (election.steppedDownRecently) return false
+        election.stepDown("$silent of ${active.size} machines are silent", silent = true)
+        return true
+    }
+
+    /** The time that its preemption notice gave is over, and nothing was received of it since. */
+    private fun isPreempted(machine: Machine) =
+        machine.confirmed && machine.preemptionAt != 0L && machine.lastHeardAt < machine.preemptionAt &&
+            clock.steadyMs > machine.preemptionAt + AgentTuning.PREEMPTION_MARGIN_MS
+
+    private fun checkPreempted(machine: Machine) {
+        dispatcher.probe(machine)
+        if (machine.probesFailed == 0 || machine.releasing) return
+        log.info("machine released: the cloud has preempted it; machine={}", machine.name)
+        releases.release(machine)
+    }
+
+    private fun releaseSilent(
+        machine: Machine,
+        mostMute: Boolean,
+    ) {
+        if (machine.releasing || zones.mayComeBack(machine) || (mostMute && isMute(machine))) return
+        log.warn(
+            "machine released: it sends no heartbeats; machine={} ms={}",
+            machine.name,
+            clock.steadyMs - machine.lastHeartbeatAt,
+        )
+        releases.release(machine)
+    }
+
+    /**
+     * Its agent answers direct commands but sends heartbeats to nobody here. Where most do so the fault may be this
+     * node's, and they are kept for some time: a fleet is not returned for a fault on one path.
      */
     private fun isMute(machine: Machine) =
         machine.confirmed && machine.probesFailed == 0 && !machine.unreachable &&
             machine.lastHeardAt > machine.lastHeartbeatAt &&
-            silentFor(machine, cut) && clock.steadyMs - machine.lastHeartbeatAt < AgentTuning.PATH_FAULT_MS
+            silence.isCutOff(machine) && clock.steadyMs - machine.lastHeartbeatAt < AgentTuning.PATH_FAULT_MS
 
-    /** The time that its notice gave is over, and it was not heard since. */
-    private fun isTaken(machine: Machine) =
-        machine.confirmed && machine.preemptionAt != 0L && machine.lastHeardAt < machine.preemptionAt &&
-            clock.steadyMs > machine.preemptionAt + AgentTuning.TAKEN_MARGIN_MS
+    private fun mayBeLost(machine: Machine) =
+        !machine.releasing && machine.confirmed && machine.probesFailed >= AgentTuning.PROBES
 
     /**
-     * [m] is overdue and answers no probe, while most others, and one of its zone, were heard since it was due: so it
-     * is neither this node nor a zone that is cut off, and nothing is gained by waiting for more reports.
+     * [machine] is overdue and answers no probe, while most others, and one of its zone, were heard since it was due:
+     * so it is neither this node nor a zone that is cut off, and nothing is gained by waiting for more heartbeats.
      */
-    private fun surelyLost(
+    private fun isLostAlone(
         machine: Machine,
-        heard: Heard,
+        lastHeard: LastHeard,
     ): Boolean {
-        if (machine.releasing || !machine.confirmed || machine.probesFailed < AgentTuning.PROBES) return false
-        val due = machine.lastHeardAt + (reportMs * AgentTuning.DUE_REPORTS).toLong()
-        return heard.since(due) > heard.size * RecoveryTuning.MOST && heard.inZoneSince(machine.zone, due)
+        val due = machine.lastHeardAt + dueMs
+        return lastHeard.times.countAfter(due) > lastHeard.times.size * RecoveryTuning.MOST &&
+            lastHeard.isAnyAfter(due, machine.zone)
     }
 
-    /** When [machines] were last heard, ordered once: hundreds that are silent each ask how many others are not. */
-    private class Heard(
+    /** When [machines] were last heard, sorted once: hundreds that are silent each ask how many others are not. */
+    private class LastHeard(
         machines: List<Machine>,
     ) {
-        private val times = machines.map { it.lastHeardAt }.sorted()
+        val times = OrderedTimes(machines.map { it.lastHeardAt })
         private val lastInZone =
-            machines.groupingBy { it.zone }.fold(
-                Long.MIN_VALUE,
-            ) { last, machine -> maxOf(last, machine.lastHeardAt) }
-        val size get() = times.size
-
-        fun since(due: Long) = times.size - times.binarySearch { if (it > due) 1 else -1 }.inv()
+            machines
+                .groupingBy { it.zone }
+                .fold(Long.MIN_VALUE) { last, machine -> maxOf(last, machine.lastHeardAt) }
 
-        fun inZoneSince(
+        fun isAnyAfter(
+            time: Long,
             zone: String,
-            due: Long,
-        ) = (lastInZone[zone] ?: Long.MIN_VALUE) > due
-    }
-
-    /**
-     * Without a word from the cloud: a worker that confirmed this term's token has had no valid answer since
-     * [Machine.lastAnsweredAt] if the grant was still this node's after the lease ended.
-     */
-    private fun leaseRanOut(machine: Machine) {
-        if (!machine.confirmed || machine.attempts.isEmpty()) return
-        val end = machine.lastAnsweredAt + (leaseMs * AgentTuning.DRIFT).toLong() + AgentTuning.LEASE_MARGIN_MS
-        if (clock.steadyMs <= end || election.confirmedAt <= end) return
-        log.info("machine {}: its lease has run out", machine.name)
-        incarnationEnded(machine)
+        ) = (lastInZone[zone] ?: Long.MIN_VALUE) > time
     }
 }
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -8,21 +8,24 @@
 /**
  * Inherited machines that are most likely gone already. Every older job waits for each of them, so they are released
  * sooner than a silent machine would be otherwise. A release proves that a machine is gone; what is decided here only
- * chooses which machines to give back.
+ * chooses which machines to return.
  */
 internal class MissingMachines(
     private val election: Election,
     private val stalls: StallCompensation,
-    /** ms. Within it every worker would have reported by itself. */
-    private val reportedWithinMs: Long,
+    /** ms. Within it every agent would have sent a heartbeat by itself. */
+    private val heartbeatWithinMs: Long,
 ) {
-    /** Those of [inherited] that are missing; zones that may come back are left out of [inherited]. */
+    /** [machine] may be missing: without such a machine [among] finds none. */
+    fun isCandidate(machine: Machine): Boolean = machine.inherited && isUnconfirmed(machine)
+
+    /** Those of [inherited] that are missing; machines of zones that may come back are left out of [inherited]. */
     fun among(inherited: List<Machine>): List<Machine> {
         if (inherited.none(::isUnconfirmed)) return emptyList()
         val confirmed = inherited.count { it.confirmed }
-        if (!hearsEnough(confirmed, inherited.size)) return emptyList()
+        if (!receivesEnough(confirmed, inherited.size)) return emptyList()
         val mostConfirmed = confirmed > inherited.size * RecoveryTuning.MOST
-        val others = ReportTimes(inherited)
+        val others = ConfirmedHeartbeats(inherited)
         return inherited.filter { isUnconfirmed(it) && isMissing(it, others, mostConfirmed) }
     }
 
@@ -30,54 +33,54 @@
 
     private fun isMissing(
         machine: Machine,
-        others: ReportTimes,
+        others: ConfirmedHeartbeats,
         mostConfirmed: Boolean,
-    ) = machine.probesFailed >= AgentTuning.PROBES ||
-        (mostConfirmed && (wasBeingReturned(machine) || isPassedByOthers(machine, others)))
+    ): Boolean {
+        if (machine.probesFailed >= AgentTuning.PROBES) return true
+        return mostConfirmed && (wasBeingReturned(machine) || isPassedByOthers(machine, others))
+    }
 
     private fun wasBeingReturned(machine: Machine) = machine.returningHint && machine.probesUnanswered > 0
 
     /**
      * While this node does not keep up, a probe that timed out proves nothing by itself: its answer may wait here
-     * unread. But messages are read in the order in which they come, and most other machines sent reports after [m] was
-     * asked, which have been read. Without this a node that never quite keeps up waited for a machine that is gone
-     * until its silence was long enough for any machine.
+     * unread. But messages are read in the order in which they come, and most other machines sent heartbeats after
+     * [machine] was probed, which have been read. Without this a node that never quite keeps up would wait for a
+     * machine that is gone until its silence was long enough for any machine.
      */
     private fun isPassedByOthers(
         machine: Machine,
-        others: ReportTimes,
+        others: ConfirmedHeartbeats,
     ): Boolean {
-        if (machine.probesUnanswered < AgentTuning.PROBES ||
-            machine.sequenceFirstSeenAt > machine.unansweredSince
-        ) {
-            return false
-        }
-        return others.sentAfter(machine.unansweredSince) > others.machines * RecoveryTuning.MOST
-    }
-
-    /** When the confirmed machines among [inherited] sent their last reports, ordered once for all that are missing. */
-    private class ReportTimes(
-        inherited: List<Machine>,
-    ) {
-        val machines = inherited.size
-        private val times by lazy(LazyThreadSafetyMode.NONE) {
-            inherited.filter { it.confirmed }.map { it.heartbeatSentAfter }.sorted()
-        }
-
-        /** How many sent their last report after [time] (steady ms). */
-        fun sentAfter(time: Long): Int = times.size - times.binarySearch { if (it > time) 1 else -1 }.inv()
+        if (machine.probesUnanswered < AgentTuning.PROBES) return false
+        if (machine.sequenceFirstSeenAt > machine.unansweredSince) return false
+        return others.areMostSentAfter(machine.unansweredSince)
     }
 
     /**
-     * Where most machines are missing, it takes the time in which every worker would have reported by itself to tell
-     * that it is not this node, and as long as it is heard by some.
+     * Where most machines are missing, it takes the time in which every agent would have sent a heartbeat by itself to
+     * tell that it is not this node, and some machines that it receives.
      */
-    private fun hearsEnough(
+    private fun receivesEnough(
         confirmed: Int,
         all: Int,
     ) = confirmed > all * RecoveryTuning.MOST ||
         (
-            confirmed > all * AgentTuning.HEARD_SHARE &&
-                stalls.attentiveMsSince(election.electedAt) > reportedWithinMs
+            confirmed > all * AgentTuning.RECEIVED_SHARE &&
+                stalls.attentiveMsSince(election.electedAt) > heartbeatWithinMs
         )
+
+    /**
+     * When the confirmed machines among [inherited] sent their last heartbeats, sorted once and only if it is asked.
+     */
+    private class ConfirmedHeartbeats(
+        private val inherited: List<Machine>,
+    ) {
+        private val times by lazy(LazyThreadSafetyMode.NONE) {
+            OrderedTimes(inherited.filter { it.confirmed }.map { it.heartbeatSentAfter })
+        }
+
+        /** More than [RecoveryTuning.MOST] of all inherited machines, confirmed or not, sent one after [time]. */
+        fun areMostSentAfter(time: Long) = times.countAfter(time) > inherited.size * RecoveryTuning.MOST
+    }
 }
--- a/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
+++ b/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
@@ -6,122 +6,147 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Zones of which next to no machine is heard while most of another zone's are. Such a zone is cut off and mostly back
- * within a minute or so; nothing is rented there meanwhile, and its machines are not given back where that would lose
- * what goes on.
+ * Zones of which next to no machine is received while most machines of another zone are. Such a zone is cut off and
+ * mostly back within a minute or so; nothing is rented there meanwhile, and its machines are not returned where that
+ * would lose what goes on.
  */
 internal class PartitionedZones(
     private val clock: Clock,
+    private val recentLeaders: RecentLeaderZones,
 ) {
     private class ZoneCounts {
         var machines = 0
-        var heard = 0
+        var received = 0
     }
 
-    private val log = LoggerFactory.getLogger("ledgearch.core")
-    private val since = HashMap<String, Long>()
+    private val log = LoggerFactory.getLogger("ledgearch.agents")
+
+    /** The zones that are cut off, and since when (steady ms). */
+    private val partitionedSince = HashMap<String, Long>()
+
+    /** When zones that were cut off came back (steady ms). */
+    private val reachableSince = HashMap<String, Long>()
 
     /**
-     * Machines that had such replicas: once their leases have run out nothing is on them, but there they can start
-     * again.
+     * Machines that had replicas which keep to two zones: once their leases have expired nothing is on them, but there
+     * they can start again.
      */
     private val kept = HashSet<Machine>()
-    private val backAt = HashMap<String, Long>()
 
+    /** Zones that are not cut off. */
+    private var reachableZones = 0
+
+    /** Of the last [update]. */
+    private var recentLeaderZones: Set<String> = emptySet()
+
+    /** No zone is cut off. */
+    val isEmpty: Boolean get() = partitionedSince.isEmpty()
+
+    /** The zone is cut off. */
+    operator fun contains(zone: String): Boolean = zone in partitionedSince
+
+    /** The term has ended. */
     fun clear() {
-        since.clear()
+        partitionedSince.clear()
         kept.clear()
-        backAt.clear()
+        reachableSince.clear()
     }
 
     /**
-     * Steady ms at which [zone] was last heard again: silence counts from then on, as after any trouble of this node's
+     * Steady ms at which [zone] was received again: silence counts from then on, as after any trouble of this node's
      * own.
      */
-    fun backAt(zone: String) = backAt[zone] ?: Long.MIN_VALUE / 2
-
-    val isEmpty get() = since.isEmpty()
+    fun reachableSince(zone: String): Long = reachableSince[zone] ?: NEVER
 
-    operator fun contains(zone: String) = zone in since
-
-    /** Returns the zones that are heard again. */
+    /** Finds the zones that are cut off and returns those that are back; [isReceived]: the machine sends heartbeats. */
     fun update(
         machines: Collection<Machine>,
-        isHeard: (Machine) -> Boolean,
+        isReceived: (Machine) -> Boolean,
     ): Set<String> {
+        val zones = countByZone(machines, isReceived)
+        val back = partitionedSince.filterTo(HashMap()) { (zone, since) -> isBack(zones[zone], since) }.keys
+        back.forEach(::partitionEnded)
+        addPartitioned(zones)
+        reachableZones = zones.keys.count { it !in partitionedSince }
+        recentLeaderZones = if (isEmpty) emptySet() else recentLeaders.current()
+        return back
+    }
+
+    private fun countByZone(
+        machines: Collection<Machine>,
+        isReceived: (Machine) -> Boolean,
+    ): Map<String, ZoneCounts> {
         val zones = HashMap<String, ZoneCounts>()
         for (machine in machines) {
             if (machine.releasing) continue
             val counts = zones.getOrPut(machine.zone) { ZoneCounts() }
             counts.machines++
-            if (isHeard(machine)) counts.heard++
-        }
-        val anyWell = zones.values.any { it.heard > it.machines * RecoveryTuning.MOST }
-        val cut =
-            zones.filterValues {
-                anyWell && it.machines >= RecoveryTuning.ZONE_MACHINES &&
-                    it.heard < it.machines * AgentTuning.HEARD_SHARE
-            }
-        val back = since.filterTo(HashMap()) { (zone, began) -> isBack(zones[zone], began) }.keys
-        for (zone in back) {
-            log.info("zone {} is heard again, or gone", zone)
-            since.remove(zone)
-            kept.removeIf { it.zone == zone }
-            backAt[zone] = clock.steadyMs
+            if (isReceived(machine)) counts.received++
         }
-        for ((name, counts) in cut) {
-            if (since.putIfAbsent(name, clock.steadyMs) ==
-                null
-            ) {
-                log.warn("zone {}: {} of {} machines are heard", name, counts.heard, counts.machines)
-            }
+        return zones
+    }
+
+    private fun partitionEnded(zone: String) {
+        log.info("zone no longer partitioned: it is received again, or has no machines left; zone={}", zone)
+        partitionedSince.remove(zone)
+        kept.removeIf { it.zone == zone }
+        reachableSince[zone] = clock.steadyMs
+    }
+
+    private fun addPartitioned(zones: Map<String, ZoneCounts>) {
+        if (zones.values.none { it.received > it.machines * RecoveryTuning.MOST }) return
+        for ((zone, counts) in zones) {
+            if (!isPartitioned(counts) || partitionedSince.putIfAbsent(zone, clock.steadyMs) != null) continue
+            log.warn(
+                "zone partitioned: next to none of its machines send heartbeats; zone={} machines={} received={}",
+                zone,
+                counts.machines,
+                counts.received,
+            )
         }
-        others = zones.keys.count { it !in since }
-        return back
     }
 
-    /** Something of the zone is heard, or too little of it is left to tell for how long it will be cut off. */
+    private fun isPartitioned(counts: ZoneCounts) =
+        counts.machines >= RecoveryTuning.ZONE_MACHINES &&
+            counts.received < counts.machines * AgentTuning.RECEIVED_SHARE
+
+    /** Something of the zone is received, or too little of it is left to tell for how long it will be cut off. */
     private fun isBack(
         counts: ZoneCounts?,
-        began: Long,
-    ) = when {
-        counts == null || (counts.machines < RecoveryTuning.ZONE_MACHINES && counts.heard == 0) -> {
-            clock.steadyMs - began >=
-                RecoveryTuning.CUT_ZONE_MS
-        }
-
-        else -> {
-            counts.heard >= counts.machines * AgentTuning.HEARD_SHARE
-        }
+        since: Long,
+    ): Boolean {
+        if (counts == null || isTooSmall(counts)) return clock.steadyMs - since >= RecoveryTuning.CUT_ZONE_MS
+        return counts.received >= counts.machines * AgentTuning.RECEIVED_SHARE
     }
 
-    /** Zones that are not cut off. */
-    private var others = 0
+    private fun isTooSmall(counts: ZoneCounts) = counts.machines < RecoveryTuning.ZONE_MACHINES && counts.received == 0
 
     /**
-     * [m] is silent with its whole zone, it is worth keeping until the zone is back, and not yet given up. That is so
-     * where only one other zone is heard, in which replicas that keep to two can't all be. Unconfirmed, [m] is worth
-     * keeping if a leader before this one may be cut off with it ([servedWithin]) and keep its lease alive; else nobody
-     * does, and older jobs only wait for it. Confirmed, it is if it has such replicas; all else begins anew elsewhere
-     * the sooner the better.
+     * [machine] is silent with its whole zone, it is worth keeping until the zone is back, and not yet given up. That
+     * is so where only one other zone is received, in which replicas that keep to two can't all be. Unconfirmed, it is
+     * worth keeping if a leader before this one may be cut off with it and keep its lease alive; else nobody does, and
+     * older jobs only wait for it. Confirmed, it is if it has such replicas; all else is the better restarted elsewhere
+     * the sooner.
      */
-    fun mayComeBack(
-        machine: Machine,
-        servedWithin: Set<String>,
-    ): Boolean {
-        if (others >= 2 ||
-            clock.steadyMs - (since[machine.zone] ?: return false) >= RecoveryTuning.CUT_ZONE_MS
-        ) {
-            return false
-        }
-        if (!machine.confirmed) return machine.zone in servedWithin
-        return machine in kept || holdsTwoZoneReplica(machine).also { if (it) kept.add(machine) }
+    fun mayComeBack(machine: Machine): Boolean {
+        if (reachableZones >= 2) return false
+        val since = partitionedSince[machine.zone] ?: return false
+        if (clock.steadyMs - since >= RecoveryTuning.CUT_ZONE_MS) return false
+        if (!machine.confirmed) return machine.zone in recentLeaderZones
+        if (machine in kept) return true
+        if (!hasTwoZoneReplica(machine)) return false
+        kept.add(machine)
+        return true
     }
 
-    private fun holdsTwoZoneReplica(machine: Machine) =
-        machine.attempts.values.any {
-            it.job?.spec?.spreadZones == true &&
-                it.job.isService &&
-                !it.exited
+    private fun hasTwoZoneReplica(machine: Machine) =
+        machine.attempts.values.any { attempt ->
+            val job = attempt.job
+            job != null && job.spec.spreadZones && job.isService && !attempt.exited
         }
+
+    private companion object {
+        /** Steady ms before any other time, far enough from the limits that differences don't overflow. */
+        const val NEVER = Long.MIN_VALUE / 2
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/ledgearch/agents/RecentLeaderZones.kt
@@ -0,0 +1,17 @@
+package ledgearch.agents
+
+import ledgearch.config.Settings
+import ledgearch.jobs.JobStore
+import ledgearch.recovery.RecoveryTuning
+
+/** The zones of the controllers that led before this node. */
+internal class RecentLeaderZones(
+    private val settings: Settings,
+    private val jobStore: JobStore,
+) {
+    /** Those of the leaders of the last [RecoveryTuning.CUT_ZONE_MS]. */
+    fun current(): Set<String> {
+        val leaders = jobStore.recentLeaders(settings.node, RecoveryTuning.CUT_ZONE_MS)
+        return settings.members.filter { it.node in leaders }.mapTo(HashSet()) { it.area }
+    }
+}
--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -2,19 +2,25 @@
 
 /** The controller and the leader: constants with their unit and the reason for their value. */
 internal object ControlTuning {
-    /** ms. Between two lines of the debug log that tell what the owner's time went to. */
+    /** ms in a second, as a factor of times in seconds. */
+    const val MS_PER_SECOND = 1000.0
+
+    /** Status of the answer that names the leader to an agent. */
+    const val STATUS_MISDIRECTED = 421
+
+    /** ms. Between two lines of the debug log with what the owner's time was spent on. */
     const val LOG_LOAD_MS = 10_000L
 
-    /** ms. A node that has not heard from the state service for this long is not healthy while others may be. */
+    /** ms. A node that the state service has not answered for this long is not healthy while others may be. */
     const val STATE_SILENT_MS = 4_000L
 
-    /** ms. A leader that has not heard from the state service for this long says so: sooner than others step aside. */
+    /** ms. A leader that the state service has not answered for this long says so: sooner than others step aside. */
     const val LEADER_UNSERVED_MS = 2_500L
 
-    /** ms. Such word counts this long: the leader speaks every second, and may be late. */
+    /** ms. What the leader said of an outage counts this long: it speaks every second, and may be late. */
     const val OUTAGE_HEARD_MS = 3_000L
 
-    /** ms. Between two tellings of progress. */
+    /** ms. Between two publications of progress. */
     const val PUBLISH_MS = 1_000L
 
     /** Jobs. Finished jobs whose answer is kept in memory (a name and one word each); the rest are read when asked. */
@@ -26,12 +32,12 @@
     /** Attempts. After these a new grant is needed: a fortnight at a hundred starts a second, half of what there is. */
     const val ATTEMPTS_PER_TERM = 1L shl (ATTEMPT_BITS - 1)
 
-    /** ms. A worker drops answers 4 s after its report was sent; a little more, since clocks drift and batches wait. */
+    /** ms. An agent drops answers 4 s after its heartbeat was sent; some more, since clocks drift and batches wait. */
     const val ANSWER_AWAITED_MS = 4_500L
 
-    /** ms. Between two countings of machine hours. */
+    /** ms. Between two counts of machine hours. */
     const val COUNT_MS = 1_000L
 
-    /** ms. A pass when nothing was seen to change, since time alone may open a way. */
+    /** ms. Between two placement passes without any change, since time alone may make a placement possible. */
     const val IDLE_PASS_MS = 250L
 }
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -310,7 +310,9 @@
                 respond(errorResponse(400, "not a report"))
                 return
             }
-        val commands = leader.report(report) ?: return respond(elsewhere())
+        val result = leader.handle(report)
+        if (result.isNotLeader) return respond(elsewhere())
+        val commands = result.commands
         respond(
             Response(
                 200,
@@ -342,12 +344,12 @@
             log.info("block 0: leader {} by grant {}", jobStore.leadership?.node ?: "none", jobStore.leadershipRevision)
         }
 
-        override fun jobOpened(job: Job) = leader.jobOpened(job)
+        override fun jobOpened(job: Job) = leader.jobs.opened(job)
 
-        override fun jobChanged(job: Job) = leader.jobChanged(job)
+        override fun jobChanged(job: Job) = leader.jobs.changed(job)
 
         override fun jobClosed(job: Job) {
-            leader.jobClosed(job)
+            leader.jobs.closed(job)
             intake.closed(job.id)
         }
 
@@ -355,14 +357,14 @@
     }
 
     private inner class DependencyEvents : DependencyListener {
-        override fun released(job: Job) = leader.jobReleased(job)
+        override fun released(job: Job) = leader.jobs.released(job)
 
-        override fun dependencyCancelled(job: Job) = leader.jobCancelledWithDependency(job)
+        override fun dependencyCancelled(job: Job) = leader.jobs.dependencyCancelled(job)
 
         override fun priorityChanged(
             job: Job,
             priority: Priority,
-        ) = leader.priorityChanged(job, priority)
+        ) = leader.jobs.priorityChanged(job, priority)
     }
 
     private inner class ElectionEvents : ElectionListener {
--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -1,118 +1,74 @@
 package ledgearch.control
 
+import ledgearch.autoscaling.Autoscaler
+import ledgearch.election.Election
 import ledgearch.jobs.JobStore
 import ledgearch.model.Machine
-import ledgearch.model.TeamQuotas
-import ledgearch.persistence.RecordWriter
-import ledgearch.records.FinishedRecord
-import ledgearch.records.Keys
-import ledgearch.records.decodeRecord
 import ledgearch.runtime.Clock
-import ledgearch.store.ReadResult
-import ledgearch.store.RequestClass
-import ledgearch.store.StoreClient
-import ledgearch.store.StoreTuning
-import ledgearch.wire.KeyValue
+import ledgearch.scheduling.Estimates
+import ledgearch.standby.FailoverHints
 import org.slf4j.LoggerFactory
 
-/** What a new leader reads before it acts: the machines of the block, then the finished tasks of open jobs. */
+/** The first phase of a leadership term: the records are read, and hints of a standby's replica applied to them. */
 internal class Failover(
-    private val state: StoreClient,
+    private val term: LeadershipTerm,
+    private val loader: RecordLoader,
+    private val registry: MachineRegistry,
     private val jobStore: JobStore,
-    private val recordWriter: RecordWriter,
-    private val teams: TeamQuotas,
+    private val election: Election,
     private val clock: Clock,
-    private val join: (Machine) -> Unit,
-) {
-    private val log = LoggerFactory.getLogger("ledgearch.core")
-    private val toRead = ArrayDeque<Pair<String, String?>>()
-    private var reading = false
-    private var retryAt = Long.MIN_VALUE
+    private val estimates: Estimates,
+    private val fleet: Autoscaler,
+    private val placement: PlacementLoop,
+) : RecordLoaderListener {
+    private val log = LoggerFactory.getLogger("ledgearch.control")
 
-    /** Changes with every term: what an earlier one asked for means nothing here. */
-    private var term = 0
+    /** What a replica of the replaced leader's state suggests; it proves nothing. Null without one and once used. */
+    private var hints: FailoverHints? = null
 
-    /** Every machine that has a record is known. */
-    var machinesRead = false
+    /** The records are read: from here on machines are confirmed and tasks placed. */
+    var ready = false
         private set
 
-    /**
-     * Some record of machines can't be read. Tasks of older jobs may be on machines that nobody here knows, so none of
-     * those jobs may be trusted as long as it is there.
-     */
-    var anyUnreadable = false
-        private set
+    /** A new term begins; [end] was called before. [failoverHints]: null without a replica. */
+    fun begin(failoverHints: FailoverHints?) {
+        hints = failoverHints
+    }
 
-    fun begin() {
-        toRead.addLast(Keys.MACHINES to null)
-        toRead.addLast(Keys.FINISHED to null)
+    /** The term has ended. */
+    fun end() {
+        hints = null
+        ready = false
     }
 
-    fun clear() {
-        term++
-        toRead.clear()
-        reading = false
-        machinesRead = false
-        anyUnreadable = false
+    /** Reads on, until [ready]. */
+    fun drive() {
+        // Jobs accepted before the grant are in the job store once the watch has passed the grant.
+        if (jobStore.revision < term.firstToken) return
+        loader.drive(this)
     }
 
-    /** Reads on; [done] once all is read. */
-    fun drive(done: () -> Unit) {
-        if (reading || clock.steadyMs < retryAt) return
-        val (prefix, since) = toRead.firstOrNull() ?: return done()
-        reading = true
-        val mine = term
-        state.list(prefix, since, RequestClass.CRITICAL) { result ->
-            if (term != mine) return@list
-            reading = false
-            when (result) {
-                is ReadResult.Found -> {
-                    toRead.removeFirst()
-                    result.value.pairs.forEach { restore(prefix, it) }
-                    if (result.value.hasNext) {
-                        toRead.addFirst(
-                            prefix to
-                                result.value.pairs
-                                    .last()
-                                    .key,
-                        )
-                    }
-                    if (toRead.none { it.first == Keys.MACHINES }) machinesRead = true
-                }
+    override fun machineRestored(machine: Machine) {
+        registry.join(machine)
+        hints?.recordRead(machine, clock)
+    }
 
-                else -> {
-                    retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
-                }
-            }
-        }
+    override fun allRecordsLoaded() {
+        applyHints()
+        ready = true
+        placement.requestPass()
+        log.info(
+            "failover: all records read; machines={} jobs={} token={}",
+            registry.machines.size,
+            jobStore.jobs.size,
+            election.token,
+        )
     }
 
-    private fun restore(
-        prefix: String,
-        pair: KeyValue,
-    ) {
-        val name = pair.key.removePrefix(prefix)
-        recordWriter.read(pair.key, pair.modRevision)
-        if (prefix == Keys.MACHINES) {
-            val machines = recordWriter.restore(name, pair, teams, clock.steadyMs)
-            if (machines == null) {
-                log.error(
-                    "the record {} can't be read: older jobs wait until it is removed and the leader ends",
-                    pair.key,
-                )
-                anyUnreadable = true
-            } else {
-                machines.forEach(join)
-            }
-        } else {
-            val id = name.substringBefore('/')
-            val job = jobStore.jobs[id]
-            val record = decodeRecord(FinishedRecord.serializer(), pair.value)
-            if (job == null) {
-                recordWriter.remove(pair.key)
-            } else if (record != null) {
-                job.restoreFinished(record.ranges, name.substringAfter('/').toIntOrNull() ?: 0)
-            }
-        }
+    private fun applyHints() {
+        val used = hints ?: return
+        hints = null
+        used.takenOver(registry.machines, estimates, jobStore, fleet, clock)
+        registry.setProbeOrder(used.inProbeOrder(registry.unconfirmed))
     }
 }
