--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -165,7 +165,7 @@
         val sentAt = clock.steadyMs
         // Over a slow link answers are awaited for as long as the last one took and half as long again.
         val patienceMs = maxOf(timeoutMs, machine.answerMs * AgentTuning.PATIENCE_HALVES / 2)
-        transport.call(machine.endpoint, "POST", "/orders", body, patienceMs) { reply ->
+        transport.call(machine.endpoint, "POST", COMMAND_PATH, body, patienceMs) { reply ->
             if (term != sentIn) return@call
             val status = statusIn(reply, machine)
             if (status != null) {
@@ -270,4 +270,8 @@
             log.warn("agent's answer ignored: it can't be parsed; machine={} error={}", machine.name, e.message)
             null
         }
+
+    private companion object {
+        const val COMMAND_PATH = "/orders"
+    }
 }
--- a/src/main/kotlin/ledgearch/agents/DispatchLimits.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchLimits.kt
@@ -4,7 +4,9 @@
 
 /** How many direct commands may be under way, and for how long a heartbeat is awaited before a probe. */
 internal class DispatchLimits(
+    /** Probes that may be under way at one time. */
     val probesAtOnce: Int,
+    /** Other direct commands that may be under way at one time. */
     val callsAtOnce: Int,
     /** ms within which every agent sends a heartbeat by itself. */
     val heartbeatDueMs: Long,
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -27,14 +27,14 @@
     private val stalls: StallCompensation,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.agents")
-    private val reportMs = (times.reportS * AgentTuning.MS_PER_SECOND).toLong()
-    private val dueMs = (reportMs * AgentTuning.DUE_HEARTBEATS).toLong()
-    private val lostMs = (reportMs * AgentTuning.LOST_HEARTBEATS).toLong()
+    private val intervalMs = (times.reportS * AgentTuning.MS_PER_SECOND).toLong()
+    private val dueMs = (intervalMs * AgentTuning.DUE_HEARTBEATS).toLong()
+    private val lostMs = (intervalMs * AgentTuning.LOST_HEARTBEATS).toLong()
     private val leases =
         LeaseExpiry((times.leaseS * AgentTuning.MS_PER_SECOND).toLong(), election, clock, leaseListener)
-    private val silence = HeartbeatSilence(reportMs, election, stalls, zones)
+    private val silence = HeartbeatSilence(intervalMs, election, stalls, zones)
     private val missingMachines =
-        MissingMachines(election, stalls, (reportMs * AgentTuning.CUT_OFF_HEARTBEATS).toLong())
+        MissingMachines(election, stalls, (intervalMs * AgentTuning.CUT_OFF_HEARTBEATS).toLong())
     private var checkAt = 0L
 
     /** The term has ended. */
@@ -104,8 +104,8 @@
     private fun checkSilent() {
         val active = machines.values.filter { !it.releasing }
         if (stepsDown(active)) return
-        val lastHeard by lazy(LazyThreadSafetyMode.NONE) { LastHeard(active) }
-        val mostMute = active.count { isMute(it) } > active.size * RecoveryTuning.MOST
+        val contacts by lazy(LazyThreadSafetyMode.NONE) { LastContacts(active) }
+        val mostAnswerOnlyCommands = active.count { answersOnlyCommands(it) } > active.size * RecoveryTuning.MOST
         for (machine in dispatcher.unreachableMachines) if (!machine.releasing) dispatcher.probe(machine)
         for (machine in machines.values.toList()) {
             if (!silence.isOverdue(machine)) {
@@ -113,8 +113,9 @@
                 continue
             }
             if (machine.confirmed && !machine.releasing) dispatcher.probe(machine)
-            if (!silence.isLost(machine) && !(mayBeLost(machine) && isLostAlone(machine, lastHeard))) continue
-            releaseSilent(machine, mostMute)
+            // The contacts are sorted only when a machine needs them.
+            if (!silence.isLost(machine) && !(mayBeLost(machine) && isLostAlone(machine, contacts))) continue
+            releaseSilent(machine, mostAnswerOnlyCommands)
             leases.check(machine)
         }
     }
@@ -145,9 +146,13 @@
 
     private fun releaseSilent(
         machine: Machine,
-        mostMute: Boolean,
+        mostAnswerOnlyCommands: Boolean,
     ) {
-        if (machine.releasing || zones.mayComeBack(machine) || (mostMute && isMute(machine))) return
+        if (machine.releasing || zones.mayComeBack(machine) ||
+            (mostAnswerOnlyCommands && answersOnlyCommands(machine))
+        ) {
+            return
+        }
         log.warn(
             "machine released: it sends no heartbeats; machine={} ms={}",
             machine.name,
@@ -160,7 +165,7 @@
      * Its agent answers direct commands but sends heartbeats to nobody here. Where most do so the fault may be this
      * node's, and they are kept for some time: a fleet is not returned for a fault on one path.
      */
-    private fun isMute(machine: Machine) =
+    private fun answersOnlyCommands(machine: Machine) =
         machine.confirmed && machine.probesFailed == 0 && !machine.unreachable &&
             machine.lastHeardAt > machine.lastHeartbeatAt &&
             silence.isCutOff(machine) && clock.steadyMs - machine.lastHeartbeatAt < AgentTuning.PATH_FAULT_MS
@@ -169,20 +174,20 @@
         !machine.releasing && machine.confirmed && machine.probesFailed >= AgentTuning.PROBES
 
     /**
-     * [machine] is overdue and answers no probe, while most others, and one of its zone, were heard since it was due:
-     * so it is neither this node nor a zone that is cut off, and nothing is gained by waiting for more heartbeats.
+     * [machine] is overdue and answers no probe, while most others, and one of its zone, were received since it was
+     * due: so it is neither this node nor a zone that is cut off, and nothing is gained by waiting for more heartbeats.
      */
     private fun isLostAlone(
         machine: Machine,
-        lastHeard: LastHeard,
+        contacts: LastContacts,
     ): Boolean {
         val due = machine.lastHeardAt + dueMs
-        return lastHeard.times.countAfter(due) > lastHeard.times.size * RecoveryTuning.MOST &&
-            lastHeard.isAnyAfter(due, machine.zone)
+        return contacts.times.countAfter(due) > contacts.times.size * RecoveryTuning.MOST &&
+            contacts.isAnyAfter(due, machine.zone)
     }
 
-    /** When [machines] were last heard, sorted once: hundreds that are silent each ask how many others are not. */
-    private class LastHeard(
+    /** When the last message of each of [machines] came, sorted once for hundreds of silent ones to compare with. */
+    private class LastContacts(
         machines: List<Machine>,
     ) {
         val times = OrderedTimes(machines.map { it.lastHeardAt })
--- a/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
+++ b/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
@@ -9,12 +9,13 @@
  * from the grant on, and from the time at which a zone was received again.
  */
 internal class HeartbeatSilence(
-    private val reportMs: Long,
+    /** ms between two heartbeats of an agent. */
+    private val intervalMs: Long,
     private val election: Election,
     private val stalls: StallCompensation,
     private val zones: PartitionedZones,
 ) {
-    /** Steady ms, worked out once a check and not for each machine: who was last received by then is overdue. */
+    /** Steady ms, worked out once a check and not for each machine: without a heartbeat since, one is overdue. */
     private var overdueSince = Long.MIN_VALUE
 
     /** The same for [isCutOff]. */
@@ -30,7 +31,7 @@
         lostSince = since(AgentTuning.LOST_HEARTBEATS)
     }
 
-    private fun since(reports: Double) = stalls.attentiveSince((reportMs * reports).toLong())
+    private fun since(intervals: Double) = stalls.attentiveSince((intervalMs * intervals).toLong())
 
     /** [machine] has been silent for [AgentTuning.OVERDUE_HEARTBEATS]: it is probed. */
     fun isOverdue(machine: Machine): Boolean = silentSince(machine) <= overdueSince
--- a/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
+++ b/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
@@ -13,11 +13,14 @@
 
 /** Proves that an agent's lease has expired, without any word from the cloud. */
 internal class LeaseExpiry(
+    /** ms for which an agent goes on without a valid answer. */
     private val leaseMs: Long,
     private val election: Election,
     private val clock: Clock,
     private val listener: LeaseExpiryListener,
 ) {
+    private val log = LoggerFactory.getLogger("ledgearch.agents")
+
     /**
      * Tells the listener if the lease of [machine] has expired: an agent that confirmed this term's token has had no
      * valid answer since [Machine.lastAnsweredAt] if this node still led after the lease ended.
@@ -29,8 +32,4 @@
         log.info("agent's lease expired; machine={}", machine.name)
         listener.leaseExpired(machine)
     }
-
-    private companion object {
-        val log = LoggerFactory.getLogger("ledgearch.agents")
-    }
 }
--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -18,7 +18,7 @@
     const val LEADER_UNSERVED_MS = 2_500L
 
     /** ms. What the leader said of an outage counts this long: it speaks every second, and may be late. */
-    const val OUTAGE_HEARD_MS = 3_000L
+    const val OUTAGE_VALID_MS = 3_000L
 
     /** ms. Between two publications of progress. */
     const val PUBLISH_MS = 1_000L
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -134,7 +134,7 @@
             stalls,
         )
 
-    /** What happens to jobs, as the job store and their dependencies tell. */
+    /** What the leader does as jobs change; the job store and their dependencies call it. */
     val jobs =
         JobLifecycle(term, jobStore, registry, reconciliation, attempts, placer, placement, recordWriter, headroom)
 
@@ -177,7 +177,10 @@
         state.share(leader = false)
     }
 
-    /** Does what is due; without effect while this node does not lead. */
+    /**
+     * Does what is due; without effect while this node does not lead. The names of the stages are those of their times
+     * in `GET /metrics`.
+     */
     fun drive() {
         if (!term.isActive || !election.isLeader) return
         if (!failover.ready) failover.drive()
