--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -169,7 +169,7 @@
         running: List<Job>,
     ) {
         if (jobs.isEmpty()) return
-        val placed = metrics.spend("hurried") { preemption.besideImages(jobs, usable, running) }
+        val placed = metrics.spend("hurried") { preemption.makeRoomWhereImageIs(jobs, usable, running) }
         for (job in jobs) startAnywhere(job, usable, leave = placed[job] ?: 0)
     }
 
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -41,13 +41,13 @@
      * less what its image takes, is over: it is served before all else of its priority, and mostly enough frees by
      * itself.
      */
-    fun claims(job: Job): Boolean {
+    fun mayClaimGuarantee(job: Job): Boolean {
         val within = guaranteeWithin ?: return true
         return age(job) >= (within - job.spec.imageGb * SchedulingTuning.FETCH_S_PER_GB) / 2
     }
 
     /** An array that came less than [seconds] ago, and half the time in which it is to start is not over. */
-    fun patient(
+    fun canWait(
         job: Job,
         seconds: Double,
     ) = !job.isService && age(job) < minOf(seconds, (startWithin[job.spec.jobClass] ?: Double.MAX_VALUE) / 2)
--- a/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
@@ -2,6 +2,9 @@
 
 /** Placement and preemption: constants with their unit and the reason for their value. */
 internal object SchedulingTuning {
+    /** Milliseconds in a second, to divide times by. */
+    const val MS_PER_SECOND = 1_000.0
+
     /** Machines. The paper finds 10 to 15 enough for any size of system. */
     const val BUDDIES = 10
 
@@ -23,17 +26,23 @@
     /** Seconds that a job waits for room to free by itself, at most half the time in which it is to start. */
     const val PATIENCE_S = 2.0
 
-    /** Processor seconds. What a start is worth by itself: its image is there, its users see it run. */
-    const val WORTH_STARTED = 5.0
+    /** Processor seconds. Cost of losing a start by itself: its image is there, its users see it run. */
+    const val LOST_START_COST = 5.0
 
-    /** Processor seconds. What an image that is already there, or half there, is worth. */
-    const val WORTH_IMAGE = 20.0
+    /**
+     * Processor seconds. Cost of each step from an image that is there, over one that is being fetched,
+     * to one that is not there.
+     */
+    const val IMAGE_DISTANCE_COST = 20.0
 
-    /** Processor seconds. What an aim missed is worth: about the work of a job. */
-    const val WORTH_AIM = 500.0
+    /** Processor seconds. Cost of a missed service-level objective: about the work of a job. */
+    const val MISSED_OBJECTIVE_COST = 500.0
 
-    /** Processor seconds. More than any task's work, so that the least urgent is always stopped first. */
-    const val WORTH_PRIORITY = 1e6
+    /**
+     * Processor seconds. Cost of each priority above the lowest: more than any task's work, so that the least urgent
+     * is always preempted first.
+     */
+    const val PRIORITY_LEVEL_COST = 1e6
 
     /** Share of a job's tasks' worth of work that a second of waiting makes up for. */
     const val AGE_CREDIT = 0.25
