--- a/src/main/kotlin/ledgearch/model/MachineQueue.kt
+++ b/src/main/kotlin/ledgearch/model/MachineQueue.kt
@@ -1,36 +1,24 @@
 package ledgearch.model
 
-/** Load state of a machine by the length of its queue (section 2 of the paper). */
-internal enum class Band {
-    UNDERLOADED,
-    MEDIUM,
-    FULL,
-    OVERLOADED,
-    ;
-
-    companion object {
-        fun of(length: Int) =
-            when {
-                length <= ModelTuning.TH_U -> UNDERLOADED
-                length <= ModelTuning.TH_F -> MEDIUM
-                length <= ModelTuning.TH_V -> FULL
-                else -> OVERLOADED
-            }
-    }
-}
-
-/** The bound, unstarted tasks of one machine, first come first served; only how many of which job matters. */
+/**
+ * The bound, unstarted tasks of one machine, first come first served. Only how many of which job matters: it holds a
+ * job once for each of its tasks.
+ */
 internal class MachineQueue {
     private val jobs = ArrayDeque<Job>()
 
-    val length: Int get() = jobs.size
-    val band: Band get() = Band.of(jobs.size)
+    /** The machine's load state by the number of tasks in the queue. */
+    val loadState: LoadState get() = LoadState.of(jobs.size)
 
+    /** Appends one task of [job]. */
     fun bind(job: Job) = jobs.addLast(job)
 
-    fun unbind(job: Job) = jobs.remove(job)
+    /** Removes the first task of [job]; returns whether there was any. */
+    fun unbind(job: Job): Boolean = jobs.remove(job)
 
+    /** Removes all tasks. */
     fun clear() = jobs.clear()
 
+    /** A copy: the job of each task, in the order of the queue. */
     fun snapshot(): List<Job> = jobs.toList()
 }
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -5,205 +5,232 @@
 import ledgearch.wire.Priority
 import kotlin.math.abs
 
-/** What each team's tasks may be using at most, and whether more may start. */
+/**
+ * What each team's tasks may be using at most, and whether more may start. A team has a quota, the most that its tasks
+ * may use at one time ([Team.cpusMax], [Team.gpusMax]), and within it a guaranteed share ([Team.cpus], [Team.gpus]).
+ * What it runs beyond that share is surplus. Amounts are in processors and accelerators, compared with
+ * [Machine.ROUNDING] as slack.
+ */
 internal class TeamQuotas(
     teams: List<Team>,
 ) {
-    private class Use(
-        val team: Team,
-    ) {
-        var cpus = 0.0
-        var gpus = 0.0
-
-        /** As above, less what is being stopped: what the team will be left with. */
-        var keptCpus = 0.0
-        var keptGpus = 0.0
+    private val usages = teams.associate { it.name to TeamUsage(it) }
 
-        /** The most that its tasks may be using on machines that have not confirmed. */
-        var hiddenCpus = Double.MAX_VALUE
-        var hiddenGpus = Double.MAX_VALUE
+    /** Held by attempts that could be any team's, since their jobs are over. */
+    private val unknown = ResourceSum()
 
-        fun clear() {
-            hiddenCpus = Double.MAX_VALUE
-            hiddenGpus = Double.MAX_VALUE
-            cpus = 0.0
-            gpus = 0.0
-            keptCpus = 0.0
-            keptGpus = 0.0
-        }
+    /** All that unconfirmed machines have: those an earlier leader recorded and this one has not heard from. */
+    private val unconfirmed = ResourceSum()
 
-        fun isAbout(other: Use) =
-            abs(cpus - other.cpus) <= Machine.ROUNDING && abs(gpus - other.gpus) <= Machine.ROUNDING &&
-                abs(keptCpus - other.keptCpus) <= Machine.ROUNDING && abs(keptGpus - other.keptGpus) <= Machine.ROUNDING
-    }
+    /** Attempts that continue, by the ordinal of their job's priority. */
+    private val continuing = IntArray(Priority.entries.size)
 
-    private val uses = teams.associate { it.name to Use(it) }
+    // --- Counting ---------------------------------------------------------------------------------------------
 
-    /** Held by attempts that could be anyone's, since their jobs are over. */
-    private var unknownCpus = 0.0
-    private var unknownGpus = 0.0
-
-    /** What there is of machines that have not confirmed. */
-    private var hiddenCpus = 0.0
-    private var hiddenGpus = 0.0
-
-    /** Attempts that go on, by priority. */
-    private val goingOn = IntArray(Priority.entries.size)
-
-    /** A job is within its team's guarantee if it fits into it along with the team's earlier unfinished jobs. */
+    /**
+     * Sets which of [jobs] are guaranteed: those that fit into their team's guaranteed share along with the team's
+     * earlier unfinished jobs.
+     */
     fun countGuarantees(jobs: Collection<Job>) {
-        val promised = HashMap<String, DoubleArray>()
+        val promisedByTeam = HashMap<String, ResourceSum>()
         for (job in jobs.sortedBy { it.readyAt }) {
             if (job.waitsForOthers) {
                 job.guaranteed = false
                 continue
             }
-            val team = uses[job.spec.team]?.team ?: continue
-            val sums = promised.getOrPut(job.spec.team) { DoubleArray(2) }
-            sums[0] += job.spec.vcpus * job.spec.taskCount
-            sums[1] += job.spec.accelerators * job.spec.taskCount
-            job.guaranteed = sums[0] <= team.cpus + Machine.ROUNDING && sums[1] <= team.gpus + Machine.ROUNDING
+            val team = usages[job.spec.team]?.team ?: continue
+            val promised = promisedByTeam.getOrPut(job.spec.team) { ResourceSum() }
+            promised.addTasks(job, job.spec.taskCount)
+            job.guaranteed = promised.isWithin(team.cpus, team.gpus)
         }
     }
 
-    /** [p] comes ([sign] 1) or goes (-1); between the two it counts for its team's limit, stopped or not. */
+    /** [attempt] comes ([sign] 1) or goes (-1); in between it counts for its team's quota, told to stop or not. */
     fun count(
         attempt: TaskAttempt,
         sign: Int,
     ) {
-        val job = attempt.job ?: return countUnknown(attempt.machine.machineType, sign)
-        if (attempt.stop == StopMode.NONE) goingOn[job.priority.ordinal] += sign
-        val use = uses[job.spec.team] ?: return
-        use.cpus += sign * job.spec.vcpus
-        use.gpus += sign * job.spec.accelerators
-        if (attempt.stop != StopMode.NONE) return
-        use.keptCpus += sign * job.spec.vcpus
-        use.keptGpus += sign * job.spec.accelerators
-    }
-
-    /** What [machineType] holds could be anyone's. */
-    fun countUnknown(
-        machineType: MachineType,
-        sign: Int,
-    ) {
-        unknownCpus += sign * machineType.vcpus
-        unknownGpus += sign * machineType.accelerators
+        val job = attempt.job ?: return unknown.add(attempt.machine.machineType, sign)
+        if (attempt.stop == StopMode.NONE) continuing[job.priority.ordinal] += sign
+        val usage = usages[job.spec.team] ?: return
+        usage.used.addTasks(job, sign)
+        if (attempt.stop == StopMode.NONE) usage.continuing.addTasks(job, sign)
     }
 
     /**
-     * [machineType] may hold any task of a job that is older than this leader and whose tasks have not all been found.
+     * A machine of this type comes to be unconfirmed ([sign] 1) or is no more (-1). Meanwhile it may hold any task of a
+     * job that is older than this leader and whose tasks have not all been found.
      */
-    fun countHidden(
+    fun countUnconfirmed(
         machineType: MachineType,
         sign: Int,
-    ) {
-        hiddenCpus += sign * machineType.vcpus
-        hiddenGpus += sign * machineType.accelerators
-    }
+    ) = unconfirmed.add(machineType, sign)
 
     /**
-     * What of each team may run on machines that have not confirmed: tasks of its older jobs that are neither finished
-     * nor found. A job is over only once all its tasks are gone, and newer jobs were never an earlier leader's.
+     * Counts what of each team may run on unconfirmed machines: tasks of its older jobs that are neither finished nor
+     * found. A job is over only once all its tasks are gone, and newer jobs were never an earlier leader's.
      */
     fun countUnfound(jobs: Collection<Job>) {
-        if (hiddenCpus <= Machine.ROUNDING && hiddenGpus <= Machine.ROUNDING) return
-        for (use in uses.values) {
-            use.hiddenCpus = 0.0
-            use.hiddenGpus = 0.0
-        }
+        if (unconfirmed.isWithin(0.0, 0.0)) return
+        for (usage in usages.values) usage.unfound.set(0.0)
         for (job in jobs) {
-            val use = uses[job.spec.team]
-            if (job.accountedFor || use == null) continue
-            use.hiddenCpus += job.pendingCount * job.spec.vcpus
-            use.hiddenGpus += job.pendingCount * job.spec.accelerators
+            val usage = usages[job.spec.team]
+            if (job.accountedFor || usage == null) continue
+            usage.unfound.addTasks(job, job.pendingCount)
         }
     }
 
-    /** Work less urgent than [job] goes on somewhere. */
-    fun anyLowerPriority(job: Job) = (job.priority.ordinal + 1 until goingOn.size).any { goingOn[it] > 0 }
-
+    /** Forgets all that was counted. */
     fun clear() {
-        uses.values.forEach { it.clear() }
-        goingOn.fill(0)
-        unknownCpus = 0.0
-        unknownGpus = 0.0
-        hiddenCpus = 0.0
-        hiddenGpus = 0.0
+        usages.values.forEach { it.clear() }
+        continuing.fill(0)
+        unknown.set(0.0)
+        unconfirmed.set(0.0)
     }
 
-    /** Whether what is counted is what a count from scratch of [machines] gives. */
+    /** Whether what is counted is what a count of [machines] from scratch gives. */
     fun countsHold(machines: Collection<Machine>): Boolean {
-        val newTerm = TeamQuotas(uses.values.map { it.team })
+        val recount = TeamQuotas(usages.values.map { it.team })
         for (machine in machines) {
-            if (machine.inherited && !machine.confirmed) newTerm.countHidden(machine.machineType, 1)
-            for (attempt in machine.attempts.values) if (!attempt.exited) newTerm.count(attempt, 1)
+            if (machine.inherited && !machine.confirmed) recount.countUnconfirmed(machine.machineType, 1)
+            for (attempt in machine.attempts.values) if (!attempt.exited) recount.count(attempt, 1)
         }
-        return abs(unknownCpus - newTerm.unknownCpus) <= Machine.ROUNDING &&
-            abs(hiddenCpus - newTerm.hiddenCpus) <= Machine.ROUNDING &&
-            goingOn.contentEquals(newTerm.goingOn) &&
-            uses.all { (name, use) -> newTerm.uses[name]?.let(use::isAbout) == true }
+        return abs(unknown.cpus - recount.unknown.cpus) <= Machine.ROUNDING &&
+            abs(unconfirmed.cpus - recount.unconfirmed.cpus) <= Machine.ROUNDING &&
+            continuing.contentEquals(recount.continuing) &&
+            usages.all { (name, usage) -> recount.usages[name]?.let(usage::isAbout) == true }
     }
 
-    /** One more task of [job] keeps its team within its limit, whatever runs where nothing is known. */
+    // --- Questions --------------------------------------------------------------------------------------------
+
+    /** Work of a lower priority than that of [job] continues somewhere. */
+    fun anyLowerPriority(job: Job): Boolean =
+        (job.priority.ordinal + 1 until continuing.size).any { continuing[it] > 0 }
+
+    /** One more task of [job] keeps its team within its quota, whatever runs where nothing is known. */
     fun allows(job: Job): Boolean {
-        val use = uses[job.spec.team] ?: return false
-        val cpus = use.cpus + unknownCpus + minOf(hiddenCpus, use.hiddenCpus)
-        val gpus = use.gpus + unknownGpus + minOf(hiddenGpus, use.hiddenGpus)
-        return cpus + job.spec.vcpus <= use.team.cpusMax + Machine.ROUNDING &&
-            gpus + job.spec.accelerators <= use.team.gpusMax + Machine.ROUNDING
+        val usage = usages[job.spec.team] ?: return false
+        val cpus = usage.used.cpus + unknown.cpus + minOf(unconfirmed.cpus, usage.unfound.cpus)
+        val gpus = usage.used.gpus + unknown.gpus + minOf(unconfirmed.gpus, usage.unfound.gpus)
+        return cpus + job.spec.vcpus <= usage.team.cpusMax + Machine.ROUNDING &&
+            gpus + job.spec.accelerators <= usage.team.gpusMax + Machine.ROUNDING
     }
 
-    /** [job] is within its team's guarantee, and the team may have [more] more of its tasks out of it. */
+    /** [job] is guaranteed, and [more] more of its tasks are within its team's guaranteed share. */
     fun mayClaim(
         job: Job,
         more: Int,
     ): Boolean {
-        val use = uses[job.spec.team] ?: return false
+        val usage = usages[job.spec.team] ?: return false
         return job.guaranteed &&
-            use.keptCpus + more * job.spec.vcpus <= use.team.cpus + Machine.ROUNDING &&
-            use.keptGpus + more * job.spec.accelerators <= use.team.gpus + Machine.ROUNDING
+            usage.continuing.cpus + more * job.spec.vcpus <= usage.team.cpus + Machine.ROUNDING &&
+            usage.continuing.gpus + more * job.spec.accelerators <= usage.team.gpus + Machine.ROUNDING
     }
 
     /**
-     * Without a task of [job] its team would still have its whole guarantee. Counted without what is already being
-     * stopped, or as good as [given] up: two teams near their guarantees would otherwise stop each other's tasks in
-     * turn for ever.
+     * Without a task of [job] its team would still use its whole guaranteed share. Counted without what is already
+     * being stopped, or selected to be preempted ([selected], one entry a task): two teams near their guaranteed shares
+     * would otherwise preempt each other's tasks in turn for ever.
      */
     fun canSpare(
         job: Job,
-        given: List<Job> = emptyList(),
+        selected: List<Job> = emptyList(),
     ): Boolean {
-        val use = uses[job.spec.team] ?: return false
-        val ours = given.filter { it.spec.team == job.spec.team }
-        return use.keptCpus - job.spec.vcpus - ours.sumOf { it.spec.vcpus } >= use.team.cpus - Machine.ROUNDING &&
-            use.keptGpus - job.spec.accelerators - ours.sumOf { it.spec.accelerators } >=
-            use.team.gpus - Machine.ROUNDING
+        val usage = usages[job.spec.team] ?: return false
+        val ofTeam = selected.filter { it.spec.team == job.spec.team }
+        return usage.continuing.cpus - job.spec.vcpus - ofTeam.sumOf { it.spec.vcpus } >=
+            usage.team.cpus - Machine.ROUNDING &&
+            usage.continuing.gpus - job.spec.accelerators - ofTeam.sumOf { it.spec.accelerators } >=
+            usage.team.gpus - Machine.ROUNDING
     }
 
-    /** How many more tasks of [job] its team's limit allows once what is being stopped is gone. */
+    /** How many more tasks of [job] its team's quota allows once what is being stopped is gone. */
     fun roomOnceStopped(job: Job): Int {
-        val use = uses[job.spec.team] ?: return 0
+        val usage = usages[job.spec.team] ?: return 0
         return FreeResources.tasks(
-            use.team.cpusMax - use.keptCpus,
+            usage.team.cpusMax - usage.continuing.cpus,
             job.spec.vcpus,
-            use.team.gpusMax - use.keptGpus,
+            usage.team.gpusMax - usage.continuing.gpus,
             job.spec.accelerators,
             job.spec.taskCount,
         )
     }
 
-    /** How many more tasks of [job] its team's limit allows when [promised] processors more are spoken for. */
+    /** How many more tasks of [job] its team's quota allows when [promised] processors more are spoken for. */
     fun roomFor(
         job: Job,
         promised: Double = 0.0,
     ): Int {
-        val use = uses[job.spec.team] ?: return 0
+        val usage = usages[job.spec.team] ?: return 0
         return FreeResources.tasks(
-            use.team.cpusMax - use.cpus - promised,
+            usage.team.cpusMax - usage.used.cpus - promised,
             job.spec.vcpus,
-            use.team.gpusMax - use.gpus,
+            usage.team.gpusMax - usage.used.gpus,
             job.spec.accelerators,
             job.spec.taskCount,
         )
     }
+
+    /** A sum of processors and accelerators. */
+    private class ResourceSum(
+        initial: Double = 0.0,
+    ) {
+        var cpus = initial
+            private set
+        var gpus = initial
+            private set
+
+        fun set(amount: Double) {
+            cpus = amount
+            gpus = amount
+        }
+
+        /** All that a machine of this type has, [sign] times. */
+        fun add(
+            machineType: MachineType,
+            sign: Int,
+        ) {
+            cpus += sign * machineType.vcpus
+            gpus += sign * machineType.accelerators
+        }
+
+        /** What [count] tasks of [job] use; negative to take it off. */
+        fun addTasks(
+            job: Job,
+            count: Int,
+        ) {
+            cpus += count * job.spec.vcpus
+            gpus += count * job.spec.accelerators
+        }
+
+        fun isWithin(
+            cpusMax: Double,
+            gpusMax: Double,
+        ): Boolean = cpus <= cpusMax + Machine.ROUNDING && gpus <= gpusMax + Machine.ROUNDING
+
+        fun isAbout(other: ResourceSum): Boolean =
+            abs(cpus - other.cpus) <= Machine.ROUNDING && abs(gpus - other.gpus) <= Machine.ROUNDING
+    }
+
+    /** What the tasks of one team use. */
+    private class TeamUsage(
+        val team: Team,
+    ) {
+        /** All its attempts, those that are being stopped included. */
+        val used = ResourceSum()
+
+        /** Its attempts that continue: what the team will be left with. */
+        val continuing = ResourceSum()
+
+        /** The most that its tasks may be using on unconfirmed machines; no bound as long as it is not counted. */
+        val unfound = ResourceSum(Double.MAX_VALUE)
+
+        fun clear() {
+            unfound.set(Double.MAX_VALUE)
+            used.set(0.0)
+            continuing.set(0.0)
+        }
+
+        fun isAbout(other: TeamUsage): Boolean = used.isAbout(other.used) && continuing.isAbout(other.continuing)
+    }
 }
--- a/src/main/kotlin/ledgearch/model/ZoneSpread.kt
+++ b/src/main/kotlin/ledgearch/model/ZoneSpread.kt
@@ -1,23 +1,28 @@
 package ledgearch.model
 
+import ledgearch.wire.JobSpec
+
 /**
- * Where the tasks of a job may be or are planned to be, by zone, and what `apart` and `samePlace` then allow. It begins
- * with every task that may still be on a machine; what a plan adds to it counts like those.
+ * Where the tasks of a job may be or are planned to be, by zone, and what the wire's `apart` ([JobSpec.spreadZones])
+ * and `samePlace` ([JobSpec.singleZone]) then allow: spread over zones, no zone has more than half of the tasks; in a
+ * single zone, all are in one. It begins with every task that may still be on a machine; what a plan adds to it counts
+ * like those.
  */
 internal class ZoneSpread(
     private val job: Job,
 ) {
-    private val tasks = HashMap<String, Int>()
+    private val tasksByZone = HashMap<String, Int>()
 
     init {
         if (job.spec.spreadZones || job.spec.singleZone) for (attempt in job.attempts.values) add(attempt.machine.zone)
     }
 
+    /** [count] more tasks are planned in [zone]. */
     fun add(
         zone: String,
         count: Int = 1,
     ) {
-        if (count > 0) tasks.merge(zone, count, Int::plus)
+        if (count > 0) tasksByZone.merge(zone, count, Int::plus)
     }
 
     /** How many more tasks [zone] may have, at most [most]. */
@@ -26,10 +31,14 @@
         most: Int,
     ): Int =
         when {
-            job.spec.singleZone && tasks.keys.any { it != zone } -> 0
-            job.spec.spreadZones -> minOf(most, (job.spec.taskCount + 1) / 2 - (tasks[zone] ?: 0)).coerceAtLeast(0)
+            job.spec.singleZone && tasksByZone.keys.any { it != zone } -> 0
+            job.spec.spreadZones -> minOf(most, halfOfTasks() - (tasksByZone[zone] ?: 0)).coerceAtLeast(0)
             else -> most
         }
 
-    fun allows(zone: String) = room(zone, 1) > 0
+    /** [zone] may have one more task. */
+    fun allows(zone: String): Boolean = room(zone, 1) > 0
+
+    /** Rounded up. */
+    private fun halfOfTasks(): Int = (job.spec.taskCount + 1) / 2
 }
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -7,7 +7,7 @@
 /**
  * When jobs have to end so that deadlines are met: their own, and those of the jobs that depend on them. A job's end
  * leaves time for the run times still to come on the longest path to the deadline (the critical path). Results are kept
- * while the clock stands, that is for one placement pass.
+ * while the clock stands, that is for one placement pass. [dependentsOf]: the open jobs that directly depend on one.
  */
 internal class Deadlines(
     objectives: List<Objective>,
@@ -15,27 +15,30 @@
     private val clock: Clock,
     private val dependentsOf: (Job) -> Collection<Job>,
 ) {
-    /** For each class, the multiples of the deadline that its objectives ask for. */
-    private val multiples: Map<String, List<Double>> =
+    /** For each class, the multiples of the deadline that its service-level objectives ask for, ascending. */
+    private val deadlineMultiples: Map<String, List<Double>> =
         objectives
             .filter { it.kind == "deadline" && it.jobClass != null }
             .groupBy({ it.jobClass.orEmpty() }, { it.times })
             .mapValues { it.value.sorted() }
 
-    private val known = HashMap<Job, List<Double>>()
-    private var knownAt = Long.MIN_VALUE
+    private val knownEnds = HashMap<Job, List<Double>>()
+
+    /** Steady ms at which [knownEnds] was last emptied. */
+    private var validAt = Long.MIN_VALUE
 
     /**
      * The latest times, in wall-clock seconds and ascending, at which [job] may end; one for each deadline to be met.
      */
     fun latestEnds(job: Job): List<Double> {
-        if (knownAt != clock.steadyMs) {
-            knownAt = clock.steadyMs
-            known.clear()
+        if (validAt != clock.steadyMs) {
+            validAt = clock.steadyMs
+            knownEnds.clear()
         }
         return latestEnds(job, SchedulingTuning.DEADLINE_LOOK_AHEAD)
     }
 
+    /** [depth]: how many more jobs along the chain are asked. Of all paths the one with the earliest end counts. */
     private fun latestEnds(
         job: Job,
         depth: Int,
@@ -43,24 +46,25 @@
         val own = ownDeadlines(job)
         val dependents = dependentsOf(job)
         if (dependents.isEmpty() || depth == 0) return own
-        known[job]?.let { return it }
+        knownEnds[job]?.let { return it }
         // Also ends the search where a record claims a cycle.
-        known[job] = own
+        knownEnds[job] = own
         val candidates =
-            dependents.map { dependent -> latestEnds(dependent, depth - 1).map { it - estimates.seconds(dependent) } } +
+            dependents.map { dependent -> latestStarts(dependent, depth - 1) } +
                 listOf(own)
         val earliest = candidates.filter { it.isNotEmpty() }.minByOrNull { it.first() }.orEmpty()
-        known[job] = earliest
+        knownEnds[job] = earliest
         return earliest
     }
 
-    private fun ownDeadlines(job: Job): List<Double> {
-        val due = job.spec.deadlineS ?: return emptyList()
-        val submittedAt = job.record.submittedAt / MS_PER_SECOND
-        return (multiples[job.spec.jobClass] ?: listOf(1.0)).map { submittedAt + due * it }
-    }
+    private fun latestStarts(
+        job: Job,
+        depth: Int,
+    ): List<Double> = latestEnds(job, depth).map { it - estimates.seconds(job) }
 
-    private companion object {
-        const val MS_PER_SECOND = 1_000.0
+    private fun ownDeadlines(job: Job): List<Double> {
+        val deadlineS = job.spec.deadlineS ?: return emptyList()
+        val submittedAtS = job.record.submittedAt / SchedulingTuning.MS_PER_SECOND
+        return (deadlineMultiples[job.spec.jobClass] ?: listOf(1.0)).map { submittedAtS + deadlineS * it }
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/Preemption.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Preemption.kt
@@ -56,7 +56,7 @@
     ): Map<Job, Int> {
         val imageHolders =
             usable.filter { machine ->
-                latencySensitive.any { machine.imageDistance(it.spec.image) == 0 }
+                latencySensitive.any { machine.imageDistance(it.spec.image) == Machine.IMAGE_PRESENT }
             }
         return serve(latencySensitive, imageHolders, running, PreemptionMode.IMAGE_HOLDERS)
     }
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionPass.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionPass.kt
@@ -1,6 +1,7 @@
 package ledgearch.scheduling
 
 import ledgearch.model.Job
+import ledgearch.model.Machine
 import ledgearch.model.TaskAttempt
 import ledgearch.model.TeamQuotas
 import ledgearch.model.ZoneSpread
@@ -61,7 +62,7 @@
     ) {
         private val places =
             if (mode.onlyImageHolders) {
-                candidates.filter { it.machine.imageDistance(job.spec.image) == 0 }
+                candidates.filter { it.machine.imageDistance(job.spec.image) == Machine.IMAGE_PRESENT }
             } else {
                 candidates
             }
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
@@ -9,7 +9,7 @@
     private val ranking: Ranking,
     private val recovery: RecoveryPolicy,
 ) {
-    /** [tasks] more tasks of [job] are within its team's guaranteed share, and it has waited long enough to claim it. */
+    /** [tasks] more tasks of [job] are within its team's guaranteed share, and it has waited long enough to claim. */
     fun mayClaimGuarantee(
         job: Job,
         tasks: Int,
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -6,9 +6,9 @@
 import ledgearch.runtime.Clock
 
 /**
- * The order in which jobs are served. The paper's queues are first-come with equal tasks; here tasks differ, so
- * within an priority a job that can still meet its aim goes before one that can't, and less expected work before
- * more, with waiting counted in a job's favour.
+ * The order in which jobs are served. The paper's queues are first-come with equal tasks; here tasks differ, so within
+ * a priority a job that can still meet its service-level objectives goes before one that can't, and less expected work
+ * before more, with waiting counted in a job's favour.
  */
 internal class Ranking(
     objectives: List<Objective>,
@@ -16,104 +16,121 @@
     private val clock: Clock,
     private val deadlines: Deadlines,
 ) {
+    /** By class, the seconds after which a job is to be finished, ascending. */
     private val finishWithin: Map<String, List<Double>> =
         objectives
             .filter { it.kind == "finished" && it.jobClass != null && it.withinS != null }
             .groupBy({ it.jobClass.orEmpty() }, { it.withinS ?: 0.0 })
             .mapValues { it.value.sorted() }
-    private val startWithin: Map<String, Double> = objectives.startWithinS()
 
-    /** The job's class is to start sooner than an image can be fetched, and it is not too late for that. */
-    fun hurried(job: Job): Boolean {
-        val within = startWithin[job.spec.jobClass] ?: return false
-        return within < job.spec.imageGb * SchedulingTuning.FETCH_S_PER_GB && age(job) < within
-    }
+    /** By class, the seconds after which a job is to be started. */
+    private val startWithin: Map<String, Double> = objectives.startWithinS()
 
+    /** Seconds after which work within a team's guaranteed share is to be started. */
     private val guaranteeWithin: Double? =
         objectives
-            .filter {
-                it.kind == "guarantee"
-            }.mapNotNull { it.withinS }
+            .filter { it.kind == "guarantee" }
+            .mapNotNull { it.withinS }
             .minOrNull()
 
+    /** The job's class is to start sooner than its image can be fetched, and it is not too late for that. */
+    fun isLatencySensitive(job: Job): Boolean {
+        val within = startWithin[job.spec.jobClass] ?: return false
+        return within < imageFetchS(job) && waitedS(job) < within
+    }
+
     /**
-     * Work within a guarantee claims room from other teams' surplus only once half the time in which it is to start,
-     * less what its image takes, is over: it is served before all else of its priority, and mostly enough frees by
-     * itself.
+     * Work within a guaranteed share claims room from other teams' surplus only once half the time in which it is to
+     * start, less what its image takes, is over: it is served before all else of its priority, and mostly enough frees
+     * by itself.
      */
     fun mayClaimGuarantee(job: Job): Boolean {
         val within = guaranteeWithin ?: return true
-        return age(job) >= (within - job.spec.imageGb * SchedulingTuning.FETCH_S_PER_GB) / 2
+        return waitedS(job) >= (within - imageFetchS(job)) / 2
     }
 
     /** An array that came less than [seconds] ago, and half the time in which it is to start is not over. */
     fun canWait(
         job: Job,
         seconds: Double,
-    ) = !job.isService && age(job) < minOf(seconds, (startWithin[job.spec.jobClass] ?: Double.MAX_VALUE) / 2)
+    ): Boolean =
+        !job.isService && waitedS(job) < minOf(seconds, (startWithin[job.spec.jobClass] ?: Double.MAX_VALUE) / 2)
 
     /**
      * No task of the job was started for so long that it goes before all others. Without this bound a steady stream of
-     * little or more urgent work would keep a large job waiting for ever.
+     * small or more urgent work would keep a large job waiting for ever.
      */
-    fun starved(job: Job) = job.unservedMs(clock.wallMs) > SchedulingTuning.STARVED_MS
+    fun isStarved(job: Job): Boolean = job.unservedMs(clock.wallMs) > SchedulingTuning.STARVED_MS
 
-    private class Rank(
+    private class RankedJob(
         val job: Job,
-        val lateness: Int,
+        val missedObjectives: Int,
         val cost: Double,
     )
 
-    /** Jobs of one priority, first to be served first. */
+    /** [jobs] of one priority, first to be served first. */
     fun order(jobs: List<Job>): List<Job> =
         jobs
-            .map { Rank(it, lateness(it), cost(it)) }
-            .sortedWith(compareBy({ !it.job.guaranteed }, { it.lateness }, { it.cost }, { it.job.id }))
+            .map { RankedJob(it, missedIfStartedNow(it), cost(it)) }
+            .sortedWith(compareBy({ !it.job.guaranteed }, { it.missedObjectives }, { it.cost }, { it.job.id }))
             .map { it.job }
 
-    /** How many of its aims the job can't meet any more even if it started now. */
-    fun lateness(job: Job): Int = if (job.isService) 0 else missed(job, age(job) + estimates.seconds(job))
+    /** How many of its objectives the job can't meet any more even if it started now. */
+    private fun missedIfStartedNow(job: Job): Int =
+        if (job.isService) {
+            0
+        } else {
+            missedObjectives(
+                job,
+                waitedS(job) + estimates.seconds(job),
+            )
+        }
 
-    /** How many more aims [job] misses when a task that has run for [ranS] starts again. */
+    /** How many more objectives [job] misses when a task that has run for [ranS] seconds starts again. */
     fun missedByRestart(
         job: Job,
         ranS: Double,
     ): Int {
         if (job.isService) return 0
-        val end = age(job) + estimates.seconds(job)
-        return missed(job, end) - missed(job, end - ranS)
+        val end = waitedS(job) + estimates.seconds(job)
+        return missedObjectives(job, end) - missedObjectives(job, end - ranS)
     }
 
-    /** How many more aims [job], whose tasks take [seconds], misses when its end is put off by [delay] seconds. */
+    /**
+     * How many more objectives [job], whose tasks take [seconds], misses when its end is put off by [delay] seconds.
+     */
     fun missedByLoss(
         job: Job,
         seconds: Double,
         delay: Double,
     ): Int {
         if (job.isService) return 0
-        val end = seconds + if (job.attempts.isEmpty()) age(job) else 0.0
-        return missed(job, end + delay) - missed(job, end)
+        val end = seconds + if (job.attempts.isEmpty()) waitedS(job) else 0.0
+        return missedObjectives(job, end + delay) - missedObjectives(job, end)
     }
 
-    private fun age(job: Job) = (clock.wallMs - job.readyAt) / 1000.0
+    /** Seconds since the job could start. */
+    private fun waitedS(job: Job): Double = (clock.wallMs - job.readyAt) / SchedulingTuning.MS_PER_SECOND
+
+    private fun imageFetchS(job: Job): Double = job.spec.imageGb * SchedulingTuning.FETCH_S_PER_GB
 
     /** [end]: seconds after the job could start. */
-    private fun missed(
+    private fun missedObjectives(
         job: Job,
         end: Double,
     ): Int {
         var missed = 0
         finishWithin[job.spec.jobClass]?.forEach { if (end > it) missed++ }
-        val endsAt = job.readyAt / 1000.0 + end
+        val endsAt = job.readyAt / SchedulingTuning.MS_PER_SECOND + end
         deadlines.latestEnds(job).forEach { if (endsAt > it) missed++ }
         return missed
     }
 
     /** Processor seconds still to be done, less a credit for each second waited. */
     private fun cost(job: Job): Double {
-        val age = age(job)
-        if (job.isService) return -age
+        val waited = waitedS(job)
+        if (job.isService) return -waited
         val work = job.pendingCount * job.spec.vcpus * estimates.seconds(job)
-        return work - age * job.spec.vcpus * job.spec.taskCount * SchedulingTuning.AGE_CREDIT
+        return work - waited * job.spec.vcpus * job.spec.taskCount * SchedulingTuning.AGE_CREDIT
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/RecoveryPolicy.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RecoveryPolicy.kt
@@ -5,19 +5,19 @@
 
 /**
  * What the recovery from a lost zone changes in placement: in which order, where and how fast work is started. It never
- * allows what the rules or a team's limit forbid.
+ * allows what the rules or a team's quota forbid.
  */
 internal interface RecoveryPolicy {
-    /** Some zone is not up, so that the other members may say something else than usual. */
+    /** Some zone is not up, so that the other members may answer something else than usual. */
     val isActive: Boolean
 
-    /** These are all the jobs that wait for room at present. */
+    /** Tells that [waiting] are all the jobs that wait for room at present. */
     fun look(waiting: Collection<Job>)
 
-    /** Jobs by levels of priority, each in serving order, as they are to be served. */
+    /** Takes jobs by levels of priority, each in serving order; returns them as they are to be served. */
     fun arrange(levels: List<List<Job>>): List<List<Job>>
 
-    /** New tasks of [job] may go to [m] now, as far as the recovery is concerned. */
+    /** New tasks of [job] may go to [machine] now, as far as the recovery is concerned. */
     fun admits(
         machine: Machine,
         job: Job,
@@ -29,22 +29,26 @@
     /** Where [job] finds no room may say nothing about others: it is held back, or allowed more than they are. */
     fun isSpecial(job: Job): Boolean
 
+    /** Tells that the task [index] of [job] was started. */
     fun started(
         job: Job,
         index: Int,
     )
 
-    /** [victim] may not be stopped for [job]: both were displaced, and the operators' order has [victim] first. */
+    /** [victim] may not be preempted for [job]: both were displaced, and the operators' order has [victim] first. */
     fun protects(
         victim: Job,
         job: Job,
     ): Boolean
 
-    /** What is taken off the cost of stopping a task of [job]: displaced work of later groups yields first. */
+    /**
+     * Processor seconds that are taken off the cost of preempting a task of [job]: displaced work of later groups is
+     * preempted first.
+     */
     fun yieldsFor(job: Job): Double
 }
 
-/** Zone recovery is switched off. */
+/** Zone recovery is switched off: placement is as if no zone were ever lost. */
 internal object NoRecovery : RecoveryPolicy {
     override val isActive = false
 
