--- a/src/main/kotlin/ledgearch/model/FreeResources.kt
+++ b/src/main/kotlin/ledgearch/model/FreeResources.kt
@@ -11,6 +11,7 @@
 internal class FreeResources(
     private val machineType: MachineType,
 ) {
+    /** Free processors. */
     var cpus = machineType.vcpus
         private set
     private var accelerators = machineType.accelerators
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -15,14 +15,20 @@
  * pending, or taken by an attempt that may be on a machine, or finished. Tasks go by their index, from 0.
  */
 internal class Job(
+    /** The durable record as last read or written. */
     var record: JobRecord,
     /** Revision of the state service at which [record] was last written. */
     var modRevision: Long,
 ) {
     // --- What every node knows --------------------------------------------------------------------------------
 
+    /** What the user submitted. */
     val spec: JobSpec get() = record.spec
+
+    /** Unique among all jobs. */
     val id: String get() = spec.id
+
+    /** It keeps its tasks running as replicas until it is cancelled; else it is an array, whose tasks end. */
     val isService: Boolean = spec.kind == JobKind.SERVICE
 
     /** The priority that it was submitted with. */
@@ -72,10 +78,12 @@
     /** The final record is durable. */
     var closed = false
 
-    // --- Its tasks, as the leader knows them -----------------------------------------------------------------------
+    // --- Its tasks, as the leader knows them ------------------------------------------------------------------
 
     /** Tasks that are finished, durable or not yet. */
     val finished = BitSet()
+
+    /** How many [finished] has. */
     var finishedCount = 0
         private set
 
@@ -91,6 +99,8 @@
 
     /** How many of its attempts run; kept by their machines. */
     var runningCount = 0
+
+    /** How many tasks wait to be started. */
     val pendingCount: Int get() = spec.taskCount - takenCount
 
     /** All its tasks are finished; never so for a service. */
--- a/src/main/kotlin/ledgearch/model/JobProgress.kt
+++ b/src/main/kotlin/ledgearch/model/JobProgress.kt
@@ -4,6 +4,8 @@
 internal data class JobProgress(
     /** The job's id. */
     val job: String,
+    /** Finished tasks. */
     val done: Int,
+    /** Running tasks. */
     val running: Int,
 )
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -9,6 +9,7 @@
  * which keep the counts of the machine, of the jobs and of the teams.
  */
 internal class Machine(
+    /** Given by the cloud, unique. */
     val name: String,
     /** Address of its worker, host and port. */
     val endpoint: String,
@@ -130,7 +131,7 @@
         unansweredSince = 0L
     }
 
-    // --- How long it stays, and what is held back from it ---------------------------------------------------------
+    // --- How long it stays, and what is held back from it -----------------------------------------------------
 
     /** Steady ms at which the cloud preempts the spot machine, or 0. */
     var preemptionAt = 0L
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -9,6 +9,7 @@
 internal class TaskAttempt(
     /** Null if the job is not open: the attempt is stopped and cleared. */
     val job: Job?,
+    /** The job's id and the task's index, as workers know it. */
     val taskId: String,
     /** Of the task in its job, from 0. */
     val index: Int,
@@ -24,6 +25,8 @@
 
     /** It is among its machine's attempts, and counted there and for its team. */
     var attached = false
+
+    /** What is known of it; a change updates what the attempt counts for. */
     var state = AttemptState.ASSIGNED
         set(value) {
             if (value != field) machine.updateCounted(this) { field = value }
@@ -31,6 +34,8 @@
 
     /** Why it exited; null before, or if the worker gave no cause. */
     var cause: ExitCause? = null
+
+    /** What the worker is to be told; a change updates what the attempt counts for. */
     var stop = StopMode.NONE
         set(value) {
             if (value != field) machine.updateCounted(this) { field = value }
@@ -42,6 +47,7 @@
     /** Its job had starved: it is not preempted for others, for which the job would only starve again. */
     var exemptFromPreemption = false
 
+    /** It runs no more. */
     val exited: Boolean get() = state == AttemptState.EXITED
 
     /** The task is finished. */
@@ -50,7 +56,7 @@
     /** It may be on its machine and has not been told to stop. */
     val continues: Boolean get() = !exited && stop == StopMode.NONE
 
-    // --- What the worker has been told and has reported ---------------------------------------------------------
+    // --- What the worker has been told and has reported -------------------------------------------------------
 
     /** The worker has listed it. */
     var reported = false
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -112,6 +112,7 @@
         running: List<Job>,
     ) {
         if (jobs.isEmpty()) return
+        // The status shows the time spent under this name.
         val assigned = metrics.spend("hurried") { preemption.makeRoomWhereImageIs(jobs, usable, running) }
         for (job in jobs) starter.startAnywhere(job, usable, keepPending = assigned[job] ?: 0)
     }
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionVictim.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionVictim.kt
@@ -9,6 +9,7 @@
  */
 internal class PreemptionVictim(
     val attempt: TaskAttempt,
+    /** The job of [attempt]. */
     val job: Job,
     /** Service-level objectives that [job] misses if the task starts again, and would meet otherwise. */
     val missedObjectives: Int,
@@ -19,6 +20,7 @@
 /** The victims on one machine that have to be preempted for one more task to fit there, and what that costs. */
 internal class VictimSet(
     val candidate: PreemptionCandidate,
+    /** In the order in which they were selected: the cheapest first. */
     val victims: List<PreemptionVictim>,
     /** In processor seconds: the sum over [victims], and what it costs that the machine lacks the image. */
     val cost: Double,
