--- a/src/main/kotlin/ledgearch/store/StoreTuning.kt
+++ b/src/main/kotlin/ledgearch/store/StoreTuning.kt
@@ -24,17 +24,23 @@
     const val WATCH_GRACE_MS = 1_000L
 
     /** Keys a page. Well under the service's 1,000 so that one answer is parsed in a fraction of a second. */
-    const val PAGE = 200
+    const val PAGE_KEYS = 200
 
-    /** Of the nodes' budget, the share of the block's leader; the others split the rest. */
+    /** Of the nodes' budget, the share of the leader; the others split the rest. */
     const val LEADER_SHARE = 0.5
 
+    /** Conditions for each change that a transaction may have: the service takes four times as many. */
+    const val CONDITIONS_PER_CHANGE = 4
+
     /** Bytes. Planned size of one transaction: the service takes 64 KiB. */
     const val TRANSACTION_BYTES = 48 * 1024
 
     /** ms. Pause after a refused or unanswered state request. */
     const val STATE_RETRY_MS = 250L
 
-    /** ms. Life of the lease that the grant hangs on: a node short of processor time must still renew in time. */
-    const val LEASE_MS = 6_000L
+    /**
+     * ms. Life of the lease that the leadership record is attached to: a node short of processor time must still renew
+     * in time.
+     */
+    const val LEADER_LEASE_MS = 6_000L
 }
