--- a/src/main/kotlin/ledgearch/persistence/PersistenceTuning.kt
+++ b/src/main/kotlin/ledgearch/persistence/PersistenceTuning.kt
@@ -15,7 +15,7 @@
     const val PROGRESS_MS = 5_000L
 
     /**
-     * ms. A written entry that the service took for too large, sent alone, waits this long: its limits may rise
+     * ms. An entry that the service took for too large when it was sent alone waits this long: its limits may rise
      * again.
      */
     const val TOO_LARGE_RETRY_MS = 30_000L
