--- a/src/main/kotlin/ledgearch/election/NodeLease.kt
+++ b/src/main/kotlin/ledgearch/election/NodeLease.kt
@@ -7,7 +7,7 @@
 import ledgearch.store.StoreTuning
 
 /**
- * This node's lease at the state service: opened once, then kept alive, and opened anew when it has expired. The
+ * This node's lease at the state service: opened once, then kept alive, and opened again when it has expired. The
  * leadership record is attached to it, so that the record goes when its leader does.
  */
 internal class NodeLease(
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -32,7 +32,7 @@
  *
  * A final record may be learnt by a direct read, ahead of the watch. A leader that was deposed without knowing it may
  * therefore release a job late; that is safe since the new leader treats such a job as any other accepted before its
- * grant: it starts none of its tasks before every recorded machine has confirmed the new token.
+ * leadership term: it starts none of its tasks before every recorded machine has confirmed the new token.
  */
 internal class JobDependencies(
     private val records: JobRecordReader,
@@ -46,10 +46,12 @@
 
     /** Steady ms at which the final record of a job that is not among the open ones is read again. */
     private val readAgainAt = HashMap<String, Long>()
-    private var reading = 0
+
+    /** Reads of final records under way. */
+    private var openReads = 0
     private var driveAt = Long.MIN_VALUE
 
-    /** [job] was accepted and has become known here. */
+    /** [job] was accepted and is open on this node from now on. */
     fun opened(job: Job) {
         for (id in job.spec.dependsOn.orEmpty()) {
             if (finalOf(id)?.state == JobState.DONE) continue
@@ -57,11 +59,11 @@
             dependents.getOrPut(id) { LinkedHashSet() }.add(job)
         }
         if (job.unfinishedDependencies.any(::isCancelled)) cancel(job)
-        // Where copies are filled out of order, jobs that depend on this one may be known already.
+        // Where a node learns of jobs out of order, jobs that depend on this one may be open already.
         updatePriority(job.unfinishedDependencies + job.id)
     }
 
-    /** The job [id] is over. */
+    /** The job [id] is over, by its final record [record]. */
     fun ended(
         id: String,
         record: FinalRecord,
@@ -71,7 +73,7 @@
             JobState.DONE -> {
                 dependents.remove(id)
                 readAgainAt.remove(id)
-                waiting.forEach { finished(it, id) }
+                waiting.forEach { dependencyDone(it, id) }
             }
 
             JobState.CANCELLED -> {
@@ -103,21 +105,24 @@
         if (dependents.isEmpty() || clock.steadyMs < driveAt) return
         driveAt = clock.steadyMs + RuntimeTuning.TICK_MS
         for (id in dependents.keys) {
-            if (reading >= JobsTuning.DEPENDENCY_READS) return
+            if (openReads >= JobsTuning.MAX_DEPENDENCY_READS) return
             val isDue = clock.steadyMs >= (readAgainAt[id] ?: Long.MIN_VALUE)
-            if (isDue && id !in openJobs && finalOf(id) == null) read(id)
+            if (isDue && id !in openJobs && finalOf(id) == null) readFinal(id)
         }
     }
 
-    /** Each job that [job] waits for, directly or through others, is known to be open: none of them is over unseen. */
+    /**
+     * Each job that [job] waits for, directly or through others, is known to be open: none of them is over without
+     * this node knowing.
+     */
     fun areKnown(job: Job): Boolean {
-        val toLookAt = ArrayDeque(job.unfinishedDependencies)
-        val seen = HashSet<String>()
-        while (toLookAt.isNotEmpty()) {
-            val id = toLookAt.removeFirst()
-            if (!seen.add(id)) continue
+        val toVisit = ArrayDeque(job.unfinishedDependencies)
+        val visited = HashSet<String>()
+        while (toVisit.isNotEmpty()) {
+            val id = toVisit.removeFirst()
+            if (!visited.add(id)) continue
             val dependency = openJobs[id] ?: return false
-            toLookAt.addAll(dependency.unfinishedDependencies)
+            toVisit.addAll(dependency.unfinishedDependencies)
         }
         return true
     }
@@ -125,13 +130,14 @@
     /** The job [id] is open here, and so is each that it waits for. */
     fun isKnown(id: String): Boolean = openJobs[id]?.let(::areKnown) ?: false
 
-    /** The open jobs that name [job] as awaited. */
+    /** The open jobs that name [job] as a dependency. */
     fun dependentsOf(job: Job): Collection<Job> = dependents[job.id].orEmpty()
 
     private fun isCancelled(id: String) =
         finalOf(id)?.state == JobState.CANCELLED || openJobs[id]?.dependencyCancelled == true
 
-    private fun finished(
+    /** The job [id], which [job] depends on, is done. */
+    private fun dependencyDone(
         job: Job,
         id: String,
     ) {
@@ -141,37 +147,35 @@
         listener.released(job)
     }
 
-    /** [first] and every job that depends on it. */
+    /** Cancels [first] and every job that depends on it, directly or through others. */
     private fun cancel(first: Job) {
-        val toWithdraw = ArrayDeque(listOf(first))
-        while (toWithdraw.isNotEmpty()) {
-            val job = toWithdraw.removeFirst()
+        val toCancel = ArrayDeque(listOf(first))
+        while (toCancel.isNotEmpty()) {
+            val job = toCancel.removeFirst()
             if (job.dependencyCancelled) continue
             job.dependencyCancelled = true
             listener.dependencyCancelled(job)
-            dependents[job.id]?.let(toWithdraw::addAll)
+            dependents[job.id]?.let(toCancel::addAll)
         }
     }
 
-    private fun read(id: String) {
-        reading++
-        readAgainAt[id] = clock.steadyMs + JobsTuning.DEPENDENCY_READ_MS
-        records.readFinal(id) { reading-- }
+    private fun readFinal(id: String) {
+        openReads++
+        readAgainAt[id] = clock.steadyMs + JobsTuning.DEPENDENCY_READ_INTERVAL_MS
+        records.readFinal(id) { openReads-- }
     }
 
-    // --- Urgency ------------------------------------------------------------------------------------------------
-
-    /** Works out anew the priority of the open jobs among [ids] and, where it changes, of all that they depend on. */
+    /** Derives the priority of the open jobs among [ids] again and, where it changes, of all that they depend on. */
     private fun updatePriority(ids: Collection<String>) {
-        val toLookAt = ArrayDeque(ids)
-        while (toLookAt.isNotEmpty()) {
-            val id = toLookAt.removeFirst()
+        val toVisit = ArrayDeque(ids)
+        while (toVisit.isNotEmpty()) {
+            val id = toVisit.removeFirst()
             val job = openJobs[id] ?: continue
             val ofDependents = dependents[id]?.minOfOrNull { it.priority } ?: job.ownPriority
             val priority = minOf(job.ownPriority, ofDependents)
             if (priority == job.priority) continue
             listener.priorityChanged(job, priority)
-            toLookAt.addAll(job.unfinishedDependencies)
+            toVisit.addAll(job.unfinishedDependencies)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/jobs/JobRecordReader.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobRecordReader.kt
@@ -8,7 +8,7 @@
 import ledgearch.store.StoreClient
 import ledgearch.wire.KeyValue
 
-/** What a reading of one job's records has shown. */
+/** What a read of one job's records has found. */
 internal sealed interface JobReading {
     /** The job was open; [stored] is its open record as it was stored. */
     class Open(
@@ -23,7 +23,7 @@
     /** None of the records that were read exists. */
     data object Absent : JobReading
 
-    /** The state service gave no conclusive answer. */
+    /** The state service gave no conclusive answer, or a record that can't be read. */
     data object Unknown : JobReading
 }
 
@@ -55,13 +55,13 @@
         done: (JobReading) -> Unit,
     ) = state.get(Keys.final(id), RequestClass.ORDINARY) { result ->
         when (result) {
-            is ReadResult.Found -> done(remembered(id, result.value))
+            is ReadResult.Found -> done(remember(id, result.value))
             ReadResult.Absent -> done(JobReading.Absent)
             ReadResult.Failed -> done(JobReading.Unknown)
         }
     }
 
-    private fun remembered(
+    private fun remember(
         id: String,
         stored: KeyValue,
     ): JobReading {
--- a/src/main/kotlin/ledgearch/persistence/FinishedTaskWrites.kt
+++ b/src/main/kotlin/ledgearch/persistence/FinishedTaskWrites.kt
@@ -43,7 +43,7 @@
         for (job in jobs.values) {
             // Until then its finished tasks stay on their machines' lists, from where the next leader would learn of
             // them.
-            if (job.closing || clock.steadyMs - job.progressAt < PersistenceTuning.PROGRESS_MS) continue
+            if (job.closing || clock.steadyMs - job.progressAt < PersistenceTuning.FINISHED_TASKS_INTERVAL_MS) continue
             if (batch.room == 0) return false
             val entry = entry(job, batch.room) ?: continue
             if (!batch.add(entry)) return false
--- a/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
@@ -11,7 +11,7 @@
     valueBytes: Int,
 ) {
     /** Bytes. The size that records are planned to have at most. */
-    val maxBytes = (valueBytes * PersistenceTuning.VALUE_FILLED).toInt()
+    val maxBytes = (valueBytes * PersistenceTuning.VALUE_FILL_SHARE).toInt()
 
     /** The record of [machines] is larger than planned. */
     fun isTooLarge(machines: Collection<Machine>): Boolean =
@@ -29,7 +29,7 @@
             val entryBytes = entryBytes(machine)
             val newTypeBytes = if (machine.machineType in machineTypes) 0 else typeBytes(machine.machineType)
             val neededBytes = entryBytes + newTypeBytes
-            val isFull = pieces.isEmpty() || pieces.last().size == PersistenceTuning.MACHINES_A_RECORD
+            val isFull = pieces.isEmpty() || pieces.last().size == PersistenceTuning.MAX_MACHINES_PER_RECORD
             if (isFull || neededBytes > bytesLeft) {
                 pieces.add(ArrayList())
                 machineTypes.clear()
--- a/src/main/kotlin/ledgearch/persistence/PersistenceTuning.kt
+++ b/src/main/kotlin/ledgearch/persistence/PersistenceTuning.kt
@@ -6,13 +6,13 @@
      * Share of the limit on values that records of machines are planned to fill: the service may count spaces or
      * escapes.
      */
-    const val VALUE_FILLED = 0.8
+    const val VALUE_FILL_SHARE = 0.8
 
     /** Machines. In one record; a rental brings up to 50, and each that goes has the rest written again. */
-    const val MACHINES_A_RECORD = 40
+    const val MAX_MACHINES_PER_RECORD = 40
 
     /** ms. Between two records of one job's finished tasks: what is lost with one is on the machines' lists. */
-    const val PROGRESS_MS = 5_000L
+    const val FINISHED_TASKS_INTERVAL_MS = 5_000L
 
     /**
      * ms. An entry that the service took for too large when it was sent alone waits this long: its limits may rise
--- a/src/main/kotlin/ledgearch/records/Chunks.kt
+++ b/src/main/kotlin/ledgearch/records/Chunks.kt
@@ -16,18 +16,24 @@
     valueBytes: Int,
 ) {
     private val halvings: Int =
-        generateSequence(0) { it + 1 }.first {
-            tasksOf(it) == 1 ||
-                worstBytes(tasksOf(it)) <= valueBytes
+        generateSequence(0) { it + 1 }.first { halvings ->
+            tasksAfter(halvings) == 1 || maxRecordBytes(tasksAfter(halvings)) <= valueBytes
         }
 
     /** Tasks in one chunk. */
-    val tasks = tasksOf(halvings)
-    private val first = MOST_CHUNKS * ((1 shl halvings) - 1)
+    val tasks = tasksAfter(halvings)
 
-    fun numberOf(task: Int): Int = first + task / tasks
+    /** The number of the first chunk of this size: all larger sizes have the numbers below it. */
+    private val firstNumber = MOST_CHUNKS * ((1 shl halvings) - 1)
 
-    fun tasksOfChunk(number: Int): IntRange = ((number - first) * tasks).let { it until it + tasks }
+    /** The number of the chunk that the task number [task] belongs to. */
+    fun numberOf(task: Int): Int = firstNumber + task / tasks
+
+    /** The task numbers of the chunk [number]. */
+    fun tasksOfChunk(number: Int): IntRange {
+        val firstTask = (number - firstNumber) * tasks
+        return firstTask until firstTask + tasks
+    }
 
     companion object {
         /** Tasks. The size of versions without smaller ones. */
@@ -36,19 +42,30 @@
         /** Chunks of [MOST_TASKS]: a job has at most 100,000 tasks. */
         private const val MOST_CHUNKS = 200
 
-        private fun tasksOf(halvings: Int): Int = (MOST_TASKS + (1 shl halvings) - 1) shr halvings
+        /** Tasks. At worst two of so many are finished, as a range of its own. */
+        private const val TASKS_OF_WORST_RANGE = 3
+
+        /** Bytes. The longest such range, with the comma after it: `99996-99997,`. */
+        private const val WORST_RANGE_BYTES = 12
+
+        /** Bytes. What is around the ranges: `{"r":""}`. */
+        private const val EMPTY_RECORD_BYTES = 8
 
-        /**
-         * At worst two tasks of three are finished: `99996-99997,`, 12 bytes for three tasks, and for the two that may
-         * be left over. Around them is `{"r":""}`.
-         */
-        private fun worstBytes(tasks: Int): Int = (tasks + 2) / 3 * 12 + 8
+        /** Tasks in a chunk after so many [halvings], each rounded up. */
+        private fun tasksAfter(halvings: Int): Int = (MOST_TASKS + (1 shl halvings) - 1) shr halvings
+
+        /** Bytes. The most that a record of [tasks] tasks takes; tasks left over need a range of their own. */
+        private fun maxRecordBytes(tasks: Int): Int {
+            val ranges = (tasks + TASKS_OF_WORST_RANGE - 1) / TASKS_OF_WORST_RANGE
+            return ranges * WORST_RANGE_BYTES + EMPTY_RECORD_BYTES
+        }
     }
 }
 
-/** Of these, the tasks in [range]. */
-internal fun BitSet.within(range: IntRange): BitSet =
-    BitSet().also {
-        it.set(range.first, range.last + 1)
-        it.and(this)
-    }
+/** Those of this set's tasks that are in [range], as a new set. */
+internal fun BitSet.within(range: IntRange): BitSet {
+    val tasks = BitSet()
+    tasks.set(range.first, range.last + 1)
+    tasks.and(this)
+    return tasks
+}
--- a/src/main/kotlin/ledgearch/records/Ranges.kt
+++ b/src/main/kotlin/ledgearch/records/Ranges.kt
@@ -4,29 +4,30 @@
 
 /** Ranges of task numbers as text, e.g. `0-3,7`. */
 internal object Ranges {
-    fun encode(bits: BitSet): String {
-        val out = StringBuilder()
-        var from = bits.nextSetBit(0)
-        while (from >= 0) {
-            val to = bits.nextClearBit(from) - 1
-            if (out.isNotEmpty()) out.append(',')
-            out.append(from)
-            if (to > from) out.append('-').append(to)
-            from = bits.nextSetBit(to + 1)
+    /** The task numbers in [tasks] as ranges, in rising order. */
+    fun encode(tasks: BitSet): String {
+        val text = StringBuilder()
+        var first = tasks.nextSetBit(0)
+        while (first >= 0) {
+            val last = tasks.nextClearBit(first) - 1
+            if (text.isNotEmpty()) text.append(',')
+            text.append(first)
+            if (last > first) text.append('-').append(last)
+            first = tasks.nextSetBit(last + 1)
         }
-        return out.toString()
+        return text.toString()
     }
 
-    /** Adds the ranges in [text] to [bits]; what makes no sense or is out of [limit] is left out. */
+    /** Adds the ranges in [text] to [bits]. A range that can't be parsed or is not below [limit] is left out. */
     fun decode(
         text: String,
         bits: BitSet,
         limit: Int,
     ) {
-        for (part in text.split(',')) {
-            val from = part.substringBefore('-').toIntOrNull() ?: continue
-            val to = part.substringAfter('-').toIntOrNull() ?: continue
-            if (from in 0..to && to < limit) bits.set(from, to + 1)
+        for (range in text.split(',')) {
+            val first = range.substringBefore('-').toIntOrNull() ?: continue
+            val last = range.substringAfter('-').toIntOrNull() ?: continue
+            if (first in 0..last && last < limit) bits.set(first, last + 1)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/store/StoreRequest.kt
+++ b/src/main/kotlin/ledgearch/store/StoreRequest.kt
@@ -27,7 +27,8 @@
             changes: List<Change>,
         ): StoreRequest {
             val body = WireJson.encodeToString(Transaction.serializer(), Transaction(conditions, changes))
-            val timeoutMs = if (changes.isEmpty()) StoreTuning.COMPARE_MS else StoreTuning.TRANSACTION_MS
+            val timeoutMs =
+                if (changes.isEmpty()) StoreTuning.COMPARE_TIMEOUT_MS else StoreTuning.TRANSACTION_TIMEOUT_MS
             return StoreRequest(POST, "/txn", body, timeoutMs, changes.size)
         }
 
@@ -41,7 +42,7 @@
         ): StoreRequest {
             val after = if (since == null) "" else "&since=$since"
             val target = "/keys?under=$prefix$after&limit=${StoreTuning.PAGE_KEYS}"
-            return StoreRequest(GET, target, null, StoreTuning.STATE_PAGE_MS)
+            return StoreRequest(GET, target, null, StoreTuning.PAGE_TIMEOUT_MS)
         }
 
         /** Opens a lease. */
@@ -58,8 +59,8 @@
             prefix: String,
             since: Long,
         ): StoreRequest {
-            val target = "/changes?under=$prefix&since=$since&blockMs=${StoreTuning.WATCH_MS}"
-            return StoreRequest(GET, target, null, StoreTuning.WATCH_MS + StoreTuning.WATCH_GRACE_MS)
+            val target = "/changes?under=$prefix&since=$since&blockMs=${StoreTuning.WATCH_BLOCK_MS}"
+            return StoreRequest(GET, target, null, StoreTuning.WATCH_BLOCK_MS + StoreTuning.WATCH_GRACE_MS)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/store/StoreTuning.kt
+++ b/src/main/kotlin/ledgearch/store/StoreTuning.kt
@@ -6,19 +6,19 @@
     const val STATE_MS = 1_500L
 
     /** ms. A transaction that only compares may be sent again at will, and a user waits 2 s for what hangs on it. */
-    const val COMPARE_MS = 600L
+    const val COMPARE_TIMEOUT_MS = 600L
 
     /** ms. A writing transaction is sent again after this; its conditions make the repeat harmless. */
-    const val TRANSACTION_MS = 900L
+    const val TRANSACTION_TIMEOUT_MS = 900L
 
     /** ms. A page of keys or an answered watch may be large. */
-    const val STATE_PAGE_MS = 6_000L
+    const val PAGE_TIMEOUT_MS = 6_000L
 
     /**
      * ms. How long one watch waits for changes. Short, since a watch whose answer is lost is blind until it is given
      * up.
      */
-    const val WATCH_MS = 2_000L
+    const val WATCH_BLOCK_MS = 2_000L
 
     /** ms. Beyond its time, how long the answer of a watch is waited for. */
     const val WATCH_GRACE_MS = 1_000L
