--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -70,21 +70,21 @@
         claim.postpone(claimDelayMs())
     }
 
-    /** Ends this node's leadership, if it is the leader; [why] is logged. */
-    fun loseLeadership(why: String) = held.lose(why)
+    /** Ends this node's leadership, if it is the leader; [reason] is logged. */
+    fun loseLeadership(reason: String) = held.lose(reason)
 
     /**
-     * Gives the leadership up so that a node that can serve takes it; [why] is logged. [silent]: since next to no
+     * Gives the leadership up so that a node that can serve takes it; [reason] is logged. [silent]: since next to no
      * machine is heard, which is recorded for the next leader.
      */
     fun stepDown(
-        why: String,
+        reason: String,
         silent: Boolean = false,
     ) {
         if (!held.isLeader) return
         val oldToken = held.token
         claim.standBack()
-        held.lose(why)
+        held.lose(reason)
         writes.release(oldToken, recordsStepDown = silent)
     }
 
--- a/src/main/kotlin/ledgearch/jobs/JobStore.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobStore.kt
@@ -78,13 +78,13 @@
     ) = openJobs.rememberFinal(id, record)
 
     /** Replaces the machine types. */
-    fun setMachineTypes(list: List<MachineType>) = catalog.set(list)
+    fun setMachineTypes(newTypes: List<MachineType>) = catalog.set(newTypes)
 
-    /** The nodes other than [node] that were leaders within the last [ms], or are. */
+    /** The nodes other than [node] that were leaders within the last [withinMs], or are. */
     fun recentLeaders(
         node: String,
-        ms: Long,
-    ): Set<String> = replicatedLeadership.recentLeaders(node, ms)
+        withinMs: Long,
+    ): Set<String> = replicatedLeadership.recentLeaders(node, withinMs)
 
     /**
      * Opens a job that this node made durable in a transaction that also compared its own leadership. No other way
--- a/src/main/kotlin/ledgearch/jobs/ReplicatedLeadership.kt
+++ b/src/main/kotlin/ledgearch/jobs/ReplicatedLeadership.kt
@@ -43,12 +43,12 @@
         lastStepDown = decodeRecord(StepDownRecord.serializer(), value)
     }
 
-    /** The nodes other than [node] that were leaders within the last [ms], or are. */
+    /** The nodes other than [node] that were leaders within the last [withinMs], or are. */
     fun recentLeaders(
         node: String,
-        ms: Long,
+        withinMs: Long,
     ): Set<String> {
-        val formerLeaders = leaderUntil.filterValues { clock.steadyMs - it < ms }.keys
+        val formerLeaders = leaderUntil.filterValues { clock.steadyMs - it < withinMs }.keys
         return (formerLeaders + setOfNotNull(record?.node)) - node
     }
 }
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -70,13 +70,13 @@
     /** [machine] does not belong to the cluster any more. */
     fun unbind(machine: Machine) = machines.remove(machine)
 
-    /** The machines of the record [pair] that an earlier leader wrote under [name]; null when it can't be read. */
+    /** The machines of the record [stored] that an earlier leader wrote under [name]; null when it can't be read. */
     fun restore(
         name: String,
-        pair: KeyValue,
+        stored: KeyValue,
         teams: TeamQuotas,
         nowMs: Long,
-    ): List<Machine>? = machines.restore(name, pair, teams, nowMs)
+    ): List<Machine>? = machines.restore(name, stored, teams, nowMs)
 
     /** Removes [key]. */
     fun remove(key: String) = removals.add(key)
--- a/src/main/kotlin/ledgearch/records/Ranges.kt
+++ b/src/main/kotlin/ledgearch/records/Ranges.kt
@@ -18,16 +18,16 @@
         return text.toString()
     }
 
-    /** Adds the ranges in [text] to [bits]. A range that can't be parsed or is not below [limit] is left out. */
+    /** Adds the ranges in [text] to [tasks]. A range that can't be parsed or is not below [limit] is left out. */
     fun decode(
         text: String,
-        bits: BitSet,
+        tasks: BitSet,
         limit: Int,
     ) {
         for (range in text.split(',')) {
             val first = range.substringBefore('-').toIntOrNull() ?: continue
             val last = range.substringAfter('-').toIntOrNull() ?: continue
-            if (first in 0..last && last < limit) bits.set(first, last + 1)
+            if (first in 0..last && last < limit) tasks.set(first, last + 1)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/records/RecordCodec.kt
+++ b/src/main/kotlin/ledgearch/records/RecordCodec.kt
@@ -16,8 +16,8 @@
 ): T? =
     try {
         value?.let { WireJson.decodeFromJsonElement(serializer, it) }
-    } catch (e: SerializationException) {
-        log.error("a record in the state service can't be read and is left alone: {}", e.message)
+    } catch (exception: SerializationException) {
+        log.error("a record in the state service can't be read and is left alone: {}", exception.message)
         null
     }
 
--- a/src/main/kotlin/ledgearch/store/StoreClient.kt
+++ b/src/main/kotlin/ledgearch/store/StoreClient.kt
@@ -48,7 +48,12 @@
         done: (TransactionResult) -> Unit,
     ) = queue.add(requestClass, StoreRequest.transaction(conditions, changes)) { reply ->
         if (reply.status != StoreStatus.OK) {
-            log.debug("transaction of {} changes got {} {}", changes.size, reply.status, reply.body)
+            log.debug(
+                "a transaction of {} changes was answered with status {}: {}",
+                changes.size,
+                reply.status,
+                reply.body,
+            )
         }
         done(StoreReplies.transaction(reply))
     }
