--- a/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
@@ -7,14 +7,24 @@
 import ledgearch.scheduling.Reliability
 import ledgearch.scheduling.ReplicaMover
 
-/** What the autoscaler knows of the machines that the leader serves, and whom it tells of those that are gone. */
+/** What the autoscaler sees of the leader's machines and plans, and whom it tells of machines that are gone. */
 internal interface Cluster {
     /** The machines of the block, by name. */
     val machines: Map<String, Machine>
+
+    /** The limits of the teams and what they use. */
     val teams: TeamQuotas
+
+    /** Run times, and what running tasks free by them. */
     val estimates: Estimates
+
+    /** The room to keep free ahead of demand. */
     val headroom: Headroom
+
+    /** Which jobs belong on on-demand machines. */
     val reliability: Reliability
+
+    /** Moves replicas off machines that are to be emptied. */
     val replicas: ReplicaMover
 
     /** Null unless the operators have switched it on. */
@@ -23,10 +33,10 @@
     /** Next to nothing is heard from some zone, or one is not yet back as it was. */
     val anyZoneUnsettled: Boolean
 
-    /** Next to nothing is heard from this zone. */
+    /** Next to nothing is heard from [zone]. */
     fun isCutOff(zone: String): Boolean
 
-    /** The machine and everything on it are gone. */
+    /** [machine] and everything on it are gone. */
     fun machineGone(machine: Machine)
 
     /** Something has changed that may let waiting tasks start. */
--- a/src/main/kotlin/ledgearch/autoscaling/Demand.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Demand.kt
@@ -1,81 +1,71 @@
 package ledgearch.autoscaling
 
-import ledgearch.model.FreeResources
 import ledgearch.model.Job
 import ledgearch.model.ZoneSpread
 import ledgearch.runtime.Clock
-import ledgearch.wire.MachineType
 
-/** Room that is on its way: a rented machine that has not reported yet. */
-internal class Supply(
-    private val machineType: MachineType,
-    private val zone: String,
-    private val spot: Boolean,
-    private val room: FreeResources = FreeResources(machineType),
-) {
-    /** Takes as many of [tasks] of [job] as fit here and in its [zones]; returns how many. */
-    fun take(
-        job: Job,
-        tasks: Int,
-        zones: ZoneSpread,
-    ): Int {
-        if (!job.allows(machineType, zone, spot)) return 0
-        val most = zones.room(zone, tasks)
-        var taken = 0
-        while (taken < most && room.fits(job)) {
-            room.take(job)
-            taken++
-        }
-        zones.add(zone, taken)
-        return taken
-    }
-}
-
-/** Tasks of a job that wait although their team may run them: room is missing. */
+/** Tasks of [job] that wait although their team's limit allows them to run: room is missing. */
 internal class Demand(
     val job: Job,
     private val tasks: Int,
 ) {
-    /** Where its tasks are or are planned to be. */
+    /** Where the job's tasks are or are planned to be. */
     val zones = ZoneSpread(job)
 
-    /** The one zone that its tasks may be in, or null where there are several. */
+    /** The one zone that the job's tasks may be in, or null where there are several or none is chosen yet. */
     val onlyZone: String? =
-        job.spec.zone ?: if (job.spec.singleZone) {
-            job.attempts.values
-                .firstOrNull()
-                ?.machine
-                ?.zone
-        } else {
-            null
+        when {
+            job.spec.zone != null -> job.spec.zone
+            job.spec.singleZone -> zoneOfAnyAttempt()
+            else -> null
         }
 
+    private fun zoneOfAnyAttempt(): String? =
+        job.attempts.values
+            .firstOrNull()
+            ?.machine
+            ?.zone
+
+    /** Takes room of [supplies], in their order, and returns how many tasks found none. */
     fun unmetBy(supplies: List<Supply>): Int {
-        var left = tasks
-        for (s in supplies) {
-            if (left == 0) break
-            left -= s.take(job, left, zones)
+        var unmet = tasks
+        for (supply in supplies) {
+            if (unmet == 0) break
+            unmet -= supply.take(job, unmet, zones)
         }
-        return left
+        return unmet
     }
 
     companion object {
+        /** The demands of those [jobs] that wait for room, in the order in which they are to be served. */
         fun of(
             jobs: Collection<Job>,
             cluster: Cluster,
             clock: Clock,
         ): List<Demand> {
-            val perTeam = HashMap<String, Double>()
+            val plannedCpus = HashMap<String, Double>()
+            return inServingOrder(jobs, cluster, clock).mapNotNull { job ->
+                val team = job.spec.team
+                val planned = plannedCpus[team] ?: 0.0
+                val tasks = minOf(job.pendingCount, cluster.teams.roomFor(job, planned))
+                if (tasks <= 0) return@mapNotNull null
+                plannedCpus[team] = planned + tasks * job.spec.vcpus
+                Demand(job, tasks)
+            }
+        }
+
+        /** By priority, then by age; the recovery from a lost zone may place displaced jobs otherwise. */
+        private fun inServingOrder(
+            jobs: Collection<Job>,
+            cluster: Cluster,
+            clock: Clock,
+        ): List<Job> {
             val waiting =
-                jobs.filter { it.startable(clock.steadyMs) }.sortedWith(compareBy({ it.priority }, { it.readyAt }))
-            return (cluster.recovery?.arrange(listOf(waiting))?.single() ?: waiting)
-                .mapNotNull { job ->
-                    val taken = perTeam[job.spec.team] ?: 0.0
-                    val tasks = minOf(job.pendingCount, cluster.teams.roomFor(job, taken))
-                    if (tasks <= 0) return@mapNotNull null
-                    perTeam[job.spec.team] = taken + tasks * job.spec.vcpus
-                    Demand(job, tasks)
-                }
+                jobs
+                    .filter { it.startable(clock.steadyMs) }
+                    .sortedWith(compareBy({ it.priority }, { it.readyAt }))
+            val recovery = cluster.recovery ?: return waiting
+            return recovery.arrange(listOf(waiting)).single()
         }
     }
 }
