--- a/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
@@ -4,39 +4,51 @@
 import ledgearch.model.Job
 
 /**
- * The operators' order in which work is placed again that a lost zone displaced: the first group that a job's class and
- * team match. Without any group the order of serving stays as it is.
+ * The operators' order in which displaced work is placed again: a job belongs to the first group that its class and
+ * team match. Groups are known by their index in this order, 0 being the first to be placed. Without any group the
+ * serving order stays as it is.
  */
 internal class RecoveryOrder(
     groups: List<RecoveryGroup>,
 ) {
-    private class Matcher(
+    /** Which jobs one group matches; an empty list of patterns matches all. */
+    private class GroupMatcher(
         group: RecoveryGroup,
     ) {
         private val classes = group.classes.map(::NamePattern)
         private val teams = group.teams.map(::NamePattern)
 
-        fun matches(job: Job): Boolean {
-            val fitsClass = classes.isEmpty() || classes.any { it.matches(job.spec.jobClass) }
-            return fitsClass && (teams.isEmpty() || teams.any { it.matches(job.spec.team) })
-        }
+        fun matches(job: Job): Boolean = matchesAny(classes, job.spec.jobClass) && matchesAny(teams, job.spec.team)
+
+        private fun matchesAny(
+            patterns: List<NamePattern>,
+            name: String,
+        ) = patterns.isEmpty() || patterns.any { it.matches(name) }
     }
 
-    private val matchers = groups.map(::Matcher)
+    private data class ClassAndTeam(
+        val jobClass: String,
+        val team: String,
+    )
+
+    private val matchers = groups.map(::GroupMatcher)
+
+    /** The group of what no other group matches: the one marked so, or else one more after all others. */
     private val defaultGroup = groups.indexOfFirst { it.default }.let { if (it < 0) groups.size else it }
 
     /** Names of the groups, and one more for what no group matches where none is the default. */
     val names: List<String> =
-        groups.mapIndexed { i, group -> group.name ?: "group ${i + 1}" } +
+        groups.mapIndexed { index, group -> group.name ?: "group ${index + 1}" } +
             if (defaultGroup == groups.size) listOf("others") else emptyList()
 
+    /** The operators have stated an order. */
     val isStated: Boolean = groups.isNotEmpty()
 
-    /** Groups by class and team: there are few of those, and many jobs. */
-    private val groupsFound = HashMap<Pair<String, String>, Int>()
+    /** Groups found so far: there are few classes and teams, and many jobs. */
+    private val groupsFound = HashMap<ClassAndTeam, Int>()
 
-    /** The place of the group of [job] in the order. */
-    fun groupOf(job: Job): Int = groupsFound.getOrPut(job.spec.jobClass to job.spec.team) { findGroup(job) }
+    /** The index of the group of [job] in the order. */
+    fun groupOf(job: Job): Int = groupsFound.getOrPut(ClassAndTeam(job.spec.jobClass, job.spec.team)) { findGroup(job) }
 
     private fun findGroup(job: Job): Int {
         val index = matchers.indices.firstOrNull { it != defaultGroup && matchers[it].matches(job) }
@@ -52,13 +64,13 @@
         displaced: (Job) -> Boolean,
     ): List<List<Job>> {
         if (!isStated) return levels
-        val inGroups =
+        val inGroupOrder =
             levels
                 .flatten()
                 .filter(displaced)
                 .sortedBy(::groupOf)
                 .iterator()
-        return levels.map { level -> level.map { if (displaced(it)) inGroups.next() else it } }
+        return levels.map { level -> level.map { if (displaced(it)) inGroupOrder.next() else it } }
     }
 }
 
@@ -68,5 +80,6 @@
 ) {
     private val regex = Regex(pattern.split('*').joinToString(".*") { Regex.escape(it) })
 
+    /** The whole of [name] fits the pattern. */
     fun matches(name: String): Boolean = regex.matches(name)
 }
--- a/src/main/kotlin/ledgearch/recovery/RecoveryReport.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryReport.kt
@@ -13,13 +13,18 @@
     @SerialName("zones_lost") val zonesLost: Long,
 )
 
-/** One zone's state. */
+/** The state of one zone, as `GET /metrics` and the command line's status show it. */
 @Serializable
 internal data class ZoneReport(
     val zone: String,
+    /** The name of a [ZoneState] in lower case. */
     val state: String,
+    /** Why it is in this state, for people. */
     val why: String,
+    /** ms since it is in this state. */
     @SerialName("for_ms") val forMs: Long,
+    /** Losses, less what has decayed. */
     val penalty: Double,
+    /** Share of its machines that may take new work. */
     @SerialName("admitted_share") val admittedShare: Double,
 )
--- a/src/main/kotlin/ledgearch/recovery/StartPacing.kt
+++ b/src/main/kotlin/ledgearch/recovery/StartPacing.kt
@@ -7,32 +7,36 @@
  * overloaded by starts and image fetches. Each group has a rate of its own: none waits for the pacing of another.
  */
 internal class StartPacing {
-    private val buckets = HashMap<Int, TokenBucket>()
-    private var startsASecond = RecoveryTuning.RECOVERY_STARTS_LEAST
+    private val budgets = HashMap<Int, TokenBucket>()
+    private var startsPerSecond = RecoveryTuning.MIN_STARTS_PER_SECOND
 
-    /** [machines]: those that may take work. */
-    fun look(
+    /** Sets the rate by the number of [machines] that may take work, and refills the budgets at [nowMs] (steady ms). */
+    fun update(
         machines: Int,
         nowMs: Long,
     ) {
-        startsASecond = maxOf(machines * RecoveryTuning.RECOVERY_STARTS_A_MACHINE, RecoveryTuning.RECOVERY_STARTS_LEAST)
-        for (bucket in buckets.values) {
-            bucket.perSecond = startsASecond
-            bucket.refill(nowMs)
+        val byMachines = machines * RecoveryTuning.STARTS_PER_SECOND_PER_MACHINE
+        startsPerSecond = maxOf(byMachines, RecoveryTuning.MIN_STARTS_PER_SECOND)
+        for (budget in budgets.values) {
+            budget.perSecond = startsPerSecond
+            budget.refill(nowMs)
         }
     }
 
-    fun allows(group: Int): Boolean = group == FIRST || bucket(group).has(1)
+    /** One more displaced task of [group] may be started now. */
+    fun allows(group: Int): Boolean = group == FIRST_GROUP || budget(group).has(1)
 
+    /** A displaced task of [group] was started. */
     fun started(group: Int) {
-        if (group != FIRST) bucket(group).take(1)
+        if (group != FIRST_GROUP) budget(group).take(1)
     }
 
-    private fun bucket(group: Int) = buckets.getOrPut(group) { TokenBucket(startsASecond) }
+    private fun budget(group: Int) = budgets.getOrPut(group) { TokenBucket(startsPerSecond) }
 
-    fun clear() = buckets.clear()
+    fun clear() = budgets.clear()
 
     companion object {
-        const val FIRST = 0
+        /** The group that is never paced. */
+        const val FIRST_GROUP = 0
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
@@ -1,6 +1,9 @@
 package ledgearch.recovery
 
-/** One zone's state machine: up, suspect, lost, returning, up. It decides on load only and proves nothing. */
+/**
+ * The state machine of one zone: up, suspect, lost, returning, up. It decides on load only and proves nothing. All
+ * times are steady ms.
+ */
 internal class ZoneHealth(
     val zone: String,
 ) {
@@ -14,7 +17,7 @@
     var reason = "heard"
         private set
 
-    /** Steady ms of the last change of state. */
+    /** When the state last changed. */
     var since = 0L
         private set
 
@@ -26,28 +29,29 @@
         get() =
             when {
                 state == ZoneState.LOST || isSuppressed -> 0.0
-                state != ZoneState.RETURNING -> 1.0
-                else -> ramp.share
+                state == ZoneState.RETURNING -> ramp.share
+                else -> 1.0
             }
 
+    /** The penalty for its losses at [nowMs], in losses. */
     fun penalty(nowMs: Long): Double = penalty.at(nowMs)
 
-    /** Returns whether the state changed. */
+    /** Moves on by what is [seen] at [nowMs]; returns whether the state changed. */
     fun look(
         seen: ZoneObservation,
         nowMs: Long,
     ): Boolean {
-        penalty.look(nowMs)
+        penalty.update(nowMs)
         val before = state
         when (state) {
-            ZoneState.UP, ZoneState.SUSPECT -> lookWhileServing(seen, nowMs)
+            ZoneState.UP, ZoneState.SUSPECT -> updateWhileServing(seen, nowMs)
             ZoneState.LOST -> if (!seen.partitioned) beginReturn(nowMs)
-            ZoneState.RETURNING -> lookWhileReturning(seen, nowMs)
+            ZoneState.RETURNING -> updateWhileReturning(seen, nowMs)
         }
         return state != before
     }
 
-    private fun lookWhileServing(
+    private fun updateWhileServing(
         seen: ZoneObservation,
         nowMs: Long,
     ) {
@@ -62,17 +66,18 @@
             }
 
             // Recovers at a higher share than it became suspect at, so that it does not change to and fro.
-            state == ZoneState.SUSPECT && seen.heardShare >= RecoveryTuning.ZONE_WELL_SHARE -> {
+            state == ZoneState.SUSPECT && seen.heardShare >= RecoveryTuning.UP_FROM_SHARE -> {
                 enter(ZoneState.UP, heard, nowMs)
             }
         }
     }
 
     private fun isFailing(seen: ZoneObservation) =
-        seen.anyZoneWell && seen.machines >= RecoveryTuning.ZONE_MACHINES &&
-            seen.heardShare < RecoveryTuning.ZONE_SUSPECT_SHARE
+        seen.anyZoneWell &&
+            seen.machines >= RecoveryTuning.ZONE_MACHINES &&
+            seen.heardShare < RecoveryTuning.SUSPECT_BELOW_SHARE
 
-    private fun lookWhileReturning(
+    private fun updateWhileReturning(
         seen: ZoneObservation,
         nowMs: Long,
     ) {
@@ -97,11 +102,8 @@
 
     private fun beginReturn(nowMs: Long) {
         ramp.begin(nowMs)
-        enter(
-            ZoneState.RETURNING,
-            if (penalty.isSuppressed) "held back, it was lost too often" else "heard again",
-            nowMs,
-        )
+        val why = if (penalty.isSuppressed) "held back, it was lost too often" else "heard again"
+        enter(ZoneState.RETURNING, why, nowMs)
     }
 
     private fun enter(
@@ -114,7 +116,7 @@
         since = nowMs
     }
 
-    /** A machine of the zone failed; while it returns, that slows the ramp. */
+    /** A machine of the zone failed; while the zone returns, that slows the ramp. */
     fun machineFailed(nowMs: Long) {
         if (state == ZoneState.RETURNING) ramp.failed(nowMs)
     }
@@ -130,11 +132,3 @@
         enter(known.state, "as the leader before told", nowMs)
     }
 }
-
-/** What a leader tells the other controllers of one zone, so that the next leader goes on from there. */
-internal data class ZoneStatus(
-    val zone: String,
-    val state: ZoneState,
-    val penalty: Double,
-    val admittedShare: Double,
-)
--- a/src/main/kotlin/ledgearch/recovery/ZoneState.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneState.kt
@@ -1,7 +1,8 @@
 package ledgearch.recovery
 
-/** The states of a zone, as recovery sees it. [code] is told between controllers and never changes its meaning. */
+/** The states of a zone, as recovery sees it. */
 internal enum class ZoneState(
+    /** What controllers tell each other; a code never changes its meaning. */
     val code: Int,
 ) {
     /** New work goes there as anywhere. */
@@ -18,18 +19,7 @@
     ;
 
     companion object {
+        /** The state with this [code], or null: another version of the controller may know more states. */
         fun of(code: Int): ZoneState? = entries.firstOrNull { it.code == code }
     }
 }
-
-/** What is heard of the machines of one zone at one look. */
-internal data class ZoneObservation(
-    val machines: Int,
-    val heard: Int,
-    /** It is cut off by the detection of partitioned zones. */
-    val partitioned: Boolean,
-    /** Most machines of some zone are heard, so that what is missing here is not this node's own fault. */
-    val anyZoneWell: Boolean,
-) {
-    val heardShare: Double get() = if (machines == 0) 1.0 else heard.toDouble() / machines
-}
