--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -92,12 +92,12 @@
 
     private fun plan(cluster: Cluster) {
         bootTimeouts.releaseOverdue(cluster)
-        val churn = cluster.estimates.freedASecond(jobStore.jobs.values)
+        val freedPerSecond = cluster.estimates.freedASecond(jobStore.jobs.values)
         scaleIn.observeLoad(cluster)
         val demands = Demand.of(jobStore.jobs.values, cluster, clock)
         scaleIn.observeDemands(cluster, demands)
-        scaleOut.drive(cluster, demands, churn)
+        scaleOut.drive(cluster, demands, freedPerSecond)
         scaleIn.releaseEmpty(cluster)
-        scaleIn.drainUnneeded(cluster, churn)
+        scaleIn.drainUnneeded(cluster, freedPerSecond)
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/BootingMachines.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootingMachines.kt
@@ -10,6 +10,7 @@
 internal class BootingMachines {
     private val machines = LinkedHashMap<String, BootingMachine>()
 
+    /** Views, not copies. */
     val names: Set<String> get() = machines.keys
     val all: Collection<BootingMachine> get() = machines.values
     val count: Int get() = machines.size
@@ -34,6 +35,7 @@
         machines.remove(name)
     }
 
+    /** What [transform] makes of each name and machine. */
     fun <T> map(transform: (String, BootingMachine) -> T): List<T> =
         machines.map { (name, machine) -> transform(name, machine) }
 
--- a/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -75,16 +75,16 @@
 
     /**
      * Processors to keep free: what the classes that can't wait for a machine to boot are likely to need within a
-     * boot time ([bootS], seconds), less what frees within the time that they can wait. [churn]: processors that
-     * running tasks free in a second.
+     * boot time ([bootS], seconds), less what frees within the time that they can wait. [freedPerSecond]: processors
+     * that running tasks free in a second.
      */
     fun cpus(
-        churn: Double,
+        freedPerSecond: Double,
         bootS: Double,
     ): Double {
         val need = expectedNeed(bootS) { true }
         if (need.cpus == 0.0) return 0.0
-        val freed = churn * need.startWithinS * SchedulingTuning.CHURN_COUNTED
+        val freed = freedPerSecond * need.startWithinS * SchedulingTuning.CHURN_COUNTED
         return (need.cpus - freed).coerceAtLeast(0.0)
     }
 
--- a/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
@@ -78,7 +78,7 @@
         val known = cluster.machines[listed.name]
         when (listed.state) {
             MachineState.FAILED -> {
-                log.info("machine failed by the cloud's list; machine={}", listed.name)
+                log.info("machine released: it failed, as the cloud's list says; machine={}", listed.name)
                 releases.add(listed.name)
                 known?.let(cluster::machineGone)
             }
--- a/src/main/kotlin/ledgearch/autoscaling/PeakLoad.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/PeakLoad.kt
@@ -1,8 +1,8 @@
 package ledgearch.autoscaling
 
 /**
- * The processors used of late: a peak that decays within about [AutoscalingTuning.PEAK_DECAY_MS]. Load comes in jobs:
- * what it was a moment ago it may be again before a machine could boot.
+ * The processors used of late: a peak that decays exponentially, with [AutoscalingTuning.PEAK_DECAY_MS] as its time
+ * constant. Load comes in jobs: what it was a moment ago it may be again before a machine could boot.
  */
 internal class PeakLoad {
     /** Processors. */
--- a/src/main/kotlin/ledgearch/autoscaling/Provisioner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Provisioner.kt
@@ -34,6 +34,7 @@
         underWay.clear()
     }
 
+    /** [pool] had capacity when it was last asked for, or that was long enough ago. */
     fun mayHaveCapacity(pool: MachinePool): Boolean = clock.steadyMs >= (noCapacityUntil[pool.key] ?: Long.MIN_VALUE)
 
     /** No request for machines in [zone] is under way. */
--- a/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The machines that are to be released and those that were. A machine that was added once is released, however often
- * the cloud refuses; nothing takes it back. One call to the cloud is under way at a time.
+ * The machines that are to be released and those that were. While this node leads, a machine that was added is released
+ * however often the cloud refuses; nothing takes it back. One call to the cloud is under way at a time.
  */
 internal class ReleaseQueue(
     private val cloud: CloudClient,
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -85,26 +85,26 @@
 
     /**
      * Once nothing has waited for a while, drains machines, the most expensive first, as long as what is left holds
-     * the load and the headroom. [churn]: processors that running tasks free in a second.
+     * the load and the headroom. [freedPerSecond]: processors that running tasks free in a second.
      */
     fun drainUnneeded(
         cluster: Cluster,
-        churn: Double,
+        freedPerSecond: Double,
     ) {
         if (calmSince == 0L || clock.steadyMs - calmSince <= AutoscalingTuning.CALM_BEFORE_SCALE_IN_MS) return
         if (clock.steadyMs - lastDrainAt < AutoscalingTuning.SCALE_IN_INTERVAL_MS) return
         lastDrainAt = clock.steadyMs
-        while (drainOne(cluster, churn)) Unit
+        while (drainOne(cluster, freedPerSecond)) Unit
     }
 
     /** Drains one machine; returns whether another may be drained in the same round. */
     private fun drainOne(
         cluster: Cluster,
-        churn: Double,
+        freedPerSecond: Double,
     ): Boolean {
         val inService = cluster.machines.values.filter { it.inService }
         val capacity = inService.sumOf { it.machineType.vcpus }
-        val headroom = cluster.headroom.cpus(churn, pools.shortestBootS())
+        val headroom = cluster.headroom.cpus(freedPerSecond, pools.shortestBootS())
         val machine = mostExpensiveUnneeded(cluster, inService, capacity, headroom) ?: return false
         machine.draining = true
         log.info(
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
@@ -17,12 +17,12 @@
     /** No more machines are planned than this. */
     private val mostPlanned: Int,
     /** Processors that running tasks free in a second. */
-    private val churn: Double,
+    private val freedPerSecond: Double,
 ) {
     private val planned = LinkedHashMap<MachinePool, Int>()
 
-    /** The same as [churn] by zone; only demands for a single zone ask for it. */
-    private val churnByZone by lazy(LazyThreadSafetyMode.NONE) {
+    /** The same as [freedPerSecond] by zone; only demands for a single zone ask for it. */
+    private val freedPerSecondByZone by lazy(LazyThreadSafetyMode.NONE) {
         cluster.estimates.freedASecondByZone(cluster.machines.values)
     }
 
@@ -63,8 +63,8 @@
         val onlyExpensive = pools.isExpensive(demand.job, pools.cheapest(cluster, demand, planned))
         val withinS = if (onlyExpensive) bootS else cluster.headroom.startWithinS(demand.job, bootS)
         val counted = if (onlyExpensive) 1.0 else SchedulingTuning.CHURN_COUNTED
-        val churnThere = demand.onlyZone?.let { churnByZone[it] ?: 0.0 } ?: churn
-        return churnThere * withinS * counted
+        val freedThere = demand.onlyZone?.let { freedPerSecondByZone[it] ?: 0.0 } ?: freedPerSecond
+        return freedThere * withinS * counted
     }
 
     private fun planMachines(
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -21,20 +21,23 @@
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
     private val maxMachines = settings.operator.maxMachines
 
-    /** Plans for [demands], in their order, and requests the machines. [churn]: processors freed in a second. */
+    /**
+     * Plans for [demands], in their order, and requests the machines. [freedPerSecond]: processors that running tasks
+     * free in a second.
+     */
     fun drive(
         cluster: Cluster,
         demands: List<Demand>,
-        churn: Double,
+        freedPerSecond: Double,
     ) {
         if (provisioner.isPaused) return
-        val plan = planFor(cluster, churn)
+        val plan = planFor(cluster, freedPerSecond)
         demands.forEach(plan::add)
         if (demands.isNotEmpty() && log.isDebugEnabled) {
             log.debug(
                 "{} jobs wait for room: {} processors freed a second, {} machines coming, {} planned",
                 demands.size,
-                churn,
+                freedPerSecond,
                 booting.count,
                 plan.machineCount,
             )
@@ -44,7 +47,7 @@
 
     private fun planFor(
         cluster: Cluster,
-        churn: Double,
+        freedPerSecond: Double,
     ): ScaleOutPlan {
         val supplies = bootingSupplies(cluster)
         val hinted = hints.notIn(booting.names, cluster.machines.keys)
@@ -52,7 +55,7 @@
         supplies += heldBackSupplies(cluster)
         val known = cluster.machines.size + booting.count + hinted.size
         val mostPlanned = minOf(mostInOnePlan(cluster), maxMachines - known)
-        return ScaleOutPlan(cluster, clock, pools, supplies, mostPlanned, churn)
+        return ScaleOutPlan(cluster, clock, pools, supplies, mostPlanned, freedPerSecond)
     }
 
     private fun mostInOnePlan(cluster: Cluster): Int =
--- a/src/main/kotlin/ledgearch/recovery/ZoneState.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneState.kt
@@ -1,6 +1,7 @@
 package ledgearch.recovery
 
 /** The states of a zone, as recovery sees it. */
+@Suppress("MagicNumber") // Each state is the name of its code.
 internal enum class ZoneState(
     /** What controllers tell each other; a code never changes its meaning. */
     val code: Int,
