--- a/src/test/kotlin/ledgearch/cli/OwnerQueueTest.kt
+++ b/src/test/kotlin/ledgearch/cli/OwnerQueueTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Reports, answers and time never wait behind users, and users are turned away rather than kept waiting. */
+/** Heartbeats, answers and time never wait behind users, and users are turned away rather than kept waiting. */
 internal class OwnerQueueTest {
     private val queue = OwnerQueue()
 
@@ -20,7 +20,7 @@
             .map { (it as? OwnerCommand.Serve)?.request?.path ?: "other" }
 
     @Test
-    fun `reports overtake users, who still get their part`() {
+    fun `heartbeats overtake users, who still get their part`() {
         repeat(200) { assertTrue(queue.offer(request("/work"))) }
         runBlocking { repeat(DaemonTuning.BATCH) { queue.put(request("/checkin")) } }
         val taken = batch()
@@ -30,7 +30,7 @@
     }
 
     @Test
-    fun `one user too many is turned away at once, reports are not`() {
+    fun `one user too many is turned away at once, heartbeats are not`() {
         repeat(DaemonTuning.USERS_QUEUE) { assertTrue(queue.offer(request("/work"))) }
         assertFalse(queue.offer(request("/work")))
         runBlocking { queue.put(request("/checkin")) }
--- a/src/test/kotlin/ledgearch/loopback/LoopbackWorkload.kt
+++ b/src/test/kotlin/ledgearch/loopback/LoopbackWorkload.kt
@@ -62,13 +62,13 @@
         }
 
     /** Whether all replicas of every service run. */
-    fun servicesRun(): Boolean = simulation.call { services().all(simulation.invariants::runsWhole) }
+    fun servicesRun(): Boolean = simulation.call { services().all(simulation.invariants::runsFully) }
 
-    /** Whether every array is done for its user and every service runs whole. */
+    /** Whether every array is done for its user and every service runs fully. */
     fun allServed(): Boolean =
         simulation.call {
             openArrays().isEmpty() &&
-                services().all(simulation.invariants::runsWhole)
+                services().all(simulation.invariants::runsFully)
         }
 
     /** Whether so many tasks of arrays run at this moment. */
@@ -78,9 +78,9 @@
     fun jobsNotStartedOnce(): List<String> =
         simulation.call {
             simulation.invariants.submitted
-                .filter { (job, request) -> simulation.invariants.startsOf(job) != request.taskCount }
-                .map { (job, request) ->
-                    "$job: ${simulation.invariants.startsOf(job)} starts of ${request.taskCount} tasks"
+                .filter { (job, spec) -> simulation.invariants.startsOf(job) != spec.taskCount }
+                .map { (job, spec) ->
+                    "$job: ${simulation.invariants.startsOf(job)} starts of ${spec.taskCount} tasks"
                 }
         }
 
--- a/src/test/kotlin/ledgearch/loopback/ZoneLossTest.kt
+++ b/src/test/kotlin/ledgearch/loopback/ZoneLossTest.kt
@@ -21,7 +21,7 @@
 
     @Test
     @Timeout(TEST_LIMIT_S)
-    fun `a zone is lost and returns, the lobby is whole before the nightly work, nothing runs twice`() {
+    fun `a zone is lost and returns, the lobby runs fully before the nightly work, nothing runs twice`() {
         val settings = folder.resolve("operator.json").apply { writeText(SETTINGS) }
         LoopbackCluster(folder, MACHINES, settings).use { cluster ->
             cluster.start()
@@ -33,7 +33,9 @@
             hang(cluster, true)
             cluster.await("zone b is lost", STEP_LIMIT_MS) { zoneB(cluster)?.state == "lost" }
             // Tasks on workers that stand still count as running: the lobby must have been started anew.
-            cluster.await("the lobby is whole again", STEP_LIMIT_MS) { wholeAgainAt(cluster, LOBBY, lostAt) != null }
+            cluster.await("the lobby runs fully again", STEP_LIMIT_MS) {
+                fullyRunningAgainAt(cluster, LOBBY, lostAt) != null
+            }
             hang(cluster, false)
             cluster.await("zone b is back", STEP_LIMIT_MS) { zoneB(cluster)?.state in setOf("returning", "up") }
             cluster.await("all jobs run again", STEP_LIMIT_MS) { allRun(cluster) }
@@ -45,8 +47,8 @@
                         .toList()
                 },
             )
-            val lobby = checkNotNull(wholeAgainAt(cluster, LOBBY, lostAt))
-            val night = wholeAgainAt(cluster, NIGHT, lostAt)
+            val lobby = checkNotNull(fullyRunningAgainAt(cluster, LOBBY, lostAt))
+            val night = fullyRunningAgainAt(cluster, NIGHT, lostAt)
             assertTrue(night == null || lobby <= night, "lobby at $lobby, nightly work at $night")
         }
     }
@@ -73,15 +75,15 @@
         running(cluster, SPREAD) == SPREAD_TASKS && running(cluster, LOBBY) == LOBBY_TASKS &&
             running(cluster, NIGHT) == NIGHT_TASKS
 
-    /** When a start first made the job whole again after the loss (ms), or null. */
-    private fun wholeAgainAt(
+    /** When a start first made the job run fully again after the loss (ms), or null. */
+    private fun fullyRunningAgainAt(
         cluster: LoopbackCluster,
         job: String,
         lostAt: Long,
     ): Long? =
         cluster.simulation.call {
             cluster.simulation.invariants.placementTimes
-                .firstWholeAfter(job, lostAt)
+                .firstFullyRunningAfter(job, lostAt)
         }
 
     /** The workers of zone b stand still, and with them what they run. */
--- a/src/test/kotlin/ledgearch/peers/MeshLinksTest.kt
+++ b/src/test/kotlin/ledgearch/peers/MeshLinksTest.kt
@@ -27,6 +27,7 @@
     private val group = AsynchronousChannelGroup.withThreadPool(executor)
     private val frame = StreamFrame(5, 1, true, 0, emptyList(), emptyList())
 
+    /** What a controller has heard from its peers. */
     private class Heard : MeshEvents {
         val statuses = LinkedBlockingQueue<LeaderStatus>()
         val standby = LinkedBlockingQueue<StandbyEvent>()
--- a/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
@@ -67,10 +67,10 @@
         listOf(
             example(
                 "job-all-fields",
-                JobRecord(FULL_REQUEST, AT, cancelRequested = true),
+                JobRecord(FULL_SPEC, AT, cancelRequested = true),
                 ProductionJobRecord.serializer(),
             ),
-            example("job-required-fields", JobRecord(SHORT_REQUEST, AT), ProductionJobRecord.serializer()),
+            example("job-required-fields", JobRecord(SHORT_SPEC, AT), ProductionJobRecord.serializer()),
             example("final-done", FinalRecord(JobState.DONE, 12), ProductionFinalRecord.serializer()),
             example("final-withdrawn", FinalRecord(JobState.CANCELLED), ProductionFinalRecord.serializer()),
             example("grant-claim", LeadershipRecord("stall-0", 7), ProductionGrantRecord.serializer()),
@@ -78,12 +78,16 @@
             example("silence", StepDownRecord("stall-0", AT), ProductionSilenceRecord.serializer()),
             example(
                 "machines",
-                MachinesRecord(0, listOf(FULL_RACK, SHORT_RACK), MACHINES),
+                MachinesRecord(0, listOf(FULL_MACHINE_TYPE, SHORT_MACHINE_TYPE), MACHINES),
                 ProductionMachinesRecord.serializer(),
             ),
             example("single-machine", SINGLE_MACHINE, ProductionSingleMachineRecord.serializer()),
             example("finished", FinishedRecord("0-3,7"), ProductionFinishedRecord.serializer()),
-            example("catalog", CatalogRecord(listOf(FULL_RACK, SHORT_RACK)), ProductionCatalogRecord.serializer()),
+            example(
+                "catalog",
+                CatalogRecord(listOf(FULL_MACHINE_TYPE, SHORT_MACHINE_TYPE)),
+                ProductionCatalogRecord.serializer(),
+            ),
         )
 
     /** Every form of a frame with its file. */
@@ -122,42 +126,42 @@
     /** Production ignores the field, as it does any that it does not know, and keeps all others. */
     @Test
     fun `production reads a job that depends on others`() {
-        val record = JobRecord(FULL_REQUEST.copy(dependsOn = listOf("job-7", "job-8")), AT, cancelRequested = true)
+        val record = JobRecord(FULL_SPEC.copy(dependsOn = listOf("job-7", "job-8")), AT, cancelRequested = true)
         val written = WireJson.encodeToJsonElement(JobRecord.serializer(), record).toString()
         assertTrue("\"awaits\":[\"job-7\",\"job-8\"]" in written, written)
         val read = ProductionJson.decodeFromString(ProductionJobRecord.serializer(), written)
-        val withoutAwaits =
+        val withoutDependencies =
             ProductionJson.decodeFromString(
                 ProductionJobRecord.serializer(),
                 file("job-all-fields.json"),
             )
-        assertEquals(withoutAwaits, read)
+        assertEquals(withoutDependencies, read)
         assertEquals(record, WireJson.decodeFromString(JobRecord.serializer(), written))
     }
 
     @Test
     fun `a job that depends on nothing is written byte for byte as production writes it`() {
-        assertNull(SHORT_REQUEST.dependsOn)
-        val written = WireJson.encodeToJsonElement(JobRecord.serializer(), JobRecord(SHORT_REQUEST, AT)).toString()
+        assertNull(SHORT_SPEC.dependsOn)
+        val written = WireJson.encodeToJsonElement(JobRecord.serializer(), JobRecord(SHORT_SPEC, AT)).toString()
         assertEquals(file("job-required-fields.json"), written)
     }
 
     @TestFactory
     fun `frames written by production are read`(): List<DynamicTest> =
-        frames.map { (name, news) ->
+        frames.map { (name, status) ->
             dynamicTest(name) {
                 val buffer = Buffer().write(file("$name.hex").decodeHex())
                 val read = checkNotNull(Frames.take(buffer)) { "the frame is not whole" }
-                assertEquals(news.progress, read.progress)
-                assertEquals(news.served, read.served)
+                assertEquals(status.progress, read.progress)
+                assertEquals(status.served, read.served)
                 assertTrue(buffer.exhausted(), "bytes are left after the frame")
             }
         }
 
     @TestFactory
     fun `frames are written byte for byte as production writes them`(): List<DynamicTest> =
-        frames.map { (name, news) ->
-            dynamicTest(name) { assertEquals(file("$name.hex"), Frames.encode(news).hex()) }
+        frames.map { (name, status) ->
+            dynamicTest(name) { assertEquals(file("$name.hex"), Frames.encode(status).hex()) }
         }
 
     /** The settings of an upgrade announce lower limits, and may hold more than is known here. */
@@ -180,7 +184,7 @@
 
         const val AT = 1_790_000_000_000L
 
-        val FULL_REQUEST =
+        val FULL_SPEC =
             JobSpec(
                 id = "job-1",
                 jobClass = "training",
@@ -204,7 +208,7 @@
                 deadlineS = 90.5,
             )
 
-        val SHORT_REQUEST =
+        val SHORT_SPEC =
             JobSpec(
                 id = "job-2",
                 jobClass = "training",
@@ -219,7 +223,7 @@
                 estimatedRunS = 20.0,
             )
 
-        val FULL_RACK =
+        val FULL_MACHINE_TYPE =
             MachineType(
                 name = "large",
                 vcpus = 16.0,
@@ -233,7 +237,7 @@
                 zones = listOf("a", "b"),
             )
 
-        val SHORT_RACK = MachineType(name = "small", vcpus = 2.0, memoryGb = 4.0)
+        val SHORT_MACHINE_TYPE = MachineType(name = "small", vcpus = 2.0, memoryGb = 4.0)
 
         val MACHINES =
             listOf(
@@ -241,7 +245,8 @@
                 MachineEntry("machine-2", "10.0.1.2:9000", 1, "b", spot = true, quarantined = true),
             )
 
-        val SINGLE_MACHINE = SingleMachineRecord("10.0.1.2:9000", SHORT_RACK, "b", spot = true, quarantined = true)
+        val SINGLE_MACHINE =
+            SingleMachineRecord("10.0.1.2:9000", SHORT_MACHINE_TYPE, "b", spot = true, quarantined = true)
 
         val PROGRESS = listOf(JobProgress("job-1", 3, 2), JobProgress("job-ä", 0, 1_000_000))
     }
--- a/src/test/kotlin/ledgearch/simulation/FakeCloud.kt
+++ b/src/test/kotlin/ledgearch/simulation/FakeCloud.kt
@@ -173,8 +173,8 @@
 
     companion object {
         const val TYPE = "r8"
-        val RACK = MachineType(TYPE, 8.0, 0.0, 16.0, 35.0, 0.3, 0.5, 0.2, 10.0, listOf("a", "b"))
+        val STANDARD_TYPE = MachineType(TYPE, 8.0, 0.0, 16.0, 35.0, 0.3, 0.5, 0.2, 10.0, listOf("a", "b"))
         private val WITH_ACCELERATOR = MachineType("g8", 8.0, 1.0, 16.0, 35.0, 0.3, 5.0, 2.0, 10.0, listOf("a", "b"))
-        val CATALOG = Catalog(listOf(RACK, WITH_ACCELERATOR))
+        val CATALOG = Catalog(listOf(STANDARD_TYPE, WITH_ACCELERATOR))
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/Network.kt
+++ b/src/test/kotlin/ledgearch/simulation/Network.kt
@@ -22,7 +22,7 @@
     /** Machines that direct commands do not reach. */
     val withoutCommands = HashSet<String>()
 
-    /** Share of direct commands that get no answer and are carried out once, 2 to 16 s later. */
+    /** Share of direct commands that get no answer and are executed once, 2 to 16 s later. */
     var lateCommands = 0.0
 
     /** What messages between two kinds of hosts, or [oneWay] only from the first to the second, suffer [until] then. */
--- a/src/test/kotlin/ledgearch/simulation/Users.kt
+++ b/src/test/kotlin/ledgearch/simulation/Users.kt
@@ -126,7 +126,7 @@
     ) {
         val until = clock.now + forMs
 
-        fun again() {
+        fun pollAll() {
             for (node in simulation.nodes) {
                 if (!node.up) continue
                 val spec = invariants.submitted[job]
@@ -136,9 +136,9 @@
                     poll(job, node.name) { _, _ -> }
                 }
             }
-            if (clock.now < until) clock.after(1 + simulation.random.nextLong(RAPID_POLL_EVERY_MS)) { again() }
+            if (clock.now < until) clock.after(1 + simulation.random.nextLong(RAPID_POLL_EVERY_MS)) { pollAll() }
         }
-        again()
+        pollAll()
     }
 
     /** Every controller is asked about [job], again each second until it answers. */
--- a/src/test/kotlin/ledgearch/simulation/invariants/InvariantChecker.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/InvariantChecker.kt
@@ -101,7 +101,7 @@
     fun hasResult(taskId: String) = taskId in completed
 
     /** Whether [job] is a service that nobody cancelled, and all its replicas run. */
-    fun runsWhole(job: String): Boolean {
+    fun runsFully(job: String): Boolean {
         val spec = submitted.getValue(job)
         return spec.kind == JobKind.SERVICE && job !in cancelAsked && simulation.running(job) == spec.taskCount
     }
--- a/src/test/kotlin/ledgearch/simulation/invariants/PlacementInvariants.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/PlacementInvariants.kt
@@ -39,7 +39,7 @@
             worker.tasks.values
                 .filter { it !== task && it.state != TaskState.EXITED }
                 .sumOf { submitted[it.job]?.vcpus ?: 0.0 }
-        return used + (submitted[task.job]?.vcpus ?: 0.0) <= FakeCloud.RACK.vcpus
+        return used + (submitted[task.job]?.vcpus ?: 0.0) <= FakeCloud.STANDARD_TYPE.vcpus
     }
 
     /** [task] of a job with this [spec] executes from now on. */
--- a/src/test/kotlin/ledgearch/simulation/invariants/PlacementTimes.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/PlacementTimes.kt
@@ -8,18 +8,18 @@
 ) {
     private val startsByZone = HashMap<String, Int>()
     private val startsBySecond = HashMap<Long, Int>()
-    private val whole = HashMap<String, MutableList<Long>>()
+    private val fullyRunning = HashMap<String, MutableList<Long>>()
 
     fun startsIn(zone: String): Int = startsByZone[zone] ?: 0
 
-    /** The last time (ms) at which a start made [job] whole, or null. */
-    fun wholeAt(job: String): Long? = whole[job]?.last()
+    /** The last time (ms) at which a start made all tasks of [job] run, or null. */
+    fun fullyRunningAt(job: String): Long? = fullyRunning[job]?.last()
 
-    /** The first time (ms) after [ms] at which a start made [job] whole, or null. */
-    fun firstWholeAfter(
+    /** The first time (ms) after [ms] at which a start made all tasks of [job] run, or null. */
+    fun firstFullyRunningAfter(
         job: String,
         ms: Long,
-    ): Long? = whole[job]?.firstOrNull { it > ms }
+    ): Long? = fullyRunning[job]?.firstOrNull { it > ms }
 
     /** The most starts in one second from [fromMs] on. */
     fun peakStartsSince(fromMs: Long): Int =
@@ -32,7 +32,7 @@
     ) {
         startsByZone.merge(zone, 1, Int::plus)
         startsBySecond.merge(simulation.clock.now / MS_PER_SECOND, 1, Int::plus)
-        if (simulation.running(job) == tasks) whole.getOrPut(job) { ArrayList() }.add(simulation.clock.now)
+        if (simulation.running(job) == tasks) fullyRunning.getOrPut(job) { ArrayList() }.add(simulation.clock.now)
     }
 
     private companion object {
--- a/src/test/kotlin/ledgearch/simulation/invariants/StarvationInvariant.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/StarvationInvariant.kt
@@ -38,7 +38,7 @@
     private fun freeVcpus(): Map<FakeWorker, Double> =
         simulation.workers.values
             .filter { simulation.isReached(it) }
-            .associateWith { worker -> FakeCloud.RACK.vcpus - specsOn(worker).sumOf { it.vcpus } }
+            .associateWith { worker -> FakeCloud.STANDARD_TYPE.vcpus - specsOn(worker).sumOf { it.vcpus } }
 
     private fun specsOn(worker: FakeWorker): List<JobSpec> =
         worker.tasks.values
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ProductionSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ProductionSteps.kt
@@ -38,7 +38,7 @@
         node(step.words[1]).delayBatches(step.words[2].toLong(), step.milliseconds(4))
     }
 
-    /** late-commands SHARE until S: that share of direct commands is carried out 2 to 16 s later, unanswered. */
+    /** late-commands SHARE until S: that share of direct commands is executed 2 to 16 s later, unanswered. */
     private fun delayCommands(step: Step) {
         simulation.network.lateCommands = step.words[1].toDouble()
         simulation.clock.at(step.milliseconds(3)) { simulation.network.lateCommands = 0.0 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ProductionWorkload.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ProductionWorkload.kt
@@ -59,9 +59,9 @@
     }
 
     private fun submitOne(dependsOn: List<String>): String {
-        val request = array(dependsOn)
-        send(request)
-        return request.id
+        val spec = array(dependsOn)
+        send(spec)
+        return spec.id
     }
 
     private fun submitChain(length: Int) {
@@ -79,7 +79,7 @@
     }
 
     private fun submitService() {
-        val request =
+        val spec =
             array(emptyList()).copy(
                 kind = JobKind.SERVICE,
                 priority = Priority.PRODUCTION,
@@ -87,14 +87,14 @@
                 spreadZones = random.nextBoolean(),
                 vcpus = 1.0,
             )
-        users.submit(request)
-        if (random.nextInt(2) == 0) cancelLater(request.id)
+        users.submit(spec)
+        if (random.nextInt(2) == 0) cancelLater(spec.id)
     }
 
-    private fun send(request: JobSpec) {
-        users.submit(request)
-        arrays.add(request.id)
-        if (random.nextInt(100) < CANCELLED_PERCENT) cancelLater(request.id)
+    private fun send(spec: JobSpec) {
+        users.submit(spec)
+        arrays.add(spec.id)
+        if (random.nextInt(100) < CANCELLED_PERCENT) cancelLater(spec.id)
     }
 
     /** Users cancel what was accepted; to them a 404 would be the end of it. */
--- a/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
@@ -59,7 +59,7 @@
         addMachines(simulation)
         simulation.invariants.auditSampler.begin()
         simulation.nodes.forEach { it.start() }
-        steps.forEach { step -> simulation.clock.at(step.at) { carryOut(step, actions) } }
+        steps.forEach { step -> simulation.clock.at(step.at) { execute(step, actions) } }
         simulation.clock.runUntil(steps.maxOf { it.at } + LAST_ANSWERS_MS)
         summary = simulation.invariants.summary
         return failures + simulation.invariants.violations
@@ -142,7 +142,7 @@
         return actions
     }
 
-    private fun carryOut(
+    private fun execute(
         step: Step,
         actions: Map<String, (Step) -> Unit>,
     ) {
@@ -163,7 +163,7 @@
         val kind = Milestones.Kind.valueOf(step.words[2].uppercase())
         val awaiting = Step(step.line, step.at, step.words.drop(5))
         simulation.invariants.milestones.await(step.words[1], kind) {
-            simulation.clock.after(step.milliseconds(4)) { carryOut(awaiting, actions) }
+            simulation.clock.after(step.milliseconds(4)) { execute(awaiting, actions) }
         }
     }
 
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StateExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StateExpectations.kt
@@ -118,7 +118,7 @@
     ) = when (answer.state) {
         JobState.DONE -> true
         JobState.CANCELLED -> invariants.mayBeCancelled(job)
-        JobState.PENDING, JobState.RUNNING -> invariants.runsWhole(job)
+        JobState.PENDING, JobState.RUNNING -> invariants.runsFully(job)
         null -> false
     }
 
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ZoneExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ZoneExpectations.kt
@@ -14,7 +14,7 @@
             "zone" to ::zoneState,
             "admitted" to ::admitted,
             "starts-in" to ::startsIn,
-            "fully-running-before" to ::wholeBefore,
+            "fully-running-before" to ::fullyRunningBefore,
             "displaced" to ::displaced,
         )
 
@@ -45,10 +45,10 @@
     }
 
     /** fully-running-before JOB OTHER: all tasks of the one ran together sooner again than all of the other. */
-    private fun wholeBefore() {
-        val (first, second) = words.slice(2..3).map { invariants.placementTimes.wholeAt(it) }
+    private fun fullyRunningBefore() {
+        val (first, second) = words.slice(2..3).map { invariants.placementTimes.fullyRunningAt(it) }
         val holds = first != null && (second == null || first < second)
-        compare("${words[2]} whole before ${words[3]}", "$first and $second ms", holds)
+        compare("${words[2]} fully running before ${words[3]}", "$first and $second ms", holds)
     }
 
     /** displaced GROUP COUNT: tasks of the group that wait to be started again, at the least. */
--- a/src/test/kotlin/ledgearch/tools/RecoveryRun.kt
+++ b/src/test/kotlin/ledgearch/tools/RecoveryRun.kt
@@ -12,7 +12,7 @@
 /** What one loss and return of a zone did, in simulated ms from the loss; null: it did not happen. */
 internal class RecoveryFigures(
     /** When each job had all its tasks running again, in the operators' order. */
-    val wholeAfterMs: List<Long?>,
+    val fullyRunningAfterMs: List<Long?>,
     val peakStartsASecond: Int,
     val peakFetches: Int,
     /** Starts of replicas beyond the first of each: displaced ones, and those moved or lost once more. */
@@ -73,11 +73,17 @@
 
     private fun figures(): RecoveryFigures {
         val placementTimes = simulation.invariants.placementTimes
-        val whole =
-            ORDERED_JOBS.map { job -> placementTimes.firstWholeAfter(job, LOST_MS)?.let { it - LOST_MS } }
+        val fullyRunning =
+            ORDERED_JOBS.map { job -> placementTimes.firstFullyRunningAfter(job, LOST_MS)?.let { it - LOST_MS } }
         val restarts = SERVICES.entries.sumOf { (job, tasks) -> simulation.invariants.startsOf(job) - tasks }
-        val violations = simulation.invariants.violations
-        return RecoveryFigures(whole, placementTimes.peakStartsSince(LOST_MS), peakFetches, restarts, violations.size)
+        val violations = simulation.invariants.violations.size
+        return RecoveryFigures(
+            fullyRunning,
+            placementTimes.peakStartsSince(LOST_MS),
+            peakFetches,
+            restarts,
+            violations,
+        )
     }
 
     companion object {
--- a/src/test/kotlin/ledgearch/wire/WorkerMessagesTest.kt
+++ b/src/test/kotlin/ledgearch/wire/WorkerMessagesTest.kt
@@ -10,7 +10,7 @@
  */
 internal class WorkerMessagesTest {
     @Test
-    fun `a report`() =
+    fun `a heartbeat has the names of the protocol`() =
         assertBytes(
             """{"stove":"m","endpoint":"e","rack":"r","hall":"z","borrowed":true,"shift":2,"ticket":3,"baton":4,""" +
                 """"recallS":5.0,"portions":[{"portion":"job-1/0","try":6,"status":"exited","cause":"done",""" +
@@ -31,7 +31,7 @@
         )
 
     @Test
-    fun `the answer to a report`() =
+    fun `the answer to a heartbeat has the names of the protocol`() =
         assertBytes(
             """{"baton":4,"orders":[{"verb":"halt","portion":"job-1/0","try":6,"cooldownS":1.5}]}""",
             HeartbeatReply.serializer(),
@@ -39,7 +39,7 @@
         )
 
     @Test
-    fun `commands`() =
+    fun `direct commands have the names of the protocol`() =
         assertBytes(
             """{"baton":4,"shift":2,"orders":[{"verb":"start","portion":"job-1/0","try":6}]}""",
             CommandRequest.serializer(),
@@ -47,7 +47,7 @@
         )
 
     @Test
-    fun `a report to another than the leader`() =
+    fun `the redirection of a heartbeat to the leader has the names of the protocol`() =
         assertBytes("""{"chef":"a:1"}""", Redirect.serializer(), Redirect("a:1"))
 
     private fun <T> assertBytes(
