--- a/src/test/kotlin/ledgearch/MeshLinksTest.kt
+++ b/src/test/kotlin/ledgearch/peers/MeshLinksTest.kt
@@ -1,4 +1,4 @@
-package ledgearch
+package ledgearch.peers
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
@@ -6,14 +6,6 @@
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
 import ledgearch.model.JobProgress
-import ledgearch.peers.LeaderStatus
-import ledgearch.peers.MeshEvents
-import ledgearch.peers.MeshLinks
-import ledgearch.peers.PeerTuning
-import ledgearch.peers.StandbyEvent
-import ledgearch.peers.StreamCodec
-import ledgearch.peers.StreamFrame
-import ledgearch.peers.StreamFrames
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -35,6 +27,7 @@
     private val group = AsynchronousChannelGroup.withThreadPool(executor)
     private val frame = StreamFrame(5, 1, true, 0, emptyList(), emptyList())
 
+    /** What a controller has heard from its peers. */
     private class Heard : MeshEvents {
         val statuses = LinkedBlockingQueue<LeaderStatus>()
         val standby = LinkedBlockingQueue<StandbyEvent>()
--- a/src/test/kotlin/ledgearch/simulation/ProductionWorkload.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ProductionWorkload.kt
@@ -1,7 +1,11 @@
-package ledgearch.simulation
+package ledgearch.simulation.scenarios
 
+import ledgearch.simulation.Simulation
+import ledgearch.simulation.Users
+import ledgearch.simulation.invariants.Milestones
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
+import ledgearch.wire.JobState
 import ledgearch.wire.Priority
 import kotlin.random.Random
 
@@ -21,13 +25,13 @@
     private val usedNumbers = HashSet<Int>()
 
     /** [count] jobs that were over before the simulation began: the state service holds their final records. */
-    fun addFinals(
+    fun addPastJobs(
         count: Int,
-        state: String,
+        state: JobState,
     ) = repeat(count) {
         val job = newName()
-        simulation.state.write("w/d/$job", """{"st":"$state","n":1}""")
-        simulation.rules.wasOverBefore(array(emptyList()).copy(id = job, taskCount = 1), state)
+        simulation.store.write("w/d/$job", """{"st":"${state.text}","n":1}""")
+        simulation.invariants.wasOverBefore(array(emptyList()).copy(id = job, taskCount = 1), state)
         arrays.add(job)
     }
 
@@ -39,7 +43,7 @@
 
     /** Every accepted job that is not over for its user is asked about once in [everyMs]. */
     fun pollOpen(everyMs: Long) {
-        val open = simulation.rules.everyoneAccepted.filter { !simulation.rules.isToldOver(it) }
+        val open = simulation.invariants.everyoneAccepted.filter { !simulation.invariants.isToldOver(it) }
         for (job in open) clock.after(random.nextLong(everyMs)) { users.poll(job) { _, _ -> } }
         clock.after(everyMs) { pollOpen(everyMs) }
     }
@@ -55,9 +59,9 @@
     }
 
     private fun submitOne(dependsOn: List<String>): String {
-        val request = array(dependsOn)
-        send(request)
-        return request.id
+        val spec = array(dependsOn)
+        send(spec)
+        return spec.id
     }
 
     private fun submitChain(length: Int) {
@@ -75,7 +79,7 @@
     }
 
     private fun submitService() {
-        val request =
+        val spec =
             array(emptyList()).copy(
                 kind = JobKind.SERVICE,
                 priority = Priority.PRODUCTION,
@@ -83,14 +87,14 @@
                 spreadZones = random.nextBoolean(),
                 vcpus = 1.0,
             )
-        users.submit(request)
-        if (random.nextInt(2) == 0) cancelLater(request.id)
+        users.submit(spec)
+        if (random.nextInt(2) == 0) cancelLater(spec.id)
     }
 
-    private fun send(request: JobSpec) {
-        users.submit(request)
-        arrays.add(request.id)
-        if (random.nextInt(100) < CANCELLED_PERCENT) cancelLater(request.id)
+    private fun send(spec: JobSpec) {
+        users.submit(spec)
+        arrays.add(spec.id)
+        if (random.nextInt(100) < CANCELLED_PERCENT) cancelLater(spec.id)
     }
 
     /** Users cancel what was accepted; to them a 404 would be the end of it. */
@@ -104,10 +108,10 @@
         job: String,
         action: () -> Unit,
     ) {
-        if (simulation.rules.isAccepted(job)) {
+        if (simulation.invariants.isAccepted(job)) {
             action()
         } else {
-            simulation.rules.moments.await(job, Moments.Kind.ACCEPTED, action)
+            simulation.invariants.milestones.await(job, Milestones.Kind.ACCEPTED, action)
         }
     }
 
--- a/src/test/kotlin/ledgearch/WorkerMessagesTest.kt
+++ b/src/test/kotlin/ledgearch/wire/WorkerMessagesTest.kt
@@ -1,16 +1,6 @@
-package ledgearch
+package ledgearch.wire
 
 import kotlinx.serialization.KSerializer
-import ledgearch.wire.CommandKind
-import ledgearch.wire.CommandRequest
-import ledgearch.wire.ExitCause
-import ledgearch.wire.Heartbeat
-import ledgearch.wire.HeartbeatReply
-import ledgearch.wire.Redirect
-import ledgearch.wire.TaskCommand
-import ledgearch.wire.TaskReport
-import ledgearch.wire.TaskState
-import ledgearch.wire.WireJson
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
@@ -20,7 +10,7 @@
  */
 internal class WorkerMessagesTest {
     @Test
-    fun `a report`() =
+    fun `a heartbeat has the names of the protocol`() =
         assertBytes(
             """{"stove":"m","endpoint":"e","rack":"r","hall":"z","borrowed":true,"shift":2,"ticket":3,"baton":4,""" +
                 """"recallS":5.0,"portions":[{"portion":"job-1/0","try":6,"status":"exited","cause":"done",""" +
@@ -41,7 +31,7 @@
         )
 
     @Test
-    fun `the answer to a report`() =
+    fun `the answer to a heartbeat has the names of the protocol`() =
         assertBytes(
             """{"baton":4,"orders":[{"verb":"halt","portion":"job-1/0","try":6,"cooldownS":1.5}]}""",
             HeartbeatReply.serializer(),
@@ -49,7 +39,7 @@
         )
 
     @Test
-    fun `commands`() =
+    fun `direct commands have the names of the protocol`() =
         assertBytes(
             """{"baton":4,"shift":2,"orders":[{"verb":"start","portion":"job-1/0","try":6}]}""",
             CommandRequest.serializer(),
@@ -57,7 +47,7 @@
         )
 
     @Test
-    fun `a report to another than the leader`() =
+    fun `the redirection of a heartbeat to the leader has the names of the protocol`() =
         assertBytes("""{"chef":"a:1"}""", Redirect.serializer(), Redirect("a:1"))
 
     private fun <T> assertBytes(
