--- a/src/main/kotlin/ledgearch/cli/Main.kt
+++ b/src/main/kotlin/ledgearch/cli/Main.kt
@@ -9,102 +9,80 @@
 import ledgearch.config.SettingsLoader
 import ledgearch.http.EventLoop
 import ledgearch.http.HttpClient
-import org.apache.commons.cli.DefaultParser
-import org.apache.commons.cli.Option
-import org.apache.commons.cli.Options
-import org.apache.commons.cli.ParseException
 import java.io.IOException
 import java.nio.file.Path
 import kotlin.system.exitProcess
 
-private const val USAGE = """usage: ledgearch COMMAND [options]
-
-  serve --config FILE         run a controller until it is killed
-  check-config --config FILE  check the settings file and print what is in effect
-  status HOST:PORT...         ask controllers who leads and how far standbys are behind
-  --operator FILE             operators' own settings (JSON), for serve and check-config
-  --version                   print the version
-  --help                      print this help
-
-LOG_LEVEL (error, warn, info, debug) sets the amount of logging on standard error.
-exit codes: 0 fine, 2 wrong usage, 3 settings can't be used, 4 an address can't be listened on,
-5 the process could not go on (no memory, for one) and is to be started again,
-6 a controller does not answer"""
-
-private val OPTIONS =
-    Options()
-        .addOption(
-            Option
-                .builder()
-                .longOpt("config")
-                .hasArg()
-                .argName("FILE")
-                .get(),
-        ).addOption(
-            Option
-                .builder()
-                .longOpt("operator")
-                .hasArg()
-                .argName("FILE")
-                .get(),
-        ).addOption(Option.builder().longOpt("version").get())
-        .addOption(Option.builder("h").longOpt("help").get())
-
+/** Carries out the command line; `serve` returns while the threads of the controller go on. */
 fun main(args: Array<String>) {
-    val code = run(args)
+    Logging.configure(System.getenv("LOG_LEVEL"))
+    val code = run(CommandLine.parse(args))
     if (code != null) exitProcess(code)
 }
 
 /** The exit code, or null when the process goes on. */
-private fun run(args: Array<String>): Int? {
-    Logging.configure(System.getenv("LOG_LEVEL"))
-    val line =
-        try {
-            DefaultParser().parse(OPTIONS, args)
-        } catch (e: ParseException) {
-            return usage(e.message.orEmpty())
-        }
-    if (line.hasOption("help")) return ExitCodes.OK.also { println(USAGE) }
-    if (line.hasOption("version")) return ExitCodes.OK.also { println("ledgearch ${Version.text}") }
-    val words = line.argList
-    val command = words.firstOrNull() ?: return usage("no command")
-    if (command == "status") return status(words.drop(1))
-    if (words.size > 1) return usage("unknown argument: ${words[1]}")
-    if (command == "warm-up") return warmUp(line.getOptionValue("operator")?.let(Path::of))
-    if (command != "serve" && command != "check-config") return usage("unknown command: $command")
-    val file = line.getOptionValue("config") ?: return usage("$command needs --config FILE")
+private fun run(command: CliCommand): Int? =
+    when (command) {
+        CliCommand.Help -> printText(CommandLine.USAGE)
+        CliCommand.ShowVersion -> printText("ledgearch ${Version.text}")
+        is CliCommand.Status -> status(command.addresses)
+        is CliCommand.WarmUp -> warmUp(command.operatorFile)
+        is CliCommand.CheckConfig -> withSettings(command.files, ::checkConfig)
+        is CliCommand.Serve -> withSettings(command.files, ::serve)
+        is CliCommand.Unusable -> wrongUsage(command.problem)
+    }
+
+private fun printText(text: String): Int {
+    println(text)
+    return ExitCodes.OK
+}
+
+private fun withSettings(
+    files: SettingsFiles,
+    command: (Settings) -> Int?,
+): Int? {
     val settings =
         try {
-            val platform = SettingsLoader.load(Path.of(file))
-            line.getOptionValue("operator")?.let { platform.copy(operator = OperatorLoader.load(Path.of(it))) }
-                ?: platform
+            loadSettings(files.platform, files.operator)
         } catch (e: SettingsException) {
-            System.err.println("ledgearch: ${e.message}")
+            printProblem(e.message.orEmpty())
             return ExitCodes.SETTINGS
         }
-    SettingsLoader.warnings(settings).forEach { System.err.println("ledgearch: warning: $it") }
-    if (command == "check-config") return ExitCodes.OK.also { println(SettingsLoader.print(settings)) }
-    return serve(settings)
+    SettingsLoader.warnings(settings).forEach { printProblem("warning: $it") }
+    return command(settings)
 }
 
+/** The platform's settings with those of operators, where there is such a file; throws [SettingsException]. */
+internal fun loadSettings(
+    platformFile: Path,
+    operatorFile: Path?,
+): Settings {
+    val platform = SettingsLoader.load(platformFile)
+    if (operatorFile == null) return platform
+    return platform.copy(operator = OperatorLoader.load(operatorFile))
+}
+
+private fun checkConfig(settings: Settings): Int = printText(SettingsLoader.print(settings))
+
 private fun serve(settings: Settings): Int? =
     try {
         Daemon(settings).start()
         null
     } catch (e: IOException) {
-        System.err.println("ledgearch: cannot listen on ${settings.listen}: ${e.message}")
+        printProblem("cannot listen on ${settings.listen}: ${e.message}")
         ExitCodes.ADDRESS
     }
 
 private fun status(addresses: List<String>): Int {
-    if (addresses.isEmpty()) return usage("status needs the address of a controller")
     val loop = EventLoop("ledgearch-status")
     val reader = StatusReader(HttpClient(loop.group))
     val allAnswered = runBlocking(loop) { StatusCommand(reader::read, ::println).run(addresses) }
     return if (allAnswered) ExitCodes.OK else ExitCodes.UNREACHABLE
 }
 
-private fun usage(problem: String): Int {
-    System.err.println("ledgearch: $problem\n\n$USAGE")
+private fun wrongUsage(problem: String): Int {
+    printProblem("$problem\n\n${CommandLine.USAGE}")
     return ExitCodes.USAGE
 }
+
+private fun printProblem(text: String) = System.err.println("ledgearch: $text")
--- /dev/null
+++ b/src/main/kotlin/ledgearch/cli/OwnerMeshEvents.kt
@@ -0,0 +1,17 @@
+package ledgearch.cli
+
+import ledgearch.control.OwnerCommand
+import ledgearch.peers.LeaderStatus
+import ledgearch.peers.MeshEvents
+import ledgearch.peers.StandbyEvent
+
+/** Passes what other controllers send to the owner; suspends their connections while its queue is full. */
+internal class OwnerMeshEvents(
+    private val queue: OwnerQueue,
+) : MeshEvents {
+    override suspend fun news(news: LeaderStatus) = queue.put(OwnerCommand.WatchEvent(news))
+
+    override suspend fun standby(event: StandbyEvent) = queue.put(OwnerCommand.Standby(event))
+
+    override suspend fun refused(address: String) = queue.put(OwnerCommand.PeerRefused(address))
+}
--- a/src/main/kotlin/ledgearch/cli/PendingResponse.kt
+++ b/src/main/kotlin/ledgearch/cli/PendingResponse.kt
@@ -5,17 +5,18 @@
 import ledgearch.http.Response
 import kotlin.coroutines.resume
 
-/** The answer to one request, which the owner gives and the request's connection waits for; both on one thread. */
+/** The response to one request, which the owner gives and the request's connection awaits; both on one thread. */
 internal class PendingResponse {
     private var response: Response? = null
-    private var waiting: CancellableContinuation<Response>? = null
+    private var waiter: CancellableContinuation<Response>? = null
 
-    /** The first answer counts. */
-    fun complete(answer: Response) {
+    /** Sets the response; only the first call counts. */
+    fun complete(given: Response) {
         if (response != null) return
-        response = answer
-        waiting?.resume(answer)
+        response = given
+        waiter?.resume(given)
     }
 
-    suspend fun await(): Response = response ?: suspendCancellableCoroutine { waiting = it }
+    /** The response, once it is given; one caller may wait for it. */
+    suspend fun await(): Response = response ?: suspendCancellableCoroutine { waiter = it }
 }
--- /dev/null
+++ b/src/main/kotlin/ledgearch/cli/SocketTransport.kt
@@ -0,0 +1,29 @@
+package ledgearch.cli
+
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.launch
+import ledgearch.control.OwnerCommand
+import ledgearch.http.HttpClient
+import ledgearch.http.Reply
+import ledgearch.runtime.Transport
+
+/** Makes the owner's calls over HTTP, one coroutine each; a reply comes back to the owner as a command. */
+internal class SocketTransport(
+    private val scope: CoroutineScope,
+    private val client: HttpClient,
+    private val queue: OwnerQueue,
+) : Transport {
+    override fun call(
+        address: String,
+        method: String,
+        target: String,
+        body: String?,
+        timeoutMs: Long,
+        done: (Reply) -> Unit,
+    ) {
+        scope.launch {
+            val reply = client.call(address, method, target, body, timeoutMs)
+            queue.put(OwnerCommand.Answered(reply, done))
+        }
+    }
+}
--- a/src/main/kotlin/ledgearch/cli/WarmUp.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUp.kt
@@ -1,7 +1,5 @@
 package ledgearch.cli
 
-import ledgearch.config.OperatorLoader
-import ledgearch.config.SettingsLoader
 import java.net.InetAddress
 import java.net.ServerSocket
 import java.nio.file.Files
@@ -15,27 +13,37 @@
 internal fun warmUp(operatorFile: Path?): Int {
     val file = Files.createTempFile("ledgearch", ".json")
     try {
-        val ports = List(5) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort } }
-        Files.writeString(
-            file,
-            """
-            {"node":"a","area":"z","listen":"127.0.0.1:${ports[0]}","mesh_addr":"127.0.0.1:${ports[1]}",
-             "members":[{"node":"b","area":"z","addr":"127.0.0.1:${ports[4]}"}],
-             "outside":{"cloud":"127.0.0.1:${ports[2]}","state":"127.0.0.1:${ports[3]}"},
-             "deployment":{"zones":["z"],"teams":[{"name":"t","cpus":4.0,"cpus_max":16.0}],
-              "objectives":[{"kind":"wait","class":"m","within_s":1.0,"share":0.9},
-               {"kind":"deadline","class":"m","share":0.9},{"kind":"finished","class":"m","within_s":60.0,"share":0.9}],
-              "workers":{"report_s":3.0,"lease_s":14.0,"cancel_s":39.0},
-              "quota":{"cpu":0.05,"memory_mb":164.0,"fd_limit":1200},
-              "state":{"rps":100.0,"write_rps":25.0,"value_kb":8.0,"txn_ops":16,
-               "next":{"rps":100.0,"write_rps":25.0,"value_kb":8.0,"txn_ops":16}},"cloud":{"rps":1.5,"list_lag_s":8.0}}}
-            """.trimIndent(),
-        )
-        val platform = SettingsLoader.load(file)
-        val settings = operatorFile?.let { platform.copy(operator = OperatorLoader.load(it)) } ?: platform
-        WarmUpServices(settings).play()
+        Files.writeString(file, warmUpSettings())
+        WarmUpServices(loadSettings(file, operatorFile)).run()
     } finally {
         Files.deleteIfExists(file)
     }
     return ExitCodes.OK
 }
+
+/** Every group of the platform's file, so that reading each is recorded. */
+private fun warmUpSettings(): String {
+    val listen = freeAddress()
+    val mesh = freeAddress()
+    val cloud = freeAddress()
+    val state = freeAddress()
+    val peer = freeAddress()
+    return """
+        {"node":"a","area":"z","listen":"$listen","mesh_addr":"$mesh",
+         "members":[{"node":"b","area":"z","addr":"$peer"}],
+         "outside":{"cloud":"$cloud","state":"$state"},
+         "deployment":{"zones":["z"],"teams":[{"name":"t","cpus":4.0,"cpus_max":16.0}],
+          "objectives":[{"kind":"wait","class":"m","within_s":1.0,"share":0.9},
+           {"kind":"deadline","class":"m","share":0.9},{"kind":"finished","class":"m","within_s":60.0,"share":0.9}],
+          "workers":{"report_s":3.0,"lease_s":14.0,"cancel_s":39.0},
+          "quota":{"cpu":0.05,"memory_mb":164.0,"fd_limit":1200},
+          "state":{"rps":100.0,"write_rps":25.0,"value_kb":8.0,"txn_ops":16,
+           "next":{"rps":100.0,"write_rps":25.0,"value_kb":8.0,"txn_ops":16}},"cloud":{"rps":1.5,"list_lag_s":8.0}}}
+        """.trimIndent()
+}
+
+/** A loopback address that nobody listens on now. */
+private fun freeAddress(): String {
+    val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
+    return "127.0.0.1:$port"
+}
