--- a/src/main/kotlin/ledgearch/config/OperatorSettings.kt
+++ b/src/main/kotlin/ledgearch/config/OperatorSettings.kt
@@ -30,6 +30,7 @@
 /** How work is placed again when a zone is lost, and how the zone is used again when it returns. */
 @Serializable
 data class ZoneRecoverySettings(
+    /** The order, the pacing and the gradual return are in effect. */
     val enabled: Boolean = false,
     /** Groups of displaced work, the first to be placed again first. Empty: in the order of serving. */
     val order: List<RecoveryGroup> = emptyList(),
@@ -42,6 +43,7 @@
     val name: String? = null,
     /** Names of classes, in which `*` stands for any characters. */
     val classes: List<String> = emptyList(),
+    /** Names of teams, in which `*` stands for any characters. */
     val teams: List<String> = emptyList(),
     /** What no other group matches belongs here; without such a group it comes last. */
     val default: Boolean = false,
