--- a/src/main/kotlin/ledgearch/cli/Version.kt
+++ b/src/main/kotlin/ledgearch/cli/Version.kt
@@ -2,6 +2,7 @@
 
 /** The version of this build. */
 internal object Version {
+    /** As the build wrote it, or `unknown`. */
     val text: String by lazy {
         Version::class.java
             .getResourceAsStream("/ledgearch-version.txt")
--- a/src/main/kotlin/ledgearch/client/StatusCommand.kt
+++ b/src/main/kotlin/ledgearch/client/StatusCommand.kt
@@ -1,11 +1,11 @@
 package ledgearch.client
 
-/** Asks every address for its status, prints what each answers, and tells whether all did. */
+/** Asks every address for its status, one after the other, then prints what each answered. */
 internal class StatusCommand(
     private val readStatus: suspend (String) -> ControllerStatus,
     private val print: (String) -> Unit,
 ) {
-    /** True when every controller answered. */
+    /** Whether every controller at [addresses] (HOST:PORT) answered. */
     suspend fun run(addresses: List<String>): Boolean {
         val statuses = addresses.map { it to readStatus(it) }
         statuses.flatMap { (address, status) -> StatusText.of(address, status) }.forEach(print)
--- a/src/main/kotlin/ledgearch/client/StatusText.kt
+++ b/src/main/kotlin/ledgearch/client/StatusText.kt
@@ -8,6 +8,7 @@
 
 /** The status of a controller as text for people: one line, and one more for each feature that is switched on. */
 internal object StatusText {
+    /** The lines for the controller at [address], without line ends. */
     fun of(
         address: String,
         status: ControllerStatus,
--- a/src/main/kotlin/ledgearch/http/EventLoop.kt
+++ b/src/main/kotlin/ledgearch/http/EventLoop.kt
@@ -41,10 +41,14 @@
     /** What coroutines have to do next; used by the loop's thread only. */
     private val ready = ArrayDeque<Runnable>()
     private var isRunningReady = false
+
+    /** The next one due first; used by the loop's thread only. */
     private val timers = PriorityQueue<Timer>()
+
+    /** A wake-up for timers is under way. */
     private val isWoken = AtomicBoolean()
 
-    /** Counts what came from sockets. */
+    /** Count of coroutines that sockets have resumed. */
     private var socketEvents = 0L
 
     /**
@@ -68,10 +72,11 @@
         block: Runnable,
         until: Long,
     ) {
-        val seen = socketEvents
-        execute { if (socketEvents == seen || nowMs() >= until) block.run() else afterSockets(block, until) }
+        val eventsBefore = socketEvents
+        execute { if (socketEvents == eventsBefore || nowMs() >= until) block.run() else afterSockets(block, until) }
     }
 
+    /** Runs [action] at [dueAt] (ms of this loop's clock), unless it is disposed of before; then null. */
     private class Timer(
         val dueAt: Long,
         var action: Runnable?,
@@ -86,7 +91,7 @@
     }
 
     init {
-        Thread(::tellTime, "$name-clock").apply { isDaemon = true }.start()
+        Thread(::wakeForever, "$name-clock").apply { isDaemon = true }.start()
     }
 
     override fun dispatch(
@@ -113,7 +118,10 @@
         if (isRunningReady) return
         isRunningReady = true
         try {
-            while (true) (ready.removeFirstOrNull() ?: break).run()
+            while (true) {
+                val task = ready.removeFirstOrNull() ?: break
+                task.run()
+            }
         } finally {
             isRunningReady = false
         }
@@ -134,16 +142,16 @@
     ): DisposableHandle = addTimer(timeMillis, block)
 
     private fun addTimer(
-        timeMs: Long,
+        delayMs: Long,
         action: Runnable,
     ): Timer {
-        val timer = Timer(nowMs() + timeMs, action)
+        val timer = Timer(nowMs() + delayMs, action)
         if (Thread.currentThread() === thread) timers.add(timer) else tasks.execute { timers.add(timer) }
         return timer
     }
 
     /** The clock thread: one wake-up at a time, so that they do not pile up in a loop that is behind. */
-    private fun tellTime() {
+    private fun wakeForever() {
         while (!group.isShutdown) {
             Thread.sleep(HttpTuning.TIMER_STEP_MS)
             if (isWoken.compareAndSet(false, true)) wake()
@@ -170,11 +178,9 @@
         runReady()
     }
 
-    private fun nowMs() = nanos() / NANOS_PER_MS
+    private fun nowMs() = nanos() / SteadyTime.NANOS_PER_MS
 
     companion object {
-        private const val NANOS_PER_MS = 1_000_000L
-
         /** A socket has resumed [continuation]: the loop that it runs on, if it runs on one, carries it on. */
         fun carryOn(continuation: Continuation<*>) {
             (continuation.context[ContinuationInterceptor] as? EventLoop)?.socketReady()
--- a/src/main/kotlin/ledgearch/http/HttpServer.kt
+++ b/src/main/kotlin/ledgearch/http/HttpServer.kt
@@ -10,6 +10,7 @@
 import java.net.StandardSocketOptions
 import java.nio.ByteBuffer
 import java.nio.channels.AsynchronousChannelGroup
+import java.nio.channels.AsynchronousServerSocketChannel
 import java.nio.channels.AsynchronousSocketChannel
 
 /**
@@ -31,52 +32,58 @@
     /** Connections open now. */
     val open get() = connections.open
 
-    /** Binds at once (throws when the address is taken), then accepts until cancelled. */
+    /** Binds at once (throws [IOException] when the address is taken), then accepts until cancelled. */
     fun start(address: String): Job {
         val server = listenOn(address, group)
-        scope.launch {
-            while (true) {
-                delay(HttpTuning.LATE_CALLERS_MS)
-                connections.closeLate(nowMs())
-            }
+        scope.launch { closeLateForever() }
+        return scope.launch { acceptForever(server) }
+    }
+
+    private suspend fun closeLateForever() {
+        while (true) {
+            delay(HttpTuning.LATE_CALLERS_MS)
+            connections.closeLate(SteadyTime.nowMs())
         }
-        return scope.launch {
-            while (true) {
-                if (!connections.makeRoom(nowMs())) {
-                    delay(HttpTuning.ACCEPT_RETRY_MS)
-                    continue
-                }
-                val channel = server.acceptPatiently(log)
-                val connection = Connection(channel)
-                connections.opened(connection)
-                scope.launch {
-                    try {
-                        serve(channel, connection)
-                    } catch (e: CancellationException) {
-                        throw e
-                    } catch (_: IOException) {
-                        // The caller went away or was too slow, or its place was needed; it will come back by itself.
-                    } finally {
-                        connections.close(connection)
-                    }
-                }
+    }
+
+    private suspend fun acceptForever(server: AsynchronousServerSocketChannel) {
+        while (true) {
+            if (!connections.makeRoom(SteadyTime.nowMs())) {
+                delay(HttpTuning.ACCEPT_RETRY_MS)
+                continue
             }
+            val channel = server.acceptPatiently(log)
+            val connection = Connection(channel)
+            connections.opened(connection)
+            scope.launch { serveAndClose(channel, connection) }
         }
     }
 
-    private fun nowMs() = System.nanoTime() / 1_000_000
+    private suspend fun serveAndClose(
+        channel: AsynchronousSocketChannel,
+        connection: Connection,
+    ) {
+        try {
+            serve(channel, connection)
+        } catch (e: CancellationException) {
+            throw e
+        } catch (_: IOException) {
+            // The caller went away or was too slow, or its place was needed; it will come back by itself.
+        } finally {
+            connections.close(connection)
+        }
+    }
 
     private suspend fun serve(
         channel: AsynchronousSocketChannel,
         connection: Connection,
     ) {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
-        val reader = MessageReader(HttpTuning.MAX_BODY)
-        val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER)
+        val requests = RequestReader(channel, connection, connections)
         while (true) {
             val request =
                 try {
-                    nextRequest(channel, connection, reader, buffer) ?: return
+                    requests.next() ?: return
                 } catch (e: BadMessage) {
                     log.debug("bad request: {}", e.message)
                     send(channel, Response(e.status, """{"error":"${e.message}"}"""), keepAlive = false)
@@ -89,80 +96,39 @@
         }
     }
 
-    private suspend fun nextRequest(
-        channel: AsynchronousSocketChannel,
-        connection: Connection,
-        reader: MessageReader,
-        buffer: ByteBuffer,
-    ): Request? {
-        var isBegun = !reader.isEmpty
-        connection.deadline = nowMs() + if (isBegun) HttpTuning.SLOW_REQUEST_MS else HttpTuning.IDLE_MS
-        if (!isBegun) connections.unused(connection, nowMs())
-        while (true) {
-            val head = reader.head()
-            val body = if (head != null) reader.body() else null
-            if (head != null && body != null) {
-                val parts = head.startLine.split(' ')
-                if (parts.size != 3 || !parts[2].startsWith("HTTP/1.") ||
-                    !parts[1].startsWith("/")
-                ) {
-                    throw BadMessage(400, "bad request line")
-                }
-                connection.deadline = Long.MAX_VALUE
-                return Request(parts[0], parts[1], body, !head.close)
-            }
-            buffer.clear()
-            val n = channel.readSome(buffer)
-            if (n < 0) return null
-            if (!isBegun) {
-                isBegun = true
-                connections.used(connection)
-                connection.deadline = nowMs() + HttpTuning.SLOW_REQUEST_MS
-            }
-            reader.append(buffer.array(), n)
-        }
-    }
-
     private suspend fun send(
         channel: AsynchronousSocketChannel,
         response: Response,
         keepAlive: Boolean,
     ) {
-        val body = response.body.toByteArray()
+        val bodyBytes = response.body.toByteArray()
+        val headBytes = head(response, bodyBytes.size, keepAlive).toByteArray(Charsets.ISO_8859_1)
+        val message =
+            ByteBuffer
+                .allocate(headBytes.size + bodyBytes.size)
+                .put(headBytes)
+                .put(bodyBytes)
+                .flip()
+        channel.writeAll(message, HttpTuning.WRITE_MS)
+    }
+
+    private fun head(
+        response: Response,
+        contentLength: Int,
+        keepAlive: Boolean,
+    ): String {
         val head =
-            StringBuilder(128)
+            StringBuilder(HttpTuning.RESPONSE_HEAD)
                 .append("HTTP/1.1 ")
                 .append(response.status)
                 .append(' ')
-                .append(reason(response.status))
+                .append(HttpStatus.reason(response.status))
                 .append("\r\n")
                 .append("Content-Type: application/json\r\nContent-Length: ")
-                .append(body.size)
+                .append(contentLength)
                 .append("\r\n")
         response.retryAfterS?.let { head.append("Retry-After: ").append(it).append("\r\n") }
         if (!keepAlive) head.append("Connection: close\r\n")
-        head.append("\r\n")
-        val headBytes = head.toString().toByteArray(Charsets.ISO_8859_1)
-        val out =
-            ByteBuffer
-                .allocate(headBytes.size + body.size)
-                .put(headBytes)
-                .put(body)
-                .flip()
-        channel.writeAll(out, HttpTuning.WRITE_MS)
+        return head.append("\r\n").toString()
     }
-
-    private fun reason(status: Int) =
-        when (status) {
-            200 -> "OK"
-            201 -> "Created"
-            400 -> "Bad Request"
-            404 -> "Not Found"
-            405 -> "Method Not Allowed"
-            421 -> "Misdirected Request"
-            422 -> "Unprocessable Content"
-            429 -> "Too Many Requests"
-            503 -> "Service Unavailable"
-            else -> "Status"
-        }
 }
--- a/src/main/kotlin/ledgearch/http/HttpTuning.kt
+++ b/src/main/kotlin/ledgearch/http/HttpTuning.kt
@@ -14,6 +14,18 @@
     /** Bytes. First buffer of a connection: nearly every message fits, and a thousand idle users stay cheap. */
     const val READ_BUFFER = 2 * 1024
 
+    /** Times [READ_BUFFER]. A buffer that grew beyond this is replaced by a small one once its message is read. */
+    const val KEPT_BUFFERS = 4
+
+    /** Bytes. The line before a chunk: its size and extensions that nobody here sends. */
+    const val MAX_CHUNK_LINE = 64
+
+    /** Characters. First size of a request's head: nearly every one fits. */
+    const val REQUEST_HEAD = 160
+
+    /** Characters. First size of a response's head: nearly every one fits. */
+    const val RESPONSE_HEAD = 128
+
     /** Connections. Waiting to be accepted; small, so that a full node refuses and callers go on to the next. */
     const val ACCEPT_BACKLOG = 128
 
--- a/src/main/kotlin/ledgearch/http/Messages.kt
+++ b/src/main/kotlin/ledgearch/http/Messages.kt
@@ -7,27 +7,29 @@
     val body: String,
     val keepAlive: Boolean,
 ) {
+    /** [target] without its query. */
     val path: String get() = target.substringBefore('?')
 }
 
-/** The answer to a request; [retryAfterS]: when the caller is to come back (seconds), if it is told. */
+/** The response to a request; [retryAfterS]: when the caller is to come back (seconds), if it is told. */
 internal data class Response(
     val status: Int,
     val body: String = "",
     val retryAfterS: Int? = null,
 )
 
-/** The answer to a call; [status] 0 means that none came. */
+/** What came back for a call to another; [status] 0 means that nothing did. */
 internal data class Reply(
     val status: Int,
     val body: String,
 ) {
     companion object {
+        /** Nothing came back: no connection, no response in time, or one that breaks the format. */
         val NONE = Reply(0, "")
     }
 }
 
-/** A message that breaks the format; [status] is what a server answers. */
+/** A message that breaks the format; [status] is what a server answers. Without a stack trace: callers can cause it. */
 internal class BadMessage(
     val status: Int,
     message: String,
--- a/src/main/kotlin/ledgearch/http/Nio.kt
+++ b/src/main/kotlin/ledgearch/http/Nio.kt
@@ -16,8 +16,8 @@
 import kotlin.coroutines.resume
 import kotlin.coroutines.resumeWithException
 
-/** NIO.2 completion handlers as suspending calls. */
-private class Resume<T> : CompletionHandler<T, CancellableContinuation<T>> {
+/** Resumes the coroutine that waits for an operation of NIO.2; one instance serves all operations of a kind. */
+private class ResumeHandler<T> : CompletionHandler<T, CancellableContinuation<T>> {
     override fun completed(
         result: T,
         continuation: CancellableContinuation<T>,
@@ -35,16 +35,16 @@
     }
 }
 
-private val resumeInt = Resume<Int>()
-private val resumeChannel = Resume<AsynchronousSocketChannel>()
-private val resumeVoid = Resume<Void?>()
+private val resumeWithCount = ResumeHandler<Int>()
+private val resumeWithChannel = ResumeHandler<AsynchronousSocketChannel>()
+private val resumeConnected = ResumeHandler<Void?>()
 
 private suspend fun AsynchronousServerSocketChannel.acceptNext(): AsynchronousSocketChannel =
     suspendCancellableCoroutine {
-        accept(it, resumeChannel)
+        accept(it, resumeWithChannel)
     }
 
-/** Listens on [address] at once (throws when it is taken). */
+/** Listens on [address] (HOST:PORT) at once; throws [IOException] when it is taken. */
 internal fun listenOn(
     address: String,
     group: AsynchronousChannelGroup,
@@ -54,7 +54,9 @@
         bind(parseAddress(address), HttpTuning.ACCEPT_BACKLOG)
     }
 
-/** The next connection, however long it takes: a failure is logged and waited out. */
+/**
+ * The next connection, however long it takes: a failure, as when sockets run out, is logged to [log] and waited out.
+ */
 internal suspend fun AsynchronousServerSocketChannel.acceptPatiently(log: Logger): AsynchronousSocketChannel {
     while (true) {
         try {
@@ -66,23 +68,29 @@
     }
 }
 
+/** Connects; throws [IOException] when that fails. A cancelled wait closes the channel, as for all calls below. */
 internal suspend fun AsynchronousSocketChannel.connectTo(address: InetSocketAddress) {
     suspendCancellableCoroutine<Void?> {
         it.invokeOnCancellation { closeQuietly() }
-        connect(address, it, resumeVoid)
+        connect(address, it, resumeConnected)
     }
 }
 
-/** [timeoutMs] 0: none. Each time-out costs a timer: where many connections wait, one look bounds them all. */
+/**
+ * Reads what is there, at least a byte, into [buffer]; returns the count of bytes, or -1 at the end. Throws
+ * [IOException] after [timeoutMs]; 0: never. Each time-out costs a timer: where many connections wait, one look bounds
+ * them all.
+ */
 internal suspend fun AsynchronousSocketChannel.readSome(
     buffer: ByteBuffer,
     timeoutMs: Long = 0,
 ): Int =
     suspendCancellableCoroutine {
         it.invokeOnCancellation { closeQuietly() }
-        read(buffer, timeoutMs, TimeUnit.MILLISECONDS, it, resumeInt)
+        read(buffer, timeoutMs, TimeUnit.MILLISECONDS, it, resumeWithCount)
     }
 
+/** Writes all of [buffer]; throws [IOException] when one write stalls for [timeoutMs]. */
 internal suspend fun AsynchronousSocketChannel.writeAll(
     buffer: ByteBuffer,
     timeoutMs: Long,
@@ -90,11 +98,12 @@
     while (buffer.hasRemaining()) {
         suspendCancellableCoroutine<Int> {
             it.invokeOnCancellation { closeQuietly() }
-            write(buffer, timeoutMs, TimeUnit.MILLISECONDS, it, resumeInt)
+            write(buffer, timeoutMs, TimeUnit.MILLISECONDS, it, resumeWithCount)
         }
     }
 }
 
+/** Closes; a failure of that is of no use to anybody. */
 internal fun AutoCloseable.closeQuietly() {
     try {
         close()
@@ -103,5 +112,6 @@
     }
 }
 
+/** The address HOST:PORT; throws [IllegalArgumentException] when it is none. Resolves names, which may take a while. */
 internal fun parseAddress(text: String): InetSocketAddress =
     InetSocketAddress(text.substringBeforeLast(':'), text.substringAfterLast(':').toInt())
--- a/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
+++ b/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
@@ -3,13 +3,22 @@
 import ledgearch.config.OutsideAddresses
 import ledgearch.http.Reply
 
-/** Measures all calls that the owner makes. */
+/** Counts and times all calls that the owner makes through [inner], by whom they go to. */
 internal class MeteredTransport(
     private val inner: Transport,
     private val outside: OutsideAddresses,
     private val metrics: Metrics,
     private val clock: Clock,
 ) : Transport {
+    /** Whom a call goes to; [label] is its kind of exchange in [Metrics]. */
+    private enum class Peer(
+        val label: String,
+    ) {
+        CLOUD("cloud"),
+        STATE("state"),
+        WORKER("worker"),
+    }
+
     override fun call(
         address: String,
         method: String,
@@ -18,21 +27,22 @@
         timeoutMs: Long,
         done: (Reply) -> Unit,
     ) {
-        val what =
-            when {
-                address == outside.cloud -> "cloud"
-
-                address != outside.state -> "worker"
-
-                // A watch is answered when something changes: how long that took says nothing.
-                target.startsWith("/changes") -> return inner.call(address, method, target, body, timeoutMs, done)
-
-                else -> "state"
-            }
+        val peer = peerAt(address)
+        if (peer == Peer.STATE && isWatch(target)) return inner.call(address, method, target, body, timeoutMs, done)
         val startedAt = clock.steadyMs
         inner.call(address, method, target, body, timeoutMs) { reply ->
-            metrics.answered(what, reply.status, startedAt)
+            metrics.answered(peer.label, reply.status, startedAt)
             done(reply)
         }
     }
+
+    private fun peerAt(address: String): Peer =
+        when (address) {
+            outside.cloud -> Peer.CLOUD
+            outside.state -> Peer.STATE
+            else -> Peer.WORKER
+        }
+
+    /** A watch is answered when something changes: how long that took says nothing. */
+    private fun isWatch(target: String): Boolean = target.startsWith("/changes")
 }
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -4,12 +4,33 @@
 import kotlinx.serialization.Serializable
 import org.HdrHistogram.IntCountsHistogram
 
-/** Counters, latencies and where the owner's time goes since the process began, as `GET /metrics` shows them. */
+/**
+ * Counters, latencies and where the owner's time goes since the process began, as `GET /metrics` shows them. Operators
+ * read the labels, so these stay as they are:
+ *
+ * - kinds of exchange ([answered]), each with latencies and a counter `KIND.STATUS` (status 0: no answer): requests
+ *   that came in, by what they ask for (`submit`, `poll`, `withdraw`, `checkin` for heartbeats), and calls of the
+ *   owner, by whom they went to (`state`, `cloud`, `worker`);
+ * - events ([count]): `task.started`, `task.preempted`, `task.lost`, `task.exited.CAUSE`, `machine.joined`,
+ *   `machine.gone`;
+ * - kinds of the owner's work ([spend]), such as `reports` (heartbeats), `requests` (of users), `answers` (replies to
+ *   its own calls), `state` (calls to the state service) and `placement`; one kind may be a part of another.
+ *
+ * Used by the owner only. [nanos] is a steady clock in nanoseconds.
+ */
 internal class Metrics(
     private val clock: Clock,
     private val nanos: () -> Long,
 ) {
+    /** Nanoseconds by the kind of work. */
     private val spent = LinkedHashMap<String, Long>()
+    private val counters = LinkedHashMap<String, Long>()
+
+    /** ms, by the kind of exchange. */
+    private val latencies = LinkedHashMap<String, IntCountsHistogram>()
+    private val batchesUs = histogram(RuntimeTuning.LONGEST_BATCH_US)
+    private val queueLengths = histogram(RuntimeTuning.QUEUE.toLong())
+    private val tickGapsMs = histogram(RuntimeTuning.LONGEST_EXCHANGE_MS)
 
     /** Does [work] and counts its time as spent on [what]. */
     inline fun <T> spend(
@@ -32,9 +53,7 @@
     /** Milliseconds spent on each kind of work. */
     fun spentMs(): Map<String, Long> = spent.mapValues { it.value / NANOS_PER_MS }
 
-    private val counters = LinkedHashMap<String, Long>()
-    private val latencies = LinkedHashMap<String, IntCountsHistogram>()
-
+    /** The event [what] has happened [by] times more. */
     fun count(
         what: String,
         by: Long = 1,
@@ -49,62 +68,53 @@
         startedAt: Long,
     ) {
         count("$what.$status")
-        latencies
-            .getOrPut(what) {
-                IntCountsHistogram(LONGEST_MS, DIGITS)
-            }.recordValue((clock.steadyMs - startedAt).coerceIn(0, LONGEST_MS))
+        val latencyMs = (clock.steadyMs - startedAt).coerceIn(0, RuntimeTuning.LONGEST_EXCHANGE_MS)
+        latencies.getOrPut(what) { histogram(RuntimeTuning.LONGEST_EXCHANGE_MS) }.recordValue(latencyMs)
     }
 
-    private val batches = IntCountsHistogram(LONGEST_US, DIGITS)
-    private val queue = IntCountsHistogram(RuntimeTuning.QUEUE.toLong(), DIGITS)
-    private val gaps = IntCountsHistogram(LONGEST_MS, DIGITS)
-
-    /** The owner worked off a batch in [micros] and left [waiting] commands in its queue. */
+    /** The owner handled a batch in [micros] (microseconds) and left [waiting] commands in its queue. */
     fun worked(
         micros: Long,
         waiting: Int,
     ) {
-        batches.recordValue(micros.coerceIn(0, LONGEST_US))
-        queue.recordValue(waiting.toLong().coerceIn(0, RuntimeTuning.QUEUE.toLong()))
+        batchesUs.recordValue(micros.coerceIn(0, RuntimeTuning.LONGEST_BATCH_US))
+        queueLengths.recordValue(waiting.toLong().coerceIn(0, RuntimeTuning.QUEUE.toLong()))
     }
 
     /** A tick came [gapMs] after the one before. */
-    fun ticked(gapMs: Long) = gaps.recordValue(gapMs.coerceIn(0, LONGEST_MS))
+    fun ticked(gapMs: Long) = tickGapsMs.recordValue(gapMs.coerceIn(0, RuntimeTuning.LONGEST_EXCHANGE_MS))
 
     /** How the owner keeps up, since the process began. */
-    fun ownerLoad() = OwnerLoad(summary(batches), summary(queue), summary(gaps), spentMs())
+    fun ownerLoad() = OwnerLoad(summary(batchesUs), summary(queueLengths), summary(tickGapsMs), spentMs())
 
+    /** Counts of events and of answers, by their labels in alphabetical order. */
     fun counters(): Map<String, Long> = counters.toSortedMap()
 
     /** Latencies (ms) by the kind of exchange. */
     fun latencies(): Map<String, Summary> = latencies.toSortedMap().mapValues { (_, histogram) -> summary(histogram) }
 
-    private fun summary(h: IntCountsHistogram) =
+    private fun histogram(highest: Long) = IntCountsHistogram(highest, RuntimeTuning.HISTOGRAM_DIGITS)
+
+    private fun summary(histogram: IntCountsHistogram) =
         Summary(
-            h.totalCount,
-            h.getValueAtPercentile(50.0),
-            h.getValueAtPercentile(90.0),
-            h.getValueAtPercentile(99.0),
-            h.maxValue,
+            count = histogram.totalCount,
+            p50 = histogram.getValueAtPercentile(MEDIAN),
+            p90 = histogram.getValueAtPercentile(PERCENTILE_90),
+            p99 = histogram.getValueAtPercentile(PERCENTILE_99),
+            max = histogram.maxValue,
         )
 
     companion object {
         const val NANOS_PER_MS = 1_000_000L
-
-        /** ms. Longer than any request is waited for. */
-        private const val LONGEST_MS = 60_000L
-
-        /** Microseconds. A batch that takes longer has stopped the service. */
-        private const val LONGEST_US = 60_000_000L
-
-        /** Digits kept of a latency: 1%. */
-        private const val DIGITS = 2
+        private const val MEDIAN = 50.0
+        private const val PERCENTILE_90 = 90.0
+        private const val PERCENTILE_99 = 99.0
     }
 }
 
 /**
- * How the owner keeps up: time of a batch, commands left waiting after it, time between two ticks, and what its time
- * went to.
+ * How the owner keeps up: microseconds that a batch takes, commands left waiting after it, milliseconds between two
+ * ticks, and those spent on each kind of work.
  */
 @Serializable
 internal data class OwnerLoad(
--- a/src/main/kotlin/ledgearch/runtime/Transport.kt
+++ b/src/main/kotlin/ledgearch/runtime/Transport.kt
@@ -2,8 +2,12 @@
 
 import ledgearch.http.Reply
 
-/** The owner's way out: every effect is a call whose answer comes back as a command, run by the owner. */
+/** How the owner reaches others: every effect is a call whose reply comes back as a command, run by the owner. */
 internal interface Transport {
+    /**
+     * Calls [address] (HOST:PORT) and returns at once; never throws. [target] is the path with its query. [done] gets
+     * the reply, or [Reply.NONE] when none came within [timeoutMs]; the owner runs it, once.
+     */
     fun call(
         address: String,
         method: String,
@@ -13,12 +17,3 @@
         done: (Reply) -> Unit,
     )
 }
-
-/** Time as the owner sees it: set once for each batch of commands. */
-internal class Clock {
-    /** ms on the steady clock. */
-    var steadyMs = 0L
-
-    /** ms of the time of day. */
-    var wallMs = 0L
-}
