--- a/src/main/kotlin/ledgearch/cli/CommandLine.kt
+++ b/src/main/kotlin/ledgearch/cli/CommandLine.kt
@@ -52,8 +52,8 @@
         if (words.size > 1) return CliCommand.Unusable("unknown argument: ${words[1]}")
         return when (name) {
             "warm-up" -> CliCommand.WarmUp(operatorFile(parsed))
-            "serve" -> withSettings(name, parsed, CliCommand::Serve)
-            "check-config" -> withSettings(name, parsed, CliCommand::CheckConfig)
+            "serve" -> settingsFiles(parsed)?.let { CliCommand.Serve(it) } ?: withoutConfig(name)
+            "check-config" -> settingsFiles(parsed)?.let { CliCommand.CheckConfig(it) } ?: withoutConfig(name)
             else -> CliCommand.Unusable("unknown command: $name")
         }
     }
@@ -63,15 +63,13 @@
         return CliCommand.Status(addresses)
     }
 
-    private fun withSettings(
-        name: String,
-        parsed: ParsedArguments,
-        command: (SettingsFiles) -> CliCommand,
-    ): CliCommand {
-        val platform = parsed.getOptionValue(CONFIG) ?: return CliCommand.Unusable("$name needs --config FILE")
-        return command(SettingsFiles(Path.of(platform), operatorFile(parsed)))
+    private fun settingsFiles(parsed: ParsedArguments): SettingsFiles? {
+        val platform = parsed.getOptionValue(CONFIG) ?: return null
+        return SettingsFiles(Path.of(platform), operatorFile(parsed))
     }
 
+    private fun withoutConfig(name: String): CliCommand = CliCommand.Unusable("$name needs --config FILE")
+
     private fun operatorFile(parsed: ParsedArguments): Path? = parsed.getOptionValue(OPERATOR)?.let(Path::of)
 
     private fun fileOption(name: String): Option =
--- a/src/main/kotlin/ledgearch/cli/Main.kt
+++ b/src/main/kotlin/ledgearch/cli/Main.kt
@@ -10,7 +10,6 @@
 import ledgearch.http.EventLoop
 import ledgearch.http.HttpClient
 import java.io.IOException
-import java.nio.file.Path
 import kotlin.system.exitProcess
 
 /** Carries out the command line; `serve` returns while the threads of the controller go on. */
@@ -25,10 +24,10 @@
     when (command) {
         CliCommand.Help -> printText(CommandLine.USAGE)
         CliCommand.ShowVersion -> printText("ledgearch ${Version.text}")
+        is CliCommand.Serve -> serve(command.files)
+        is CliCommand.CheckConfig -> checkConfig(command.files)
         is CliCommand.Status -> status(command.addresses)
         is CliCommand.WarmUp -> warmUp(command.operatorFile)
-        is CliCommand.CheckConfig -> withSettings(command.files, ::checkConfig)
-        is CliCommand.Serve -> withSettings(command.files, ::serve)
         is CliCommand.Unusable -> wrongUsage(command.problem)
     }
 
@@ -37,42 +36,40 @@
     return ExitCodes.OK
 }
 
-private fun withSettings(
-    files: SettingsFiles,
-    command: (Settings) -> Int?,
-): Int? {
-    val settings =
-        try {
-            loadSettings(files.platform, files.operator)
-        } catch (e: SettingsException) {
-            printProblem(e.message.orEmpty())
-            return ExitCodes.SETTINGS
-        }
-    SettingsLoader.warnings(settings).forEach { printProblem("warning: $it") }
-    return command(settings)
+private fun serve(files: SettingsFiles): Int? {
+    val settings = loadAndReport(files) ?: return ExitCodes.SETTINGS
+    return try {
+        Daemon(settings).start()
+        null
+    } catch (e: IOException) {
+        printProblem("cannot listen on ${settings.listen}: ${e.message}")
+        ExitCodes.ADDRESS
+    }
 }
 
-/** The platform's settings with those of operators, where there is such a file; throws [SettingsException]. */
-internal fun loadSettings(
-    platformFile: Path,
-    operatorFile: Path?,
-): Settings {
-    val platform = SettingsLoader.load(platformFile)
-    if (operatorFile == null) return platform
-    return platform.copy(operator = OperatorLoader.load(operatorFile))
+private fun checkConfig(files: SettingsFiles): Int {
+    val settings = loadAndReport(files) ?: return ExitCodes.SETTINGS
+    return printText(SettingsLoader.print(settings))
 }
 
-private fun checkConfig(settings: Settings): Int = printText(SettingsLoader.print(settings))
-
-private fun serve(settings: Settings): Int? =
+/** The settings, with warnings about them printed; null when they can't be used, which is printed, too. */
+private fun loadAndReport(files: SettingsFiles): Settings? =
     try {
-        Daemon(settings).start()
+        val settings = loadSettings(files)
+        SettingsLoader.warnings(settings).forEach { printProblem("warning: $it") }
+        settings
+    } catch (e: SettingsException) {
+        printProblem(e.message.orEmpty())
         null
-    } catch (e: IOException) {
-        printProblem("cannot listen on ${settings.listen}: ${e.message}")
-        ExitCodes.ADDRESS
     }
 
+/** The platform's settings with those of operators, where there is such a file; throws [SettingsException]. */
+internal fun loadSettings(files: SettingsFiles): Settings {
+    val platform = SettingsLoader.load(files.platform)
+    if (files.operator == null) return platform
+    return platform.copy(operator = OperatorLoader.load(files.operator))
+}
+
 private fun status(addresses: List<String>): Int {
     val loop = EventLoop("ledgearch-status")
     val reader = StatusReader(HttpClient(loop.group))
--- a/src/main/kotlin/ledgearch/cli/WarmUp.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUp.kt
@@ -14,13 +14,25 @@
     val file = Files.createTempFile("ledgearch", ".json")
     try {
         Files.writeString(file, warmUpSettings())
-        WarmUpServices(loadSettings(file, operatorFile)).run()
+        WarmUpServices(loadSettings(filesOf(serveArguments(file, operatorFile)))).run()
     } finally {
         Files.deleteIfExists(file)
     }
     return ExitCodes.OK
 }
 
+private fun serveArguments(
+    file: Path,
+    operatorFile: Path?,
+): Array<String> {
+    val arguments = arrayOf("serve", "--config", file.toString())
+    if (operatorFile == null) return arguments
+    return arguments + arrayOf("--operator", operatorFile.toString())
+}
+
+/** Read from a command line as that of a controller, so that reading it is recorded. */
+private fun filesOf(arguments: Array<String>): SettingsFiles = (CommandLine.parse(arguments) as CliCommand.Serve).files
+
 /** Every group of the platform's file, so that reading each is recorded. */
 private fun warmUpSettings(): String {
     val listen = freeAddress()
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -33,7 +33,7 @@
 /**
  * The least of a cloud, a state service, a worker and a user that makes a starting controller do once what it does
  * after a restart: it reads stored jobs and a machine, becomes leader, confirms the machine, starts tasks and sees
- * them end. The bodies are texts, not serialized types: those types would only add to what the archive records.
+ * them end. Most bodies are texts: to serialize types that a controller only reads would add to what is recorded.
  */
 internal class WarmUpServices(
     private val settings: Settings,
@@ -163,11 +163,11 @@
     private suspend fun cloudOrWorker(request: Request): Response =
         when (request.path) {
             "/catalog" -> Response(HttpStatus.OK, """{"racks":[$MACHINE_TYPE]}""")
-            "/orders" -> obey(request)
+            "/orders" -> commandResponse(request)
             else -> Response(HttpStatus.OK, """{"stoves":[$LISTED_MACHINE],"hasNext":false}""")
         }
 
-    private fun obey(request: Request): Response {
+    private fun commandResponse(request: Request): Response {
         val decoded = WireJson.decodeFromString(CommandRequest.serializer(), request.body)
         carryOut(decoded.token, decoded.commands)
         return Response(HttpStatus.OK, heartbeat())
@@ -191,6 +191,7 @@
     }
 
     private companion object {
+        /** Those of one controller to one stand-in. */
         const val MOST_CONNECTIONS = 10
 
         /** Enough for each kind of exchange to be made more than once. */
--- a/src/main/kotlin/ledgearch/config/JsonProblem.kt
+++ b/src/main/kotlin/ledgearch/config/JsonProblem.kt
@@ -21,16 +21,18 @@
     private val text: String,
     private val descriptor: SerialDescriptor,
 ) {
-    /** The field and what is allowed, for the exception [e] that parsing has thrown. */
-    fun describe(e: SerializationException): String {
+    /** The field and what is allowed, for the [parseError] of the whole file. */
+    fun describe(parseError: SerializationException): String {
         val file =
             try {
                 Json.parseToJsonElement(text)
             } catch (syntaxError: SerializationException) {
                 return describeSyntax(syntaxError.message.orEmpty())
             }
-        val field = FieldPath.parse(e.message.orEmpty().substringAfterLast(PATH_MARK, ""))
-        if (e is MissingFieldException) return "${e.missingFields.joinToString { field.child(it) }}: missing"
+        val field = FieldPath.parse(parseError.message.orEmpty().substringAfterLast(PATH_MARK, ""))
+        if (parseError is MissingFieldException) {
+            return "${parseError.missingFields.joinToString { field.child(it) }}: missing"
+        }
         return "$field: ${allowed(field.descriptorIn(descriptor), field.valueIn(file))}"
     }
 
--- a/src/main/kotlin/ledgearch/config/OperatorSettings.kt
+++ b/src/main/kotlin/ledgearch/config/OperatorSettings.kt
@@ -10,7 +10,7 @@
 data class OperatorSettings(
     /** Spot machines may be rented for jobs that allow them. */
     val spot: Boolean = true,
-    /** Machines of the block beyond which none is rented. */
+    /** Machines beyond which none is rented. */
     val maxMachines: Int = ConfigTuning.MAX_MACHINES,
     /** Standard deviations of what a boot time brings that are kept free beyond what is expected. */
     val reserveDeviations: Double = ConfigTuning.RESERVE_DEVIATIONS,
