--- a/src/main/kotlin/ledgearch/agents/AgentClient.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentClient.kt
@@ -42,7 +42,7 @@
         done: (Heartbeat?) -> Unit,
     ) {
         val sentIn = term
-        val request = CommandRequest(election.token, machine.incarnationToName, commands)
+        val request = CommandRequest(election.token, machine.commandIncarnation, commands)
         val body = WireJson.encodeToString(CommandRequest.serializer(), request)
         val incarnation = machine.incarnation
         val sequence = machine.sequence
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -81,7 +81,7 @@
      */
     private fun releaseUnreachable() {
         val candidates = dispatcher.unreachableMachines.filter(::isUnreachableForLong)
-        val mostUnreachable = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MOST
+        val mostUnreachable = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MAJORITY_SHARE
         for (machine in candidates) {
             val unreachableMs = clock.steadyMs - machine.unreachableSince
             // Where most are, it may be this node, for a time.
@@ -105,7 +105,8 @@
         val active = machines.values.filter { !it.releasing }
         if (stepsDown(active)) return
         val contacts by lazy(LazyThreadSafetyMode.NONE) { LastContacts(active) }
-        val mostAnswerOnlyCommands = active.count { answersOnlyCommands(it) } > active.size * RecoveryTuning.MOST
+        val mostAnswerOnlyCommands =
+            active.count { answersOnlyCommands(it) } > active.size * RecoveryTuning.MAJORITY_SHARE
         for (machine in dispatcher.unreachableMachines) if (!machine.releasing) dispatcher.probe(machine)
         for (machine in machines.values.toList()) {
             if (!silence.isOverdue(machine)) {
@@ -182,7 +183,7 @@
         contacts: LastContacts,
     ): Boolean {
         val due = machine.lastHeardAt + dueMs
-        return contacts.times.countAfter(due) > contacts.times.size * RecoveryTuning.MOST &&
+        return contacts.times.countAfter(due) > contacts.times.size * RecoveryTuning.MAJORITY_SHARE &&
             contacts.isAnyAfter(due, machine.zone)
     }
 
--- a/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
+++ b/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
@@ -6,7 +6,7 @@
 
 /**
  * For how many intervals machines have sent no heartbeat. Silence counts only while no heartbeat may wait here unread,
- * from the grant on, and from the time at which a zone was received again.
+ * from the election on, and from the time at which a zone was received again.
  */
 internal class HeartbeatSilence(
     /** ms between two heartbeats of an agent. */
--- a/src/main/kotlin/ledgearch/agents/MachineReleases.kt
+++ b/src/main/kotlin/ledgearch/agents/MachineReleases.kt
@@ -8,7 +8,7 @@
 
 /** Gives up machines that were found failed: the loss is counted and the cloud told to take the machine back. */
 internal class MachineReleases(
-    private val fleet: Autoscaler,
+    private val autoscaler: Autoscaler,
     private val reliability: Reliability,
     private val recovery: ZoneRecovery?,
     private val clock: Clock,
@@ -17,6 +17,6 @@
     fun release(machine: Machine) {
         reliability.lost(machine, clock.steadyMs)
         recovery?.machineFailed(machine)
-        fleet.release(machine)
+        autoscaler.release(machine)
     }
 }
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -24,7 +24,7 @@
         if (inherited.none(::isUnconfirmed)) return emptyList()
         val confirmed = inherited.count { it.confirmed }
         if (!receivesEnough(confirmed, inherited.size)) return emptyList()
-        val mostConfirmed = confirmed > inherited.size * RecoveryTuning.MOST
+        val mostConfirmed = confirmed > inherited.size * RecoveryTuning.MAJORITY_SHARE
         val others = ConfirmedHeartbeats(inherited)
         return inherited.filter { isUnconfirmed(it) && isMissing(it, others, mostConfirmed) }
     }
@@ -53,7 +53,7 @@
         others: ConfirmedHeartbeats,
     ): Boolean {
         if (machine.probesUnanswered < AgentTuning.PROBES) return false
-        if (machine.sequenceFirstSeenAt > machine.unansweredSince) return false
+        if (machine.heartbeatFirstSeenAt > machine.unansweredSince) return false
         return others.areMostSentAfter(machine.unansweredSince)
     }
 
@@ -64,7 +64,7 @@
     private fun receivesEnough(
         confirmed: Int,
         all: Int,
-    ) = confirmed > all * RecoveryTuning.MOST ||
+    ) = confirmed > all * RecoveryTuning.MAJORITY_SHARE ||
         (
             confirmed > all * AgentTuning.RECEIVED_SHARE &&
                 stalls.attentiveMsSince(election.electedAt) > heartbeatWithinMs
@@ -80,7 +80,9 @@
             OrderedTimes(inherited.filter { it.confirmed }.map { it.heartbeatSentAfter })
         }
 
-        /** More than [RecoveryTuning.MOST] of all inherited machines, confirmed or not, sent one after [time]. */
-        fun areMostSentAfter(time: Long) = times.countAfter(time) > inherited.size * RecoveryTuning.MOST
+        /**
+         * More than [RecoveryTuning.MAJORITY_SHARE] of all inherited machines, confirmed or not, sent one after [time].
+         */
+        fun areMostSentAfter(time: Long) = times.countAfter(time) > inherited.size * RecoveryTuning.MAJORITY_SHARE
     }
 }
--- a/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
+++ b/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
@@ -94,7 +94,7 @@
     }
 
     private fun addPartitioned(zones: Map<String, ZoneCounts>) {
-        if (zones.values.none { it.received > it.machines * RecoveryTuning.MOST }) return
+        if (zones.values.none { it.received > it.machines * RecoveryTuning.MAJORITY_SHARE }) return
         for ((zone, counts) in zones) {
             if (!isPartitioned(counts) || partitionedSince.putIfAbsent(zone, clock.steadyMs) != null) continue
             log.warn(
@@ -107,7 +107,7 @@
     }
 
     private fun isPartitioned(counts: ZoneCounts) =
-        counts.machines >= RecoveryTuning.ZONE_MACHINES &&
+        counts.machines >= RecoveryTuning.MIN_ZONE_MACHINES &&
             counts.received < counts.machines * AgentTuning.RECEIVED_SHARE
 
     /** Something of the zone is received, or too little of it is left to tell for how long it will be cut off. */
@@ -115,11 +115,12 @@
         counts: ZoneCounts?,
         since: Long,
     ): Boolean {
-        if (counts == null || isTooSmall(counts)) return clock.steadyMs - since >= RecoveryTuning.CUT_ZONE_MS
+        if (counts == null || isTooSmall(counts)) return clock.steadyMs - since >= RecoveryTuning.ZONE_OUTAGE_GRACE_MS
         return counts.received >= counts.machines * AgentTuning.RECEIVED_SHARE
     }
 
-    private fun isTooSmall(counts: ZoneCounts) = counts.machines < RecoveryTuning.ZONE_MACHINES && counts.received == 0
+    private fun isTooSmall(counts: ZoneCounts) =
+        counts.machines < RecoveryTuning.MIN_ZONE_MACHINES && counts.received == 0
 
     /**
      * [machine] is silent with its whole zone, it is worth keeping until the zone is back, and not yet given up. That
@@ -131,7 +132,7 @@
     fun mayComeBack(machine: Machine): Boolean {
         if (reachableZones >= 2) return false
         val since = partitionedSince[machine.zone] ?: return false
-        if (clock.steadyMs - since >= RecoveryTuning.CUT_ZONE_MS) return false
+        if (clock.steadyMs - since >= RecoveryTuning.ZONE_OUTAGE_GRACE_MS) return false
         if (!machine.confirmed) return machine.zone in recentLeaderZones
         if (machine in kept) return true
         if (!hasTwoZoneReplica(machine)) return false
--- a/src/main/kotlin/ledgearch/agents/RecentLeaderZones.kt
+++ b/src/main/kotlin/ledgearch/agents/RecentLeaderZones.kt
@@ -9,9 +9,9 @@
     private val settings: Settings,
     private val jobStore: JobStore,
 ) {
-    /** Those of the leaders of the last [RecoveryTuning.CUT_ZONE_MS]. */
+    /** Those of the leaders of the last [RecoveryTuning.ZONE_OUTAGE_GRACE_MS]. */
     fun current(): Set<String> {
-        val leaders = jobStore.recentLeaders(settings.node, RecoveryTuning.CUT_ZONE_MS)
+        val leaders = jobStore.recentLeaders(settings.node, RecoveryTuning.ZONE_OUTAGE_GRACE_MS)
         return settings.members.filter { it.node in leaders }.mapTo(HashSet()) { it.area }
     }
 }
--- a/src/main/kotlin/ledgearch/agents/TaskFailures.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskFailures.kt
@@ -76,7 +76,7 @@
         )
         machine.quarantined = true
         // The next leader is to know it too: it would have to fail its own tasks there to find out.
-        recordWriter.bind(machine)
+        recordWriter.putMachine(machine)
     }
 
     private fun failedSeveralJobs(machine: Machine) = machine.errorJobs.size >= AgentTuning.QUARANTINE_FAILURES
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -47,7 +47,7 @@
         for (report in reports) {
             val known = machine.attempts.get(report.attempt)
             val attempt = known ?: adopt(machine, report)
-            attempt.listedAt = machine.sequence
+            attempt.lastListedSequence = machine.sequence
             update(attempt, report)
             // Its agent may be sending heartbeats to an earlier leader still, so it is told directly.
             if (known == null && attempt.stop != StopMode.NONE && !attempt.exited) dispatcher.enqueue(machine)
@@ -56,9 +56,9 @@
     }
 
     private fun endUnlisted(machine: Machine) {
-        if (machine.attempts.values.all { it.listedAt == machine.sequence }) return
+        if (machine.attempts.values.all { it.lastListedSequence == machine.sequence }) return
         for (attempt in machine.attempts.values.toList()) {
-            if (attempt.listedAt != machine.sequence && !mayStillStart(attempt)) gone(attempt)
+            if (attempt.lastListedSequence != machine.sequence && !mayStillStart(attempt)) gone(attempt)
         }
     }
 
@@ -119,7 +119,7 @@
         log.debug("attempt runs; task={} attempt={} machine={}", attempt.taskId, attempt.number, machine.name)
         val job = attempt.job ?: return
         machine.touchImage(job.spec.image, job.spec.imageGb)
-        // Hurried work is placed where its image is.
+        // Latency-sensitive work is placed where its image is.
         if (machine.fetched.add(job.spec.image)) listener.placementChanged()
     }
 
@@ -160,7 +160,7 @@
             estimates.ran(job, (clock.steadyMs - attempt.runningSince) / AgentTuning.MS_PER_SECOND)
         }
         job.finish(attempt.index)
-        if (!job.closed) recordWriter.progress(job)
+        if (!job.closed) recordWriter.writeFinishedTasks(job)
         if (job.complete) recordWriter.close(job, JobState.DONE)
     }
 
--- a/src/main/kotlin/ledgearch/api/Cancellations.kt
+++ b/src/main/kotlin/ledgearch/api/Cancellations.kt
@@ -68,7 +68,7 @@
             list.removeAll(::expired)
             if (list.isEmpty()) lists.remove()
         }
-        if (state.refuses) turnAwayMarked()
+        if (state.isRefused) turnAwayMarked()
     }
 
     /** Marks the jobs that are to be cancelled and are not marked yet. */
@@ -123,7 +123,7 @@
     ) {
         val id = record.spec.id
         if (clock.steadyMs < (markAgainAt[id] ?: Long.MIN_VALUE)) return
-        markAgainAt[id] = clock.steadyMs + StoreTuning.STATE_MS
+        markAgainAt[id] = clock.steadyMs + StoreTuning.REQUEST_TIMEOUT_MS
         val value = encodeRecord(JobRecord.serializer(), record.copy(cancelRequested = true))
         val condition = Condition(Keys.job(id), modRevision)
         val change = Change(put = Keys.job(id), value = value)
@@ -135,7 +135,7 @@
         result: TransactionResult,
     ) {
         // Once it is written, the watch brings the mark.
-        markAgainAt[id] = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+        markAgainAt[id] = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
         when (result) {
             // The user's next request tries again.
             TransactionResult.Refused, TransactionResult.TooLarge -> {
--- a/src/main/kotlin/ledgearch/api/DependencyKnowledge.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyKnowledge.kt
@@ -22,6 +22,6 @@
      */
     fun mayReportOpen(job: Job): Boolean {
         if (!job.waitsForOthers) return true
-        return !job.dependencyCancelled && isFresh && jobStore.dependencies.areKnown(job)
+        return !job.dependencyCancelled && isFresh && jobStore.dependencies.areDependenciesKnown(job)
     }
 }
--- a/src/main/kotlin/ledgearch/api/Polls.kt
+++ b/src/main/kotlin/ledgearch/api/Polls.kt
@@ -95,7 +95,7 @@
             }
 
             TransactionResult.Unknown -> {
-                retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+                retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
                 batch.polls.asReversed().forEach(waiting::addFirst)
             }
         }
--- a/src/main/kotlin/ledgearch/api/SubmissionQueue.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionQueue.kt
@@ -146,7 +146,7 @@
 
             // A repeat is harmless: if the first was committed, its condition fails and the job is found.
             TransactionResult.Unknown -> {
-                retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+                retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
             }
         }
     }
--- a/src/main/kotlin/ledgearch/api/UserApi.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -109,7 +109,7 @@
         fun kind(request: Request): String =
             when {
                 request.method == GET -> "poll"
-                request.path.endsWith("/$CANCEL_SEGMENT") -> "withdraw"
+                request.path.endsWith("/$CANCEL_SEGMENT") -> "cancel"
                 else -> "submit"
             }
     }
--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -49,7 +49,7 @@
     }
 
     /** The machine [name] is to be released or was. */
-    fun isReturned(name: String): Boolean = name in releases
+    fun isReleased(name: String): Boolean = name in releases
 
     /** [machine] has reported for the first time. */
     fun arrived(machine: Machine) {
@@ -61,7 +61,7 @@
     fun release(machine: Machine) = releases.add(machine)
 
     /** Machines that were provisioned and have not reported yet. */
-    fun rentedNotReported(): List<RentalHint> =
+    fun bootingMachines(): List<RentalHint> =
         booting.map { name, machine ->
             RentalHint(name, machine.pool.machineType.name, machine.pool.zone, machine.pool.spot)
         }
@@ -92,7 +92,7 @@
 
     private fun plan(cluster: Cluster) {
         bootTimeouts.releaseOverdue(cluster)
-        val freedPerSecond = cluster.estimates.freedASecond(jobStore.jobs.values)
+        val freedPerSecond = cluster.estimates.freedCpusPerSecond(jobStore.jobs.values)
         scaleIn.observeLoad(cluster)
         val demands = Demand.of(jobStore.jobs.values, cluster, clock)
         scaleIn.observeDemands(cluster, demands)
--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -89,6 +89,6 @@
     ): Boolean {
         if (!cluster.isCutOff(machine.pool.zone)) return false
         val since = unreportedSince[name] ?: return false
-        return clock.steadyMs - since < RecoveryTuning.CUT_ZONE_MS
+        return clock.steadyMs - since < RecoveryTuning.ZONE_OUTAGE_GRACE_MS
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/CatalogReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CatalogReader.kt
@@ -47,7 +47,7 @@
     private fun use(machineTypes: List<MachineType>) {
         val known = jobStore.machineTypes.keys
         val namesDiffer = known != machineTypes.mapTo(HashSet()) { it.name }
-        if (namesDiffer && election.isLeader) recordWriter.catalog(CatalogRecord(machineTypes))
+        if (namesDiffer && election.isLeader) recordWriter.writeCatalog(CatalogRecord(machineTypes))
         jobStore.setMachineTypes(machineTypes)
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -84,7 +84,7 @@
     ): Double {
         val need = expectedNeed(bootS) { true }
         if (need.cpus == 0.0) return 0.0
-        val freed = freedPerSecond * need.startWithinS * SchedulingTuning.CHURN_COUNTED
+        val freed = freedPerSecond * need.startWithinS * SchedulingTuning.FREED_SHARE_COUNTED
         return (need.cpus - freed).coerceAtLeast(0.0)
     }
 
@@ -92,7 +92,7 @@
      * Processors of on-demand machines that classes which may go nowhere else are likely to need within a boot time
      * ([bootS], seconds).
      */
-    fun ordinaryCpus(bootS: Double): Double = expectedNeed(bootS) { it.needsOnDemand }.cpus
+    fun onDemandCpus(bootS: Double): Double = expectedNeed(bootS) { it.needsOnDemand }.cpus
 
     /** The expected need of those classes that can't wait for a boot and are [counted], plus some deviations of it. */
     private fun expectedNeed(
--- a/src/main/kotlin/ledgearch/autoscaling/Provisioner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Provisioner.kt
@@ -66,7 +66,7 @@
         }
     }
 
-    /** The token is this grant's alone, so no other node and no later life of this one ever uses the key again. */
+    /** The token is this leadership's alone: no other node and no later process of this one ever uses the key again. */
     private fun request(
         pool: MachinePool,
         count: Int,
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
@@ -23,7 +23,7 @@
 
     /** The same as [freedPerSecond] by zone; only demands for a single zone ask for it. */
     private val freedPerSecondByZone by lazy(LazyThreadSafetyMode.NONE) {
-        cluster.estimates.freedASecondByZone(cluster.machines.values)
+        cluster.estimates.freedCpusPerSecondByZone(cluster.machines.values)
     }
 
     /** Processors of those freed soon that demands planned so far count on. */
@@ -62,7 +62,7 @@
         // Where only expensive machines are left to provision, all that frees before one could be up is counted on.
         val onlyExpensive = pools.isExpensive(demand.job, pools.cheapest(cluster, demand, planned))
         val withinS = if (onlyExpensive) bootS else cluster.headroom.startWithinS(demand.job, bootS)
-        val counted = if (onlyExpensive) 1.0 else SchedulingTuning.CHURN_COUNTED
+        val counted = if (onlyExpensive) 1.0 else SchedulingTuning.FREED_SHARE_COUNTED
         val freedThere = demand.onlyZone?.let { freedPerSecondByZone[it] ?: 0.0 } ?: freedPerSecond
         return freedThere * withinS * counted
     }
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -63,7 +63,7 @@
         scope.launch(loop.afterSockets) { OwnerLoop(queue, crash, ::handleBatch).run() }
         scope.launch { listenWhenReady(server) }
         scope.launch { tickForever() }
-        scope.launch { sweepForever(server) }
+        scope.launch { closeIdleForever(server) }
     }
 
     private fun newServer(): HttpServer =
@@ -108,10 +108,10 @@
         }
     }
 
-    private suspend fun sweepForever(server: HttpServer) {
+    private suspend fun closeIdleForever(server: HttpServer) {
         while (true) {
             delay(HttpTuning.POOLED_IDLE_MS / 2)
-            client.sweep()
+            client.closeIdle()
             log.debug(
                 "open sockets: {} incoming, {} outgoing, queued commands: {}",
                 server.open,
--- a/src/main/kotlin/ledgearch/cli/OwnerMeshEvents.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerMeshEvents.kt
@@ -9,7 +9,7 @@
 internal class OwnerMeshEvents(
     private val queue: OwnerQueue,
 ) : MeshEvents {
-    override suspend fun news(news: LeaderStatus) = queue.put(OwnerCommand.WatchEvent(news))
+    override suspend fun statusReceived(status: LeaderStatus) = queue.put(OwnerCommand.LeaderStatusReceived(status))
 
     override suspend fun standby(event: StandbyEvent) = queue.put(OwnerCommand.Standby(event))
 
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -183,7 +183,7 @@
 
     /** What the peers of the started controller hear of it matters to nobody. */
     private object NoEvents : MeshEvents {
-        override suspend fun news(news: LeaderStatus) = Unit
+        override suspend fun statusReceived(status: LeaderStatus) = Unit
 
         override suspend fun standby(event: StandbyEvent) = Unit
 
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -78,8 +78,8 @@
     ) {
         if (heartbeat.sequence <= machine.heartbeatSequence) return
         machine.heartbeatSequence = heartbeat.sequence
-        machine.heartbeatSentAfter = machine.sequenceFirstSeenAt
-        machine.sequenceFirstSeenAt = clock.steadyMs
+        machine.heartbeatSentAfter = machine.heartbeatFirstSeenAt
+        machine.heartbeatFirstSeenAt = clock.steadyMs
         if (current) {
             machine.lastHeardAt = clock.steadyMs
             machine.lastHeartbeatAt = clock.steadyMs
--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -29,7 +29,7 @@
     /** Bits of an attempt's number that count within a term; the token above them makes it unique for ever. */
     const val ATTEMPT_BITS = 28
 
-    /** Attempts. After these a new grant is needed: a fortnight at a hundred starts a second, half of what there is. */
+    /** Attempts. After these a new term is needed: a fortnight at a hundred starts a second, half of what there is. */
     const val ATTEMPTS_PER_TERM = 1L shl (ATTEMPT_BITS - 1)
 
     /** ms. An agent drops answers 4 s after its heartbeat was sent; some more, since clocks drift and batches wait. */
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -39,11 +39,11 @@
     /** Null unless the operators have switched it on. */
     val zoneRecovery: ZoneRecovery? get() = leader.recovery
 
-    /** ms from this leader's grant until every recorded machine was confirmed; null before, and on other nodes. */
+    /** ms from this leader's election until every recorded machine was confirmed; null before, and on other nodes. */
     val failoverMs: Long? get() = leader.failoverMs
 
     /** The state service has been read: callers need not be turned away. */
-    val isReady: Boolean get() = jobStore.loaded
+    val isReady: Boolean get() = jobStore.isLoaded
 
     /**
      * One batch at [steadyMs] on the steady clock and [wallMs] of the time of day: all [commands] in their order, then
@@ -60,8 +60,8 @@
         for (command in commands) guarded { carryOut(command) }
         guarded { jobStore.drive() }
         guarded { election.drive() }
-        guarded { components.fleet.driveCatalog(election.isLeader) }
-        guarded { metrics.spend("intake") { components.userApi.drive() } }
+        guarded { components.autoscaler.driveCatalog(election.isLeader) }
+        guarded { metrics.spend("api") { components.userApi.drive() } }
         guarded { leader.drive() }
         guarded { components.progress.drive() }
         if (standby != null) guarded { metrics.spend("standby") { standby.drive(election.isLeader && leader.ready) } }
@@ -73,7 +73,7 @@
         when (command) {
             is OwnerCommand.Serve -> components.router.handle(command.request, command.respond)
             is OwnerCommand.Answered -> metrics.spend("answers") { command.done(command.reply) }
-            is OwnerCommand.WatchEvent -> components.progress.received(command.news)
+            is OwnerCommand.LeaderStatusReceived -> components.progress.received(command.status)
             is OwnerCommand.Standby -> standby?.handle(command.event, components.leaderAddress)
             is OwnerCommand.PeerRefused -> components.nodeAt(command.address)?.let { election.challenge(it) }
             is OwnerCommand.Tick -> stalls.ticked(command.queuedAt)
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -63,10 +63,10 @@
     val stalls = StallCompensation(clock, metrics)
 
     /** Rents and returns machines on the leader; reads the catalog on every node. */
-    val fleet: Autoscaler = Autoscaler(settings, metered, election, jobStore, clock, stalls, recordWriter)
+    val autoscaler: Autoscaler = Autoscaler(settings, metered, election, jobStore, clock, stalls, recordWriter)
 
     /** Serves the machines while this node leads. */
-    val leader = Leader(settings, state, metered, election, jobStore, clock, recordWriter, fleet, metrics, stalls)
+    val leader = Leader(settings, state, metered, election, jobStore, clock, recordWriter, autoscaler, metrics, stalls)
 
     /** Answers the users' requests about jobs. */
     val userApi = UserApi(settings, jobStore, state, LeadershipEvents(), clock)
@@ -101,7 +101,8 @@
 
     private fun warmStandby(): WarmStandby? {
         if (!settings.operator.standby.enabled) return null
-        val snapshot = LeaderSnapshot(leader.machines, leader.estimates, jobStore, fleet, StandbyTuning.REPLICA_BYTES)
+        val snapshot =
+            LeaderSnapshot(leader.machines, leader.estimates, jobStore, autoscaler, StandbyTuning.REPLICA_BYTES)
         return WarmStandby(settings.node, mesh, clock, settings.deployment.quota.cpu, snapshot)
     }
 
--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -18,7 +18,7 @@
     private val election: Election,
     private val clock: Clock,
     private val estimates: Estimates,
-    private val fleet: Autoscaler,
+    private val autoscaler: Autoscaler,
     private val placement: PlacementLoop,
 ) : RecordLoaderListener {
     private val log = LoggerFactory.getLogger("ledgearch.control")
@@ -43,14 +43,14 @@
 
     /** Reads on, until [ready]. */
     fun drive() {
-        // Jobs accepted before the grant are in the job store once the watch has passed the grant.
+        // Jobs accepted before the election are in the job store once the watch has passed the leadership record.
         if (jobStore.revision < term.firstToken) return
         loader.drive(this)
     }
 
     override fun machineRestored(machine: Machine) {
         registry.join(machine)
-        hints?.recordRead(machine, clock)
+        hints?.applyTo(machine, clock)
     }
 
     override fun allRecordsLoaded() {
@@ -68,7 +68,7 @@
     private fun applyHints() {
         val used = hints ?: return
         hints = null
-        used.takenOver(registry.machines, estimates, jobStore, fleet, clock)
+        used.applyAll(registry.machines, estimates, jobStore, autoscaler, clock)
         registry.setProbeOrder(used.inProbeOrder(registry.unconfirmed))
     }
 }
--- a/src/main/kotlin/ledgearch/control/HealthCheck.kt
+++ b/src/main/kotlin/ledgearch/control/HealthCheck.kt
@@ -24,8 +24,8 @@
      * and everyone else told at once when to come back.
      */
     fun isHealthy(): Boolean {
-        if (!jobStore.loaded || jobStore.machineTypes.isEmpty()) return false
-        return clock.steadyMs - state.lastAnswer < ControlTuning.STATE_SILENT_MS ||
+        if (!jobStore.isLoaded || jobStore.machineTypes.isEmpty()) return false
+        return clock.steadyMs - state.lastAnswerAt < ControlTuning.STATE_SILENT_MS ||
             clock.steadyMs - leaderUnservedAt < ControlTuning.OUTAGE_VALID_MS
     }
 }
--- a/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
@@ -42,7 +42,7 @@
     private val statusHandler: AgentStatusHandler,
     private val dispatcher: CommandDispatcher,
     private val election: Election,
-    private val fleet: Autoscaler,
+    private val autoscaler: Autoscaler,
     private val clock: Clock,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
@@ -91,7 +91,7 @@
     ): Boolean {
         if (heartbeat.incarnation != machine.incarnation) return heartbeat.incarnation < machine.incarnation
         if (heartbeat.sequence != machine.heartbeatSequence) return heartbeat.sequence < machine.heartbeatSequence
-        return clock.steadyMs - machine.sequenceFirstSeenAt > ControlTuning.ANSWER_AWAITED_MS
+        return clock.steadyMs - machine.heartbeatFirstSeenAt > ControlTuning.ANSWER_AWAITED_MS
     }
 
     /** The agent of [machine] has answered a direct command with [status]. */
@@ -111,6 +111,6 @@
     fun lostItsState(machine: Machine) {
         if (machine.releasing) return
         log.warn("machine released: its agent restarted without its state; machine={}", machine.name)
-        fleet.release(machine)
+        autoscaler.release(machine)
     }
 }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -40,7 +40,7 @@
 /**
  * The leader of the cluster: it alone binds tasks to machines. It begins and ends the leadership term, has its
  * collaborators work in a fixed order, and is what the autoscaler knows of the cluster. But for estimates nothing here
- * outlives the grant: a new leader learns what runs from the agents, after each has confirmed the new fencing token.
+ * outlives the term: a new leader learns what runs from the agents, after each has confirmed the new fencing token.
  */
 internal class Leader(
     settings: Settings,
@@ -50,7 +50,7 @@
     private val jobStore: JobStore,
     clock: Clock,
     private val recordWriter: RecordWriter,
-    private val fleet: Autoscaler,
+    private val autoscaler: Autoscaler,
     private val metrics: Metrics,
     stalls: StallCompensation,
 ) : Cluster {
@@ -85,13 +85,13 @@
         )
     override val replicas = ReplicaMover(clock, placer::usable) { attempts.stop(it) }
     private val placement =
-        PlacementLoop(jobStore, registry, placer, teams, reliability, headroom, fleet, clock, stalls, metrics)
+        PlacementLoop(jobStore, registry, placer, teams, reliability, headroom, autoscaler, clock, stalls, metrics)
     private val tasks =
         TaskStatusHandler(jobStore, machines, estimates, recordWriter, metrics, clock, dispatcher, TaskEvents())
 
     private val loader = RecordLoader(state, jobStore, recordWriter, teams, clock)
     private val failover =
-        Failover(term, loader, registry, jobStore, election, clock, estimates, fleet, placement)
+        Failover(term, loader, registry, jobStore, election, clock, estimates, autoscaler, placement)
     private val reconciliation =
         Reconciliation(term, registry, loader, dispatcher, jobStore, election, placement, recovery, clock)
 
@@ -112,11 +112,11 @@
             registry,
             loader,
             failover,
-            MachineAdmission(registry, jobStore, teams, fleet, clock, metrics),
+            MachineAdmission(registry, jobStore, teams, autoscaler, clock, metrics),
             statusHandler,
             dispatcher,
             election,
-            fleet,
+            autoscaler,
             clock,
         )
     private val partitionedZones = PartitionedZones(clock, RecentLeaderZones(settings, jobStore))
@@ -126,7 +126,7 @@
             machines,
             election,
             dispatcher,
-            MachineReleases(fleet, reliability, recovery, clock),
+            MachineReleases(autoscaler, reliability, recovery, clock),
             partitionedZones,
             recovery,
             statusHandler,
@@ -141,10 +141,12 @@
     /** The records are read: from here on machines are confirmed and tasks placed. */
     val ready: Boolean get() = failover.ready
 
-    /** ms from the grant until every recorded machine was confirmed; null before. */
+    /** ms from the election until every recorded machine was confirmed; null before. */
     val failoverMs: Long? get() = reconciliation.failoverMs
 
-    /** This node leads from the grant with [token] on; [failoverHints]: what a standby's replica suggests, if any. */
+    /**
+     * This node leads from the election with [token] on; [failoverHints]: what a standby's replica suggests, if any.
+     */
     fun begin(
         token: Long,
         failoverHints: FailoverHints? = null,
@@ -155,7 +157,7 @@
         jobs.begin()
         loader.begin()
         recovery?.begin()
-        state.share(leader = true)
+        state.setBudgetShare(leader = true)
     }
 
     /** This node no longer leads: all that belongs to the term is forgotten. */
@@ -173,8 +175,8 @@
         recordWriter.clear()
         recovery?.end()
         for (job in jobStore.jobs.values) job.forgetLeaderState()
-        fleet.end()
-        state.share(leader = false)
+        autoscaler.end()
+        state.setBudgetShare(leader = false)
     }
 
     /**
@@ -188,14 +190,14 @@
         if (term.attemptNumbersUsedUp) return election.stepDown("attempt numbers are used up")
         reconciliation.drive()
         jobs.closeCancelled()
-        metrics.spend("silence") { failureDetector.drive() }
+        metrics.spend("failure_detection") { failureDetector.drive() }
         // The failure detector steps down when this node receives next to no heartbeats.
         if (!election.isLeader) return
         placement.updateReliability()
         metrics.spend("placement") { placement.drive() }
-        metrics.spend("orders") { dispatcher.drive() }
-        metrics.spend("fleet") { fleet.drive(this) }
-        metrics.spend("journal") { recordWriter.drive() }
+        metrics.spend("commands") { dispatcher.drive() }
+        metrics.spend("autoscaling") { autoscaler.drive(this) }
+        metrics.spend("records") { recordWriter.drive() }
     }
 
     /** Applies [heartbeat] and returns what it is answered with. */
@@ -211,7 +213,7 @@
         registry.remove(machine)
         dispatcher.forget(machine)
         placer.machinesChanged(machine)
-        recordWriter.unbind(machine)
+        recordWriter.removeMachine(machine)
         placement.requestPass()
     }
 
--- a/src/main/kotlin/ledgearch/control/LeadershipTerm.kt
+++ b/src/main/kotlin/ledgearch/control/LeadershipTerm.kt
@@ -8,7 +8,7 @@
  */
 internal class LeadershipTerm {
     /**
-     * The token of the grant that began the term, or 0 when this node does not lead. An agent that has seen it no
+     * The token of the election that began the term, or 0 when this node does not lead. An agent that has seen it no
      * longer follows any earlier leader.
      */
     var firstToken = 0L
@@ -21,7 +21,7 @@
     /** A number used twice could be taken for an attempt that has been running for a long time. */
     val attemptNumbersUsedUp: Boolean get() = attemptsStarted > ControlTuning.ATTEMPTS_PER_TERM
 
-    /** This node leads from the grant with [token] on. */
+    /** This node leads from the election with [token] on. */
     fun begin(token: Long) {
         firstToken = token
         attemptsStarted = 0
@@ -35,6 +35,6 @@
     /** A number that no other attempt has in any term. */
     fun nextAttemptNumber(): Long = (firstToken shl ControlTuning.ATTEMPT_BITS) or ++attemptsStarted
 
-    /** [job] was last written after the grant. */
+    /** [job] was last written after the election. */
     fun isNewer(job: Job): Boolean = job.modRevision > firstToken
 }
--- a/src/main/kotlin/ledgearch/control/MachineAdmission.kt
+++ b/src/main/kotlin/ledgearch/control/MachineAdmission.kt
@@ -14,7 +14,7 @@
     private val registry: MachineRegistry,
     private val jobStore: JobStore,
     private val teams: TeamQuotas,
-    private val fleet: Autoscaler,
+    private val autoscaler: Autoscaler,
     private val clock: Clock,
     private val metrics: Metrics,
 ) {
@@ -23,7 +23,7 @@
     /** The machine that sent [heartbeat], or null when its type is unknown or it is being returned. */
     fun admit(heartbeat: Heartbeat): Machine? {
         val machineType = jobStore.machineTypes[heartbeat.machineType] ?: return null
-        if (fleet.isReturned(heartbeat.machine)) return null
+        if (autoscaler.isReleased(heartbeat.machine)) return null
         val machine =
             Machine(
                 heartbeat.machine,
@@ -37,7 +37,7 @@
         machine.lastAnsweredAt = clock.steadyMs
         metrics.count("machine.joined")
         registry.join(machine)
-        fleet.arrived(machine)
+        autoscaler.arrived(machine)
         log.info(
             "machine joined; machine={} type={} zone={} spot={}",
             machine.name,
--- a/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
+++ b/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
@@ -20,7 +20,7 @@
         machine.confirm()
         dispatcher.markReachable(machine)
         registry.confirmed(machine)
-        if (!machine.durable) recordWriter.bind(machine)
+        if (!machine.durable) recordWriter.putMachine(machine)
         placer.machinesChanged()
         machine.lastAnsweredAt = clock.steadyMs
         // It may have found the way back only now: its next heartbeat is due from here on.
--- a/src/main/kotlin/ledgearch/control/OwnerCommand.kt
+++ b/src/main/kotlin/ledgearch/control/OwnerCommand.kt
@@ -15,8 +15,8 @@
     ) : OwnerCommand
 
     /** The leader has published its status to this node. */
-    class WatchEvent(
-        val news: LeaderStatus,
+    class LeaderStatusReceived(
+        val status: LeaderStatus,
     ) : OwnerCommand
 
     /** Something has happened on a decision stream between the leader and a standby. */
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -18,7 +18,7 @@
     private val teams: TeamQuotas,
     private val reliability: Reliability,
     private val headroom: Headroom,
-    private val fleet: Autoscaler,
+    private val autoscaler: Autoscaler,
     private val clock: Clock,
     private val stalls: StallCompensation,
     private val metrics: Metrics,
@@ -62,11 +62,11 @@
     }
 
     private fun chooseSheltered() =
-        metrics.spend("shelter") {
-            reliability.shelter(
+        metrics.spend("reliability") {
+            reliability.chooseOnDemandJobs(
                 jobStore.jobs.values.filter { !it.waitsForOthers },
                 registry.machines.values,
-                headroom.ordinaryCpus(fleet.bootS()),
+                headroom.onDemandCpus(autoscaler.bootS()),
             )
         }
 }
--- a/src/main/kotlin/ledgearch/control/Reconciliation.kt
+++ b/src/main/kotlin/ledgearch/control/Reconciliation.kt
@@ -28,7 +28,7 @@
     /** Every recorded machine has confirmed the token or is gone. */
     private var complete = false
 
-    /** ms from the grant until every recorded machine was confirmed; null before. */
+    /** ms from the election until every recorded machine was confirmed; null before. */
     var failoverMs: Long? = null
         private set
 
@@ -54,7 +54,7 @@
 
     /** Whether no unconfirmed machine can have a task of [job], which has just been opened. */
     fun accountsFor(job: Job): Boolean {
-        // A job accepted after the grant can't have been learnt of by an earlier leader while it still led.
+        // A job accepted after the election can't have been learnt of by an earlier leader while it still led.
         // Of a cancelled one only the cancellation may be that new.
         return if (job.record.cancelRequested) complete else term.isNewer(job)
     }
--- a/src/main/kotlin/ledgearch/control/RecordLoader.kt
+++ b/src/main/kotlin/ledgearch/control/RecordLoader.kt
@@ -83,7 +83,7 @@
             reading = false
             when (result) {
                 is ReadResult.Found -> pageRead(page, result.value.pairs, result.value.hasNext, listener)
-                else -> retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+                else -> retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
             }
         }
     }
@@ -106,7 +106,7 @@
         listener: RecordLoaderListener,
     ) {
         val name = pair.key.removePrefix(prefix)
-        recordWriter.read(pair.key, pair.modRevision)
+        recordWriter.keyRead(pair.key, pair.modRevision)
         if (prefix == Keys.MACHINES) restoreMachines(name, pair, listener) else restoreFinishedTasks(name, pair)
     }
 
--- a/src/main/kotlin/ledgearch/control/RequestRouter.kt
+++ b/src/main/kotlin/ledgearch/control/RequestRouter.kt
@@ -26,7 +26,7 @@
         respond: Respond,
     ) {
         val isHeartbeat = request.path == HEARTBEAT_PATH
-        metrics.spend(if (isHeartbeat) "reports" else "requests") {
+        metrics.spend(if (isHeartbeat) "heartbeats" else "requests") {
             when (request.path) {
                 HEALTH_PATH -> respond(health())
                 HEARTBEAT_PATH -> heartbeat(request, respond)
@@ -48,7 +48,7 @@
         respond: Respond,
     ) {
         if (request.method == "POST") {
-            val respondMeasured = measured("checkin", respond)
+            val respondMeasured = measured("heartbeat", respond)
             respondMeasured(heartbeats.answer(request))
         } else {
             respond(errorResponse(HttpStatus.METHOD_NOT_ALLOWED, "use POST"))
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -98,7 +98,7 @@
     /** Does what is due: keeps the lease alive and confirms or claims the leadership. */
     fun drive() {
         lease.drive()
-        if (!jobStore.loaded || !lease.isOpen) return
+        if (!jobStore.isLoaded || !lease.isOpen) return
         if (held.isLeader) confirmation.drive() else claim.drive()
     }
 
--- a/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
@@ -47,7 +47,7 @@
             // Free, or left by an earlier process instance of this node, or by a claim whose answer was lost.
             claim(jobStore.leadershipRevision)
         } else if (isOwnRecord) {
-            claimAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+            claimAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
             writes.release(jobStore.leadershipRevision, recordsStepDown = false)
         }
     }
@@ -57,7 +57,7 @@
      * Should that leader live after all, it is deposed like any other; nothing unsafe can come of it.
      */
     fun challenge(leader: String) {
-        if (held.isLeader || requestOpen || !lease.isOpen || !jobStore.loaded) return
+        if (held.isLeader || requestOpen || !lease.isOpen || !jobStore.isLoaded) return
         if (jobStore.leadership?.node != leader || clock.steadyMs < standsBackUntil) return
         if (clock.steadyMs - challengedAt < ElectionTuning.CHALLENGE_MS) return
         challengedAt = clock.steadyMs
@@ -86,7 +86,7 @@
                 TransactionResult.Unknown,
                 -> {
                     val spreadMs = random.nextLong(ElectionTuning.ELECTION_SPREAD_MS)
-                    claimAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS + spreadMs
+                    claimAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS + spreadMs
                 }
             }
         }
--- a/src/main/kotlin/ledgearch/http/ConnectionPool.kt
+++ b/src/main/kotlin/ledgearch/http/ConnectionPool.kt
@@ -48,7 +48,7 @@
     }
 
     /** Closes connections that nobody used for [HttpTuning.POOLED_IDLE_MS]. */
-    fun sweep() {
+    fun closeIdle() {
         val nowMs = SteadyTime.nowMs()
         val queues = idle.values.iterator()
         while (queues.hasNext()) {
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -54,7 +54,7 @@
     }
 
     /** Closes connections that nobody used for a while. */
-    fun sweep() = pool.sweep()
+    fun closeIdle() = pool.closeIdle()
 
     private suspend fun send(
         connection: PooledConnection,
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -115,7 +115,7 @@
      * Each job that [job] waits for, directly or through others, is known to be open: none of them is over without
      * this node knowing.
      */
-    fun areKnown(job: Job): Boolean {
+    fun areDependenciesKnown(job: Job): Boolean {
         val toVisit = ArrayDeque(job.unfinishedDependencies)
         val visited = HashSet<String>()
         while (toVisit.isNotEmpty()) {
@@ -128,7 +128,7 @@
     }
 
     /** The job [id] is open here, and so is each that it waits for. */
-    fun isKnown(id: String): Boolean = openJobs[id]?.let(::areKnown) ?: false
+    fun isKnown(id: String): Boolean = openJobs[id]?.let(::areDependenciesKnown) ?: false
 
     /** The open jobs that name [job] as a dependency. */
     fun dependentsOf(job: Job): Collection<Job> = dependents[job.id].orEmpty()
--- a/src/main/kotlin/ledgearch/jobs/JobStore.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobStore.kt
@@ -61,7 +61,7 @@
         private set
 
     /** The view was filled by a listing; false until then, and again when the watch fell behind. */
-    var loaded = false
+    var isLoaded = false
         private set
 
     /** Every change made before this steady ms is in the view. */
@@ -110,7 +110,7 @@
         dependencies.drive()
         if (requestOpen || clock.steadyMs < retryAt) return
         requestOpen = true
-        if (loaded) watch() else listings.read(::listed)
+        if (isLoaded) watch() else listings.read(::listed)
     }
 
     private fun listed(result: ReadResult<Listing>) {
@@ -129,7 +129,7 @@
         }
         revision = listing.firstRevision
         completeAt = listing.askedAt
-        loaded = true
+        isLoaded = true
         retryAt = Long.MIN_VALUE
         log.info("read {} open jobs; revision={}", jobs.size, revision)
         drive()
@@ -156,7 +156,7 @@
 
                 ReadResult.Absent -> {
                     log.warn("the watch fell behind; reading all keys again")
-                    loaded = false
+                    isLoaded = false
                     retryAt = Long.MIN_VALUE
                     drive()
                 }
@@ -182,6 +182,6 @@
      */
     private fun requestEnded() {
         requestOpen = false
-        retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+        retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
     }
 }
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -108,7 +108,7 @@
 
     /**
      * No machine that the present leader has not confirmed can have a task of this job: it was accepted under
-     * the leader's own grant, or every recorded machine has been confirmed since.
+     * the leader's own leadership, or every recorded machine has been confirmed since.
      */
     var accountedFor = false
 
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -51,25 +51,27 @@
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
     }
 
-    // --- The worker's session and messages --------------------------------------------------------------------
+    // --- The worker's incarnation and messages --------------------------------------------------------------------
 
-    /** Number of the worker's present session; 0 before it was heard. */
+    /** Number of the worker's present incarnation; 0 before it was heard. */
     var incarnation = 0L
 
-    /** The session that a replica of the last leader's state names, or 0: a first guess, which the worker answers. */
+    /**
+     * The incarnation that a replica of the last leader's state names, or 0: a first guess, which the worker answers.
+     */
     var incarnationHint = 0L
 
-    /** The session that a command names: the one heard from the worker, or else the best guess. */
-    val incarnationToName: Long get() = if (incarnation != 0L) incarnation else maxOf(incarnationHint, 1L)
+    /** The incarnation that a command names: the one heard from the worker, or else the best guess. */
+    val commandIncarnation: Long get() = if (incarnation != 0L) incarnation else maxOf(incarnationHint, 1L)
 
-    /** Number of the worker's newest message of any kind in this session: heartbeat or answer to a command. */
+    /** Number of the worker's newest message of any kind in this incarnation: heartbeat or answer to a command. */
     var sequence = 0L
 
-    /** Number of the worker's newest heartbeat in this session. */
+    /** Number of the worker's newest heartbeat in this incarnation. */
     var heartbeatSequence = 0L
 
     /** Steady ms at which the heartbeat with that number first came. */
-    var sequenceFirstSeenAt = 0L
+    var heartbeatFirstSeenAt = 0L
 
     /** Steady ms after which that heartbeat was sent: a worker sends the next one once the one before was answered. */
     var heartbeatSentAfter = 0L
@@ -77,7 +79,7 @@
     /** The highest token that the worker is known to have seen. */
     var token = 0L
 
-    /** Steady ms of the last news from the worker. */
+    /** Steady ms of the last message from the worker. */
     var lastHeardAt = knownSince
 
     /** Steady ms of the last answer that may have renewed the worker's lease. */
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -62,7 +62,7 @@
     var reported = false
 
     /** Sequence number of the last message of the worker that listed it. */
-    var listedAt = 0L
+    var lastListedSequence = 0L
 
     /** Sequence number of the last heartbeat whose answer carried the start; any later one settles that answer. */
     var sentInReplyTo = 0L
@@ -72,7 +72,7 @@
 
     /**
      * Token of a direct command with the start that was never answered. It may be executed at any later time
-     * until the worker is known to have seen a higher token or has begun a new session.
+     * until the worker is known to have seen a higher token or has begun a new incarnation.
      */
     var unacknowledgedToken = 0L
 
--- a/src/main/kotlin/ledgearch/peers/FollowerLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerLinks.kt
@@ -76,7 +76,7 @@
     fun publish(status: LeaderStatus) {
         if (followers.isEmpty()) return
         // Several frames where there are very many jobs, since the size of a frame is limited.
-        for (part in status.progress.chunked(PeerTuning.JOBS_A_FRAME).ifEmpty { listOf(emptyList()) }) {
+        for (part in status.progress.chunked(PeerTuning.JOBS_PER_FRAME).ifEmpty { listOf(emptyList()) }) {
             val frame = Frames.encode(LeaderStatus(part, status.served, status.zones))
             followers.values.forEach { it.queue.trySend(frame) }
         }
--- a/src/main/kotlin/ledgearch/peers/LeaderLink.kt
+++ b/src/main/kotlin/ledgearch/peers/LeaderLink.kt
@@ -116,7 +116,7 @@
         frame: MeshFrame,
     ) = when (frame) {
         is MeshFrame.Status -> {
-            events.news(frame.status)
+            events.statusReceived(frame.status)
         }
 
         is MeshFrame.Stream -> {
--- a/src/main/kotlin/ledgearch/peers/Mesh.kt
+++ b/src/main/kotlin/ledgearch/peers/Mesh.kt
@@ -14,7 +14,7 @@
     fun follow(address: String?)
 
     /** Sends the leader's status to all that follow this node. One whose queue is full misses it. */
-    fun publish(news: LeaderStatus)
+    fun publish(status: LeaderStatus)
 
     /**
      * Sends a frame of the decision stream with this [body] to [follower]. False: it does not keep up (backpressure) or
--- a/src/main/kotlin/ledgearch/peers/MeshLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/MeshLinks.kt
@@ -27,7 +27,7 @@
 
     override fun reconnect() = leader.reconnect()
 
-    override fun publish(news: LeaderStatus) = followers.publish(news)
+    override fun publish(status: LeaderStatus) = followers.publish(status)
 
     override fun stream(
         follower: Long,
--- a/src/main/kotlin/ledgearch/peers/PeerTuning.kt
+++ b/src/main/kotlin/ledgearch/peers/PeerTuning.kt
@@ -15,7 +15,7 @@
     const val FOLLOWER_QUEUE = 8
 
     /** Jobs. In one status frame: with the longest names it stays under [STATUS_FRAME_MAX]. */
-    const val JOBS_A_FRAME = 2_000
+    const val JOBS_PER_FRAME = 2_000
 
     /** ms. A leader that has sent nothing for this long is connected to anew. */
     const val LEADER_SILENCE_MS = 4_000L
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -65,10 +65,10 @@
     }
 
     /** [machine] belongs to the cluster, or something that its record tells has changed. */
-    fun bind(machine: Machine) = machines.put(machine)
+    fun putMachine(machine: Machine) = machines.put(machine)
 
     /** [machine] does not belong to the cluster any more. */
-    fun unbind(machine: Machine) = machines.remove(machine)
+    fun removeMachine(machine: Machine) = machines.remove(machine)
 
     /** The machines of the record [stored] that an earlier leader wrote under [name]; null when it can't be read. */
     fun restore(
@@ -82,7 +82,7 @@
     fun remove(key: String) = removals.add(key)
 
     /** A new leader has read [key], last changed at [modRevision]. */
-    fun read(
+    fun keyRead(
         key: String,
         modRevision: Long,
     ) = keyRevisions.set(key, modRevision)
@@ -94,13 +94,13 @@
     ) = closings.add(job, state)
 
     /** Writes the finished tasks of [job] when that is due. */
-    fun progress(job: Job) = finishedTasks.add(job)
+    fun writeFinishedTasks(job: Job) = finishedTasks.add(job)
 
     /**
      * Writes the catalog. One that is too large is not kept: nodes that start while the cloud is out then wait for the
      * cloud, or know an older catalog.
      */
-    fun catalog(record: CatalogRecord) = catalogWrites.put(record)
+    fun writeCatalog(record: CatalogRecord) = catalogWrites.put(record)
 
     /** Writes the next batch, if there is anything to write and no other transaction under way. */
     fun drive() {
@@ -145,7 +145,7 @@
                 TransactionResult.Refused,
                 TransactionResult.Unknown,
                 -> {
-                    retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+                    retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
                 }
             }
         }
@@ -186,7 +186,7 @@
     ) {
         val isLeadershipDoubted = Keys.leadership(0) in failedKeys
         val pauseMs =
-            if (failedKeys.isEmpty() || isLeadershipDoubted) StoreTuning.STATE_RETRY_MS else RuntimeTuning.TICK_MS
+            if (failedKeys.isEmpty() || isLeadershipDoubted) StoreTuning.RETRY_PAUSE_MS else RuntimeTuning.TICK_MS
         retryAt = clock.steadyMs + pauseMs
         if (isLeadershipDoubted) election.leadershipDoubted(sentUnder)
         val failedInTerm = term
--- a/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
@@ -11,16 +11,16 @@
     const val UP_FROM_SHARE = 0.9
 
     /** Share. Who hears or reaches more machines than this is well: what the others miss is their own fault. */
-    const val MOST = 0.5
+    const val MAJORITY_SHARE = 0.5
 
     /** Machines. Fewer in one zone may well be silent at once without the zone being cut off. */
-    const val ZONE_MACHINES = 5
+    const val MIN_ZONE_MACHINES = 5
 
     /**
      * ms. So long the machines of a zone that is cut off are not released, where keeping them helps: zones come back
      * after about a minute, and no job's wait may come near four.
      */
-    const val CUT_ZONE_MS = 120_000L
+    const val ZONE_OUTAGE_GRACE_MS = 120_000L
 
     /** ms. What a leader told of zones is taken up by the next one for so long. */
     const val ZONE_STATUS_VALID_MS = 30_000L
--- a/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
@@ -74,7 +74,7 @@
 
     private fun isFailing(seen: ZoneObservation) =
         seen.anyZoneWell &&
-            seen.machines >= RecoveryTuning.ZONE_MACHINES &&
+            seen.machines >= RecoveryTuning.MIN_ZONE_MACHINES &&
             seen.heardShare < RecoveryTuning.SUSPECT_BELOW_SHARE
 
     private fun updateWhileReturning(
--- a/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
@@ -68,7 +68,11 @@
     ) {
         byZone.keys.forEach(::health)
         val heard = byZone.mapValues { (_, members) -> members.count(isHeard) }
-        val anyWell = byZone.any { (zone, members) -> heard.getValue(zone) > members.size * RecoveryTuning.MOST }
+        val anyWell =
+            byZone.any { (zone, members) ->
+                heard.getValue(zone) >
+                    members.size * RecoveryTuning.MAJORITY_SHARE
+            }
         for (health in zones.values) {
             val heardThere = heard[health.zone] ?: 0
             val isCutOff = isPartitioned(health.zone) || staysLost(health, heardThere)
@@ -89,7 +93,7 @@
         health: ZoneHealth,
         heard: Int,
     ) = health.state == ZoneState.LOST &&
-        (isDetecting || (heard == 0 && clock.steadyMs - health.since < RecoveryTuning.CUT_ZONE_MS))
+        (isDetecting || (heard == 0 && clock.steadyMs - health.since < RecoveryTuning.ZONE_OUTAGE_GRACE_MS))
 
     private fun onStateChanged(health: ZoneHealth) {
         if (health.state == ZoneState.LOST) zonesLost++
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -6,14 +6,14 @@
 
 /**
  * Counters, latencies and where the owner's time goes since the process began, as `GET /metrics` shows them. Operators
- * read the labels, so these stay as they are:
+ * read the labels; docs/operations.md lists them:
  *
  * - kinds of exchange ([answered]), each with latencies and a counter `KIND.STATUS` (status 0: no answer): requests
- *   that came in, by what they ask for (`submit`, `poll`, `withdraw`, `checkin` for heartbeats), and calls of the
+ *   that came in, by what they ask for (`submit`, `poll`, `cancel`, and `heartbeat`), and calls of the
  *   owner, by whom they went to (`state`, `cloud`, `worker`);
  * - events ([count]): `task.started`, `task.preempted`, `task.lost`, `task.exited.CAUSE`, `machine.joined`,
  *   `machine.gone`;
- * - kinds of the owner's work ([spend]), such as `reports` (heartbeats), `requests` (of users), `answers` (replies to
+ * - kinds of the owner's work ([spend]), such as `heartbeats`, `requests` (of users), `answers` (replies to
  *   its own calls), `state` (calls to the state service) and `placement`; one kind may be a part of another.
  *
  * Used by the owner only. [nanos] is a steady clock in nanoseconds.
--- a/src/main/kotlin/ledgearch/scheduling/Estimates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Estimates.kt
@@ -69,13 +69,13 @@
     }
 
     /** Processors that the running tasks of [jobs] free each second. */
-    fun freedASecond(jobs: Collection<Job>): Double =
+    fun freedCpusPerSecond(jobs: Collection<Job>): Double =
         jobs.sumOf { job ->
             if (job.runningCount == 0) 0.0 else job.runningCount * freedByOneTask(job)
         }
 
     /** Processors that the running tasks on [machines] free each second, by zone. */
-    fun freedASecondByZone(machines: Collection<Machine>): Map<String, Double> {
+    fun freedCpusPerSecondByZone(machines: Collection<Machine>): Map<String, Double> {
         val freed = HashMap<String, Double>()
         for (machine in machines) {
             for (attempt in machine.attempts.values) {
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -64,7 +64,7 @@
         val waiting = serveByPriority(open, usable, running)
         if (waiting.isEmpty()) return
         val admitting = if (recovery.isActive) usable.filter { !it.heldBack } else usable
-        metrics.spend("preemption") { preemption.pass(waiting, admitting, running, estimates.freedASecond(jobs)) }
+        metrics.spend("preemption") { preemption.pass(waiting, admitting, running, estimates.freedCpusPerSecond(jobs)) }
         metrics.spend("queues") { queues.bindWaiting(waiting, usable) }
     }
 
@@ -113,7 +113,7 @@
     ) {
         if (jobs.isEmpty()) return
         // The status shows the time spent under this name.
-        val assigned = metrics.spend("hurried") { preemption.makeRoomWhereImageIs(jobs, usable, running) }
+        val assigned = metrics.spend("latency_sensitive") { preemption.makeRoomWhereImageIs(jobs, usable, running) }
         for (job in jobs) starter.startAnywhere(job, usable, keepPending = assigned[job] ?: 0)
     }
 
--- a/src/main/kotlin/ledgearch/scheduling/Preemption.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Preemption.kt
@@ -33,7 +33,7 @@
         running: List<Job>,
         freedCpusPerSecond: Double,
     ) {
-        var expectedCpus = freedCpusPerSecond * SchedulingTuning.PATIENCE_S * SchedulingTuning.CHURN_COUNTED
+        var expectedCpus = freedCpusPerSecond * SchedulingTuning.PATIENCE_S * SchedulingTuning.FREED_SHARE_COUNTED
         val claimants =
             waiting.filter { job ->
                 val wantedCpus = job.pendingCount * job.spec.vcpus
--- a/src/main/kotlin/ledgearch/scheduling/Reliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Reliability.kt
@@ -67,7 +67,7 @@
      * a whole, so a share of each would help none: jobs are taken whole, first those that gain most by what they take
      * up. One that would meet its service-level objectives all the same gains nothing.
      */
-    fun shelter(
+    fun chooseOnDemandJobs(
         jobs: Collection<Job>,
         machines: Collection<Machine>,
         reserved: Double,
@@ -91,7 +91,7 @@
     fun spotFirst(job: Job): Boolean = job !in onDemandJobs
 
     /** On-demand machines are worth keeping for [job]. */
-    fun wantsOrdinary(job: Job): Boolean = !job.spec.allowsSpot || job in wantingOnDemand
+    fun wantsOnDemand(job: Job): Boolean = !job.spec.allowsSpot || job in wantingOnDemand
 
     private class GainingJob(
         val job: Job,
--- a/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
@@ -87,5 +87,5 @@
     const val SETTLED_MS = 60_000L
 
     /** Share counted on of what running tasks should free: their ends are uncertain. */
-    const val CHURN_COUNTED = 0.4
+    const val FREED_SHARE_COUNTED = 0.4
 }
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -33,7 +33,7 @@
     val machineCount: Int get() = machines.size
 
     /** [machine] has a record in the state service; hints for machines without one are never used. */
-    fun recordRead(
+    fun applyTo(
         machine: Machine,
         clock: Clock,
     ) {
@@ -54,16 +54,16 @@
         }
 
     /** The new leader has read all records. */
-    fun takenOver(
+    fun applyAll(
         knownMachines: Map<String, Machine>,
         estimates: Estimates,
         jobStore: JobStore,
-        fleet: Autoscaler,
+        autoscaler: Autoscaler,
         clock: Clock,
     ) {
         runTimes.forEach { useRunTime(estimates, it) }
         serviceTimes.forEach { useServiceTime(jobStore, it, clock) }
-        rentedMachines.forEach { useRentedMachine(knownMachines, fleet, it) }
+        rentedMachines.forEach { useRentedMachine(knownMachines, autoscaler, it) }
     }
 
     private fun useImage(
@@ -98,10 +98,10 @@
 
     private fun useRentedMachine(
         knownMachines: Map<String, Machine>,
-        fleet: Autoscaler,
+        autoscaler: Autoscaler,
         hint: RentedMachine,
     ) {
         if (hint.name in knownMachines) return
-        fleet.mayBoot(RentalHint(hint.name, hint.machineType, hint.zone, hint.spot))
+        autoscaler.mayBoot(RentalHint(hint.name, hint.machineType, hint.zone, hint.spot))
     }
 }
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -21,7 +21,7 @@
     private val machines: Map<String, Machine>,
     private val estimates: Estimates,
     private val jobStore: JobStore,
-    private val fleet: Autoscaler,
+    private val autoscaler: Autoscaler,
     private val maxBytes: Long,
 ) {
     private var bytes = 0L
@@ -42,7 +42,7 @@
         for (job in jobStore.jobs.values) {
             if (job.lastStartAt != 0L) add(records, ServiceTime(job.id, job.lastStartAt))
         }
-        for (rented in fleet.rentedNotReported()) {
+        for (rented in autoscaler.bootingMachines()) {
             add(records, RentedMachine(rented.name, rented.machineType, rented.zone, rented.spot))
         }
         return records
--- a/src/main/kotlin/ledgearch/standby/ReplicaFollower.kt
+++ b/src/main/kotlin/ledgearch/standby/ReplicaFollower.kt
@@ -37,7 +37,7 @@
         val isUsable = replica.isHeld && previousTerm.mayBe(replica.term)
         val hints = if (isUsable) FailoverHints(replica.records.values) else null
         log.info(
-            "take-over under term {}: {} machines in the replica of term {}, {} records and {} ms behind",
+            "failover with a replica; term={} replicaMachines={} replicaTerm={} recordsBehind={} msBehind={}",
             term,
             hints?.machineCount ?: 0,
             replica.term,
--- a/src/main/kotlin/ledgearch/store/RequestQueue.kt
+++ b/src/main/kotlin/ledgearch/store/RequestQueue.kt
@@ -63,7 +63,7 @@
     ): Boolean {
         val first = queue.first()
         val isOrdinary = requestClass != RequestClass.CRITICAL
-        if (clock.steadyMs - first.since > StoreTuning.STATE_MS) {
+        if (clock.steadyMs - first.since > StoreTuning.REQUEST_TIMEOUT_MS) {
             queue.removeFirst()
             first.done(Reply(StoreStatus.TOO_MANY_REQUESTS, ""))
             return true
@@ -108,11 +108,11 @@
 
             StoreStatus.UNAVAILABLE -> {
                 isRefused = true
-                refusedUntil = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+                refusedUntil = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
             }
 
             StoreStatus.TOO_MANY_REQUESTS -> {
-                pausedUntil = clock.steadyMs + StoreTuning.STATE_RETRY_MS
+                pausedUntil = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
                 budget.exceeded(request.changeCount)
             }
         }
--- a/src/main/kotlin/ledgearch/store/StoreClient.kt
+++ b/src/main/kotlin/ledgearch/store/StoreClient.kt
@@ -26,10 +26,10 @@
     private val queue = RequestQueue(address, budget, transport, clock)
 
     /** Steady ms at which the service last answered anything but a refusal. */
-    val lastAnswer: Long get() = queue.lastAnswerAt
+    val lastAnswerAt: Long get() = queue.lastAnswerAt
 
     /** The service's last word was that it refuses this node. */
-    val refuses: Boolean get() = queue.isRefused
+    val isRefused: Boolean get() = queue.isRefused
 
     /** Changes. A transaction of so many is within the service's limit at any time. */
     val maxChanges: Int get() = limits.safeTxnOps
@@ -38,7 +38,7 @@
     val maxConditions: Int get() = limits.safeTxnOps * StoreTuning.CONDITIONS_PER_CHANGE
 
     /** Sets the budget to the share of the leader or of another node. */
-    fun share(leader: Boolean) = budget.share(leader)
+    fun setBudgetShare(leader: Boolean) = budget.share(leader)
 
     /** Makes all of [changes] if all of [conditions] hold, and none of them otherwise. */
     fun transact(
--- a/src/main/kotlin/ledgearch/store/StoreRequest.kt
+++ b/src/main/kotlin/ledgearch/store/StoreRequest.kt
@@ -33,7 +33,7 @@
         }
 
         /** Reads one key. */
-        fun key(key: String) = StoreRequest(GET, "/keys/$key", null, StoreTuning.STATE_MS)
+        fun key(key: String) = StoreRequest(GET, "/keys/$key", null, StoreTuning.REQUEST_TIMEOUT_MS)
 
         /** Reads a page of the keys under [prefix], from the first one after [since] (null: from the start). */
         fun page(
@@ -48,11 +48,12 @@
         /** Opens a lease. */
         fun openLease(): StoreRequest {
             val body = WireJson.encodeToString(LeaseRequest.serializer(), LeaseRequest(StoreTuning.LEADER_LEASE_MS))
-            return StoreRequest(POST, "/leases", body, StoreTuning.STATE_MS)
+            return StoreRequest(POST, "/leases", body, StoreTuning.REQUEST_TIMEOUT_MS)
         }
 
         /** Keeps the lease [leaseId] alive. */
-        fun keepAlive(leaseId: Long) = StoreRequest(POST, "/leases/$leaseId/touch", "{}", StoreTuning.STATE_MS)
+        fun keepAlive(leaseId: Long) =
+            StoreRequest(POST, "/leases/$leaseId/touch", "{}", StoreTuning.REQUEST_TIMEOUT_MS)
 
         /** Waits for changes after the revision [since] of the keys under [prefix]. */
         fun watch(
--- a/src/main/kotlin/ledgearch/store/StoreTuning.kt
+++ b/src/main/kotlin/ledgearch/store/StoreTuning.kt
@@ -3,7 +3,7 @@
 /** Requests to the state service: constants with their unit and the reason for their value. */
 internal object StoreTuning {
     /** ms. A request to the state service; it usually takes under 10 and now and then a few hundred. */
-    const val STATE_MS = 1_500L
+    const val REQUEST_TIMEOUT_MS = 1_500L
 
     /** ms. A transaction that only compares may be sent again at will, and a user waits 2 s for what hangs on it. */
     const val COMPARE_TIMEOUT_MS = 600L
@@ -36,7 +36,7 @@
     const val TRANSACTION_BYTES = 48 * 1024
 
     /** ms. Pause after a refused or unanswered state request. */
-    const val STATE_RETRY_MS = 250L
+    const val RETRY_PAUSE_MS = 250L
 
     /**
      * ms. Life of the lease that the leadership record is attached to: a node short of processor time must still renew
--- a/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
+++ b/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
@@ -66,7 +66,7 @@
 
         override fun follow(address: String?) = Unit
 
-        override fun publish(news: LeaderStatus) = Unit
+        override fun publish(status: LeaderStatus) = Unit
     }
 
     private val failing = OwnerCommand.Answered(Reply.NONE) { throw IllegalStateException("a callback fails") }
--- a/src/test/kotlin/ledgearch/loopback/FailoverTest.kt
+++ b/src/test/kotlin/ledgearch/loopback/FailoverTest.kt
@@ -55,7 +55,7 @@
             workload.submitArrays(ARRAYS)
             cluster.await("failover", STEP_LIMIT_MS) { cluster.simulation.call { watch.times.complete } }
             expectOrder(watch.times)
-            assertTrue(cluster.logOf(checkNotNull(cluster.leader()).name).any { TAKEN_OVER_WARM.containsMatchIn(it) })
+            assertTrue(cluster.logOf(checkNotNull(cluster.leader()).name).any { WARM_FAILOVER.containsMatchIn(it) })
 
             killed.start()
             cluster.await("${killed.name} joins", STEP_LIMIT_MS) { cluster.isReady(killed.name) }
@@ -141,6 +141,6 @@
         val STANDBY_SETTINGS: Path = Path.of("deploy/operator-warm-standby.json").toAbsolutePath()
 
         /** What a new leader logs that has a replica of the leader before. */
-        val TAKEN_OVER_WARM = Regex("take-over under term \\d+: [1-9]\\d* machines in the replica")
+        val WARM_FAILOVER = Regex("failover with a replica; term=\\d+ replicaMachines=[1-9]\\d*")
     }
 }
--- a/src/test/kotlin/ledgearch/peers/MeshLinksTest.kt
+++ b/src/test/kotlin/ledgearch/peers/MeshLinksTest.kt
@@ -32,8 +32,8 @@
         val statuses = LinkedBlockingQueue<LeaderStatus>()
         val standby = LinkedBlockingQueue<StandbyEvent>()
 
-        override suspend fun news(news: LeaderStatus) {
-            statuses.add(news)
+        override suspend fun statusReceived(status: LeaderStatus) {
+            statuses.add(status)
         }
 
         override suspend fun standby(event: StandbyEvent) {
@@ -96,11 +96,11 @@
         val follower = Heard()
         follow(address, follower, streams = true)
         next(atLeader.standby)
-        val jobs = List(2 * PeerTuning.JOBS_A_FRAME + 1) { JobProgress("job-$it", it, 1) }
+        val jobs = List(2 * PeerTuning.JOBS_PER_FRAME + 1) { JobProgress("job-$it", it, 1) }
         onOwner { leader.publish(LeaderStatus(jobs, served = true)) }
         val heard = List(3) { next(follower.statuses)?.progress.orEmpty() }
         assertEquals(jobs, heard.flatten())
-        assertTrue(heard.all { it.size <= PeerTuning.JOBS_A_FRAME })
+        assertTrue(heard.all { it.size <= PeerTuning.JOBS_PER_FRAME })
     }
 
     @Test
--- a/src/test/kotlin/ledgearch/scheduling/ReliabilityTest.kt
+++ b/src/test/kotlin/ledgearch/scheduling/ReliabilityTest.kt
@@ -48,8 +48,8 @@
         )
 
     private fun isExposed(): Boolean {
-        reliability.shelter(listOf(job), emptyList(), 0.0)
-        return reliability.wantsOrdinary(job)
+        reliability.chooseOnDemandJobs(listOf(job), emptyList(), 0.0)
+        return reliability.wantsOnDemand(job)
     }
 
     private fun hold(
--- a/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
@@ -106,10 +106,13 @@
         body: ByteString,
     ): Boolean = simulation.streams.send(simulation, node, follower, body)
 
-    override fun publish(news: LeaderStatus) {
+    override fun publish(status: LeaderStatus) {
         for (other in simulation.nodes) {
             if (other === node || !other.up) continue
-            simulation.network.deliver(node.name, other.name) { if (other.up) other.run(OwnerCommand.WatchEvent(news)) }
+            simulation.network.deliver(
+                node.name,
+                other.name,
+            ) { if (other.up) other.run(OwnerCommand.LeaderStatusReceived(status)) }
         }
     }
 
