--- a/src/main/kotlin/ledgearch/agents/AgentTuning.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentTuning.kt
@@ -2,9 +2,6 @@
 
 /** Commands to agents and the detection of failures: constants with their unit and the reason for their value. */
 internal object AgentTuning {
-    /** ms in a second, as a factor of settings in seconds. */
-    const val MS_PER_SECOND = 1000.0
-
     /** Status of an agent's answer to a command under a token or for an incarnation that is not its latest. */
     const val STATUS_FENCED = 409
 
--- a/src/main/kotlin/ledgearch/agents/DispatchLimits.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchLimits.kt
@@ -1,6 +1,7 @@
 package ledgearch.agents
 
 import ledgearch.config.Deployment
+import ledgearch.runtime.MS_PER_SECOND
 
 /** How many direct commands may be under way, and for how long a heartbeat is awaited before a probe. */
 internal class DispatchLimits(
@@ -17,7 +18,7 @@
             DispatchLimits(
                 AgentTuning.probesAtOnce(deployment.quota.cpu),
                 AgentTuning.callsAtOnce(deployment.quota.fdLimit),
-                (deployment.workers.reportS * AgentTuning.MS_PER_SECOND * AgentTuning.DUE_HEARTBEATS).toLong(),
+                (deployment.workers.reportS * MS_PER_SECOND * AgentTuning.DUE_HEARTBEATS).toLong(),
             )
     }
 }
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -6,6 +6,7 @@
 import ledgearch.recovery.RecoveryTuning
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.StallCompensation
 import org.slf4j.LoggerFactory
 
@@ -27,11 +28,11 @@
     private val stalls: StallCompensation,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.agents")
-    private val intervalMs = (times.reportS * AgentTuning.MS_PER_SECOND).toLong()
+    private val intervalMs = (times.reportS * MS_PER_SECOND).toLong()
     private val dueMs = (intervalMs * AgentTuning.DUE_HEARTBEATS).toLong()
     private val lostMs = (intervalMs * AgentTuning.LOST_HEARTBEATS).toLong()
     private val leases =
-        LeaseExpiry((times.leaseS * AgentTuning.MS_PER_SECOND).toLong(), election, clock, leaseListener)
+        LeaseExpiry((times.leaseS * MS_PER_SECOND).toLong(), election, clock, leaseListener)
     private val silence = HeartbeatSilence(intervalMs, election, stalls, zones)
     private val missingMachines =
         MissingMachines(election, stalls, (intervalMs * AgentTuning.CUT_OFF_HEARTBEATS).toLong())
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -8,6 +8,7 @@
 import ledgearch.model.TaskAttempt
 import ledgearch.persistence.RecordWriter
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.Metrics
 import ledgearch.scheduling.Estimates
 import ledgearch.wire.ExitCause
@@ -157,7 +158,7 @@
         failures.succeeded(attempt.machine, job)
         if (job.isService) return
         if (isRunTimeKnown(attempt, job)) {
-            estimates.ran(job, (clock.steadyMs - attempt.runningSince) / AgentTuning.MS_PER_SECOND)
+            estimates.ran(job, (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND)
         }
         job.finish(attempt.index)
         if (!job.closed) recordWriter.writeFinishedTasks(job)
--- a/src/main/kotlin/ledgearch/api/UserApi.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -5,6 +5,7 @@
 import ledgearch.http.Request
 import ledgearch.jobs.JobStore
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.store.StoreClient
 
 /**
@@ -21,7 +22,7 @@
     clock: Clock,
 ) {
     private val deployment = settings.deployment
-    private val freshMs = (deployment.workers.cancelS * MS_PER_S * ApiTuning.FRESHNESS_SHARE).toLong()
+    private val freshMs = (deployment.workers.cancelS * MS_PER_SECOND * ApiTuning.FRESHNESS_SHARE).toLong()
     private val limits = SubmissionLimits(deployment.teams.associateBy { it.name }, deployment.state.safeValueBytes)
     private val answers = JobAnswers(leadership, settings.operator.retryAfterS)
     private val knowledge = DependencyKnowledge(jobStore, clock, freshMs)
@@ -103,7 +104,6 @@
 
         /** Index of the job's id among the segments. */
         private const val JOB_ID_AT = 2
-        private const val MS_PER_S = 1000
 
         /** The kind of a user's [request] as the metrics name it. */
         fun kind(request: Request): String =
--- a/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
@@ -2,8 +2,6 @@
 
 /** Constants of scaling out and in: each with its unit and the reason for its value. */
 internal object AutoscalingTuning {
-    const val MS_PER_SECOND = 1000.0
-
     // --- Calls to the cloud -------------------------------------------------------------------------------------
 
     /** ms. Time-out of a call to the cloud. */
--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -4,6 +4,7 @@
 import ledgearch.jobs.JobStore
 import ledgearch.recovery.RecoveryTuning
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.StallCompensation
 import ledgearch.wire.ListedMachine
 import org.slf4j.LoggerFactory
@@ -23,7 +24,7 @@
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
 
     /** ms by which the cloud's list may be late. */
-    private val listLagMs = (settings.deployment.cloud.listLagS * AutoscalingTuning.MS_PER_SECOND).toLong()
+    private val listLagMs = (settings.deployment.cloud.listLagS * MS_PER_SECOND).toLong()
 
     /** Machines that the list shows as up and that have not reported, and the steady ms since when. */
     private val unreportedSince = HashMap<String, Long>()
@@ -48,7 +49,7 @@
             return
         }
         val pool = MachinePool(machineType, listed.zone, listed.spot)
-        val requestedAt = clock.steadyMs - (listed.ageS * AutoscalingTuning.MS_PER_SECOND).toLong()
+        val requestedAt = clock.steadyMs - (listed.ageS * MS_PER_SECOND).toLong()
         booting.expect(cluster, listed.name, BootingMachine(pool, requestedAt))
     }
 
@@ -72,7 +73,7 @@
     /** Releases machines that should be up and have reported by now. */
     fun releaseOverdue(cluster: Cluster) {
         for ((name, machine) in booting.entries()) {
-            val bootMs = machine.pool.machineType.bootS * AutoscalingTuning.MS_PER_SECOND
+            val bootMs = machine.pool.machineType.bootS * MS_PER_SECOND
             val timeoutMs = bootMs * AutoscalingTuning.BOOT_TIMEOUT_FACTOR + listLagMs
             if (clock.steadyMs - machine.since > timeoutMs && !isProbeMachine(cluster, name, machine)) {
                 booting.remove(name)
--- a/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -4,6 +4,7 @@
 import ledgearch.config.startWithinS
 import ledgearch.model.Job
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.scheduling.SchedulingTuning
 import kotlin.math.exp
 import kotlin.math.sqrt
@@ -99,7 +100,7 @@
         bootS: Double,
         counted: (Arrivals) -> Boolean,
     ): ExpectedNeed {
-        val bootTimes = bootS * AutoscalingTuning.MS_PER_SECOND / AutoscalingTuning.ARRIVAL_DECAY_MS
+        val bootTimes = bootS * MS_PER_SECOND / AutoscalingTuning.ARRIVAL_DECAY_MS
         var expected = 0.0
         var variance = 0.0
         var shortestS = Double.MAX_VALUE
--- a/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
@@ -2,6 +2,7 @@
 
 import ledgearch.election.Election
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.wire.ListedMachine
 import ledgearch.wire.MachineList
 import ledgearch.wire.MachineState
@@ -54,7 +55,7 @@
     /** Thousands of machines take several calls, and provisioning and releasing need some of those allowed too. */
     private fun pauseMs(pages: Int): Long {
         val calls = pages * AutoscalingTuning.CALLS_PER_LIST_PAGE
-        val callsMs = (calls * AutoscalingTuning.MS_PER_SECOND / cloud.callsPerSecond).toLong()
+        val callsMs = (calls * MS_PER_SECOND / cloud.callsPerSecond).toLong()
         return maxOf(AutoscalingTuning.LIST_INTERVAL_MS, callsMs)
     }
 
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -10,14 +10,16 @@
 import ledgearch.config.Settings
 import ledgearch.control.Controller
 import ledgearch.control.OwnerCommand
+import ledgearch.control.RequestRouter
 import ledgearch.http.EventLoop
 import ledgearch.http.HttpClient
 import ledgearch.http.HttpServer
 import ledgearch.http.HttpStatus
 import ledgearch.http.HttpTuning
+import ledgearch.http.SteadyTime
 import ledgearch.http.listenOn
 import ledgearch.peers.MeshLinks
-import ledgearch.runtime.Metrics
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.RuntimeTuning
 import org.slf4j.LoggerFactory
 import java.io.IOException
@@ -71,8 +73,8 @@
             scope,
             group,
             socketShare(DaemonTuning.INCOMING_SHARE),
-            { it.path == OwnerRequests.HEARTBEAT_PATH },
-            (settings.deployment.workers.reportS * MS_PER_S * DaemonTuning.STALE_REPORTS).toLong(),
+            { it.path == RequestRouter.HEARTBEAT_PATH },
+            (settings.deployment.workers.reportS * MS_PER_SECOND * DaemonTuning.STALE_REPORTS).toLong(),
             requests::respond,
         )
 
@@ -123,12 +125,11 @@
 
     private fun handleBatch(batch: List<OwnerCommand>) {
         val began = System.nanoTime()
-        controller.run(began / Metrics.NANOS_PER_MS, System.currentTimeMillis(), batch)
+        controller.run(began / SteadyTime.NANOS_PER_MS, System.currentTimeMillis(), batch)
         controller.worked((System.nanoTime() - began) / NANOS_PER_MICROSECOND, queue.waiting)
     }
 
     private companion object {
-        const val MS_PER_S = 1000
         const val NANOS_PER_MICROSECOND = 1000
     }
 }
--- a/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.selects.select
 import ledgearch.control.OwnerCommand
-import ledgearch.runtime.Metrics
+import ledgearch.http.SteadyTime
 import ledgearch.runtime.RuntimeTuning
 
 /**
@@ -27,7 +27,7 @@
 
     /** Adds a tick, or leaves it out when the queue is full: the next one soon tells the time again. */
     fun tick() {
-        val tick = OwnerCommand.Tick(System.nanoTime() / Metrics.NANOS_PER_MS)
+        val tick = OwnerCommand.Tick(SteadyTime.nowMs())
         if (urgent.trySend(tick).isSuccess) waiting++
     }
 
--- a/src/main/kotlin/ledgearch/cli/OwnerRequests.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerRequests.kt
@@ -1,6 +1,7 @@
 package ledgearch.cli
 
 import ledgearch.control.OwnerCommand
+import ledgearch.control.RequestRouter
 import ledgearch.http.Request
 import ledgearch.http.Response
 
@@ -21,14 +22,8 @@
         return response.await()
     }
 
-    companion object {
-        /** Where workers send their heartbeats. */
-        const val HEARTBEAT_PATH = "/checkin"
-
-        /** Where the load balancer checks the health of a controller. */
-        private const val HEALTH_PATH = "/up"
-
+    private companion object {
         /** What must not wait behind users: workers' leases hang on it, and the load balancer's patience. */
-        private val FIRST = setOf(HEARTBEAT_PATH, HEALTH_PATH)
+        val FIRST = setOf(RequestRouter.HEARTBEAT_PATH, RequestRouter.HEALTH_PATH)
     }
 }
--- a/src/main/kotlin/ledgearch/config/JsonProblem.kt
+++ b/src/main/kotlin/ledgearch/config/JsonProblem.kt
@@ -7,9 +7,7 @@
 import kotlinx.serialization.descriptors.SerialDescriptor
 import kotlinx.serialization.descriptors.StructureKind
 import kotlinx.serialization.json.Json
-import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonElement
-import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 
 /**
@@ -97,18 +95,7 @@
     }
 
     /** The value at this place of [file]; null when there is none. */
-    fun valueIn(file: JsonElement): JsonElement? {
-        var current: JsonElement? = file
-        for (step in steps) {
-            current =
-                when (current) {
-                    is JsonObject -> current[step]
-                    is JsonArray -> current.getOrNull(step.toIntOrNull() ?: return null)
-                    else -> null
-                }
-        }
-        return current
-    }
+    fun valueIn(file: JsonElement): JsonElement? = file.at(steps)
 
     override fun toString(): String {
         if (steps.isEmpty()) return "the file"
--- a/src/main/kotlin/ledgearch/config/SchemaProblem.kt
+++ b/src/main/kotlin/ledgearch/config/SchemaProblem.kt
@@ -1,7 +1,6 @@
 package ledgearch.config
 
 import io.github.optimumcode.json.schema.ValidationError
-import kotlinx.serialization.json.JsonArray
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
@@ -21,9 +20,9 @@
     fun describe(error: ValidationError): String {
         val field = error.objectPath.toString().removePrefix("/")
         val rulePath = steps(error.schemaPath.toString())
-        val rule = find(schema, rulePath)
-        val holder = find(schema, rulePath.dropLast(1))
-        val value = find(file, steps(error.objectPath.toString()))
+        val rule = schema.at(rulePath)
+        val holder = schema.at(rulePath.dropLast(1))
+        val value = file.at(steps(error.objectPath.toString()))
         return when (rulePath.lastOrNull()) {
             "type" -> "${field.ifEmpty { "the file" }}: must be ${article(rule)}"
             "minimum" -> "$field: $value must be $rule or more"
@@ -62,16 +61,4 @@
             .joinToString()
 
     private fun steps(pointer: String): List<String> = pointer.split('/').filter { it.isNotEmpty() }
-
-    private fun find(
-        root: JsonElement,
-        steps: List<String>,
-    ): JsonElement? =
-        steps.fold(root as JsonElement?) { current, step ->
-            when (current) {
-                is JsonObject -> current[step]
-                is JsonArray -> step.toIntOrNull()?.let(current::getOrNull)
-                else -> null
-            }
-        }
 }
--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -2,12 +2,6 @@
 
 /** The controller and the leader: constants with their unit and the reason for their value. */
 internal object ControlTuning {
-    /** ms in a second, as a factor of times in seconds. */
-    const val MS_PER_SECOND = 1000.0
-
-    /** Status of the answer that names the leader to an agent. */
-    const val STATUS_MISDIRECTED = 421
-
     /** ms. Between two lines of the debug log with what the owner's time was spent on. */
     const val LOG_LOAD_MS = 10_000L
 
--- a/src/main/kotlin/ledgearch/control/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatEndpoint.kt
@@ -41,6 +41,6 @@
         val other = jobStore.leadership?.node
         if (other == null || other == node) return errorResponse(HttpStatus.UNAVAILABLE, "no leader is known")
         val body = WireJson.encodeToString(Redirect.serializer(), Redirect(other))
-        return Response(ControlTuning.STATUS_MISDIRECTED, body)
+        return Response(HttpStatus.MISDIRECTED, body)
     }
 }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -22,6 +22,7 @@
 import ledgearch.persistence.RecordWriter
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.Metrics
 import ledgearch.runtime.StallCompensation
 import ledgearch.runtime.Transport
@@ -251,7 +252,7 @@
             // An agent that goes on sends a heartbeat within this time: a new leader then knows which zones are cut
             // off.
             val detectionMs =
-                settings.deployment.workers.reportS * ControlTuning.MS_PER_SECOND * AgentTuning.LOST_HEARTBEATS
+                settings.deployment.workers.reportS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEATS
             return ZoneRecovery(settings.operator.zoneRecovery, clock, detectionMs.toLong())
         }
     }
--- a/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
+++ b/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
@@ -4,6 +4,7 @@
 import ledgearch.model.Machine
 import ledgearch.model.TaskAttempt
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.scheduling.Estimates
 import ledgearch.wire.Heartbeat
 import org.slf4j.LoggerFactory
@@ -23,7 +24,7 @@
     ) {
         val noticeS = heartbeat.preemptionNoticeS
         machine.preemptionAt =
-            if (noticeS == null) 0 else clock.steadyMs + (noticeS * ControlTuning.MS_PER_SECOND).toLong()
+            if (noticeS == null) 0 else clock.steadyMs + (noticeS * MS_PER_SECOND).toLong()
     }
 
     /**
@@ -32,7 +33,7 @@
      */
     fun evacuate(machine: Machine) {
         if (machine.preemptionAt == 0L) return
-        val secondsLeft = (machine.preemptionAt - clock.steadyMs) / ControlTuning.MS_PER_SECOND
+        val secondsLeft = (machine.preemptionAt - clock.steadyMs) / MS_PER_SECOND
         for (attempt in machine.attempts.values) {
             if (!attempt.continues || endsInTime(attempt, secondsLeft)) continue
             attempts.stop(attempt, secondsLeft)
@@ -58,7 +59,7 @@
 
     private fun secondsRun(attempt: TaskAttempt) =
         if (attempt.state == AttemptState.RUNNING) {
-            (clock.steadyMs - attempt.runningSince) / ControlTuning.MS_PER_SECOND
+            (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND
         } else {
             0.0
         }
--- a/src/main/kotlin/ledgearch/control/RequestRouter.kt
+++ b/src/main/kotlin/ledgearch/control/RequestRouter.kt
@@ -69,9 +69,12 @@
         }
     }
 
-    private companion object {
+    companion object {
+        /** Where the load balancer checks the health of a controller. */
         const val HEALTH_PATH = "/up"
+
+        /** Where workers send their heartbeats. */
         const val HEARTBEAT_PATH = "/checkin"
-        const val METRICS_PATH = "/metrics"
+        private const val METRICS_PATH = "/metrics"
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -151,7 +151,7 @@
     private fun mayFetchFor(
         machine: Machine,
         job: Job,
-    ) = machine.imageDistance(job.spec.image) != IMAGE_ABSENT ||
+    ) = machine.imageDistance(job.spec.image) != Machine.IMAGE_ABSENT ||
         machine.fetching < RecoveryTuning.MAX_FETCHES_PER_MACHINE
 
     override fun mayStart(job: Job): Boolean {
@@ -221,9 +221,6 @@
     fun report() = RecoveryReport(zones.reports(), displaced.waitingByGroup(), zones.zonesLost)
 
     private companion object {
-        /** What [Machine.imageDistance] gives where the image is neither on the machine nor on its way. */
-        const val IMAGE_ABSENT = 2
-
         /** After all groups. */
         const val NO_GROUP = Int.MAX_VALUE
     }
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
+import ledgearch.http.SteadyTime
 import org.HdrHistogram.IntCountsHistogram
 
 /**
@@ -47,11 +48,11 @@
     inline fun timed(work: () -> Unit): Long {
         val began = nanos()
         work()
-        return (nanos() - began) / NANOS_PER_MS
+        return (nanos() - began) / SteadyTime.NANOS_PER_MS
     }
 
     /** Milliseconds spent on each kind of work. */
-    fun spentMs(): Map<String, Long> = spent.mapValues { it.value / NANOS_PER_MS }
+    fun spentMs(): Map<String, Long> = spent.mapValues { it.value / SteadyTime.NANOS_PER_MS }
 
     /** The event [what] has happened [by] times more. */
     fun count(
@@ -105,7 +106,6 @@
         )
 
     companion object {
-        const val NANOS_PER_MS = 1_000_000L
         private const val MEDIAN = 50.0
         private const val PERCENTILE_90 = 90.0
         private const val PERCENTILE_99 = 99.0
--- a/src/main/kotlin/ledgearch/runtime/TokenBucket.kt
+++ b/src/main/kotlin/ledgearch/runtime/TokenBucket.kt
@@ -16,7 +16,7 @@
     /** Adds the permits since the last refill; [nowMs] is on the steady clock. */
     fun refill(nowMs: Long) {
         if (refilledAt != NEVER) {
-            permits = minOf(perSecond, permits + (nowMs - refilledAt) * perSecond / MS_PER_S)
+            permits = minOf(perSecond, permits + (nowMs - refilledAt) * perSecond / MS_PER_SECOND)
         }
         refilledAt = nowMs
     }
@@ -31,6 +31,5 @@
 
     private companion object {
         const val NEVER = Long.MIN_VALUE
-        const val MS_PER_S = 1000.0
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -3,6 +3,7 @@
 import ledgearch.config.Objective
 import ledgearch.model.Job
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 
 /**
  * When jobs have to end so that deadlines are met: their own, and those of the jobs that depend on them. A job's end
@@ -64,7 +65,7 @@
 
     private fun ownDeadlines(job: Job): List<Double> {
         val deadlineS = job.spec.deadlineS ?: return emptyList()
-        val submittedAtS = job.record.submittedAt / SchedulingTuning.MS_PER_SECOND
+        val submittedAtS = job.record.submittedAt / MS_PER_SECOND
         return (deadlineMultiples[job.spec.jobClass] ?: listOf(1.0)).map { submittedAtS + deadlineS * it }
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
@@ -4,6 +4,7 @@
 import ledgearch.model.Job
 import ledgearch.model.TaskAttempt
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.wire.Priority
 
 /** What it costs to preempt an attempt, in processor seconds: the work lost and, priced as such, the harm done. */
@@ -50,5 +51,5 @@
         return secondsSince(since) * job.spec.vcpus + startCost
     }
 
-    private fun secondsSince(steadyMs: Long): Double = (clock.steadyMs - steadyMs) / SchedulingTuning.MS_PER_SECOND
+    private fun secondsSince(steadyMs: Long): Double = (clock.steadyMs - steadyMs) / MS_PER_SECOND
 }
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -4,6 +4,7 @@
 import ledgearch.config.startWithinS
 import ledgearch.model.Job
 import ledgearch.runtime.Clock
+import ledgearch.runtime.MS_PER_SECOND
 
 /**
  * The order in which jobs are served. The paper's queues are first-come with equal tasks; here tasks differ, so within
@@ -110,7 +111,7 @@
     }
 
     /** Seconds since the job could start. */
-    private fun waitedS(job: Job): Double = (clock.wallMs - job.readyAt) / SchedulingTuning.MS_PER_SECOND
+    private fun waitedS(job: Job): Double = (clock.wallMs - job.readyAt) / MS_PER_SECOND
 
     private fun imageFetchS(job: Job): Double = job.spec.imageGb * SchedulingTuning.FETCH_S_PER_GB
 
@@ -121,7 +122,7 @@
     ): Int {
         var missed = 0
         finishWithin[job.spec.jobClass]?.forEach { if (end > it) missed++ }
-        val endsAt = job.readyAt / SchedulingTuning.MS_PER_SECOND + end
+        val endsAt = job.readyAt / MS_PER_SECOND + end
         deadlines.latestEnds(job).forEach { if (endsAt > it) missed++ }
         return missed
     }
--- a/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
@@ -2,9 +2,6 @@
 
 /** Placement and preemption: constants with their unit and the reason for their value. */
 internal object SchedulingTuning {
-    /** Milliseconds in a second, to convert times by. */
-    const val MS_PER_SECOND = 1_000.0
-
     /** Machines on a preferred list. The paper finds 10 to 15 enough for any size of system. */
     const val BUDDIES = 10
 
