--- a/src/main/kotlin/ledgearch/api/Cancellations.kt
+++ b/src/main/kotlin/ledgearch/api/Cancellations.kt
@@ -15,8 +15,8 @@
 import ledgearch.wire.KeyValue
 
 /**
- * Cancellations of jobs: marks the open record as cancelled, which makes the user's wish durable, and answers once the
- * job is over. The block's leader carries the wish out.
+ * Cancellations of jobs. Marks a job's open record as cancelled, which makes the user's request durable, and answers
+ * once the job is over; the leader carries the cancellation out.
  */
 internal class Cancellations(
     private val jobStore: JobStore,
@@ -25,17 +25,19 @@
     private val lookup: JobLookup,
     private val answers: JobAnswers,
 ) {
+    /** A cancellation that came at [receivedAt] (steady ms). */
     private class Cancellation(
-        val since: Long,
+        val receivedAt: Long,
         val respond: Respond,
     )
 
+    /** By job: the requests that wait for its end. */
     private val waiting = HashMap<String, MutableList<Cancellation>>()
 
-    /** Jobs whose mark is being written, and when it may be written again (steady ms). */
+    /** By job whose mark is being written: when it may be written again (steady ms). */
     private val markAgainAt = HashMap<String, Long>()
 
-    /** A user wants the job [id] cancelled. */
+    /** A user cancels the job [id]. */
     fun add(
         id: String,
         respond: Respond,
@@ -43,27 +45,27 @@
         if (!Validation.isJobId(id)) return respond(answers.unknownJob())
         jobStore.final(id)?.let { return respond(answers.over(id, it)) }
         val cancellation = Cancellation(clock.steadyMs, respond)
-        if (jobStore.jobs.containsKey(id)) return await(id, cancellation)
-        // Accepted at another node a moment ago, perhaps: only an end is an answer to a cancellation.
+        if (jobStore.jobs.containsKey(id)) return awaitEnd(id, cancellation)
+        // It may have been accepted at another node a moment ago; only an end is an answer to a cancellation.
         lookup.read(id, respond, unknown = { respond(answers.unknownJob()) }) { open ->
-            foundOpen(id, cancellation, open)
+            openRecordRead(id, cancellation, open)
         }
     }
 
-    /** The job [id] is over: whoever waits for that is told. */
+    /** The job [id] is over: answers the requests that wait for that. */
     fun closed(id: String) {
         markAgainAt.remove(id)
-        val told = waiting.remove(id) ?: return
+        val cancellations = waiting.remove(id) ?: return
         val answer = jobStore.final(id)?.let { answers.over(id, it) } ?: answers.tryAgain()
-        told.forEach { it.respond(answer) }
+        cancellations.forEach { it.respond(answer) }
     }
 
-    /** Turns away those that have waited too long, or whose end can't be learnt now. */
+    /** Turns away the requests that have waited too long, or whose job's end this node can't learn now. */
     fun expire() {
         val lists = waiting.values.iterator()
         while (lists.hasNext()) {
             val list = lists.next()
-            list.removeAll(::isTurnedAway)
+            list.removeAll(::expired)
             if (list.isEmpty()) lists.remove()
         }
         if (state.refuses) turnAwayMarked()
@@ -77,41 +79,44 @@
         }
     }
 
-    private fun await(
+    private fun awaitEnd(
         id: String,
         cancellation: Cancellation,
     ) {
         waiting.getOrPut(id) { ArrayList() }.add(cancellation)
     }
 
-    private fun foundOpen(
+    /** The open record of the job [id] was read as [open]; the job may have ended since. */
+    private fun openRecordRead(
         id: String,
         cancellation: Cancellation,
         open: KeyValue,
     ) {
         jobStore.final(id)?.let { return cancellation.respond(answers.over(id, it)) }
         val record = decodeRecord(JobRecord.serializer(), open.value) ?: return cancellation.respond(answers.tryAgain())
-        await(id, cancellation)
+        awaitEnd(id, cancellation)
         if (!record.cancelRequested) mark(record, open.modRevision)
     }
 
-    private fun isTurnedAway(cancellation: Cancellation): Boolean {
-        if (clock.steadyMs - cancellation.since < ApiTuning.CANCEL_MS) return false
+    /** Turns [cancellation] away if it has waited too long; returns whether it did. */
+    private fun expired(cancellation: Cancellation): Boolean {
+        if (clock.steadyMs - cancellation.receivedAt < ApiTuning.CANCELLATION_TIMEOUT_MS) return false
         cancellation.respond(answers.tryAgain())
         return true
     }
 
-    /** The wish is durable already; the end can't be seen by this node now. */
+    /** The requests for marked jobs are durable already, and this node can't see those jobs end now. */
     private fun turnAwayMarked() {
-        val marked = waiting.entries.iterator()
-        while (marked.hasNext()) {
-            val (id, list) = marked.next()
+        val lists = waiting.entries.iterator()
+        while (lists.hasNext()) {
+            val (id, cancellations) = lists.next()
             if (jobStore.jobs[id]?.record?.cancelRequested != true) continue
-            list.forEach { it.respond(answers.tryAgain()) }
-            marked.remove()
+            cancellations.forEach { it.respond(answers.tryAgain()) }
+            lists.remove()
         }
     }
 
+    /** Marks [record], as it stands at [modRevision], as cancelled, unless that was tried a moment ago. */
     private fun mark(
         record: JobRecord,
         modRevision: Long,
@@ -129,10 +134,10 @@
         id: String,
         result: TransactionResult,
     ) {
-        // Once written, the watch brings the mark.
+        // Once it is written, the watch brings the mark.
         markAgainAt[id] = clock.steadyMs + StoreTuning.STATE_RETRY_MS
         when (result) {
-            // It is tried again when a user asks again.
+            // The user's next request tries again.
             TransactionResult.Refused, TransactionResult.TooLarge -> {
                 markAgainAt.remove(id)
                 waiting.remove(id)?.forEach { it.respond(answers.tryAgain()) }
--- a/src/main/kotlin/ledgearch/api/DependencyCheck.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyCheck.kt
@@ -4,9 +4,9 @@
 import ledgearch.jobs.JobStore
 import ledgearch.records.FinalRecord
 
-/** What is known of the jobs that a submission names as awaited. */
+/** What is known of the jobs that a submission names as its DAG dependencies. */
 internal sealed interface DependencyCheckResult {
-    /** Every one of them was accepted; [ended] are the final records that were read on the way. */
+    /** Every one of them was accepted; [ended] are the final records that were read on the way, by job. */
     class AllAccepted(
         val ended: Map<String, FinalRecord>,
     ) : DependencyCheckResult
@@ -26,14 +26,14 @@
 }
 
 /**
- * Finds out whether dependencys were accepted. That a job was accepted never changes, so any evidence of it counts.
- * That it was not needs a reading: a job moves from its open record to its final one in one transaction, so a job whose
- * open record and then whose final record are absent had not been accepted when the first was read.
+ * Finds out whether DAG dependencies were accepted. That a job was accepted never changes, so any evidence of it
+ * counts. That it was not needs a read: a job moves from its open record to its final one in one transaction, so a job
+ * whose open record and then whose final record are absent had not been accepted when the first was read.
  */
 internal class DependencyCheck(
     private val jobStore: JobStore,
 ) {
-    /** Looks at [ids] one after the other. */
+    /** Checks the jobs [ids] one after the other and calls [done] once, at once or when the last read is over. */
     fun check(
         ids: List<String>,
         done: (DependencyCheckResult) -> Unit,
@@ -56,7 +56,7 @@
         done(DependencyCheckResult.AllAccepted(ended))
     }
 
-    /** [accepted] gets the final record where there is one. */
+    /** Reads the job [id]: [accepted] gets its final record, null while it is open; [done] gets any other result. */
     private fun read(
         id: String,
         done: (DependencyCheckResult) -> Unit,
--- a/src/main/kotlin/ledgearch/api/DependencyKnowledge.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyKnowledge.kt
@@ -4,21 +4,23 @@
 import ledgearch.model.Job
 import ledgearch.runtime.Clock
 
-/** Whether this node knows enough of the jobs that a job waits for to tell a user that the job is open. */
+/**
+ * Whether this node knows enough of a job's DAG dependencies to report the job as open. [freshMs]: how long ago the job
+ * store may have been complete for that (ms).
+ */
 internal class DependencyKnowledge(
     private val jobStore: JobStore,
     private val clock: Clock,
     private val freshMs: Long,
 ) {
-    /** The job store was complete so lately that what it has of a chain is within the time for a cancellation. */
+    /** The job store was complete so recently that what it has of a chain is within the time for a cancellation. */
     val isFresh: Boolean get() = clock.steadyMs - jobStore.completeAt < freshMs
 
     /**
-     * Whether a user may be told that [job] is open. One that waits for others may be cancelled with them without
-     * having been looked at itself, so all that it waits for has to be known here, and known to be open a short while
-     * ago.
+     * Whether [job] may be reported as open. A job with unfinished dependencies may be cancelled through them without a
+     * change of its own record, so all of them have to be known here, and known to have been open a short while ago.
      */
-    fun mayTellOpen(job: Job): Boolean {
+    fun mayReportOpen(job: Job): Boolean {
         if (!job.waitsForOthers) return true
         return !job.dependencyCancelled && isFresh && jobStore.dependencies.areKnown(job)
     }
--- a/src/main/kotlin/ledgearch/api/JobAnswers.kt
+++ b/src/main/kotlin/ledgearch/api/JobAnswers.kt
@@ -9,27 +9,33 @@
 import ledgearch.wire.JobStatus
 import ledgearch.wire.WireJson
 
-/** Takes the answer to a request. */
+/** Takes the answer to a request; called exactly once for each. */
 internal typealias Respond = (Response) -> Unit
 
-/** The answer to a request that failed for the reason [why]. */
+/** The answer with status [code] to a request that failed; [why] is the error text in its body. */
 internal fun errorResponse(
     code: Int,
     why: String,
 ) = Response(code, WireJson.encodeToString(ErrorBody.serializer(), ErrorBody(why)))
 
-/** Builds the answers to requests about jobs; whether an answer may be given is for its users to decide. */
+/**
+ * Builds the answers to requests about jobs. Whether an answer may be given is for the callers to decide.
+ * [retryAfterS]: when a user who is turned away has to come back (seconds).
+ */
 internal class JobAnswers(
     private val leadership: LeadershipView,
     private val retryAfterS: Int,
 ) {
-    /** A submission was accepted and its job is in [state]. */
+    /** 201: a submission was accepted and its job is in [state]. */
     fun accepted(
         id: String,
         state: JobState,
     ) = status(HttpStatus.CREATED, JobStatus(id, state))
 
-    /** The open job [job]; its progress is known from its own tasks on the leader, elsewhere from the leader's news. */
+    /**
+     * 200: the open [job] with its progress, which the leader knows from the job's own tasks and the other nodes from
+     * the leader's last status.
+     */
     fun open(job: Job): Response {
         val running = if (leadership.isLeader) job.runningCount else job.lastProgress?.running ?: 0
         val done = if (leadership.isLeader) job.finishedCount else job.lastProgress?.done ?: 0
@@ -37,10 +43,10 @@
         return status(HttpStatus.OK, JobStatus(job.id, state, done, running))
     }
 
-    /** The job [id] is open; nothing more is known of it here. */
+    /** 200: the job [id] is open; nothing more is known of it here. */
     fun pending(id: String) = status(HttpStatus.OK, JobStatus(id, JobState.PENDING))
 
-    /** The job [id] is over. */
+    /** 200: the job [id] is over. */
     fun over(
         id: String,
         record: FinalRecord,
@@ -49,10 +55,10 @@
         return status(HttpStatus.OK, JobStatus(id, record.state, done, 0))
     }
 
-    /** Nobody has submitted the job. */
+    /** 404: the job was never accepted. */
     fun unknownJob() = errorResponse(HttpStatus.NOT_FOUND, "no such job")
 
-    /** Nothing can be confirmed now. */
+    /** 503: nothing can be confirmed now; the user has to come back. */
     fun tryAgain() = Response(HttpStatus.UNAVAILABLE, TRY_AGAIN, retryAfterS)
 
     private fun status(
--- a/src/main/kotlin/ledgearch/api/JobLookup.kt
+++ b/src/main/kotlin/ledgearch/api/JobLookup.kt
@@ -7,27 +7,27 @@
 import ledgearch.records.decodeRecord
 import ledgearch.wire.KeyValue
 
-/** Answers requests by reading the records of one job; limits how many such readings are under way. */
+/** Answers requests by reading the records of one job; limits how many such reads are in flight. */
 internal class JobLookup(
     private val jobStore: JobStore,
-    private val dependencies: DependencyKnowledge,
+    private val knowledge: DependencyKnowledge,
     private val answers: JobAnswers,
 ) {
-    private var underWay = 0
+    private var inFlight = 0
 
-    /** No further reading may begin for a request. */
-    val isFull: Boolean get() = underWay >= ApiTuning.INTAKE_BACKLOG
+    /** No further read may begin for a request. */
+    val isFull: Boolean get() = inFlight >= ApiTuning.REQUEST_BACKLOG
 
-    /** Counts a reading as under way until the returned function, which calls [done], is called. */
+    /** Counts a read as in flight until the returned function, which calls [done], is called. */
     fun <T> counted(done: (T) -> Unit): (T) -> Unit {
-        underWay++
+        inFlight++
         return { result ->
-            underWay--
+            inFlight--
             done(result)
         }
     }
 
-    /** Reads the job and answers with its state; calls [unknown] where nobody had submitted it. */
+    /** Reads the job [id] and answers with its state; calls [unknown] instead where it was never accepted. */
     fun answer(
         id: String,
         respond: Respond,
@@ -35,8 +35,8 @@
     ) = read(id, respond, unknown) { open -> respond(openAnswer(id, open)) }
 
     /**
-     * Reads the job and calls [open] with its open record or [unknown] where it has no record. A final record is the
-     * answer, and so is a state service that gives none.
+     * Reads the job [id] and calls [open] with its open record, or [unknown] where it has no record. A final record is
+     * answered, and so is a state service that gives no conclusive answer or a backlog that is full.
      */
     fun read(
         id: String,
@@ -57,7 +57,7 @@
         jobStore.records.read(id, done)
     }
 
-    /** Reads whether the job is over, so that this node remembers it. */
+    /** Reads whether the job [id] is over, so that this node's job store remembers it. */
     fun refreshFinal(id: String) = jobStore.records.readFinal(id, counted { })
 
     /** The answer for a job whose open record was read as [open]; it may have ended since. */
@@ -65,17 +65,17 @@
         id: String,
         open: KeyValue,
     ) = jobStore.final(id)?.let { answers.over(id, it) }
-        ?: jobStore.jobs[id]?.let(::knownAnswer)
-        ?: unseenAnswer(id, open)
+        ?: jobStore.jobs[id]?.let(::storedAnswer)
+        ?: unstoredAnswer(id, open)
 
-    private fun knownAnswer(job: Job) = if (dependencies.mayTellOpen(job)) answers.open(job) else answers.tryAgain()
+    private fun storedAnswer(job: Job) = if (knowledge.mayReportOpen(job)) answers.open(job) else answers.tryAgain()
 
     /** The job has not reached this node's job store yet. */
-    private fun unseenAnswer(
+    private fun unstoredAnswer(
         id: String,
         open: KeyValue,
     ) = if (decodeRecord(JobRecord.serializer(), open.value)?.spec?.dependsOn != null) {
-        // Its transaction may have been carried out long after what it waits for was over: the job store will tell.
+        // Its transaction may have been executed long after its dependencies were over: the job store will show it.
         answers.tryAgain()
     } else {
         answers.pending(id)
--- a/src/main/kotlin/ledgearch/api/SubmissionBatch.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionBatch.kt
@@ -1,6 +1,5 @@
 package ledgearch.api
 
-import ledgearch.http.Response
 import ledgearch.records.FinalRecord
 import ledgearch.records.JobRecord
 import ledgearch.records.Keys
@@ -10,67 +9,46 @@
 import ledgearch.wire.Condition
 import ledgearch.wire.JobState
 
-/** A job that is to be accepted, and who waits for it. [endedDependencies]: final records that were read for it. */
-internal class Submission(
-    val record: JobRecord,
-    val since: Long,
-    val endedDependencies: Map<String, FinalRecord>,
-) {
-    val id: String get() = record.spec.id
-
-    /** Those who asked before the transaction was first sent: its answer is theirs. */
-    val first = ArrayList<Respond>()
-
-    /** Those who asked later: it may have been carried out, and more told of the job, before they did. */
-    val late = ArrayList<Respond>()
-
-    /** Its transaction was sent at least once. */
-    var sent = false
-
-    /** The same job was submitted again. */
-    fun join(respond: Respond) {
-        val group = if (sent) late else first
-        group.add(respond)
-    }
-
-    /** Everyone gets the same answer. */
-    fun answer(response: Response) {
-        first.forEach { it(response) }
-        late.forEach { it(response) }
-        first.clear()
-        late.clear()
-    }
-}
-
-/** One transaction that accepts several jobs; it compares [leadershipCondition] where this node leads. */
+/**
+ * One transaction that accepts several jobs, each on the condition that it has no record yet. [leadershipCondition] is
+ * compared too; null on a node that does not lead. [maxChanges]: how many jobs it may accept.
+ */
 internal class SubmissionBatch(
     val leadershipCondition: Condition?,
     private val maxChanges: Int,
 ) {
+    /** The submissions in the batch, in the order in which they were added. */
     val submissions = ArrayList<Submission>()
+
+    /** What the transaction compares. */
     val conditions = ArrayList(listOfNotNull(leadershipCondition))
+
+    /** What the transaction writes: one record for each submission. */
     val changes = ArrayList<Change>()
 
-    /** Those that are cancelled as they are accepted. */
+    /** Submissions of jobs that are cancelled as they are accepted. */
     val cancelled = HashSet<Submission>()
-    private var bytes = 0
+    private var plannedBytes = 0
 
-    /** False when there is no room for [submission]; the first always has room. */
+    /**
+     * Adds [submission] and marks it as sent; [isCancelled]: its job is accepted as cancelled. False, with nothing
+     * changed, when the batch has no room for it. The first one always has room.
+     */
     fun add(
         submission: Submission,
         isCancelled: Boolean,
     ): Boolean {
         val change = if (isCancelled) cancelledChange(submission.id) else openChange(submission.record)
-        val size = sizeOf(change)
-        val isFull = changes.size >= maxChanges || bytes + size > StoreTuning.TRANSACTION_BYTES
+        val size = plannedSizeOf(change)
+        val isFull = changes.size >= maxChanges || plannedBytes + size > StoreTuning.TRANSACTION_BYTES
         if (isFull && submissions.isNotEmpty()) return false
-        bytes += size
+        plannedBytes += size
         submissions.add(submission)
         conditions.add(Condition(Keys.job(submission.id), ABSENT))
         conditions.add(Condition(Keys.final(submission.id), ABSENT))
         changes.add(change)
         if (isCancelled) cancelled.add(submission)
-        submission.sent = true
+        submission.markSent()
         return true
     }
 
@@ -82,16 +60,14 @@
     private fun openChange(record: JobRecord) =
         Change(put = Keys.job(record.spec.id), value = encodeRecord(JobRecord.serializer(), record))
 
-    private fun sizeOf(change: Change): Int {
+    /** Bytes. */
+    private fun plannedSizeOf(change: Change): Int {
         val text = change.value.toString()
-        return text.encodeToByteArray().size * SIZE_FACTOR
+        return text.encodeToByteArray().size * ApiTuning.VALUE_SIZE_FACTOR
     }
 
     private companion object {
-        /** The stamp of a key that does not exist. */
+        /** The revision that a condition names for a key that does not exist. */
         const val ABSENT = 0L
-
-        /** A value is counted this many times over against the room of a transaction. */
-        const val SIZE_FACTOR = 2
     }
 }
--- a/src/main/kotlin/ledgearch/api/Submissions.kt
+++ b/src/main/kotlin/ledgearch/api/Submissions.kt
@@ -3,41 +3,35 @@
 import ledgearch.config.Team
 import ledgearch.http.HttpStatus
 import ledgearch.jobs.JobStore
-import ledgearch.records.FinalRecord
 import ledgearch.records.JobRecord
-import ledgearch.records.Keys
 import ledgearch.runtime.Clock
-import ledgearch.store.RequestClass
-import ledgearch.store.StoreClient
-import ledgearch.store.StoreTuning
-import ledgearch.store.TransactionResult
-import ledgearch.wire.JobState
+import ledgearch.wire.JobSpec
 import ledgearch.wire.WireJson
 
-/** What bounds a submission, from the settings. */
+/** What bounds a submission, from the settings: the [teams] by name, and the size of a record ([valueBytes]). */
 internal class SubmissionLimits(
     val teams: Map<String, Team>,
     val valueBytes: Int,
 )
 
-/** Submissions of jobs: checks them, accepts them in batches of one transaction at a time and answers. */
+/**
+ * Checks submitted jobs and answers the requests, or passes admissible jobs to the [queue].
+ *
+ * A job accepted earlier stays accepted, whatever its body or the catalog says now: a job is refused only when it was
+ * never accepted.
+ */
 internal class Submissions(
     private val limits: SubmissionLimits,
     private val jobStore: JobStore,
-    private val state: StoreClient,
-    private val leadership: LeadershipView,
     private val clock: Clock,
-    private val dependencies: DependencyKnowledge,
     private val lookup: JobLookup,
     private val polls: Polls,
     private val answers: JobAnswers,
+    private val queue: SubmissionQueue,
 ) {
     private val dependencyCheck = DependencyCheck(jobStore)
-    private val waiting = LinkedHashMap<String, Submission>()
-    private var submitting = false
-    private var retryAt = 0L
 
-    /** A user submits a job. */
+    /** A user submits a job: [body] is the request's. */
     fun add(
         body: String,
         respond: Respond,
@@ -60,31 +54,11 @@
         check(JobRecord(spec, clock.wallMs), respond)
     }
 
-    /** Turns away those that have waited too long. */
-    fun expire() {
-        val late = waiting.values.iterator()
-        while (late.hasNext()) {
-            val submission = late.next()
-            if (clock.steadyMs - submission.since < ApiTuning.SUBMIT_MS) continue
-            late.remove()
-            submission.answer(answers.tryAgain())
-        }
-    }
+    /** Turns away the submissions that have waited too long. */
+    fun expire() = queue.expire()
 
-    /** Sends the next transaction unless one is under way. */
-    fun flush() {
-        if (submitting || waiting.isEmpty() || clock.steadyMs < retryAt) return
-        val batch = nextBatch()
-        if (batch.submissions.isEmpty()) return
-        submitting = true
-        val sentAt = clock.steadyMs
-        state.transact(batch.conditions, batch.changes, RequestClass.ORDINARY) { result ->
-            submitting = false
-            answered(batch, result, sentAt)
-        }
-    }
-
-    // --- Checks -------------------------------------------------------------------------------------------------
+    /** Sends the next transaction that accepts jobs, if one is due. */
+    fun flush() = queue.flush()
 
     private fun check(
         record: JobRecord,
@@ -92,40 +66,35 @@
     ) {
         val spec = record.spec
         val id = spec.id
-        if (bytes(record.copy(cancelRequested = true)) > limits.valueBytes) {
-            return refuse(id, HttpStatus.BAD_REQUEST, "too large", respond)
-        }
-        if (joined(id, respond)) return
-        if (jobStore.machineTypes.isEmpty() ||
-            waiting.size >= ApiTuning.INTAKE_BACKLOG
-        ) {
-            return respond(answers.tryAgain())
-        }
-        val impossible = Validation.impossible(spec, limits.teams[spec.team], jobStore.machineTypes.values)
+        if (!fitsOneValue(record)) return refuse(id, HttpStatus.BAD_REQUEST, "too large", respond)
+        if (queue.join(id, respond)) return
+        // Without a catalog nothing can be decided yet.
+        if (jobStore.machineTypes.isEmpty() || queue.isFull) return respond(answers.tryAgain())
+        val infeasibility = infeasibilityOf(spec)
         when {
-            impossible != null -> refuse(id, HttpStatus.UNPROCESSABLE, impossible, respond)
-            spec.dependsOn == null -> accept(record, respond)
+            infeasibility != null -> refuse(id, HttpStatus.UNPROCESSABLE, infeasibility.text, respond)
+            spec.dependsOn == null -> queue.add(record, respond)
             else -> checkDependencies(record, spec.dependsOn, respond)
         }
     }
 
-    /** The same submission is under way: its answer is this one's too. */
-    private fun joined(
-        id: String,
-        respond: Respond,
-    ): Boolean {
-        val underWay = waiting[id] ?: return false
-        underWay.join(respond)
-        return true
+    /** Whether the record fits into one value of the state service, also with the mark of a cancellation. */
+    private fun fitsOneValue(record: JobRecord): Boolean {
+        val marked = record.copy(cancelRequested = true)
+        val encoded = WireJson.encodeToString(JobRecord.serializer(), marked).encodeToByteArray()
+        return encoded.size <= limits.valueBytes
     }
 
+    private fun infeasibilityOf(spec: JobSpec) =
+        Validation.infeasibility(spec, limits.teams[spec.team], jobStore.machineTypes.values)
+
     private fun checkDependencies(
         record: JobRecord,
-        awaited: List<String>,
+        dependencies: List<String>,
         respond: Respond,
     ) {
         if (lookup.isFull) return respond(answers.tryAgain())
-        dependencyCheck.check(awaited, lookup.counted { dependenciesChecked(record, it, respond) })
+        dependencyCheck.check(dependencies, lookup.counted { dependenciesChecked(record, it, respond) })
     }
 
     private fun dependenciesChecked(
@@ -133,161 +102,25 @@
         result: DependencyCheckResult,
         respond: Respond,
     ) {
-        val why =
+        val reason =
             when (result) {
-                is DependencyCheckResult.AllAccepted -> return accept(record, respond, result.ended)
-                is DependencyCheckResult.NeverAccepted -> "awaits: ${result.job} was never accepted"
-                is DependencyCheckResult.IsService -> "awaits: ${result.job} is a service and never done"
+                is DependencyCheckResult.AllAccepted -> return queue.add(record, respond, result.ended)
+                is DependencyCheckResult.NeverAccepted -> "${result.job} was never accepted"
+                is DependencyCheckResult.IsService -> "${result.job} is a service and never done"
                 DependencyCheckResult.Unknown -> return respond(answers.tryAgain())
             }
-        refuse(record.spec.id, HttpStatus.UNPROCESSABLE, why, respond)
-    }
-
-    /** [record] is fit to be accepted; it may have become known since it came. */
-    private fun accept(
-        record: JobRecord,
-        respond: Respond,
-        endedDependencies: Map<String, FinalRecord> = emptyMap(),
-    ) {
-        val id = record.spec.id
-        if (jobStore.final(id) != null || jobStore.jobs.containsKey(id)) return polls.add(id, respond)
-        if (joined(id, respond)) return
-        val submission = Submission(record, clock.steadyMs, endedDependencies)
-        submission.join(respond)
-        waiting[id] = submission
+        val error = "${SubmissionField.DEPENDS_ON}: $reason"
+        refuse(record.spec.id, HttpStatus.UNPROCESSABLE, error, respond)
     }
 
-    /**
-     * A job accepted earlier stays accepted, whatever its body or the catalog says now: only one never accepted is
-     * refused.
-     */
+    /** Answers with [status] and [reason] unless the job [id] is being accepted or was accepted before. */
     private fun refuse(
         id: String,
         status: Int,
-        why: String,
+        reason: String,
         respond: Respond,
     ) {
-        val underWay = waiting[id]
-        if (underWay != null) {
-            underWay.late.add(respond)
-        } else {
-            lookup.answer(id, respond) { respond(errorResponse(status, why)) }
-        }
-    }
-
-    // --- Batches ------------------------------------------------------------------------------------------------
-
-    private fun nextBatch(): SubmissionBatch {
-        val batch = SubmissionBatch(leadership.condition.takeIf { leadership.isLeader }, state.maxChanges)
-        for (submission in waiting.values.toList()) {
-            if (!add(submission, batch)) break
-        }
-        return batch
-    }
-
-    /** False when [batch] has no room for [submission]; one that can't be decided yet is passed over. */
-    private fun add(
-        submission: Submission,
-        batch: SubmissionBatch,
-    ): Boolean {
-        val unfinished = unfinishedDependencies(submission)
-        if (unfinished.isNotEmpty() && !dependencies.isFresh) {
-            turnAway(submission)
-            return true
-        }
-        val isCancelled = unfinished.any { isCancelled(it, submission) }
-        // It waits for what is being read: one of those that they depend on may have been cancelled long ago.
-        if (!isCancelled && !unfinished.all(jobStore.dependencies::isKnown)) return true
-        return batch.add(submission, isCancelled)
-    }
-
-    private fun unfinishedDependencies(submission: Submission): List<String> {
-        val awaited = submission.record.spec.dependsOn
-        return awaited.orEmpty().filter { finalOf(it, submission)?.state != JobState.DONE }
+        if (queue.joinAsRepeat(id, respond)) return
+        lookup.answer(id, respond) { respond(errorResponse(status, reason)) }
     }
-
-    /** [id] is not done; where it is over all the same it was cancelled. */
-    private fun isCancelled(
-        id: String,
-        submission: Submission,
-    ) = finalOf(id, submission) != null || jobStore.jobs[id]?.dependencyCancelled == true
-
-    private fun finalOf(
-        id: String,
-        submission: Submission,
-    ): FinalRecord? = submission.endedDependencies[id] ?: jobStore.final(id)
-
-    private fun answered(
-        batch: SubmissionBatch,
-        result: TransactionResult,
-        sentAt: Long,
-    ) {
-        when (result) {
-            is TransactionResult.Committed -> {
-                executed(batch, result.revision, sentAt)
-            }
-
-            is TransactionResult.Conflict -> {
-                batch.submissions.forEach { conflicted(it, result.failed) }
-            }
-
-            // Not taken: the users are told at once, and when to come back.
-            TransactionResult.Refused, TransactionResult.TooLarge, TransactionResult.LeaseExpired -> {
-                batch.submissions.forEach(::turnAway)
-            }
-
-            // A repeat is harmless: if the first was executed, the condition fails and the job is found.
-            TransactionResult.Unknown -> {
-                retryAt = clock.steadyMs + StoreTuning.STATE_RETRY_MS
-            }
-        }
-    }
-
-    private fun executed(
-        batch: SubmissionBatch,
-        revision: Long,
-        sentAt: Long,
-    ) {
-        val condition = batch.leadershipCondition
-        if (condition != null) leadership.leadershipConfirmed(sentAt, condition.modRevision)
-        for (submission in batch.submissions) {
-            waiting.remove(submission.id, submission)
-            val isUnderLeadership = condition != null && leadership.isLeader
-            if (submission in batch.cancelled) {
-                jobStore.rememberFinal(submission.id, FinalRecord(JobState.CANCELLED))
-                accepted(submission, JobState.CANCELLED)
-            } else {
-                if (isUnderLeadership) jobStore.acceptUnderLeadership(submission.record, revision)
-                accepted(submission, JobState.PENDING)
-            }
-        }
-    }
-
-    private fun accepted(
-        submission: Submission,
-        state: JobState,
-    ) {
-        submission.first.forEach { it(answers.accepted(submission.id, state)) }
-        submission.late.forEach { polls.add(submission.id, it) }
-    }
-
-    private fun conflicted(
-        submission: Submission,
-        failed: List<String>,
-    ) {
-        val id = submission.id
-        if (Keys.job(id) !in failed && Keys.final(id) !in failed) return
-        waiting.remove(id, submission)
-        for (respond in submission.first + submission.late) {
-            lookup.answer(id, respond) { respond(answers.tryAgain()) }
-        }
-    }
-
-    private fun turnAway(submission: Submission) {
-        waiting.remove(submission.id, submission)
-        submission.answer(answers.tryAgain())
-    }
-
-    private fun bytes(record: JobRecord) =
-        WireJson.encodeToString(JobRecord.serializer(), record).encodeToByteArray().size
 }
--- a/src/main/kotlin/ledgearch/api/UserApi.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -6,22 +6,12 @@
 import ledgearch.jobs.JobStore
 import ledgearch.runtime.Clock
 import ledgearch.store.StoreClient
-import ledgearch.wire.Condition
-
-/** The grant as far as intake needs it: the leader's submissions are accepted under its own grant. */
-internal interface LeadershipView {
-    val isLeader: Boolean
-    val condition: Condition
-
-    fun leadershipConfirmed(
-        sentAt: Long,
-        under: Long,
-    )
-}
 
 /**
- * The users' side, on every node; it routes the requests to those who answer them. One rule holds for every answer: all
- * it rests on was read from the state service after the question came, or is final.
+ * The users' interface on every node: routes each request to the class that answers it. Run by the owner alone.
+ *
+ * One rule holds for every answer: all that it rests on was read from the state service after the request came, or is
+ * final.
  */
 internal class UserApi(
     settings: Settings,
@@ -31,33 +21,34 @@
     clock: Clock,
 ) {
     private val deployment = settings.deployment
-    private val freshMs = (deployment.workers.cancelS * 1000 * ApiTuning.FRESH_SHARE).toLong()
+    private val freshMs = (deployment.workers.cancelS * MS_PER_S * ApiTuning.FRESHNESS_SHARE).toLong()
     private val limits = SubmissionLimits(deployment.teams.associateBy { it.name }, deployment.state.safeValueBytes)
     private val answers = JobAnswers(leadership, settings.operator.retryAfterS)
-    private val dependencies = DependencyKnowledge(jobStore, clock, freshMs)
-    private val lookup = JobLookup(jobStore, dependencies, answers)
-    private val polls = Polls(jobStore, state, clock, dependencies, lookup, answers)
-    private val submissions =
-        Submissions(limits, jobStore, state, leadership, clock, dependencies, lookup, polls, answers)
+    private val knowledge = DependencyKnowledge(jobStore, clock, freshMs)
+    private val lookup = JobLookup(jobStore, knowledge, answers)
+    private val polls = Polls(jobStore, state, clock, knowledge, lookup, answers)
+    private val admission = DependencyAdmission(jobStore, knowledge)
+    private val queue = SubmissionQueue(jobStore, state, leadership, clock, admission, lookup, polls, answers)
+    private val submissions = Submissions(limits, jobStore, clock, lookup, polls, answers, queue)
     private val cancellations = Cancellations(jobStore, state, clock, lookup, answers)
 
-    /** Answers [request] by [respond], at once or when its answer is known. */
+    /** Answers [request] by [respond], at once or when its answer is known. Each request gets exactly one answer. */
     fun handle(
         request: Request,
         respond: Respond,
     ) {
-        val parts = request.path.split('/')
+        val segments = request.path.split('/')
         when {
-            request.path == "/work" -> {
-                only("POST", request, respond) { submissions.add(request.body, respond) }
+            request.path == JOBS_PATH -> {
+                allowing(POST, request, respond) { submissions.add(request.body, respond) }
             }
 
-            parts.size == 3 && parts[1] == "work" -> {
-                only("GET", request, respond) { polls.add(parts[2], respond) }
+            isJobPath(segments) -> {
+                allowing(GET, request, respond) { polls.add(segments[JOB_ID_AT], respond) }
             }
 
-            parts.size == 4 && parts[1] == "work" && parts[3] == "withdraw" -> {
-                only("POST", request, respond) { cancellations.add(parts[2], respond) }
+            isCancellationPath(segments) -> {
+                allowing(POST, request, respond) { cancellations.add(segments[JOB_ID_AT], respond) }
             }
 
             else -> {
@@ -66,10 +57,10 @@
         }
     }
 
-    /** The job is over: whoever waits for that is told. */
+    /** The job [id] is over: answers the cancellations that wait for it. */
     fun closed(id: String) = cancellations.closed(id)
 
-    /** Turns away what has waited too long, then sends what is due. */
+    /** Turns away the requests that have waited too long, then sends the transactions that are due. */
     fun drive() {
         submissions.expire()
         polls.expire()
@@ -79,7 +70,12 @@
         cancellations.markOpenJobs()
     }
 
-    private fun only(
+    private fun isJobPath(segments: List<String>) = segments.size == JOB_SEGMENTS && segments[1] == JOBS_SEGMENT
+
+    private fun isCancellationPath(segments: List<String>) =
+        segments.size == CANCELLATION_SEGMENTS && segments[1] == JOBS_SEGMENT && segments.last() == CANCEL_SEGMENT
+
+    private fun allowing(
         method: String,
         request: Request,
         respond: Respond,
@@ -93,11 +89,27 @@
     }
 
     companion object {
-        /** What a user's request asks for, for counting. */
+        private const val GET = "GET"
+        private const val POST = "POST"
+        private const val JOBS_SEGMENT = "work"
+        private const val JOBS_PATH = "/$JOBS_SEGMENT"
+        private const val CANCEL_SEGMENT = "withdraw"
+
+        /** Segments of `/work/{id}`: the first one, before the leading slash, is empty. */
+        private const val JOB_SEGMENTS = 3
+
+        /** Segments of `/work/{id}/withdraw`. */
+        private const val CANCELLATION_SEGMENTS = 4
+
+        /** Index of the job's id among the segments. */
+        private const val JOB_ID_AT = 2
+        private const val MS_PER_S = 1000
+
+        /** The kind of a user's [request] as the metrics name it. */
         fun kind(request: Request): String =
             when {
-                request.method == "GET" -> "poll"
-                request.path.endsWith("/withdraw") -> "withdraw"
+                request.method == GET -> "poll"
+                request.path.endsWith("/$CANCEL_SEGMENT") -> "withdraw"
                 else -> "submit"
             }
     }
