--- a/src/test/kotlin/ledgearch/OwnerQueueTest.kt
+++ b/src/test/kotlin/ledgearch/cli/OwnerQueueTest.kt
@@ -1,8 +1,6 @@
-package ledgearch
+package ledgearch.cli
 
 import kotlinx.coroutines.runBlocking
-import ledgearch.cli.DaemonTuning
-import ledgearch.cli.OwnerQueue
 import ledgearch.control.OwnerCommand
 import ledgearch.http.Request
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/ledgearch/ConnectionsTest.kt
+++ b/src/test/kotlin/ledgearch/http/ConnectionsTest.kt
@@ -1,7 +1,5 @@
-package ledgearch
+package ledgearch.http
 
-import ledgearch.http.Connection
-import ledgearch.http.Connections
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/ledgearch/MeshLinksTest.kt
+++ b/src/test/kotlin/ledgearch/peers/MeshLinksTest.kt
@@ -1,4 +1,4 @@
-package ledgearch
+package ledgearch.peers
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.SupervisorJob
@@ -6,14 +6,6 @@
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
 import ledgearch.model.JobProgress
-import ledgearch.peers.LeaderStatus
-import ledgearch.peers.MeshEvents
-import ledgearch.peers.MeshLinks
-import ledgearch.peers.PeerTuning
-import ledgearch.peers.StandbyEvent
-import ledgearch.peers.StreamCodec
-import ledgearch.peers.StreamFrame
-import ledgearch.peers.StreamFrames
 import org.junit.jupiter.api.AfterEach
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
--- /dev/null
+++ b/src/test/kotlin/ledgearch/peers/StreamExamples.kt
@@ -0,0 +1,29 @@
+package ledgearch.peers
+
+import ledgearch.model.AttemptState
+
+/** One record of each kind, in one frame, for tests of the decision stream. */
+internal object StreamExamples {
+    val machine =
+        MachineSnapshot(
+            "host-1",
+            7,
+            true,
+            listOf(AttemptSnapshot("job-1/3", 1L shl 40, AttemptState.RUNNING)),
+            listOf(CachedImage("soup", 1.5, true)),
+        )
+    val frame =
+        StreamFrame(
+            5,
+            9,
+            true,
+            2,
+            listOf(
+                machine,
+                ClassRunTime("web", -0.25, 3.0),
+                ServiceTime("job-1", 8),
+                RentedMachine("h", "r", "a", true),
+            ),
+            listOf(RecordKey(RecordKind.SERVICE_TIME, "job-2")),
+        )
+}
--- a/src/test/kotlin/ledgearch/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
@@ -1,4 +1,4 @@
-package ledgearch
+package ledgearch.records
 
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.serializer
@@ -8,15 +8,6 @@
 import ledgearch.model.JobProgress
 import ledgearch.peers.Frames
 import ledgearch.peers.LeaderStatus
-import ledgearch.records.CatalogRecord
-import ledgearch.records.FinalRecord
-import ledgearch.records.FinishedRecord
-import ledgearch.records.JobRecord
-import ledgearch.records.LeadershipRecord
-import ledgearch.records.MachineEntry
-import ledgearch.records.MachinesRecord
-import ledgearch.records.SingleMachineRecord
-import ledgearch.records.StepDownRecord
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
 import ledgearch.wire.JobState
--- a/src/test/kotlin/ledgearch/ProductionRecords.kt
+++ b/src/test/kotlin/ledgearch/records/ProductionRecords.kt
@@ -1,4 +1,4 @@
-package ledgearch
+package ledgearch.records
 
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
@@ -16,6 +16,7 @@
         encodeDefaults = false
     }
 
+/** What a user submits, as production reads it. */
 @Serializable
 internal data class ProductionWorkRequest(
     val ref: String,
@@ -40,6 +41,7 @@
     val serveS: Double? = null,
 )
 
+/** A job that is open, as production reads it. */
 @Serializable
 internal data class ProductionJobRecord(
     val spec: ProductionWorkRequest,
@@ -47,12 +49,14 @@
     val cancel: Boolean = false,
 )
 
+/** The final state of a job, as production reads it. */
 @Serializable
 internal data class ProductionFinalRecord(
     val st: String,
     val n: Int = 0,
 )
 
+/** Which controller leads, as production reads it. */
 @Serializable
 internal data class ProductionGrantRecord(
     val node: String,
@@ -60,12 +64,14 @@
     val over: Long = 0,
 )
 
+/** A controller that stepped down, as production reads it. */
 @Serializable
 internal data class ProductionSilenceRecord(
     val node: String,
     val at: Long,
 )
 
+/** A machine type, as production reads it. */
 @Serializable
 internal data class ProductionRack(
     val label: String,
@@ -80,6 +86,7 @@
     val halls: List<String> = emptyList(),
 )
 
+/** Several machines, as production reads it. */
 @Serializable
 internal data class ProductionMachinesRecord(
     val block: Int,
@@ -87,6 +94,7 @@
     val machines: List<ProductionMachineEntry>,
 )
 
+/** One of several machines, as production reads it. */
 @Serializable
 internal data class ProductionMachineEntry(
     val name: String,
@@ -97,6 +105,7 @@
     val aside: Boolean = false,
 )
 
+/** One machine, as earlier versions wrote it, as production reads it. */
 @Serializable
 internal data class ProductionSingleMachineRecord(
     val endpoint: String,
@@ -106,11 +115,13 @@
     val aside: Boolean = false,
 )
 
+/** The finished tasks of a job, as production reads it. */
 @Serializable
 internal data class ProductionFinishedRecord(
     val r: String,
 )
 
+/** The machine types of the cloud, as production reads it. */
 @Serializable
 internal data class ProductionCatalogRecord(
     val racks: List<ProductionRack>,
--- a/src/test/kotlin/ledgearch/StallCompensationTest.kt
+++ b/src/test/kotlin/ledgearch/runtime/StallCompensationTest.kt
@@ -1,9 +1,5 @@
-package ledgearch
+package ledgearch.runtime
 
-import ledgearch.runtime.Clock
-import ledgearch.runtime.Metrics
-import ledgearch.runtime.RuntimeTuning
-import ledgearch.runtime.StallCompensation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- /dev/null
+++ b/src/test/kotlin/ledgearch/simulation/JobSpecWords.kt
@@ -0,0 +1,31 @@
+package ledgearch.simulation
+
+import ledgearch.wire.JobKind
+import ledgearch.wire.JobSpec
+import ledgearch.wire.Priority
+
+/** The submission that a step describes: a job's id and words like `tasks=3`. */
+internal fun jobSpecOf(words: List<String>): JobSpec {
+    val options = words.drop(1).associate { it.substringBefore('=') to it.substringAfter('=') }
+    return JobSpec(
+        id = words[0],
+        jobClass = options["class"] ?: "batch",
+        team = options["team"] ?: "red",
+        kind = if (options["service"] == "yes") JobKind.SERVICE else JobKind.ARRAY,
+        priority = options["priority"]?.let(::priorityOf) ?: Priority.NORMAL,
+        taskCount = options["tasks"]?.toInt() ?: 1,
+        vcpus = options["cpus"]?.toDouble() ?: 2.0,
+        accelerators = options["gpus"]?.toDouble() ?: 0.0,
+        memoryGb = options["mem"]?.toDouble() ?: 1.0,
+        zone = options["zone"],
+        singleZone = options["single-zone"] == "yes",
+        spreadZones = options["spread"] == "yes",
+        allowsSpot = options["spot"] == "yes",
+        image = options["image"] ?: "i",
+        imageGb = options["gb"]?.toDouble() ?: 0.3,
+        estimatedRunS = options["run"]?.toDouble() ?: 10.0,
+        dependsOn = options["depends-on"]?.split(','),
+    )
+}
+
+private fun priorityOf(text: String) = checkNotNull(Priority.Serializer.of(text)) { "no priority is called $text" }
--- a/src/test/kotlin/ledgearch/simulation/PlacementTimes.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/PlacementTimes.kt
@@ -1,4 +1,6 @@
-package ledgearch.simulation
+package ledgearch.simulation.invariants
+
+import ledgearch.simulation.Simulation
 
 /** Where tasks were started, how many a second, and when jobs had all their tasks running. */
 internal class PlacementTimes(
--- /dev/null
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/CloudSteps.kt
@@ -0,0 +1,39 @@
+package ledgearch.simulation.scenarios
+
+import ledgearch.simulation.Simulation
+
+/** The cloud: how machines come and go. */
+internal class CloudSteps(
+    simulation: Simulation,
+) : StepFamily(simulation) {
+    override val actions =
+        mapOf<String, (Step) -> Unit>(
+            "boot-time" to ::setBootTime,
+            "cloud-down" to { simulation.cloud.down = true },
+            "cloud-up" to { simulation.cloud.down = false },
+            "never-boots" to { step -> simulation.cloud.bootsNever = step.words[1].toInt() },
+            "reclaim" to { step -> simulation.reclaim(host(step.words[1])) },
+            "reclaim-first" to ::reclaimFirst,
+            "reclaim-last" to ::reclaimLast,
+        )
+
+    /** boot-time MS: so long machines take to come up. */
+    private fun setBootTime(step: Step) {
+        simulation.cloud.bootMs = step.words[1].toLong()
+    }
+
+    /** reclaim-first COUNT: the first ones, without notice. */
+    private fun reclaimFirst(step: Step) {
+        simulation.cloud.names
+            .take(step.words[1].toInt())
+            .forEach(simulation::reclaim)
+    }
+
+    /** reclaim-last COUNT: the last ones, without notice. */
+    private fun reclaimLast(step: Step) {
+        simulation.cloud.names
+            .toList()
+            .takeLast(step.words[1].toInt())
+            .forEach(simulation::reclaim)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ClusterExpectations.kt
@@ -0,0 +1,52 @@
+package ledgearch.simulation.scenarios
+
+import ledgearch.simulation.Simulation
+import ledgearch.simulation.leader
+
+/** Which machines there are, and who leads. */
+internal class ClusterExpectations(
+    simulation: Simulation,
+    step: Step,
+    failures: MutableList<String>,
+) : ExpectationFamily(simulation, step, failures) {
+    override val checks =
+        mapOf(
+            "machines" to ::machines,
+            "spot-machines" to ::spotMachines,
+            "quarantined" to ::quarantined,
+            "removed" to ::removed,
+            "leader" to ::ledBy,
+        )
+
+    private fun machines() {
+        val count = simulation.cloud.names.size
+        compare("machines ${words[2]}", count, count == words[2].toInt())
+    }
+
+    private fun spotMachines() {
+        val count = simulation.cloud.spotCount
+        compare("spot machines ${words[2]}", count, count == words[2].toInt())
+    }
+
+    private fun quarantined() {
+        val count = store.keysUnder("m/").sumOf { store.text(it).split("\"aside\":true").size - 1 }
+        compare("quarantined ${words[2]}", count, count == words[2].toInt())
+    }
+
+    private fun removed() {
+        compare("removed ${words[2]}", true, words[2] !in simulation.cloud.names)
+    }
+
+    /** leader NODE|any|not-NODE */
+    private fun ledBy() {
+        val actual = leader(simulation)
+        val expected = words[2]
+        val holds =
+            when {
+                expected == "any" -> actual != "none"
+                expected.startsWith("not-") -> actual != "none" && "not-$actual" != expected
+                else -> actual == expected
+            }
+        compare("leader $expected", actual, holds)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/JobExpectations.kt
@@ -0,0 +1,66 @@
+package ledgearch.simulation.scenarios
+
+import ledgearch.simulation.Simulation
+
+/** What is known of jobs and their tasks. */
+internal class JobExpectations(
+    simulation: Simulation,
+    step: Step,
+    failures: MutableList<String>,
+) : ExpectationFamily(simulation, step, failures) {
+    override val checks =
+        mapOf(
+            "running" to ::running,
+            "started" to ::started,
+            "starts" to ::starts,
+            "failures" to ::failedTasks,
+            "decisions" to ::decisions,
+            "terms" to ::terms,
+            "finished" to ::finished,
+            "accepted" to ::accepted,
+        )
+
+    private fun running() {
+        val count = simulation.running(words[2])
+        compare("running ${words[2]} ${words[3]}", count, count == words[3].toInt())
+    }
+
+    private fun started() {
+        val count = invariants.startsOf(words[2])
+        compare("started ${words[2]}", count, count > 0)
+    }
+
+    private fun starts() {
+        val count = invariants.startsOf(words[2])
+        compare("starts ${words[2]} at most ${words[3]}", count, count <= words[3].toInt())
+    }
+
+    private fun failedTasks() {
+        val count = invariants.failures
+        compare("failures at most ${words[2]}", count, count <= words[2].toInt())
+    }
+
+    private fun decisions() {
+        val count = invariants.lastAttempt and COUNTER_OF_ATTEMPT
+        compare("decisions at most ${words[2]}", count, count <= words[2].toInt())
+    }
+
+    private fun terms() {
+        val count = invariants.terms
+        compare("terms ${words[2]}", count, count == words[2].toInt())
+    }
+
+    private fun finished() {
+        val count = invariants.completedOf(words[2])
+        compare("finished ${words[2]} ${words[3]}", count, count == words[3].toInt())
+    }
+
+    private fun accepted() {
+        compare("accepted ${words[2]}", false, invariants.isAccepted(words[2]))
+    }
+
+    private companion object {
+        /** The bits of an attempt's number that count decisions. */
+        const val COUNTER_OF_ATTEMPT = 0xFFFFFFFL
+    }
+}
--- a/src/test/kotlin/ledgearch/simulation/Pipelines.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Pipelines.kt
@@ -1,4 +1,4 @@
-package ledgearch.simulation
+package ledgearch.simulation.scenarios
 
 /** The words of `submit` for jobs that await each other. */
 internal object Pipelines {
--- a/src/test/kotlin/ledgearch/simulation/ScenarioLimits.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ScenarioLimits.kt
@@ -1,4 +1,4 @@
-package ledgearch.simulation
+package ledgearch.simulation.scenarios
 
 import ledgearch.config.NextStateLimits
 import ledgearch.config.StateLimits
--- a/src/test/kotlin/ledgearch/simulation/StandbySteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StandbySteps.kt
@@ -1,4 +1,7 @@
-package ledgearch.simulation
+package ledgearch.simulation.scenarios
+
+import ledgearch.simulation.Simulation
+import ledgearch.simulation.faults.StreamFaults
 
 /** Faults of decision streams between controllers. */
 internal class StandbySteps(
--- a/src/test/kotlin/ledgearch/simulation/Step.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Step.kt
@@ -1,4 +1,4 @@
-package ledgearch.simulation
+package ledgearch.simulation.scenarios
 
 /** One line of a scenario: at [at] ms, the step that its [words] name. */
 internal class Step(
--- /dev/null
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StoreExpectations.kt
@@ -0,0 +1,47 @@
+package ledgearch.simulation.scenarios
+
+import ledgearch.simulation.Simulation
+
+/** What the store holds and has refused. */
+internal class StoreExpectations(
+    simulation: Simulation,
+    step: Step,
+    failures: MutableList<String>,
+) : ExpectationFamily(simulation, step, failures) {
+    override val checks =
+        mapOf(
+            "keys" to ::keys,
+            "keys-at-most" to ::keysAtMost,
+            "values-over" to ::valuesOver,
+            "too-large" to ::tooLarge,
+            "too-many" to ::tooMany,
+        )
+
+    private fun keys() {
+        val count = store.keysUnder(words[2]).size
+        compare("keys ${words[2]} ${words[3]}", count, count == words[3].toInt())
+    }
+
+    private fun keysAtMost() {
+        val count = store.keysUnder(words[2]).size
+        compare("keys ${words[2]} at most ${words[3]}", count, count <= words[3].toInt())
+    }
+
+    /** values-over PREFIX BYTES COUNT */
+    private fun valuesOver() {
+        val count = store.keysUnder(words[2]).count { store.text(it).length > words[3].toInt() }
+        compare("values ${words[2]} over ${words[3]} ${words[4]}", count, count == words[4].toInt())
+    }
+
+    /** too-large COUNT: transactions refused for their size. */
+    private fun tooLarge() {
+        val count = store.rateLimits.tooLarge
+        compare("too large ${words[2]}", count, count == words[2].toInt())
+    }
+
+    /** too-many COUNT: requests refused for their rate, at most. */
+    private fun tooMany() {
+        val count = store.rateLimits.tooMany
+        compare("too many at most ${words[2]}", count, count <= words[2].toInt())
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ZoneExpectations.kt
@@ -0,0 +1,59 @@
+package ledgearch.simulation.scenarios
+
+import ledgearch.simulation.Simulation
+import ledgearch.simulation.leader
+
+/** States of zones, and what a lost zone does to jobs. */
+internal class ZoneExpectations(
+    simulation: Simulation,
+    step: Step,
+    failures: MutableList<String>,
+) : ExpectationFamily(simulation, step, failures) {
+    override val checks =
+        mapOf(
+            "zone" to ::zoneState,
+            "admitted" to ::admitted,
+            "starts-in" to ::startsIn,
+            "fully-running-before" to ::wholeBefore,
+            "displaced" to ::displaced,
+        )
+
+    private fun leaderRecovery() =
+        simulation.nodes
+            .first { it.name == leader(simulation) }
+            .zoneRecovery
+            ?.report()
+
+    private fun zoneReport() = leaderRecovery()?.zones?.firstOrNull { it.zone == words[2] }
+
+    /** zone ZONE up|suspect|lost|returning: by its leader. */
+    private fun zoneState() {
+        val state = zoneReport()?.state ?: "unknown"
+        compare("zone ${words[2]} ${words[3]}", state, state == words[3])
+    }
+
+    /** admitted ZONE LEAST MOST: share of its machines that may take new work. */
+    private fun admitted() {
+        val share = zoneReport()?.admittedShare ?: -1.0
+        compare("admitted ${words[2]}", share, share in words[3].toDouble()..words[4].toDouble())
+    }
+
+    /** starts-in ZONE at most COUNT, since the scenario began. */
+    private fun startsIn() {
+        val count = invariants.placementTimes.startsIn(words[2])
+        compare("starts in ${words[2]} at most ${words[5]}", count, count <= words[5].toInt())
+    }
+
+    /** fully-running-before JOB OTHER: all tasks of the one ran together sooner again than all of the other. */
+    private fun wholeBefore() {
+        val (first, second) = words.slice(2..3).map { invariants.placementTimes.wholeAt(it) }
+        val holds = first != null && (second == null || first < second)
+        compare("${words[2]} whole before ${words[3]}", "$first and $second ms", holds)
+    }
+
+    /** displaced GROUP COUNT: tasks of the group that wait to be started again, at the least. */
+    private fun displaced() {
+        val count = leaderRecovery()?.displaced?.get(words[2]) ?: 0
+        compare("displaced ${words[2]} ${words[3]}", count, count >= words[3].toInt())
+    }
+}
--- a/src/test/kotlin/ledgearch/WorkerMessagesTest.kt
+++ b/src/test/kotlin/ledgearch/wire/WorkerMessagesTest.kt
@@ -1,16 +1,6 @@
-package ledgearch
+package ledgearch.wire
 
 import kotlinx.serialization.KSerializer
-import ledgearch.wire.CommandKind
-import ledgearch.wire.CommandRequest
-import ledgearch.wire.ExitCause
-import ledgearch.wire.Heartbeat
-import ledgearch.wire.HeartbeatReply
-import ledgearch.wire.Redirect
-import ledgearch.wire.TaskCommand
-import ledgearch.wire.TaskReport
-import ledgearch.wire.TaskState
-import ledgearch.wire.WireJson
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
