--- a/src/main/kotlin/ledgearch/agents/AgentClient.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentClient.kt
@@ -13,7 +13,7 @@
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
-/** Calls agents directly under the leader's token. */
+/** Sends commands directly to agents under the leader's token. */
 internal class AgentClient(
     private val transport: Transport,
     private val election: Election,
@@ -23,72 +23,75 @@
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.agents")
 
-    /** Changes with every term: answers to an earlier one's calls mean nothing here. */
+    /** Number of the current term; replies to requests of earlier terms are ignored. */
     private var term = 0
 
-    /** The term has ended: answers that are still under way are ignored. */
+    /** Ends the term: replies to requests in flight are ignored. */
     fun clear() {
         term++
     }
 
     /**
-     * Sends [commands] to the agent of [machine]. [done] gets the status that the agent answered with, or null when it
-     * did not answer; it is not called once the term has ended.
+     * Sends [commands] to the agent of [machine]. [onResult] is called with the status in the agent's reply, or with
+     * null if there was no valid reply; it is not called once the term has ended.
      */
     fun send(
         machine: Machine,
         commands: List<TaskCommand>,
-        timeoutMs: Long,
-        done: (Heartbeat?) -> Unit,
+        minTimeoutMs: Long,
+        onResult: (Heartbeat?) -> Unit,
     ) {
-        val sentIn = term
+        val sentInTerm = term
         val request = CommandRequest(election.token, machine.commandIncarnation, commands)
         val body = WireJson.encodeToString(CommandRequest.serializer(), request)
         val incarnation = machine.incarnation
         val sequence = machine.sequence
-        val sentAt = clock.steadyMs
-        // Over a slow link answers are awaited for as long as the last one took and half as long again.
-        val patienceMs = maxOf(timeoutMs, machine.answerMs * AgentTuning.PATIENCE_HALVES / 2)
-        transport.call(machine.endpoint, "POST", COMMAND_PATH, body, patienceMs) { reply ->
-            if (term != sentIn) return@call
-            val status = statusIn(reply, machine)
+        val sentAtMs = clock.steadyMs
+        val timeoutMs = maxOf(minTimeoutMs, machine.answerMs * AgentTuning.REPLY_TIMEOUT_HALVES / 2)
+        transport.call(machine.endpoint, "POST", COMMAND_PATH, body, timeoutMs) { reply ->
+            if (term != sentInTerm) return@call
+            val status = acceptStatus(reply, machine)
             if (status != null) {
-                machine.answerMs = clock.steadyMs - sentAt
+                machine.answerMs = clock.steadyMs - sentAtMs
                 queue.markReachable(machine)
-                if (listener.isCurrent(machine) && isBefore(status, incarnation, sequence)) {
-                    listener.lostItsState(machine)
+                if (listener.isRegistered(machine) && isNotAfter(status, incarnation, sequence)) {
+                    listener.agentStateLost(machine)
                 }
             }
-            done(status)
+            onResult(status)
         }
     }
 
     /**
-     * Numbers only grow, and this answer was made after the request: they start again when the agent lost its state.
+     * Returns whether [status] is numbered no higher than [incarnation] and [sequence]. An agent's numbers only grow,
+     * so a reply to a request sent after that message is numbered so only if the agent has lost its state.
      */
-    private fun isBefore(
+    private fun isNotAfter(
         status: Heartbeat,
         incarnation: Long,
         sequence: Long,
     ) = status.incarnation < incarnation || (status.incarnation == incarnation && status.sequence <= sequence)
 
-    /** The status that [machine]'s agent answered with, or null without one; a fenced command is answered too. */
-    private fun statusIn(
+    /**
+     * Returns the status in the reply of the agent of [machine], or null if the reply holds none of that machine. An
+     * agent that rejects a fenced command replies with its status too.
+     */
+    private fun acceptStatus(
         reply: Reply,
         machine: Machine,
     ): Heartbeat? {
-        if (reply.status != HttpStatus.OK && reply.status != AgentTuning.STATUS_FENCED) return null
-        return parse(reply, machine)?.takeIf { it.machine == machine.name }
+        if (reply.status != HttpStatus.OK && reply.status != AgentTuning.FENCED_HTTP_STATUS) return null
+        return parseStatus(reply, machine)?.takeIf { it.machine == machine.name }
     }
 
-    private fun parse(
+    private fun parseStatus(
         reply: Reply,
         machine: Machine,
     ): Heartbeat? =
         try {
             WireJson.decodeFromString(Heartbeat.serializer(), reply.body)
         } catch (e: SerializationException) {
-            log.warn("agent's answer ignored: it can't be parsed; machine={} error={}", machine.name, e.message)
+            log.warn("agent reply ignored: it is not a valid status; machine={} error={}", machine.name, e.message)
             null
         }
 
--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -4,85 +4,86 @@
 import ledgearch.runtime.Clock
 import ledgearch.runtime.StallCompensation
 
-/** Sends agents direct commands without content: they carry the leader's token, and answers are signs of life. */
+/** Probes agents by command requests without commands, which carry the leader's token and are answered by a status. */
 internal class AgentProbes(
     private val client: AgentClient,
     private val queue: DispatchQueue,
-    private val probesAtOnce: Int,
-    /** ms within which every agent sends a heartbeat by itself. */
-    private val heartbeatDueMs: Long,
+    private val maxConcurrentProbes: Int,
+    /** Longest time between two heartbeats of a healthy agent. */
+    private val maxHeartbeatIntervalMs: Long,
     private val stalls: StallCompensation,
     private val clock: Clock,
     private val listener: AgentReplyListener,
 ) {
-    private var underWay = 0
+    private var probesInFlight = 0
 
-    /** The term has ended: answers that are still under way are ignored. */
+    /** Ends the term: replies to probes in flight are ignored. */
     fun clear() {
-        underWay = 0
+        probesInFlight = 0
     }
 
     /**
-     * Sends the token to a machine that is not known to follow it, or checks whether one that is overdue answers;
-     * nothing when a command is under way, the next probe is not due or too many are under way.
+     * Sends the token to an unconfirmed [machine], or checks whether an overdue one replies. Does nothing while a
+     * command to the machine is in flight, before its next probe is due, or while too many probes are in flight.
      */
     fun probe(machine: Machine) {
-        if (machine.commandInFlight || clock.steadyMs < machine.probeAt || underWay >= probesAtOnce) return
-        if (!machine.confirmed && sendsHeartbeatByItself(machine)) return
+        if (machine.commandInFlight || clock.steadyMs < machine.probeAt || probesInFlight >= maxConcurrentProbes) return
+        if (!machine.confirmed && isHeartbeatExpected(machine)) return
         send(machine)
     }
 
     private fun send(machine: Machine) {
         machine.commandInFlight = true
         machine.probeAt = clock.steadyMs + intervalMs(machine.probesFailed)
-        underWay++
-        val sentAt = clock.steadyMs
+        probesInFlight++
+        val sentAtMs = clock.steadyMs
         val incarnation = machine.incarnation
         client.send(machine, emptyList(), intervalMs(machine.probesFailed + 1)) { status ->
             machine.commandInFlight = false
-            underWay--
+            probesInFlight--
             if (status == null) {
-                failed(machine, sentAt)
+                recordFailure(machine, sentAtMs)
                 return@send
             }
-            if (listener.isCurrent(machine)) listener.replied(machine, status)
-            // An agent in another incarnation than the one named has not accepted the token; its answer names the right
-            // one, so the token is sent once more at once.
-            if (listener.isCurrent(machine) && !machine.confirmed && machine.incarnation != incarnation) {
-                sendAgain(machine)
+            if (listener.isRegistered(machine)) listener.replyReceived(machine, status)
+            // An agent rejects a token sent for another incarnation than its own. Its reply contains the right
+            // incarnation, so the token is sent again at once.
+            if (listener.isRegistered(machine) && !machine.confirmed && machine.incarnation != incarnation) {
+                resend(machine)
             }
         }
     }
 
-    private fun sendAgain(machine: Machine) {
+    private fun resend(machine: Machine) {
         if (!machine.commandInFlight) send(machine)
     }
 
-    /** A time-out of our own, while this node was behind with its work, says nothing about the machine. */
-    private fun failed(
+    /** Counts an unanswered probe; one that timed out while this node lagged does not count as a failure. */
+    private fun recordFailure(
         machine: Machine,
-        sentAt: Long,
+        sentAtMs: Long,
     ) {
-        machine.probeUnanswered(sentAt)
-        if (stalls.wasLaggingSince(sentAt)) return
+        machine.probeUnanswered(sentAtMs)
+        if (stalls.wasLaggingSince(sentAtMs)) return
         machine.probesFailed++
         if (!machine.confirmed) queue.markUnreachable(machine)
     }
 
-    /** ms. Hundreds that stay silent for long, in a zone that is cut off, are probed more and more seldom. */
+    /** Returns the time until the next probe, which grows with failures: a partition can silence hundreds of agents. */
     private fun intervalMs(probesFailed: Int): Long {
-        val pauses = (probesFailed - AgentTuning.PROBES).coerceIn(0, AgentTuning.MOST_PROBE_PAUSES)
-        return AgentTuning.PROBE_MS * (1 + pauses)
+        val addedIntervals =
+            (probesFailed - AgentTuning.FAILED_PROBES_FOR_RELEASE).coerceIn(0, AgentTuning.MAX_ADDED_PROBE_INTERVALS)
+        return AgentTuning.PROBE_INTERVAL_MS * (1 + addedIntervals)
     }
 
     /**
-     * A machine that a new leader has just read sends a heartbeat within an interval, and the answer renews its lease,
-     * as that of a probe does not. While this node does not keep up, probes would only delay the answers to heartbeats.
-     * A machine that was being returned is most likely gone.
+     * Returns whether to wait for a heartbeat of an inherited [machine] instead of probing it. The reply to a heartbeat
+     * renews the agent's lease, a probe does not; and while this node lags, probes would only delay its replies to
+     * heartbeats. A machine that was being returned is not waited for, since it is most likely gone.
      */
-    private fun sendsHeartbeatByItself(machine: Machine) =
+    private fun isHeartbeatExpected(machine: Machine) =
         stalls.isLagging &&
             machine.inherited &&
             !machine.returningHint &&
-            clock.steadyMs - machine.knownSince < heartbeatDueMs
+            clock.steadyMs - machine.knownSince < maxHeartbeatIntervalMs
 }
--- a/src/main/kotlin/ledgearch/agents/AgentReplyListener.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentReplyListener.kt
@@ -3,17 +3,17 @@
 import ledgearch.model.Machine
 import ledgearch.wire.Heartbeat
 
-/** Told of the agents' answers to direct commands. */
+/** Receives agents' replies to direct commands. */
 internal interface AgentReplyListener {
-    /** [machine] still belongs to the cluster. */
-    fun isCurrent(machine: Machine): Boolean
+    /** Returns whether [machine] still belongs to the cluster. */
+    fun isRegistered(machine: Machine): Boolean
 
-    /** The agent of [machine] has answered with [status], in which it may have a token of a newer leader. */
-    fun replied(
+    /** Called when the agent of [machine] has replied with [status], which may contain a newer leader's token. */
+    fun replyReceived(
         machine: Machine,
         status: Heartbeat,
     )
 
-    /** The agent's numbers have started again: it has restarted without the state that it keeps otherwise. */
-    fun lostItsState(machine: Machine)
+    /** Called when the agent of [machine] numbers its messages from the start again: it restarted without its state. */
+    fun agentStateLost(machine: Machine)
 }
--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -10,7 +10,7 @@
 import ledgearch.wire.TaskCommand
 
 /**
- * Sends the leader's commands directly to the agents, and has starts whose answer was lost fenced by a new token. It
+ * Sends the leader's commands directly to the agents, and renews the token to fence starts that were not answered. It
  * also gives access to probes and to the machines that commands don't reach.
  */
 internal class CommandDispatcher(
@@ -24,45 +24,53 @@
     private val queue = DispatchQueue(clock, listener)
     private val client = AgentClient(transport, election, clock, queue, listener)
     private val probes =
-        AgentProbes(client, queue, limits.probesAtOnce, limits.heartbeatDueMs, stalls, clock, listener)
+        AgentProbes(
+            client,
+            queue,
+            limits.maxConcurrentProbes,
+            limits.maxHeartbeatIntervalMs,
+            stalls,
+            clock,
+            listener,
+        )
 
-    /** Machines that may have got a start whose answer was lost. */
+    /** Machines that may have received a start without replying to it. */
     private val unacknowledged = LinkedHashSet<Machine>()
 
-    /** Direct commands under way, without probes. */
-    private var callsUnderWay = 0
+    /** Requests with direct commands in flight, without probes. */
+    private var requestsInFlight = 0
 
-    /** Machines that a direct command did not reach: none is sent before the machine is reached again. */
+    /** Machines that left a direct command unanswered and have not been reached since. */
     val unreachableMachines: Set<Machine> get() = queue.unreachableMachines
 
-    /** The term has ended: answers that are still under way are ignored. */
+    /** Ends the term: replies to requests in flight are ignored. */
     fun clear() {
         client.clear()
         queue.clear()
         probes.clear()
         unacknowledged.clear()
-        callsUnderWay = 0
+        requestsInFlight = 0
     }
 
-    /** There are new commands for [machine], to be sent directly. */
-    fun enqueue(machine: Machine) = queue.add(machine)
+    /** Queues [machine], which has new commands, for direct sending. */
+    fun enqueue(machine: Machine) = queue.enqueue(machine)
 
-    /** [machine] is gone. */
-    fun forget(machine: Machine) {
-        queue.forget(machine)
+    /** Removes [machine], which has left the cluster. */
+    fun remove(machine: Machine) {
+        queue.remove(machine)
         unacknowledged.remove(machine)
     }
 
-    /** All commands that the agent of [machine] has yet to carry out, see [TaskCommands.pending]. */
-    fun commands(machine: Machine): List<TaskCommand> = TaskCommands.pending(machine)
+    /** Returns the commands that the agent of [machine] has yet to carry out, see [TaskCommands.pending]. */
+    fun pendingCommands(machine: Machine): List<TaskCommand> = TaskCommands.pending(machine)
 
-    /** [machine] has received what it was sent: commands that were lost meanwhile are sent once more. */
+    /** Marks [machine] as reachable; commands that were lost meanwhile are sent again. */
     fun markReachable(machine: Machine) = queue.markReachable(machine)
 
     /** Probes [machine] if a probe is due, see [AgentProbes.probe]. */
     fun probe(machine: Machine) = probes.probe(machine)
 
-    /** Sends what is pending, and fences starts whose answer was lost by a new token. */
+    /** Sends pending commands, and renews the token to fence unanswered starts. */
     fun drive() {
         if (!queue.isEmpty) sendPending()
         unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedToken != 0L } }
@@ -71,36 +79,37 @@
 
     private fun sendPending() {
         for (machine in queue.sendable()) {
-            if (callsUnderWay >= limits.callsAtOnce) break
-            queue.remove(machine)
+            if (requestsInFlight >= limits.maxConcurrentCommands) break
+            queue.dequeue(machine)
             sendCommands(machine)
         }
     }
 
     private fun sendCommands(machine: Machine) {
-        val commands = commands(machine)
+        val commands = pendingCommands(machine)
         if (commands.isEmpty()) return
         val started = commands.filter { it.kind == CommandKind.START }.mapNotNull { machine.attempts.get(it.attempt) }
         started.forEach { it.startInFlight = true }
         machine.commandInFlight = true
-        callsUnderWay++
+        requestsInFlight++
         val token = election.token
-        val sentAt = clock.steadyMs
+        val sentAtMs = clock.steadyMs
         client.send(machine, commands, AgentTuning.COMMAND_TIMEOUT_MS) { status ->
             machine.commandInFlight = false
-            callsUnderWay--
-            startsSettled(machine, started, token, isAnswered = status != null)
-            // A time-out of our own, while this node was behind with its work, says nothing about the machine.
-            if (status == null && !stalls.wasLaggingSince(sentAt)) queue.markUnreachable(machine)
-            if (status != null && listener.isCurrent(machine)) listener.replied(machine, status)
-            if (commands.size == AgentTuning.COMMANDS_AT_ONCE) enqueue(machine)
+            requestsInFlight--
+            endStarts(machine, started, token, isAnswered = status != null)
+            // A time-out while this node lagged may be this node's own and says nothing about the machine.
+            if (status == null && !stalls.wasLaggingSince(sentAtMs)) queue.markUnreachable(machine)
+            if (status != null && listener.isRegistered(machine)) listener.replyReceived(machine, status)
+            if (commands.size == AgentTuning.MAX_COMMANDS_PER_MESSAGE) enqueue(machine)
         }
     }
 
     /**
-     * Starts sent under [token] are no longer under way; without an answer they may be carried out at any later time.
+     * Marks starts sent under [token] as no longer in flight. Those without a reply may be carried out at any later
+     * time, so their token is recorded.
      */
-    private fun startsSettled(
+    private fun endStarts(
         machine: Machine,
         started: List<TaskAttempt>,
         token: Long,
@@ -108,7 +117,7 @@
     ) {
         for (attempt in started) {
             attempt.startInFlight = false
-            if (!isAnswered && machine.token <= token && listener.isCurrent(machine)) {
+            if (!isAnswered && machine.token <= token && listener.isRegistered(machine)) {
                 attempt.unacknowledgedToken = token
                 unacknowledged.add(machine)
             }
--- a/src/main/kotlin/ledgearch/agents/DispatchLimits.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchLimits.kt
@@ -3,22 +3,21 @@
 import ledgearch.config.Deployment
 import ledgearch.runtime.MS_PER_SECOND
 
-/** How many direct commands may be under way, and for how long a heartbeat is awaited before a probe. */
+/** Limits on concurrent direct commands, and the time to wait for a heartbeat before probing. */
 internal class DispatchLimits(
-    /** Probes that may be under way at one time. */
-    val probesAtOnce: Int,
-    /** Other direct commands that may be under way at one time. */
-    val callsAtOnce: Int,
-    /** ms within which every agent sends a heartbeat by itself. */
-    val heartbeatDueMs: Long,
+    val maxConcurrentProbes: Int,
+    /** Direct commands other than probes that may be in flight at once. */
+    val maxConcurrentCommands: Int,
+    /** Longest time between two heartbeats of a healthy agent. */
+    val maxHeartbeatIntervalMs: Long,
 ) {
     companion object {
-        /** The limits that the quota and the times of [deployment] leave. */
+        /** Returns the limits that follow from the quota and the worker times of [deployment]. */
         fun of(deployment: Deployment) =
             DispatchLimits(
-                AgentTuning.probesAtOnce(deployment.quota.cpu),
-                AgentTuning.callsAtOnce(deployment.quota.fdLimit),
-                (deployment.workers.reportS * MS_PER_SECOND * AgentTuning.DUE_HEARTBEATS).toLong(),
+                AgentTuning.maxConcurrentProbes(deployment.quota.cpu),
+                AgentTuning.maxConcurrentCommands(deployment.quota.fdLimit),
+                (deployment.workers.reportS * MS_PER_SECOND * AgentTuning.DUE_HEARTBEAT_INTERVALS).toLong(),
             )
     }
 }
--- a/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
@@ -3,7 +3,7 @@
 import ledgearch.model.Machine
 import ledgearch.runtime.Clock
 
-/** Machines with commands to be sent directly, and machines that direct commands don't reach. */
+/** Holds the machines with commands to be sent directly, and the machines that direct commands don't reach. */
 internal class DispatchQueue(
     private val clock: Clock,
     private val listener: AgentReplyListener,
@@ -11,58 +11,57 @@
     private val pending = LinkedHashSet<Machine>()
     private val unreachable = LinkedHashSet<Machine>()
 
-    /** Machines that a direct command did not reach: none is sent before the machine is reached again. */
+    /** Machines that left a direct command unanswered and have not been reached since. */
     val unreachableMachines: Set<Machine> get() = unreachable
 
-    /** No machine has commands to be sent. */
+    /** Whether no machine has commands to be sent. */
     val isEmpty: Boolean get() = pending.isEmpty()
 
-    /** The term has ended. */
+    /** Removes all machines at the end of a term. */
     fun clear() {
         pending.clear()
         unreachable.clear()
     }
 
-    /** There are commands for [machine]. */
-    fun add(machine: Machine) {
+    /** Adds [machine], which has commands to be sent. */
+    fun enqueue(machine: Machine) {
         pending.add(machine)
     }
 
-    /** The commands for [machine] are being sent. */
-    fun remove(machine: Machine) {
+    /** Removes [machine], whose commands are being sent. */
+    fun dequeue(machine: Machine) {
         pending.remove(machine)
     }
 
-    /** [machine] is gone. */
-    fun forget(machine: Machine) {
+    /** Removes all trace of [machine], which has left the cluster. */
+    fun remove(machine: Machine) {
         pending.remove(machine)
         unreachable.remove(machine)
     }
 
-    /** The machines to which commands may be sent now, in the order in which they were added. */
-    fun sendable(): List<Machine> = pending.filter(::maySend)
+    /** Returns the machines to which commands may be sent now, in the order in which they were added. */
+    fun sendable(): List<Machine> = pending.filter(::isSendable)
 
-    private fun maySend(machine: Machine) =
+    private fun isSendable(machine: Machine) =
         !machine.commandInFlight &&
             !machine.unreachable &&
             machine.durable &&
             machine.confirmed &&
             !machine.releaseRequested
 
-    /** [machine] has received what it was sent. */
+    /** Marks [machine] as reachable, and queues it if it was not, so that lost commands are sent again. */
     fun markReachable(machine: Machine) {
         machine.probesFailed = 0
         machine.probeAnswered()
-        // What was lost meanwhile is sent once more.
-        if (machine.unreachable) add(machine)
+        if (machine.unreachable) enqueue(machine)
         machine.unreachable = false
         machine.unreachableSince = 0L
         unreachable.remove(machine)
     }
 
-    /** What was sent to [machine] was not answered: nothing new is given to it until it is reached. */
+    /** Marks [machine] as unreachable: it gets nothing new until it is reached again. */
     fun markUnreachable(machine: Machine) {
-        if (!listener.isCurrent(machine)) return
+        if (!listener.isRegistered(machine)) return
         machine.unreachable = true
         if (machine.unreachableSince == 0L) machine.unreachableSince = clock.steadyMs
         unreachable.add(machine)
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -11,16 +11,15 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Finds failed machines by the heartbeats that don't come and the commands that aren't answered, and releases them. It
- * tells failures of machines from partitions of zones and from trouble of this node, for which it keeps the machines or
- * steps down.
+ * Detects failed machines by missing heartbeats and unanswered commands, and releases them. It distinguishes failed
+ * machines from partitioned zones, whose machines it may keep, and from faults of this node, for which it steps down.
  */
 internal class FailureDetector(
     times: WorkerTimes,
     private val machines: Map<String, Machine>,
     private val election: Election,
     private val dispatcher: CommandDispatcher,
-    private val releases: MachineReleases,
+    private val releaser: MachineReleaser,
     private val zones: PartitionedZones,
     private val recovery: ZoneRecovery?,
     leaseListener: LeaseExpiryListener,
@@ -28,130 +27,130 @@
     private val stalls: StallCompensation,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.agents")
-    private val intervalMs = (times.reportS * MS_PER_SECOND).toLong()
-    private val dueMs = (intervalMs * AgentTuning.DUE_HEARTBEATS).toLong()
-    private val lostMs = (intervalMs * AgentTuning.LOST_HEARTBEATS).toLong()
+    private val heartbeatIntervalMs = (times.reportS * MS_PER_SECOND).toLong()
+    private val dueMs = (heartbeatIntervalMs * AgentTuning.DUE_HEARTBEAT_INTERVALS).toLong()
+    private val lostMs = (heartbeatIntervalMs * AgentTuning.LOST_HEARTBEAT_INTERVALS).toLong()
     private val leases =
         LeaseExpiry((times.leaseS * MS_PER_SECOND).toLong(), election, clock, leaseListener)
-    private val silence = HeartbeatSilence(intervalMs, election, stalls, zones)
+    private val silence = HeartbeatSilence(heartbeatIntervalMs, election, stalls, zones)
     private val missingMachines =
-        MissingMachines(election, stalls, (intervalMs * AgentTuning.CUT_OFF_HEARTBEATS).toLong())
-    private var checkAt = 0L
+        MissingMachines(election, stalls, (heartbeatIntervalMs * AgentTuning.SILENT_HEARTBEAT_INTERVALS).toLong())
+    private var nextCheckAtMs = 0L
 
-    /** The term has ended. */
+    /** Removes all state at the end of a term. */
     fun clear() = zones.clear()
 
     /** Checks all machines when a check is due. */
     fun drive() {
-        if (clock.steadyMs < checkAt) return
-        checkAt = clock.steadyMs + AgentTuning.CHECK_INTERVAL_MS
+        if (clock.steadyMs < nextCheckAtMs) return
+        nextCheckAtMs = clock.steadyMs + AgentTuning.CHECK_INTERVAL_MS
         silence.update()
-        val zonesBack = zones.update(machines.values, ::isReceived)
-        recovery?.look(machines.values, zones::contains, ::isReceived)
+        val healedZones = zones.update(machines.values, ::isReporting)
+        recovery?.look(machines.values, zones::contains, ::isReporting)
         for (machine in machines.values) machine.overdue = silence.isOverdue(machine)
-        if (zonesBack.isNotEmpty()) machines.values.filter { it.zone in zonesBack }.forEach(::forgetUnanswered)
+        if (healedZones.isNotEmpty()) machines.values.filter { it.zone in healedZones }.forEach(::resetFailures)
         releaseMissing()
         releaseUnreachable()
-        checkSilent()
+        checkOverdue()
     }
 
-    private fun isReceived(machine: Machine) = (machine.confirmed || !machine.inherited) && !silence.isCutOff(machine)
+    private fun isReporting(machine: Machine) = (machine.confirmed || !machine.inherited) && !silence.isSilent(machine)
 
     /**
-     * The zone of [machine] is received again: what went unanswered before says nothing, but the machine itself has yet
-     * to be received.
+     * Disregards most of what [machine] left unanswered while its zone was partitioned. One failed probe stays counted,
+     * since the machine itself has yet to reply.
      */
-    private fun forgetUnanswered(machine: Machine) {
+    private fun resetFailures(machine: Machine) {
         machine.probesFailed = minOf(machine.probesFailed, 1)
         machine.probeAt = clock.steadyMs
         if (machine.unreachableSince != 0L) machine.unreachableSince = clock.steadyMs
     }
 
     private fun releaseMissing() {
-        // While a zone is cut off the filter below also notes which of its confirmed machines are kept.
+        // While a zone is partitioned, the filter below also records which of its confirmed machines are kept.
         if (zones.isEmpty && machines.values.none(missingMachines::isCandidate)) return
-        for (machine in missingMachines.among(machines.values.filter { it.inherited && !zones.mayComeBack(it) })) {
+        for (machine in missingMachines.findAmong(machines.values.filter { it.inherited && !zones.shouldKeep(it) })) {
             log.warn("recorded machine released: it answers no probe; machine={}", machine.name)
-            releases.release(machine)
+            releaser.release(machine)
         }
     }
 
     /**
-     * Heartbeats alone are no health: a machine that sends them, but that neither answers nor commands reach, would
-     * hold its tasks for ever and be given more.
+     * Releases machines that have been unreachable for long. Heartbeats alone don't make a machine healthy: while it
+     * receives neither commands nor replies it would hold its tasks indefinitely.
      */
     private fun releaseUnreachable() {
-        val candidates = dispatcher.unreachableMachines.filter(::isUnreachableForLong)
-        val mostUnreachable = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MAJORITY_SHARE
+        val candidates = dispatcher.unreachableMachines.filter(::isLongUnreachable)
+        val areMostUnreachable = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MAJORITY_SHARE
         for (machine in candidates) {
             val unreachableMs = clock.steadyMs - machine.unreachableSince
-            // Where most are, it may be this node, for a time.
-            if (mostUnreachable && unreachableMs < AgentTuning.PATH_FAULT_MS) continue
+            // If most machines are unreachable, the fault may be a temporary one of this node.
+            if (areMostUnreachable && unreachableMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS) continue
             log.warn(
-                "machine released: it sends heartbeats but commands don't reach it; machine={} ms={}",
+                "machine released: it sends heartbeats but does not answer commands; machine={} ms={}",
                 machine.name,
                 unreachableMs,
             )
-            releases.release(machine)
+            releaser.release(machine)
         }
     }
 
-    private fun isUnreachableForLong(machine: Machine) =
+    private fun isLongUnreachable(machine: Machine) =
         !machine.releasing &&
-            !zones.mayComeBack(machine) &&
-            machine.probesFailed >= AgentTuning.PROBES &&
+            !zones.shouldKeep(machine) &&
+            machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE &&
             stalls.attentiveMsSince(machine.unreachableSince) > lostMs
 
-    private fun checkSilent() {
+    private fun checkOverdue() {
         val active = machines.values.filter { !it.releasing }
-        if (stepsDown(active)) return
+        if (stepDownIfIsolated(active)) return
         val contacts by lazy(LazyThreadSafetyMode.NONE) { LastContacts(active) }
-        val mostAnswerOnlyCommands =
-            active.count { answersOnlyCommands(it) } > active.size * RecoveryTuning.MAJORITY_SHARE
+        val isOneWayFaultLikely =
+            active.count { onlyAnswersCommands(it) } > active.size * RecoveryTuning.MAJORITY_SHARE
         for (machine in dispatcher.unreachableMachines) if (!machine.releasing) dispatcher.probe(machine)
         for (machine in machines.values.toList()) {
             if (!silence.isOverdue(machine)) {
-                if (isPreempted(machine)) checkPreempted(machine)
+                if (isPreemptionDue(machine)) releaseIfPreempted(machine)
                 continue
             }
             if (machine.confirmed && !machine.releasing) dispatcher.probe(machine)
-            // The contacts are sorted only when a machine needs them.
-            if (!silence.isLost(machine) && !(mayBeLost(machine) && isLostAlone(machine, contacts))) continue
-            releaseSilent(machine, mostAnswerOnlyCommands)
+            // The contacts are sorted only if a machine needs them.
+            if (!silence.isLost(machine) && !(failsProbes(machine) && isIsolatedFailure(machine, contacts))) continue
+            releaseUnlessKept(machine, isOneWayFaultLikely)
             leases.check(machine)
         }
     }
 
     /**
-     * With nearly all machines silent at once the fault is on this node's side. Their leases expire unless another
-     * node, whom they may reach, leads soon.
+     * Steps down if almost all machines are silent, since the fault is then on this node's side. Their leases expire
+     * unless a node that they can reach becomes leader soon.
      */
-    private fun stepsDown(active: List<Machine>): Boolean {
-        val silent = active.count(silence::isCutOff)
-        if (silent <= 1 || active.size - silent >= active.size * AgentTuning.RECEIVED_SHARE) return false
-        if (election.steppedDownRecently) return false
-        election.stepDown("$silent of ${active.size} machines are silent", silent = true)
+    private fun stepDownIfIsolated(active: List<Machine>): Boolean {
+        val silentCount = active.count(silence::isSilent)
+        if (silentCount <= 1 || active.size - silentCount >= active.size * AgentTuning.MIN_REPORTING_SHARE) return false
+        if (election.hasRecentStepDown) return false
+        election.stepDown("no heartbeats from $silentCount of ${active.size} machines", recordsStepDown = true)
         return true
     }
 
-    /** The time that its preemption notice gave is over, and nothing was received of it since. */
-    private fun isPreempted(machine: Machine) =
+    /** Returns whether the announced preemption time of [machine] is over and nothing was heard from it since. */
+    private fun isPreemptionDue(machine: Machine) =
         machine.confirmed && machine.preemptionAt != 0L && machine.lastHeardAt < machine.preemptionAt &&
             clock.steadyMs > machine.preemptionAt + AgentTuning.PREEMPTION_MARGIN_MS
 
-    private fun checkPreempted(machine: Machine) {
+    private fun releaseIfPreempted(machine: Machine) {
         dispatcher.probe(machine)
         if (machine.probesFailed == 0 || machine.releasing) return
         log.info("machine released: the cloud has preempted it; machine={}", machine.name)
-        releases.release(machine)
+        releaser.release(machine)
     }
 
-    private fun releaseSilent(
+    private fun releaseUnlessKept(
         machine: Machine,
-        mostAnswerOnlyCommands: Boolean,
+        isOneWayFaultLikely: Boolean,
     ) {
-        if (machine.releasing || zones.mayComeBack(machine) ||
-            (mostAnswerOnlyCommands && answersOnlyCommands(machine))
+        if (machine.releasing || zones.shouldKeep(machine) ||
+            (isOneWayFaultLikely && onlyAnswersCommands(machine))
         ) {
             return
         }
@@ -160,47 +159,48 @@
             machine.name,
             clock.steadyMs - machine.lastHeartbeatAt,
         )
-        releases.release(machine)
+        releaser.release(machine)
     }
 
     /**
-     * Its agent answers direct commands but sends heartbeats to nobody here. Where most do so the fault may be this
-     * node's, and they are kept for some time: a fleet is not returned for a fault on one path.
+     * Returns whether the agent of [machine] answers direct commands while its heartbeats don't arrive. If this holds
+     * for most machines, the fault may be this node's, and they are kept for [AgentTuning.ONE_WAY_FAULT_GRACE_MS].
      */
-    private fun answersOnlyCommands(machine: Machine) =
+    private fun onlyAnswersCommands(machine: Machine) =
         machine.confirmed && machine.probesFailed == 0 && !machine.unreachable &&
             machine.lastHeardAt > machine.lastHeartbeatAt &&
-            silence.isCutOff(machine) && clock.steadyMs - machine.lastHeartbeatAt < AgentTuning.PATH_FAULT_MS
+            silence.isSilent(machine) &&
+            clock.steadyMs - machine.lastHeartbeatAt < AgentTuning.ONE_WAY_FAULT_GRACE_MS
 
-    private fun mayBeLost(machine: Machine) =
-        !machine.releasing && machine.confirmed && machine.probesFailed >= AgentTuning.PROBES
+    private fun failsProbes(machine: Machine) =
+        !machine.releasing && machine.confirmed && machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE
 
     /**
-     * [machine] is overdue and answers no probe, while most others, and one of its zone, were received since it was
-     * due: so it is neither this node nor a zone that is cut off, and nothing is gained by waiting for more heartbeats.
+     * Returns whether most machines, and one in the zone of [machine], were heard since its heartbeat was due. The
+     * fault is then neither this node nor a partitioned zone, and waiting for more heartbeats gains nothing.
      */
-    private fun isLostAlone(
+    private fun isIsolatedFailure(
         machine: Machine,
         contacts: LastContacts,
     ): Boolean {
-        val due = machine.lastHeardAt + dueMs
-        return contacts.times.countAfter(due) > contacts.times.size * RecoveryTuning.MAJORITY_SHARE &&
-            contacts.isAnyAfter(due, machine.zone)
+        val dueAtMs = machine.lastHeardAt + dueMs
+        return contacts.times.countAfter(dueAtMs) > contacts.times.size * RecoveryTuning.MAJORITY_SHARE &&
+            contacts.hasAnyAfter(dueAtMs, machine.zone)
     }
 
-    /** When the last message of each of [machines] came, sorted once for hundreds of silent ones to compare with. */
+    /** Times of the last message from each of [machines], sorted once because hundreds of silent ones may need them. */
     private class LastContacts(
         machines: List<Machine>,
     ) {
-        val times = OrderedTimes(machines.map { it.lastHeardAt })
-        private val lastInZone =
+        val times = SortedTimes(machines.map { it.lastHeardAt })
+        private val lastByZoneMs =
             machines
                 .groupingBy { it.zone }
-                .fold(Long.MIN_VALUE) { last, machine -> maxOf(last, machine.lastHeardAt) }
+                .fold(Long.MIN_VALUE) { lastMs, machine -> maxOf(lastMs, machine.lastHeardAt) }
 
-        fun isAnyAfter(
-            time: Long,
+        fun hasAnyAfter(
+            timeMs: Long,
             zone: String,
-        ) = (lastInZone[zone] ?: Long.MIN_VALUE) > time
+        ) = (lastByZoneMs[zone] ?: Long.MIN_VALUE) > timeMs
     }
 }
--- a/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
+++ b/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
@@ -5,43 +5,43 @@
 import ledgearch.runtime.StallCompensation
 
 /**
- * For how many intervals machines have sent no heartbeat. Silence counts only while no heartbeat may wait here unread,
- * from the election on, and from the time at which a zone was received again.
+ * Measures how many heartbeat intervals machines have been silent. Silence counts from the election and from the end of
+ * a partition of the machine's zone, without the time in which this node lagged and heartbeats may have waited unread.
  */
 internal class HeartbeatSilence(
-    /** ms between two heartbeats of an agent. */
+    /** Time between two heartbeats of an agent. */
     private val intervalMs: Long,
     private val election: Election,
     private val stalls: StallCompensation,
     private val zones: PartitionedZones,
 ) {
-    /** Steady ms, worked out once a check and not for each machine: without a heartbeat since, one is overdue. */
-    private var overdueSince = Long.MIN_VALUE
+    /** Steady-clock time: a machine without a heartbeat since is overdue. Computed once per check for all machines. */
+    private var overdueSinceMs = Long.MIN_VALUE
 
-    /** The same for [isCutOff]. */
-    private var cutOffSince = Long.MIN_VALUE
+    /** The same for [isSilent]. */
+    private var silentSinceMs = Long.MIN_VALUE
 
     /** The same for [isLost]. */
-    private var lostSince = Long.MIN_VALUE
+    private var lostSinceMs = Long.MIN_VALUE
 
-    /** A new check begins. */
+    /** Computes the thresholds for a new check. */
     fun update() {
-        overdueSince = since(AgentTuning.OVERDUE_HEARTBEATS)
-        cutOffSince = since(AgentTuning.CUT_OFF_HEARTBEATS)
-        lostSince = since(AgentTuning.LOST_HEARTBEATS)
+        overdueSinceMs = thresholdMs(AgentTuning.OVERDUE_HEARTBEAT_INTERVALS)
+        silentSinceMs = thresholdMs(AgentTuning.SILENT_HEARTBEAT_INTERVALS)
+        lostSinceMs = thresholdMs(AgentTuning.LOST_HEARTBEAT_INTERVALS)
     }
 
-    private fun since(intervals: Double) = stalls.attentiveSince((intervalMs * intervals).toLong())
+    private fun thresholdMs(intervals: Double) = stalls.attentiveSince((intervalMs * intervals).toLong())
 
-    /** [machine] has been silent for [AgentTuning.OVERDUE_HEARTBEATS]: it is probed. */
-    fun isOverdue(machine: Machine): Boolean = silentSince(machine) <= overdueSince
+    /** Returns whether [machine] has sent no heartbeat for [AgentTuning.OVERDUE_HEARTBEAT_INTERVALS]. */
+    fun isOverdue(machine: Machine): Boolean = silenceStartMs(machine) <= overdueSinceMs
 
-    /** [machine] has been silent for [AgentTuning.CUT_OFF_HEARTBEATS]: with most others so, it is cut off. */
-    fun isCutOff(machine: Machine): Boolean = silentSince(machine) <= cutOffSince
+    /** Returns whether [machine] has sent no heartbeat for [AgentTuning.SILENT_HEARTBEAT_INTERVALS]. */
+    fun isSilent(machine: Machine): Boolean = silenceStartMs(machine) <= silentSinceMs
 
-    /** [machine] has been silent for [AgentTuning.LOST_HEARTBEATS]: it is given up. */
-    fun isLost(machine: Machine): Boolean = silentSince(machine) <= lostSince
+    /** Returns whether [machine] has sent no heartbeat for [AgentTuning.LOST_HEARTBEAT_INTERVALS]. */
+    fun isLost(machine: Machine): Boolean = silenceStartMs(machine) <= lostSinceMs
 
-    private fun silentSince(machine: Machine) =
-        maxOf(machine.lastHeartbeatAt, election.electedAt, zones.reachableSince(machine.zone))
+    private fun silenceStartMs(machine: Machine) =
+        maxOf(machine.lastHeartbeatAt, election.electedAtMs, zones.reachableSinceMs(machine.zone))
 }
--- a/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
+++ b/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
@@ -5,15 +5,15 @@
 import ledgearch.runtime.Clock
 import org.slf4j.LoggerFactory
 
-/** Told of agents whose lease has expired. */
+/** Receives expired leases of agents. */
 internal interface LeaseExpiryListener {
-    /** The agent of [machine] has ended all its tasks and its incarnation, since its lease has expired. */
+    /** Called when the lease of the agent of [machine] has expired, so that it has ended its tasks and incarnation. */
     fun leaseExpired(machine: Machine)
 }
 
-/** Proves that an agent's lease has expired, without any word from the cloud. */
+/** Proves that an agent's lease has expired, without information from the cloud. */
 internal class LeaseExpiry(
-    /** ms for which an agent goes on without a valid answer. */
+    /** Time after the last valid reply to its heartbeats at which an agent ends its tasks. */
     private val leaseMs: Long,
     private val election: Election,
     private val clock: Clock,
@@ -22,14 +22,16 @@
     private val log = LoggerFactory.getLogger("ledgearch.agents")
 
     /**
-     * Tells the listener if the lease of [machine] has expired: an agent that confirmed this term's token has had no
-     * valid answer since [Machine.lastAnsweredAt] if this node still led after the lease ended.
+     * Notifies the listener if the lease of [machine] has expired. An agent that confirmed this term's token has had no
+     * valid reply since [Machine.lastAnsweredAt], provided that this node was still the leader after the lease ended.
      */
     fun check(machine: Machine) {
         if (!machine.confirmed || machine.attempts.isEmpty()) return
-        val endsAt = machine.lastAnsweredAt + (leaseMs * AgentTuning.CLOCK_DRIFT).toLong() + AgentTuning.LEASE_MARGIN_MS
-        if (clock.steadyMs <= endsAt || election.confirmedAt <= endsAt) return
-        log.info("agent's lease expired; machine={}", machine.name)
+        val leaseEndsAtMs =
+            machine.lastAnsweredAt + (leaseMs * AgentTuning.CLOCK_DRIFT_FACTOR).toLong() +
+                AgentTuning.LEASE_EXPIRY_MARGIN_MS
+        if (clock.steadyMs <= leaseEndsAtMs || election.confirmedAtMs <= leaseEndsAtMs) return
+        log.info("agent lease expired; machine={}", machine.name)
         listener.leaseExpired(machine)
     }
 }
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -6,83 +6,80 @@
 import ledgearch.runtime.StallCompensation
 
 /**
- * Inherited machines that are most likely gone already. Every older job waits for each of them, so they are released
- * sooner than a silent machine would be otherwise. A release proves that a machine is gone; what is decided here only
- * chooses which machines to return.
+ * Finds inherited machines that are most likely gone already. Every older job waits for each of them, so they are
+ * released sooner than other silent machines. A wrong guess is safe: only the cloud's confirmation of the release
+ * proves that a machine is gone.
  */
 internal class MissingMachines(
     private val election: Election,
     private val stalls: StallCompensation,
-    /** ms. Within it every agent would have sent a heartbeat by itself. */
-    private val heartbeatWithinMs: Long,
+    /** Time within which every healthy agent sends a heartbeat. */
+    private val heartbeatWindowMs: Long,
 ) {
-    /** [machine] may be missing: without such a machine [among] finds none. */
+    /** Returns whether [machine] may be missing; without any such machine [findAmong] finds none. */
     fun isCandidate(machine: Machine): Boolean = machine.inherited && isUnconfirmed(machine)
 
-    /** Those of [inherited] that are missing; machines of zones that may come back are left out of [inherited]. */
-    fun among(inherited: List<Machine>): List<Machine> {
+    /** Returns the missing machines of [inherited], which holds no machine that is kept during a partition. */
+    fun findAmong(inherited: List<Machine>): List<Machine> {
         if (inherited.none(::isUnconfirmed)) return emptyList()
-        val confirmed = inherited.count { it.confirmed }
-        if (!receivesEnough(confirmed, inherited.size)) return emptyList()
-        val mostConfirmed = confirmed > inherited.size * RecoveryTuning.MAJORITY_SHARE
-        val others = ConfirmedHeartbeats(inherited)
-        return inherited.filter { isUnconfirmed(it) && isMissing(it, others, mostConfirmed) }
+        val confirmedCount = inherited.count { it.confirmed }
+        if (!areEnoughConfirmed(confirmedCount, inherited.size)) return emptyList()
+        val areMostConfirmed = confirmedCount > inherited.size * RecoveryTuning.MAJORITY_SHARE
+        val heartbeats = ConfirmedHeartbeats(inherited)
+        return inherited.filter { isUnconfirmed(it) && isMissing(it, heartbeats, areMostConfirmed) }
     }
 
     private fun isUnconfirmed(machine: Machine) = !machine.confirmed && !machine.releasing
 
     private fun isMissing(
         machine: Machine,
-        others: ConfirmedHeartbeats,
-        mostConfirmed: Boolean,
+        heartbeats: ConfirmedHeartbeats,
+        areMostConfirmed: Boolean,
     ): Boolean {
-        if (machine.probesFailed >= AgentTuning.PROBES) return true
-        return mostConfirmed && (wasBeingReturned(machine) || isPassedByOthers(machine, others))
+        if (machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE) return true
+        return areMostConfirmed && (wasBeingReturned(machine) || haveOthersReportedSince(machine, heartbeats))
     }
 
     private fun wasBeingReturned(machine: Machine) = machine.returningHint && machine.probesUnanswered > 0
 
     /**
-     * While this node does not keep up, a probe that timed out proves nothing by itself: its answer may wait here
-     * unread. But messages are read in the order in which they come, and most other machines sent heartbeats after
-     * [machine] was probed, which have been read. Without this a node that never quite keeps up would wait for a
-     * machine that is gone until its silence was long enough for any machine.
+     * Returns whether most other machines sent heartbeats after [machine] was probed in vain. While this node lags, a
+     * timed-out probe alone proves nothing, since the reply may wait here unread. But messages are read in the order of
+     * their arrival, and those later heartbeats have been read. Without this rule a node that always lags a little
+     * would detect the machine only by its heartbeat silence.
      */
-    private fun isPassedByOthers(
+    private fun haveOthersReportedSince(
         machine: Machine,
-        others: ConfirmedHeartbeats,
+        heartbeats: ConfirmedHeartbeats,
     ): Boolean {
-        if (machine.probesUnanswered < AgentTuning.PROBES) return false
+        if (machine.probesUnanswered < AgentTuning.FAILED_PROBES_FOR_RELEASE) return false
         if (machine.heartbeatFirstSeenAt > machine.unansweredSince) return false
-        return others.areMostSentAfter(machine.unansweredSince)
+        return heartbeats.areMostSentAfter(machine.unansweredSince)
     }
 
     /**
-     * Where most machines are missing, it takes the time in which every agent would have sent a heartbeat by itself to
-     * tell that it is not this node, and some machines that it receives.
+     * Returns whether enough machines have confirmed the token to exclude a fault of this node: most of them, or at
+     * least some once every healthy agent has had the time to send a heartbeat.
      */
-    private fun receivesEnough(
-        confirmed: Int,
-        all: Int,
-    ) = confirmed > all * RecoveryTuning.MAJORITY_SHARE ||
+    private fun areEnoughConfirmed(
+        confirmedCount: Int,
+        totalCount: Int,
+    ) = confirmedCount > totalCount * RecoveryTuning.MAJORITY_SHARE ||
         (
-            confirmed > all * AgentTuning.RECEIVED_SHARE &&
-                stalls.attentiveMsSince(election.electedAt) > heartbeatWithinMs
+            confirmedCount > totalCount * AgentTuning.MIN_REPORTING_SHARE &&
+                stalls.attentiveMsSince(election.electedAtMs) > heartbeatWindowMs
         )
 
-    /**
-     * When the confirmed machines among [inherited] sent their last heartbeats, sorted once and only if it is asked.
-     */
+    /** When the confirmed machines of [inherited] sent their last heartbeats; sorted once, on first use. */
     private class ConfirmedHeartbeats(
         private val inherited: List<Machine>,
     ) {
-        private val times by lazy(LazyThreadSafetyMode.NONE) {
-            OrderedTimes(inherited.filter { it.confirmed }.map { it.heartbeatSentAfter })
+        private val sentAfterMs by lazy(LazyThreadSafetyMode.NONE) {
+            SortedTimes(inherited.filter { it.confirmed }.map { it.heartbeatSentAfter })
         }
 
-        /**
-         * More than [RecoveryTuning.MAJORITY_SHARE] of all inherited machines, confirmed or not, sent one after [time].
-         */
-        fun areMostSentAfter(time: Long) = times.countAfter(time) > inherited.size * RecoveryTuning.MAJORITY_SHARE
+        /** Returns whether most of all inherited machines, confirmed or not, sent a heartbeat after [timeMs]. */
+        fun areMostSentAfter(timeMs: Long) =
+            sentAfterMs.countAfter(timeMs) > inherited.size * RecoveryTuning.MAJORITY_SHARE
     }
 }
--- a/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
+++ b/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
@@ -6,9 +6,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Zones of which next to no machine is received while most machines of another zone are. Such a zone is cut off and
- * mostly back within a minute or so; nothing is rented there meanwhile, and its machines are not returned where that
- * would lose what goes on.
+ * Tracks partitioned zones: almost none of a zone's machines send heartbeats while most machines of another zone do.
+ * Most partitions end within about a minute. Until then no machines are rented in the zone, and its machines are not
+ * released where that would lose work which is still running.
  */
 internal class PartitionedZones(
     private val clock: Clock,
@@ -16,127 +16,129 @@
 ) {
     private class ZoneCounts {
         var machines = 0
-        var received = 0
+        var reporting = 0
     }
 
     private val log = LoggerFactory.getLogger("ledgearch.agents")
 
-    /** The zones that are cut off, and since when (steady ms). */
-    private val partitionedSince = HashMap<String, Long>()
+    /** Start of the partition of each partitioned zone, on the steady clock. */
+    private val partitionedSinceMs = HashMap<String, Long>()
 
-    /** When zones that were cut off came back (steady ms). */
-    private val reachableSince = HashMap<String, Long>()
+    /** End of the last partition of each zone that was partitioned, on the steady clock. */
+    private val reachableSinceMs = HashMap<String, Long>()
 
     /**
-     * Machines that had replicas which keep to two zones: once their leases have expired nothing is on them, but there
-     * they can start again.
+     * Confirmed machines that are kept because they had replicas of two-zone services. They stay kept after their
+     * leases have expired and the replicas are gone, since the replicas can start there again.
      */
-    private val kept = HashSet<Machine>()
+    private val keptMachines = HashSet<Machine>()
 
-    /** Zones that are not cut off. */
-    private var reachableZones = 0
+    /** Number of zones that are not partitioned. */
+    private var reachableZoneCount = 0
 
-    /** Of the last [update]. */
+    /** Zones of recent leaders at the last [update]; empty if no zone was partitioned then. */
     private var recentLeaderZones: Set<String> = emptySet()
 
-    /** No zone is cut off. */
-    val isEmpty: Boolean get() = partitionedSince.isEmpty()
+    /** Whether no zone is partitioned. */
+    val isEmpty: Boolean get() = partitionedSinceMs.isEmpty()
 
-    /** The zone is cut off. */
-    operator fun contains(zone: String): Boolean = zone in partitionedSince
+    /** Returns whether [zone] is partitioned. */
+    operator fun contains(zone: String): Boolean = zone in partitionedSinceMs
 
-    /** The term has ended. */
+    /** Removes all state at the end of a term. */
     fun clear() {
-        partitionedSince.clear()
-        kept.clear()
-        reachableSince.clear()
+        partitionedSinceMs.clear()
+        keptMachines.clear()
+        reachableSinceMs.clear()
     }
 
-    /**
-     * Steady ms at which [zone] was received again: silence counts from then on, as after any trouble of this node's
-     * own.
-     */
-    fun reachableSince(zone: String): Long = reachableSince[zone] ?: NEVER
+    /** Returns when the last partition of [zone] ended, on the steady clock; silence of its machines counts from then. */
+    fun reachableSinceMs(zone: String): Long = reachableSinceMs[zone] ?: NEVER
 
-    /** Finds the zones that are cut off and returns those that are back; [isReceived]: the machine sends heartbeats. */
+    /** Finds the partitioned zones and returns those whose partition has ended. */
     fun update(
         machines: Collection<Machine>,
-        isReceived: (Machine) -> Boolean,
+        isReporting: (Machine) -> Boolean,
     ): Set<String> {
-        val zones = countByZone(machines, isReceived)
-        val back = partitionedSince.filterTo(HashMap()) { (zone, since) -> isBack(zones[zone], since) }.keys
-        back.forEach(::partitionEnded)
+        val zones = countByZone(machines, isReporting)
+        val healed = partitionedSinceMs.filterTo(HashMap()) { (zone, sinceMs) -> isOver(zones[zone], sinceMs) }.keys
+        healed.forEach(::endPartition)
         addPartitioned(zones)
-        reachableZones = zones.keys.count { it !in partitionedSince }
+        reachableZoneCount = zones.keys.count { it !in partitionedSinceMs }
         recentLeaderZones = if (isEmpty) emptySet() else recentLeaders.current()
-        return back
+        return healed
     }
 
     private fun countByZone(
         machines: Collection<Machine>,
-        isReceived: (Machine) -> Boolean,
+        isReporting: (Machine) -> Boolean,
     ): Map<String, ZoneCounts> {
         val zones = HashMap<String, ZoneCounts>()
         for (machine in machines) {
             if (machine.releasing) continue
             val counts = zones.getOrPut(machine.zone) { ZoneCounts() }
             counts.machines++
-            if (isReceived(machine)) counts.received++
+            if (isReporting(machine)) counts.reporting++
         }
         return zones
     }
 
-    private fun partitionEnded(zone: String) {
-        log.info("zone no longer partitioned: it is received again, or has no machines left; zone={}", zone)
-        partitionedSince.remove(zone)
-        kept.removeIf { it.zone == zone }
-        reachableSince[zone] = clock.steadyMs
+    private fun endPartition(zone: String) {
+        log.info("zone no longer partitioned: machines send heartbeats again, or too few are left; zone={}", zone)
+        partitionedSinceMs.remove(zone)
+        keptMachines.removeIf { it.zone == zone }
+        reachableSinceMs[zone] = clock.steadyMs
     }
 
     private fun addPartitioned(zones: Map<String, ZoneCounts>) {
-        if (zones.values.none { it.received > it.machines * RecoveryTuning.MAJORITY_SHARE }) return
+        if (zones.values.none { it.reporting > it.machines * RecoveryTuning.MAJORITY_SHARE }) return
         for ((zone, counts) in zones) {
-            if (!isPartitioned(counts) || partitionedSince.putIfAbsent(zone, clock.steadyMs) != null) continue
+            if (!isPartitioned(counts) || partitionedSinceMs.putIfAbsent(zone, clock.steadyMs) != null) continue
             log.warn(
-                "zone partitioned: next to none of its machines send heartbeats; zone={} machines={} received={}",
+                "zone partitioned: almost none of its machines send heartbeats; zone={} machines={} received={}",
                 zone,
                 counts.machines,
-                counts.received,
+                counts.reporting,
             )
         }
     }
 
     private fun isPartitioned(counts: ZoneCounts) =
         counts.machines >= RecoveryTuning.MIN_ZONE_MACHINES &&
-            counts.received < counts.machines * AgentTuning.RECEIVED_SHARE
+            counts.reporting < counts.machines * AgentTuning.MIN_REPORTING_SHARE
 
-    /** Something of the zone is received, or too little of it is left to tell for how long it will be cut off. */
-    private fun isBack(
+    /**
+     * Returns whether the partition that began at [sinceMs] is over: enough machines of the zone report again. If too
+     * few machines are left to judge by, the partition ends with the grace period.
+     */
+    private fun isOver(
         counts: ZoneCounts?,
-        since: Long,
+        sinceMs: Long,
     ): Boolean {
-        if (counts == null || isTooSmall(counts)) return clock.steadyMs - since >= RecoveryTuning.ZONE_OUTAGE_GRACE_MS
-        return counts.received >= counts.machines * AgentTuning.RECEIVED_SHARE
+        if (counts == null || isTooSmall(counts)) return clock.steadyMs - sinceMs >= RecoveryTuning.ZONE_OUTAGE_GRACE_MS
+        return counts.reporting >= counts.machines * AgentTuning.MIN_REPORTING_SHARE
     }
 
     private fun isTooSmall(counts: ZoneCounts) =
-        counts.machines < RecoveryTuning.MIN_ZONE_MACHINES && counts.received == 0
+        counts.machines < RecoveryTuning.MIN_ZONE_MACHINES && counts.reporting == 0
 
     /**
-     * [machine] is silent with its whole zone, it is worth keeping until the zone is back, and not yet given up. That
-     * is so where only one other zone is received, in which replicas that keep to two can't all be. Unconfirmed, it is
-     * worth keeping if a leader before this one may be cut off with it and keep its lease alive; else nobody does, and
-     * older jobs only wait for it. Confirmed, it is if it has such replicas; all else is the better restarted elsewhere
-     * the sooner.
+     * Returns whether to keep [machine], whose zone is partitioned, until the partition ends or the grace period is
+     * over. Machines are kept only while fewer than two zones are reachable, too few for the replicas of two-zone
+     * services.
+     *
+     * A confirmed machine is kept if it has or had such replicas; any other work is best restarted elsewhere soon. An
+     * unconfirmed one is kept if a recent leader may be partitioned with it and renew its lease. Otherwise no leader
+     * does, and older jobs would wait for the machine in vain.
      */
-    fun mayComeBack(machine: Machine): Boolean {
-        if (reachableZones >= 2) return false
-        val since = partitionedSince[machine.zone] ?: return false
-        if (clock.steadyMs - since >= RecoveryTuning.ZONE_OUTAGE_GRACE_MS) return false
+    fun shouldKeep(machine: Machine): Boolean {
+        if (reachableZoneCount >= 2) return false
+        val sinceMs = partitionedSinceMs[machine.zone] ?: return false
+        if (clock.steadyMs - sinceMs >= RecoveryTuning.ZONE_OUTAGE_GRACE_MS) return false
         if (!machine.confirmed) return machine.zone in recentLeaderZones
-        if (machine in kept) return true
+        if (machine in keptMachines) return true
         if (!hasTwoZoneReplica(machine)) return false
-        kept.add(machine)
+        keptMachines.add(machine)
         return true
     }
 
@@ -147,7 +149,7 @@
         }
 
     private companion object {
-        /** Steady ms before any other time, far enough from the limits that differences don't overflow. */
+        /** Earlier than any other time on the steady clock, but such that differences don't overflow. */
         const val NEVER = Long.MIN_VALUE / 2
     }
 }
--- a/src/main/kotlin/ledgearch/agents/TaskCommands.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskCommands.kt
@@ -7,14 +7,14 @@
 import ledgearch.wire.CommandKind
 import ledgearch.wire.TaskCommand
 
-/** The commands by which an agent's tasks become what the leader has decided. */
+/** Derives the commands that bring an agent's tasks to the state that the leader has decided on. */
 internal object TaskCommands {
     private const val NO_GRACE_S = 0.0
 
     /**
-     * All commands that the agent of [machine] has yet to carry out, stops first; none before it has confirmed the
-     * leader's token and its record is durable. Each may be repeated without harm until the agent's list of tasks shows
-     * it.
+     * Returns the commands that the agent of [machine] has yet to carry out, stops first, as many as fit in a message.
+     * There are none until the agent has confirmed the leader's token and the machine's record is durable. Commands are
+     * idempotent and repeated until the agent's list of tasks shows their effect.
      */
     fun pending(machine: Machine): List<TaskCommand> {
         if (!machine.durable || !machine.confirmed) return emptyList()
@@ -22,13 +22,13 @@
         val starts = ArrayList<TaskCommand>()
         for (attempt in machine.attempts.values) {
             when {
-                attempt.exited -> if (isClearable(attempt)) stops.add(command(CommandKind.CLEAR, attempt))
+                attempt.exited -> if (mayClear(attempt)) stops.add(command(CommandKind.CLEAR, attempt))
                 attempt.stop != StopMode.NONE -> stopCommand(attempt)?.let { stops.add(it) }
                 !attempt.reported -> starts.add(command(CommandKind.START, attempt))
             }
         }
-        // A message has a size that it may not pass; what is left over goes with the next one.
-        return (stops + starts).take(AgentTuning.COMMANDS_AT_ONCE)
+        // The rest goes with the next message.
+        return (stops + starts).take(AgentTuning.MAX_COMMANDS_PER_MESSAGE)
     }
 
     private fun command(
@@ -36,10 +36,9 @@
         attempt: TaskAttempt,
     ) = TaskCommand(kind, attempt.taskId, attempt.number)
 
-    private fun isClearable(attempt: TaskAttempt) =
-        attempt.clearable && attempt.settled(attempt.machine.heartbeatSequence)
+    private fun mayClear(attempt: TaskAttempt) = attempt.clearable && attempt.settled(attempt.machine.heartbeatSequence)
 
-    /** Null while the task makes the checkpoint that it was told to make. */
+    /** Returns the stop command for [attempt], or null while it saves the checkpoint that an earlier stop asked for. */
     private fun stopCommand(attempt: TaskAttempt): TaskCommand? {
         val graceS =
             if (attempt.stop == StopMode.CHECKPOINT_FIRST) attempt.job?.spec?.checkpointS ?: NO_GRACE_S else NO_GRACE_S
--- a/src/main/kotlin/ledgearch/agents/TaskFailures.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskFailures.kt
@@ -6,7 +6,7 @@
 import ledgearch.runtime.Clock
 import org.slf4j.LoggerFactory
 
-/** Tells whether a task's failures are its machine's fault or its job's: quarantines the one, delays the other. */
+/** Attributes task failures to the machine or to the job, and quarantines that machine or delays that job. */
 internal class TaskFailures(
     private val machines: Map<String, Machine>,
     private val recordWriter: RecordWriter,
@@ -14,45 +14,45 @@
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.agents")
 
-    /** A task of [job] is done on [machine]. */
-    fun succeeded(
+    /** Records that a task of [job] has completed on [machine]. */
+    fun recordSuccess(
         machine: Machine,
         job: Job,
     ) {
-        clearFailures(machine)
+        resetFailures(machine)
         job.failedAttempts = 0
-        // The job can be done, so where it failed the machine is at fault.
+        // Since the job's tasks can complete, the machines on which they failed may be faulty.
         job.errorMachines.forEach { name -> machines[name]?.let { quarantineIfFaulty(it, job) } }
         job.errorMachines.clear()
     }
 
-    private fun clearFailures(machine: Machine) {
+    private fun resetFailures(machine: Machine) {
         machine.errorJobs.clear()
         machine.consecutiveErrors = 0
     }
 
-    /** A task of [job] has failed on [machine]. */
-    fun failed(
+    /** Records that a task of [job] has failed on [machine]. */
+    fun recordFailure(
         machine: Machine,
         job: Job,
     ) {
         machine.errorJobs.add(job.id)
         machine.consecutiveErrors++
         job.errorMachines.add(machine.name)
-        if (job.errorMachines.size >= AgentTuning.FAILING_JOB_MACHINES) {
+        if (job.errorMachines.size >= AgentTuning.FAILED_MACHINES_FOR_JOB_DELAY) {
             delay(job)
         } else {
-            machine.refusedUntil = clock.steadyMs + AgentTuning.FAILURE_PAUSE_MS
+            machine.refusedUntil = clock.steadyMs + AgentTuning.FAILED_TASK_PAUSE_MS
             quarantineIfFaulty(machine, job)
         }
     }
 
-    /** [job] fails wherever it is started: the job is at fault, and no machine is blamed for it. */
+    /** Delays [job], which fails on every machine, and removes its failures from the counts of the machines. */
     private fun delay(job: Job) {
-        val doublings = minOf(job.failedAttempts, AgentTuning.FAILING_JOB_DOUBLINGS)
-        val pauseMs = minOf(AgentTuning.FAILING_JOB_MS shl doublings, AgentTuning.FAILING_JOB_MAX_MS)
+        val doublings = minOf(job.failedAttempts, AgentTuning.MAX_JOB_DELAY_DOUBLINGS)
+        val delayMs = minOf(AgentTuning.FIRST_JOB_DELAY_MS shl doublings, AgentTuning.MAX_JOB_DELAY_MS)
         job.failedAttempts++
-        job.notBefore = clock.steadyMs + pauseMs
+        job.notBefore = clock.steadyMs + delayMs
         for (name in job.errorMachines) {
             val machine = machines[name] ?: continue
             machine.errorJobs.remove(job.id)
@@ -62,28 +62,29 @@
     }
 
     /**
-     * Quarantines [machine] when several jobs failed on it in a row, or several tasks of one that is done elsewhere.
+     * Quarantines [machine] if, without a success between, several jobs failed on it, or several tasks including one of
+     * [job], which completes elsewhere.
      */
     private fun quarantineIfFaulty(
         machine: Machine,
         job: Job,
     ) {
-        if (machine.quarantined || !(failedSeveralJobs(machine) || failedProvenJob(machine, job))) return
+        if (machine.quarantined || !(hasFailedSeveralJobs(machine) || hasFailedCompletableJob(machine, job))) return
         log.warn(
-            "machine quarantined: tasks fail on it that are done elsewhere, or of several jobs; machine={} failures={}",
+            "machine quarantined: several jobs fail on it, or tasks that complete elsewhere; machine={} failures={}",
             machine.name,
             machine.consecutiveErrors,
         )
         machine.quarantined = true
-        // The next leader is to know it too: it would have to fail its own tasks there to find out.
+        // Recorded for the next leader, which would otherwise find out only by failures of its own.
         recordWriter.putMachine(machine)
     }
 
-    private fun failedSeveralJobs(machine: Machine) = machine.errorJobs.size >= AgentTuning.QUARANTINE_FAILURES
+    private fun hasFailedSeveralJobs(machine: Machine) = machine.errorJobs.size >= AgentTuning.FAILURES_FOR_QUARANTINE
 
-    private fun failedProvenJob(
+    private fun hasFailedCompletableJob(
         machine: Machine,
         job: Job,
-    ) = machine.consecutiveErrors >= AgentTuning.QUARANTINE_FAILURES && job.id in machine.errorJobs &&
+    ) = machine.consecutiveErrors >= AgentTuning.FAILURES_FOR_QUARANTINE && job.id in machine.errorJobs &&
         !job.finished.isEmpty
 }
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -17,16 +17,16 @@
 import ledgearch.wire.TaskState
 import org.slf4j.LoggerFactory
 
-/** Told of what the agents' lists of tasks change for others. */
+/** Receives changes that follow from the agents' lists of tasks. */
 internal interface TaskStatusListener {
-    /** Something has changed that may let pending tasks start. */
+    /** Called when a change may allow pending tasks to start. */
     fun placementChanged()
 
-    /** [attempt] is gone with its machine or its agent's incarnation, not by its own end. */
+    /** Called when [attempt] was lost with its machine or its agent's incarnation instead of exiting. */
     fun attemptLost(attempt: TaskAttempt)
 }
 
-/** Applies the agents' lists of tasks to the attempts that the leader knows. */
+/** Applies the agents' lists of tasks to the leader's attempts. */
 internal class TaskStatusHandler(
     private val jobStore: JobStore,
     machines: Map<String, Machine>,
@@ -40,7 +40,7 @@
     private val log = LoggerFactory.getLogger("ledgearch.agents")
     private val failures = TaskFailures(machines, recordWriter, clock)
 
-    /** [reports] are all tasks on [machine], as of the message with its present sequence number. */
+    /** Applies [reports], which list all tasks on [machine] as of the message with its current sequence number. */
     fun reconcile(
         machine: Machine,
         reports: List<TaskReport>,
@@ -50,26 +50,29 @@
             val attempt = known ?: adopt(machine, report)
             attempt.lastListedSequence = machine.sequence
             update(attempt, report)
-            // Its agent may be sending heartbeats to an earlier leader still, so it is told directly.
+            // The agent may still send its heartbeats to an earlier leader, so the stop is sent directly.
             if (known == null && attempt.stop != StopMode.NONE && !attempt.exited) dispatcher.enqueue(machine)
         }
-        endUnlisted(machine)
+        removeUnlisted(machine)
     }
 
-    private fun endUnlisted(machine: Machine) {
+    private fun removeUnlisted(machine: Machine) {
         if (machine.attempts.values.all { it.lastListedSequence == machine.sequence }) return
         for (attempt in machine.attempts.values.toList()) {
-            if (attempt.lastListedSequence != machine.sequence && !mayStillStart(attempt)) gone(attempt)
+            if (attempt.lastListedSequence != machine.sequence && !mayStillStart(attempt)) remove(attempt)
         }
     }
 
-    /** A start that is still on its way may arrive yet; it is sent again until the agent lists the attempt. */
+    /** Returns whether [attempt] may start later; its start is sent repeatedly until the agent lists it. */
     private fun mayStillStart(attempt: TaskAttempt): Boolean {
         if (attempt.reported) return false
         return attempt.stop == StopMode.NONE || !attempt.settled(attempt.machine.heartbeatSequence)
     }
 
-    /** An attempt that an earlier leader started, or one of a job that is over: the latter is stopped. */
+    /**
+     * Adds the attempt in [report], which an earlier leader started. It is stopped if its job is no longer open or is
+     * being cancelled, or if its task is finished or has another attempt.
+     */
     private fun adopt(
         machine: Machine,
         report: TaskReport,
@@ -93,38 +96,43 @@
         attempt: TaskAttempt,
         report: TaskReport,
     ) {
-        val isFirst = !attempt.reported
+        val isFirstReport = !attempt.reported
         attempt.reported = true
         when (report.state) {
-            TaskState.FETCHING -> fetching(attempt, isFirst)
-            TaskState.RUNNING -> if (attempt.state != AttemptState.RUNNING) started(attempt)
+            TaskState.FETCHING -> markFetching(attempt, isFirstReport)
+            TaskState.RUNNING -> if (attempt.state != AttemptState.RUNNING) markRunning(attempt)
             TaskState.SAVING -> attempt.state = AttemptState.SAVING
-            TaskState.EXITED -> if (!attempt.exited) exited(attempt, report.cause)
+            TaskState.EXITED -> if (!attempt.exited) markExited(attempt, report.cause)
             TaskState.UNRECOGNIZED -> Unit
         }
     }
 
-    private fun fetching(
+    private fun markFetching(
         attempt: TaskAttempt,
-        isFirst: Boolean,
+        isFirstReport: Boolean,
     ) {
         val job = attempt.job
-        if (isFirst && job != null) attempt.machine.touchImage(job.spec.image, job.spec.imageGb)
+        if (isFirstReport && job != null) attempt.machine.touchImage(job.spec.image, job.spec.imageGb)
         attempt.state = AttemptState.FETCHING
     }
 
-    private fun started(attempt: TaskAttempt) {
+    private fun markRunning(attempt: TaskAttempt) {
         val machine = attempt.machine
         attempt.runningSince = clock.steadyMs
         attempt.state = AttemptState.RUNNING
-        log.debug("attempt runs; task={} attempt={} machine={}", attempt.taskId, attempt.number, machine.name)
+        log.debug(
+            "attempt started running; task={} attempt={} machine={}",
+            attempt.taskId,
+            attempt.number,
+            machine.name,
+        )
         val job = attempt.job ?: return
         machine.touchImage(job.spec.image, job.spec.imageGb)
-        // Latency-sensitive work is placed where its image is.
+        // Latency-sensitive tasks are placed on machines that have their image.
         if (machine.fetched.add(job.spec.image)) listener.placementChanged()
     }
 
-    private fun exited(
+    private fun markExited(
         attempt: TaskAttempt,
         cause: ExitCause?,
     ) {
@@ -142,20 +150,20 @@
         )
         val job = attempt.job ?: return
         when (cause) {
-            ExitCause.DONE -> done(attempt, job)
-            ExitCause.ERROR -> failures.failed(machine, job)
-            ExitCause.FULL, ExitCause.BUSY -> machine.refusedUntil = clock.steadyMs + AgentTuning.REFUSED_MS
-            ExitCause.UNKNOWN_TASK -> job.notBefore = clock.steadyMs + AgentTuning.REFUSED_MS
+            ExitCause.DONE -> finishTask(attempt, job)
+            ExitCause.ERROR -> failures.recordFailure(machine, job)
+            ExitCause.FULL, ExitCause.BUSY -> machine.refusedUntil = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
+            ExitCause.UNKNOWN_TASK -> job.notBefore = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
             ExitCause.STOPPED, ExitCause.UNRECOGNIZED, null -> Unit
         }
         job.free(attempt)
     }
 
-    private fun done(
+    private fun finishTask(
         attempt: TaskAttempt,
         job: Job,
     ) {
-        failures.succeeded(attempt.machine, job)
+        failures.recordSuccess(attempt.machine, job)
         if (job.isService) return
         if (isRunTimeKnown(attempt, job)) {
             estimates.ran(job, (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND)
@@ -165,21 +173,21 @@
         if (job.complete) recordWriter.close(job, JobState.DONE)
     }
 
-    /** The attempt was seen from start to end, and no checkpoint of an earlier attempt made it shorter. */
+    /** Returns whether this leader saw [attempt] from its start, and no checkpoint of an earlier one shortened it. */
     private fun isRunTimeKnown(
         attempt: TaskAttempt,
         job: Job,
     ) = attempt.runningSince > 0 && !attempt.inherited && job.spec.checkpointIntervalS == 0.0
 
-    /** All attempts on [machine] are gone, and no start of any can arrive. */
-    fun allGone(machine: Machine) {
+    /** Removes all attempts of [machine] once none of them can run or start there any more. */
+    fun removeAll(machine: Machine) {
         machine.attempts.values
             .toList()
-            .forEach(::gone)
+            .forEach(::remove)
     }
 
-    /** [attempt] is provably on its machine no more, and no start of it can arrive. */
-    private fun gone(attempt: TaskAttempt) {
+    /** Removes [attempt], which provably neither runs nor can start on its machine any more. */
+    private fun remove(attempt: TaskAttempt) {
         if (!attempt.exited) {
             metrics.count("task.lost")
             log.debug(
@@ -196,7 +204,7 @@
     }
 
     private companion object {
-        /** Of a task whose id names no index: it belongs to no job. */
+        /** Index of a task whose id contains none; such a task belongs to no job. */
         const val NO_INDEX = -1
     }
 }
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -123,7 +123,7 @@
                 machine.attempts.size,
             )
         }
-        tasks.allGone(machine)
+        tasks.removeAll(machine)
         machine.incarnation = incarnation
         machine.sequence = 0
         machine.heartbeatSequence = 0
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -108,8 +108,9 @@
 
     /** The more current replica has a head start; the longest wait is the same with and without it. */
     private fun claimDelayMs(): Long {
-        val headStartMs = standby?.headStartMs() ?: return random.nextLong(ElectionTuning.ELECTION_SPREAD_MS)
-        return headStartMs + random.nextLong(ElectionTuning.ELECTION_SPREAD_MS - ElectionTuning.HEAD_START_MS)
+        val headStartMs = standby?.headStartMs() ?: return random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
+        return headStartMs +
+            random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS - ElectionTuning.MAX_REPLICA_LAG_DELAY_MS)
     }
 
     private inner class JobStoreEvents : JobStoreListener {
@@ -147,12 +148,12 @@
     private inner class ElectionEvents : ElectionListener {
         override fun elected(
             token: Long,
-            newTerm: Boolean,
+            isNewTerm: Boolean,
         ) {
-            if (newTerm) leader.begin(token, standby?.begin(token))
+            if (isNewTerm) leader.begin(token, standby?.begin(token))
         }
 
-        override fun lost() {
+        override fun leadershipLost() {
             leader.end()
             standby?.end()
         }
@@ -165,6 +166,6 @@
         override fun leadershipConfirmed(
             sentAt: Long,
             under: Long,
-        ) = election.leadershipConfirmed(sentAt, under)
+        ) = election.recordConfirmation(sentAt, under)
     }
 }
--- a/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
@@ -68,7 +68,7 @@
         machine: Machine,
         heartbeat: Heartbeat,
     ): List<TaskCommand> {
-        val commands = dispatcher.commands(machine)
+        val commands = dispatcher.pendingCommands(machine)
         for (command in commands) {
             if (command.kind != CommandKind.START) continue
             val attempt = machine.attempts.get(command.attempt) ?: continue
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -5,7 +5,7 @@
 import ledgearch.agents.CommandDispatcher
 import ledgearch.agents.DispatchLimits
 import ledgearch.agents.FailureDetector
-import ledgearch.agents.MachineReleases
+import ledgearch.agents.MachineReleaser
 import ledgearch.agents.PartitionedZones
 import ledgearch.agents.RecentLeaderZones
 import ledgearch.agents.TaskStatusHandler
@@ -127,7 +127,7 @@
             machines,
             election,
             dispatcher,
-            MachineReleases(autoscaler, reliability, recovery, clock),
+            MachineReleaser(autoscaler, reliability, recovery, clock),
             partitionedZones,
             recovery,
             statusHandler,
@@ -210,9 +210,9 @@
 
     override fun machineGone(machine: Machine) {
         metrics.count("machine.gone")
-        tasks.allGone(machine)
+        tasks.removeAll(machine)
         registry.remove(machine)
-        dispatcher.forget(machine)
+        dispatcher.remove(machine)
         placer.machinesChanged(machine)
         recordWriter.removeMachine(machine)
         placement.requestPass()
@@ -224,14 +224,14 @@
     fun countsHold() = machines.values.all { it.countsHold() } && teams.countsHold(machines.values) && jobs.countsHold()
 
     private inner class AgentReplies : AgentReplyListener {
-        override fun isCurrent(machine: Machine) = registry.contains(machine)
+        override fun isRegistered(machine: Machine) = registry.contains(machine)
 
-        override fun replied(
+        override fun replyReceived(
             machine: Machine,
             status: Heartbeat,
         ) = heartbeats.replied(machine, status)
 
-        override fun lostItsState(machine: Machine) = heartbeats.lostItsState(machine)
+        override fun agentStateLost(machine: Machine) = heartbeats.lostItsState(machine)
     }
 
     private inner class TaskEvents : TaskStatusListener {
@@ -252,7 +252,7 @@
             // An agent that goes on sends a heartbeat within this time: a new leader then knows which zones are cut
             // off.
             val detectionMs =
-                settings.deployment.workers.reportS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEATS
+                settings.deployment.workers.reportS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEAT_INTERVALS
             return ZoneRecovery(settings.operator.zoneRecovery, clock, detectionMs.toLong())
         }
     }
--- a/src/main/kotlin/ledgearch/control/Reconciliation.kt
+++ b/src/main/kotlin/ledgearch/control/Reconciliation.kt
@@ -45,7 +45,7 @@
         for (machine in registry.unconfirmed) dispatcher.probe(machine)
         if (complete || loader.anyUnreadable || registry.unconfirmed.any { it.inherited }) return
         complete = true
-        failoverMs = clock.steadyMs - election.electedAt
+        failoverMs = clock.steadyMs - election.electedAtMs
         jobStore.jobs.values.forEach { it.accountedFor = true }
         recovery?.confirmed(jobStore.jobs.values.filter { !term.isNewer(it) })
         placement.requestPass()
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -7,12 +7,12 @@
 import kotlin.random.Random
 
 /**
- * The election of the leader among the controllers, as seen from this node.
+ * Takes part in the election of the leader among the controllers.
  *
- * The leadership record is one key, attached to the lease of its leader. The record's revision is the fencing token: it
- * rises with every claim and every renewal. Whoever finds no record writes it, and the state service lets one writer
- * through. Safety never depends on the lease: workers follow the highest token only, and a new leader waits for their
- * confirmation.
+ * The leadership record is a single key attached to the lease of its leader. The record's revision is the fencing
+ * token, which grows with every claim and every renewal. A node that finds no record writes one, and of several such
+ * writers the state service accepts one. Safety does not depend on the lease: agents follow only the highest token, and
+ * a new leader waits for their confirmation.
  */
 internal class Election(
     node: String,
@@ -22,48 +22,47 @@
     private val clock: Clock,
     random: Random,
     listener: ElectionListener,
-    /** ms that this node waits before it claims a free leadership. */
-    private val claimDelayMs: () -> Long = { random.nextLong(ElectionTuning.ELECTION_SPREAD_MS) },
+    /** Returns how long this node waits before it claims a free leadership. */
+    private val claimDelayMs: () -> Long = { random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS) },
 ) {
     private val lease = NodeLease(state, clock)
     private val held = HeldLeadership(clock, listener)
-    private val writes = LeadershipWrites(node, instance, state, lease, clock)
+    private val writer = LeadershipWriter(node, instance, state, lease, clock)
     private val check = LeadershipCheck(node, instance, state, jobStore, held)
-    private val claim = LeadershipClaim(node, writes, lease, held, check, jobStore, clock, random)
+    private val claim = LeadershipClaim(node, writer, lease, held, check, jobStore, clock, random)
     private val confirmation = LeadershipConfirmation(state, held, check, clock)
-    private val renewal = TokenRenewal(writes, held, check, clock)
+    private val renewal = TokenRenewal(writer, held, check, clock)
 
-    /** The fencing token of this node's leadership, 0 when it is not the leader. */
+    /** Fencing token of this node's leadership, 0 if it is not the leader. */
     val token: Long get() = held.token
 
-    /** Steady ms at which the leadership record was still this node's. */
-    val confirmedAt: Long get() = held.confirmedAt
+    /** Latest steady-clock time at which the leadership record was known to be this node's. */
+    val confirmedAtMs: Long get() = held.confirmedAtMs
 
-    /** Steady ms at which this node's last leadership term began. */
-    val electedAt: Long get() = held.electedAt
+    /** Steady-clock time at which this node's last term began. */
+    val electedAtMs: Long get() = held.electedAtMs
 
-    /** This node is the leader, as far as it knows: its token may be superseded already. */
+    /** Whether this node is the leader to its own knowledge; its token may already be superseded. */
     val isLeader: Boolean get() = held.isLeader
 
-    /** The leadership was confirmed so lately that the leader lease can't have run out since. */
+    /** Whether the leadership was confirmed so recently that the leader lease can't have expired since. */
     val hasValidLease: Boolean get() = held.hasValidLease
 
-    /** The comparison that lets a transaction through only while this node is the leader under [token]. */
+    /** Condition under which a transaction commits only while this node is the leader under [token]. */
     val condition: Condition get() = held.condition
 
-    /** A transaction with [condition], sent at steady ms [sentAt] under the token [sentUnder], went through. */
-    fun leadershipConfirmed(
-        sentAt: Long,
-        sentUnder: Long,
-    ) = held.confirm(sentAt, sentUnder)
+    /** Records that a transaction with [condition] under [sentUnderToken], sent at [sentAtMs], has committed. */
+    fun recordConfirmation(
+        sentAtMs: Long,
+        sentUnderToken: Long,
+    ) = held.recordConfirmation(sentAtMs, sentUnderToken)
 
-    /** A comparison of the leadership under the token [sentUnder] has failed. */
-    fun leadershipDoubted(sentUnder: Long) = check.doubted(sentUnder)
+    /** Reads the leadership record after a transaction with [condition] under [sentUnderToken] has failed. */
+    fun verifyLeadership(sentUnderToken: Long) = check.verify(sentUnderToken)
 
     /**
-     * The leadership record in the job store has changed. A leader stops at a newer record before it learns of anything
-     * that was accepted under it, also while it renews its token: what comes after that record is the next leader's to
-     * start.
+     * Called when the leadership record in the job store has changed. A leader stops at a newer record, even during a
+     * renewal, before it sees anything accepted under that record, which is for the next leader to start.
      */
     fun leadershipChanged() {
         check.compareWithJobStore()
@@ -74,37 +73,40 @@
     fun loseLeadership(reason: String) = held.lose(reason)
 
     /**
-     * Gives the leadership up so that a node that can serve takes it; [reason] is logged. [silent]: since next to no
-     * machine is heard, which is recorded for the next leader.
+     * Releases the leadership for a node that can serve; [reason] is logged. If [recordsStepDown], a step-down because
+     * of silent machines is recorded for the next leader.
      */
     fun stepDown(
         reason: String,
-        silent: Boolean = false,
+        recordsStepDown: Boolean = false,
     ) {
         if (!held.isLeader) return
         val oldToken = held.token
-        claim.standBack()
+        claim.startCooldown()
         held.lose(reason)
-        writes.release(oldToken, recordsStepDown = silent)
+        writer.release(oldToken, recordsStepDown = recordsStepDown)
     }
 
-    /** A leader before this one has stepped down of late, and the change of leader did not help. */
-    val steppedDownRecently: Boolean
+    /**
+     * Whether a leader stepped down because of silent machines within [ElectionTuning.RECENT_STEP_DOWN_WINDOW_MS]; if
+     * they are still silent, another change of leader would not help.
+     */
+    val hasRecentStepDown: Boolean
         get() {
             val stepDown = jobStore.lastStepDown ?: return false
-            return clock.wallMs - stepDown.at < ElectionTuning.RECENT_STEP_DOWN_MS
+            return clock.wallMs - stepDown.at < ElectionTuning.RECENT_STEP_DOWN_WINDOW_MS
         }
 
-    /** Does what is due: keeps the lease alive and confirms or claims the leadership. */
+    /** Keeps the lease alive, and confirms or claims the leadership when that is due. */
     fun drive() {
         lease.drive()
         if (!jobStore.isLoaded || !lease.isOpen) return
         if (held.isLeader) confirmation.drive() else claim.drive()
     }
 
-    /** The process of [leader] seems to have ended: its leadership is claimed before its lease runs out. */
+    /** Claims the leadership of [leader], whose process seems to have ended, before its lease expires. */
     fun challenge(leader: String) = claim.challenge(leader)
 
-    /** A new fencing token for the same leader: it fences direct commands that were lost on their way. */
+    /** Renews the fencing token of this leader, which fences direct commands that were lost in transit. */
     fun renewToken() = renewal.renew()
 }
--- a/src/main/kotlin/ledgearch/election/ElectionListener.kt
+++ b/src/main/kotlin/ledgearch/election/ElectionListener.kt
@@ -1,16 +1,16 @@
 package ledgearch.election
 
-/** Told when this node's leadership begins, changes its fencing token or ends. */
+/** Receives changes of this node's leadership and of its fencing token. */
 internal interface ElectionListener {
     /**
-     * This node is the leader under the fencing token [token]. [newTerm]: a new leadership term has begun, as opposed
-     * to a renewed token within the present term.
+     * Called when this node has become the leader, or when its fencing token was renewed within the current term;
+     * [isNewTerm] is false in the latter case.
      */
     fun elected(
         token: Long,
-        newTerm: Boolean,
+        isNewTerm: Boolean,
     )
 
-    /** This node is the leader no more. */
-    fun lost()
+    /** Called when this node is no longer the leader. */
+    fun leadershipLost()
 }
--- a/src/main/kotlin/ledgearch/election/ElectionTuning.kt
+++ b/src/main/kotlin/ledgearch/election/ElectionTuning.kt
@@ -1,35 +1,31 @@
 package ledgearch.election
 
-/** Leader election: constants with their unit and the reason for their value. */
+/** Constants for the election of the leader. */
 internal object ElectionTuning {
-    /** ms. Between two renewals of the node's lease: four times within its life. */
-    const val KEEP_ALIVE_MS = 1_500L
+    /** Interval between renewals of the node's lease: a quarter of the lease's duration. */
+    const val LEASE_KEEP_ALIVE_INTERVAL_MS = 1_500L
 
-    /** ms. A leadership not confirmed for this long is compared again. */
-    const val CONFIRM_LEADERSHIP_MS = 1_500L
+    /** Time without a confirmation after which the leadership is confirmed by a transaction of its own. */
+    const val CONFIRMATION_INTERVAL_MS = 1_500L
 
-    /** ms. Spread of the first try to claim a free leadership, so that nodes seldom collide. */
-    const val ELECTION_SPREAD_MS = 200L
+    /** Bound of the random delay before a free leadership is claimed, so that claims rarely collide. */
+    const val MAX_CLAIM_DELAY_MS = 200L
 
-    /** ms. Least time between two renewals of the token: each makes every worker report once more. */
-    const val TOKEN_RENEWAL_MS = 5_000L
+    /** Minimum time between renewals of the token, since each makes every agent report once more. */
+    const val MIN_TOKEN_RENEWAL_INTERVAL_MS = 5_000L
 
-    /** ms. A node that stepped down stands back this long so that others can claim the leadership. */
-    const val STEP_DOWN_PAUSE_MS = 15_000L
+    /** Time for which a node that stepped down claims no leadership, so that others can. */
+    const val STEP_DOWN_COOLDOWN_MS = 15_000L
 
-    /**
-     * ms. So much of the spread of the first try to claim a free leadership goes by the standby's lag: the rest settles
-     * equal lags.
-     */
-    const val HEAD_START_MS = 50L
+    /** Part of [MAX_CLAIM_DELAY_MS] that depends on the lag of the standby's replica; the rest is random. */
+    const val MAX_REPLICA_LAG_DELAY_MS = 50L
 
-    /** ms. After a challenge, the next one waits this long: a wrong one costs a change of leader. */
-    const val CHALLENGE_MS = 10_000L
+    /** Minimum time between challenges, since a mistaken one causes a change of leader. */
+    const val MIN_CHALLENGE_INTERVAL_MS = 10_000L
 
     /**
-     * ms. So long after a leader stepped down since it heard next to no machine the next one stays, even if it hears
-     * none either: it releases what is lost and rents new machines, where the leadership would otherwise go round for
-     * ever.
+     * Time after a step-down because of silent machines in which no other leader steps down for that reason: it
+     * releases lost machines and rents new ones instead. Otherwise the leadership could change forever.
      */
-    const val RECENT_STEP_DOWN_MS = 60_000L
+    const val RECENT_STEP_DOWN_WINDOW_MS = 60_000L
 }
--- a/src/main/kotlin/ledgearch/election/HeldLeadership.kt
+++ b/src/main/kotlin/ledgearch/election/HeldLeadership.kt
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leadership that this node holds, if any: its fencing token and until when it was surely still held. Every change
- * of it is made here and told to [listener].
+ * Holds the state of this node's leadership: the fencing token and when it was last confirmed. All changes are made
+ * here and reported to [listener].
  */
 internal class HeldLeadership(
     private val clock: Clock,
@@ -16,74 +16,74 @@
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.election")
 
-    /** The fencing token of this node's leadership, 0 when it is not the leader. */
+    /** Fencing token of this node's leadership, 0 if it is not the leader. */
     var token = 0L
         private set
 
-    /** Steady ms at which the leadership record was still this node's. */
-    var confirmedAt = Long.MIN_VALUE
+    /** Latest steady-clock time at which the leadership record was known to be this node's. */
+    var confirmedAtMs = Long.MIN_VALUE
         private set
 
-    /** Steady ms at which this node's last leadership term began. */
-    var electedAt = 0L
+    /** Steady-clock time at which this node's last term began. */
+    var electedAtMs = 0L
         private set
 
-    /** A renewal of the token is under way: until it is answered, the record's revision may differ from [token]. */
+    /** Whether a renewal of the token is in flight; the record's revision may then differ from [token]. */
     var isRenewing = false
         private set
 
     val isLeader: Boolean get() = token != 0L
 
-    /** The leadership was confirmed so lately that the leader lease can't have run out since. */
-    val hasValidLease: Boolean get() = isLeader && clock.steadyMs - confirmedAt < StoreTuning.LEADER_LEASE_MS
+    /** Whether the leadership was confirmed so recently that the leader lease can't have expired since. */
+    val hasValidLease: Boolean get() = isLeader && clock.steadyMs - confirmedAtMs < StoreTuning.LEADER_LEASE_MS
 
-    /** The comparison that lets a transaction through only while this node is the leader under [token]. */
+    /** Condition under which a transaction commits only while this node is the leader under [token]. */
     val condition: Condition get() = Condition(Keys.leadership(0), token)
 
-    /** Begins a leadership term under [newToken]; the claim that brought it was sent at steady ms [claimSentAt]. */
+    /** Begins a term under [newToken], the result of a claim sent at [claimSentAtMs]. */
     fun begin(
         newToken: Long,
-        claimSentAt: Long,
+        claimSentAtMs: Long,
     ) {
         token = newToken
-        confirmedAt = claimSentAt
-        electedAt = clock.steadyMs
+        confirmedAtMs = claimSentAtMs
+        electedAtMs = clock.steadyMs
         log.info("this node was elected leader; token={}", token)
-        listener.elected(token, newTerm = true)
+        listener.elected(token, isNewTerm = true)
     }
 
-    /** A transaction that compared the leadership under [sentUnder] and was sent at steady ms [sentAt] went through. */
-    fun confirm(
-        sentAt: Long,
-        sentUnder: Long,
+    /** Records that a transaction with [condition] under [sentUnderToken], sent at [sentAtMs], has committed. */
+    fun recordConfirmation(
+        sentAtMs: Long,
+        sentUnderToken: Long,
     ) {
-        if (sentUnder == token && sentAt > confirmedAt) confirmedAt = sentAt
+        if (sentUnderToken == token && sentAtMs > confirmedAtMs) confirmedAtMs = sentAtMs
     }
 
-    /** A renewal of the token is sent. */
-    fun renewalStarted() {
+    /** Marks a renewal of the token as in flight. */
+    fun beginRenewal() {
         isRenewing = true
     }
 
-    /** The renewal of the token is answered or given up. */
-    fun renewalEnded() {
+    /** Marks the renewal of the token as answered. */
+    fun endRenewal() {
         isRenewing = false
     }
 
-    /** [newToken] is this leader's token from now on; a renewal that is still under way has no say any more. */
+    /** Replaces the token by [newToken]; the result of a renewal in flight is ignored from then on. */
     fun replaceToken(newToken: Long) {
-        log.info("the fencing token was renewed in place of {}; token={}", token, newToken)
+        log.info("fencing token renewed, replacing {}; token={}", token, newToken)
         token = newToken
         isRenewing = false
-        listener.elected(token, newTerm = false)
+        listener.elected(token, isNewTerm = false)
     }
 
-    /** Ends this node's leadership, if it is the leader. */
+    /** Ends this node's leadership, if it is the leader; [reason] is logged. */
     fun lose(reason: String) {
         if (!isLeader) return
-        log.warn("this node is the leader no more: {}; token={}", reason, token)
+        log.warn("this node is no longer the leader: {}; token={}", reason, token)
         token = 0
         isRenewing = false
-        listener.lost()
+        listener.leadershipLost()
     }
 }
--- a/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
@@ -10,9 +10,9 @@
 import ledgearch.wire.KeyValue
 
 /**
- * Compares the leadership that this node holds with the leadership record, as the job store has it or as it is read
- * directly. Where the record is not this leader's any more, the leadership ends; where it is this leader's own by a
- * renewal that was answered too late or not at all, the leader goes on under the renewed token.
+ * Compares this node's leadership with the leadership record in the job store or in the state service. The leadership
+ * ends if the record is no longer this leader's. If a renewal wrote the record but its reply was late or lost, the
+ * leader adopts the renewed token.
  */
 internal class LeadershipCheck(
     private val node: String,
@@ -21,30 +21,25 @@
     private val jobStore: JobStore,
     private val held: HeldLeadership,
 ) {
-    /** A comparison of the leadership under the token [sentUnder] has failed. */
-    fun doubted(sentUnder: Long) {
-        // During a renewal an earlier try of it may be why: the renewal's own answer tells.
-        if (held.isLeader && !held.isRenewing && held.token == sentUnder) compareWithStateService()
+    /** Reads the leadership record after a transaction that compared it with [sentUnderToken] has failed. */
+    fun verify(sentUnderToken: Long) {
+        // During a renewal the failure may come from the renewal itself, whose result settles it.
+        if (held.isLeader && !held.isRenewing && held.token == sentUnderToken) compareWithStateService()
     }
 
-    /**
-     * The record in the job store is the one held, the one that took its place, or this node is the leader no more.
-     */
+    /** Ends this node's leadership if the record in the job store is newer and not its own renewal, or is gone. */
     fun compareWithJobStore() {
         if (held.isLeader && jobStore.leadershipRevision > held.token &&
-            !adoptRenewal(jobStore.leadership, jobStore.leadershipRevision)
+            !tryAdoptRenewal(jobStore.leadership, jobStore.leadershipRevision)
         ) {
-            held.lose(supersededBy(jobStore.leadership))
+            held.lose(supersededReason(jobStore.leadership))
         }
         if (held.isLeader && jobStore.leadershipRevision == 0L && jobStore.revision >= held.token) {
-            held.lose(LEASE_EXPIRED)
+            held.lose(LEASE_EXPIRED_REASON)
         }
     }
 
-    /**
-     * The record's revision differs from the token: the record is this leader's own, by a renewal that was not
-     * answered, or another's.
-     */
+    /** Reads the record and ends this node's leadership if it is neither current nor its own renewal, or is gone. */
     fun compareWithStateService() {
         val comparedToken = held.token
         state.get(Keys.leadership(0), RequestClass.CRITICAL) { result ->
@@ -52,9 +47,9 @@
             when (result) {
                 is ReadResult.Found -> compare(result.value)
 
-                ReadResult.Absent -> held.lose(LEASE_EXPIRED)
+                ReadResult.Absent -> held.lose(LEASE_EXPIRED_REASON)
 
-                // The next comparison tells.
+                // The next comparison decides.
                 ReadResult.Failed -> Unit
             }
         }
@@ -62,20 +57,20 @@
 
     private fun compare(stored: KeyValue) {
         val record = decodeRecord(LeadershipRecord.serializer(), stored.value)
-        if (stored.modRevision == held.token || adoptRenewal(record, stored.modRevision)) return
-        held.lose(supersededBy(record))
+        if (stored.modRevision == held.token || tryAdoptRenewal(record, stored.modRevision)) return
+        held.lose(supersededReason(record))
     }
 
-    /** The job store already has what came after the leadership record written at [revision]. */
+    /** Returns whether the job store already has a change that supersedes the leadership record at [revision]. */
     fun isSuperseded(revision: Long): Boolean =
         jobStore.leadershipRevision > revision || (jobStore.leadershipRevision == 0L && jobStore.revision > revision)
 
     /**
-     * Adopts [revision] as the token if [record], written at it, is this process instance's own: a renewal whose
-     * transaction was answered too late. It was written over the token held till then, so no other node was leader in
-     * between. A claim of this process instance that is carried out late proves no such thing.
+     * Adopts [revision] as the token if [record], written at it, is this process instance's renewal of the current
+     * token, and returns whether it is. Such a record replaced the one under the current token directly, so no other
+     * node was leader in between. A claim that was carried out late does not prove that.
      */
-    private fun adoptRenewal(
+    private fun tryAdoptRenewal(
         record: LeadershipRecord?,
         revision: Long,
     ): Boolean {
@@ -85,11 +80,11 @@
         return true
     }
 
-    private fun supersededBy(record: LeadershipRecord?) = "$SUPERSEDED by ${record?.node}"
+    private fun supersededReason(record: LeadershipRecord?) = "$SUPERSEDED_REASON by ${record?.node}"
 
     companion object {
-        /** Why a leadership ends when another leadership record was written. */
-        const val SUPERSEDED = "the leadership record was superseded"
-        private const val LEASE_EXPIRED = "the leader lease ran out"
+        /** Reason for the end of a leadership whose record was overwritten. */
+        const val SUPERSEDED_REASON = "the leadership record was superseded"
+        private const val LEASE_EXPIRED_REASON = "the leader lease expired"
     }
 }
--- a/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
@@ -8,12 +8,12 @@
 import kotlin.random.Random
 
 /**
- * Claims the leadership for this node: when no leadership record exists, when one of an earlier process instance of
- * this node is left, and when the leader's process seems to have ended.
+ * Claims the leadership for this node if no leadership record exists, if the record is an earlier process instance's
+ * of this node, or if the leader's process seems to have ended.
  */
 internal class LeadershipClaim(
     private val node: String,
-    private val writes: LeadershipWrites,
+    private val writer: LeadershipWriter,
     private val lease: NodeLease,
     private val held: HeldLeadership,
     private val check: LeadershipCheck,
@@ -22,62 +22,62 @@
     private val random: Random,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.election")
-    private var requestOpen = false
-    private var claimAt = 0L
-    private var challengedAt = Long.MIN_VALUE / 2
+    private var isClaiming = false
+    private var nextClaimAtMs = 0L
+    private var challengedAtMs = Long.MIN_VALUE / 2
 
-    /** Steady ms until which this node stands back after it stepped down. */
-    private var standsBackUntil = Long.MIN_VALUE
+    /** Steady-clock time until which this node makes no claim after it stepped down. */
+    private var cooldownUntilMs = Long.MIN_VALUE
 
-    /** Claims nothing for [delayMs], other than by a challenge. */
+    /** Delays the next claim by [delayMs]; challenges are not delayed. */
     fun postpone(delayMs: Long) {
-        claimAt = clock.steadyMs + delayMs
+        nextClaimAtMs = clock.steadyMs + delayMs
     }
 
-    /** This node steps down: it claims nothing for a while, so that a node that can serve takes the leadership. */
-    fun standBack() {
-        standsBackUntil = clock.steadyMs + ElectionTuning.STEP_DOWN_PAUSE_MS
+    /** Suspends claims and challenges by this node for [ElectionTuning.STEP_DOWN_COOLDOWN_MS]. */
+    fun startCooldown() {
+        cooldownUntilMs = clock.steadyMs + ElectionTuning.STEP_DOWN_COOLDOWN_MS
     }
 
-    /** Claims the leadership if it is free or left behind by this node; called while this node is not the leader. */
+    /** Claims the leadership if it is free or its record is this node's; called while this node is not the leader. */
     fun drive() {
         val isOwnRecord = jobStore.leadership?.node == node
-        if (requestOpen || clock.steadyMs < claimAt || !(isOwnRecord || jobStore.leadershipRevision == 0L)) return
-        if (clock.steadyMs >= standsBackUntil) {
-            // Free, or left by an earlier process instance of this node, or by a claim whose answer was lost.
+        if (isClaiming || clock.steadyMs < nextClaimAtMs || !(isOwnRecord || jobStore.leadershipRevision == 0L)) return
+        if (clock.steadyMs >= cooldownUntilMs) {
+            // An own record was left by an earlier process instance or by a claim whose reply was lost.
             claim(jobStore.leadershipRevision)
         } else if (isOwnRecord) {
-            claimAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
-            writes.release(jobStore.leadershipRevision, recordsStepDown = false)
+            nextClaimAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+            writer.release(jobStore.leadershipRevision, recordsStepDown = false)
         }
     }
 
     /**
-     * The process of [leader] seems to have ended: the leadership is claimed without waiting for its lease to run out.
-     * Should that leader live after all, it is deposed like any other; nothing unsafe can come of it.
+     * Claims the leadership of [leader], whose process seems to have ended, without waiting for its lease to expire. If
+     * that leader still runs, this is an ordinary, safe change of leader.
      */
     fun challenge(leader: String) {
-        if (held.isLeader || requestOpen || !lease.isOpen || !jobStore.isLoaded) return
-        if (jobStore.leadership?.node != leader || clock.steadyMs < standsBackUntil) return
-        if (clock.steadyMs - challengedAt < ElectionTuning.CHALLENGE_MS) return
-        challengedAt = clock.steadyMs
+        if (held.isLeader || isClaiming || !lease.isOpen || !jobStore.isLoaded) return
+        if (jobStore.leadership?.node != leader || clock.steadyMs < cooldownUntilMs) return
+        if (clock.steadyMs - challengedAtMs < ElectionTuning.MIN_CHALLENGE_INTERVAL_MS) return
+        challengedAtMs = clock.steadyMs
         val revision = jobStore.leadershipRevision
-        log.info("the leader refuses connections and its leadership is claimed; token={} node={}", revision, leader)
+        log.info("claiming the leadership of a node that refuses connections; token={} node={}", revision, leader)
         claim(revision)
     }
 
     private fun claim(expectedRevision: Long) {
-        requestOpen = true
-        val sentAt = clock.steadyMs
-        writes.write(expectedRevision, renews = 0) { result ->
-            requestOpen = false
+        isClaiming = true
+        val sentAtMs = clock.steadyMs
+        writer.write(expectedRevision, renews = 0) { result ->
+            isClaiming = false
             when (result) {
                 is TransactionResult.Committed -> {
-                    if (!check.isSuperseded(result.revision)) held.begin(result.revision, sentAt)
+                    if (!check.isSuperseded(result.revision)) held.begin(result.revision, sentAtMs)
                 }
 
                 TransactionResult.LeaseExpired -> {
-                    lease.expired()
+                    lease.markExpired()
                 }
 
                 is TransactionResult.Conflict,
@@ -85,8 +85,8 @@
                 TransactionResult.TooLarge,
                 TransactionResult.Unknown,
                 -> {
-                    val spreadMs = random.nextLong(ElectionTuning.ELECTION_SPREAD_MS)
-                    claimAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS + spreadMs
+                    val delayMs = random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
+                    nextClaimAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS + delayMs
                 }
             }
         }
--- a/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
@@ -7,8 +7,8 @@
 import ledgearch.store.TransactionResult
 
 /**
- * Confirms this node's leadership by a transaction that only compares, whenever no other transaction has confirmed it
- * for [ElectionTuning.CONFIRM_LEADERSHIP_MS].
+ * Confirms this node's leadership by a transaction that only compares the leadership record, if no other transaction
+ * has confirmed it for [ElectionTuning.CONFIRMATION_INTERVAL_MS].
  */
 internal class LeadershipConfirmation(
     private val state: StoreClient,
@@ -16,29 +16,29 @@
     private val check: LeadershipCheck,
     private val clock: Clock,
 ) {
-    private var requestOpen = false
-    private var nextTryAt = 0L
+    private var isRequestInFlight = false
+    private var nextTryAtMs = 0L
 
     /** Confirms the leadership when that is due. */
     fun drive() {
         if (!isDue()) return
-        requestOpen = true
-        nextTryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
-        val sentUnder = held.token
-        val sentAt = clock.steadyMs
+        isRequestInFlight = true
+        nextTryAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+        val sentUnderToken = held.token
+        val sentAtMs = clock.steadyMs
         state.transact(listOf(held.condition), emptyList(), RequestClass.CRITICAL) { result ->
-            requestOpen = false
+            isRequestInFlight = false
             when (result) {
-                is TransactionResult.Committed -> held.confirm(sentAt, sentUnder)
-                is TransactionResult.Conflict -> check.doubted(sentUnder)
+                is TransactionResult.Committed -> held.recordConfirmation(sentAtMs, sentUnderToken)
+                is TransactionResult.Conflict -> check.verify(sentUnderToken)
                 else -> Unit
             }
         }
     }
 
     private fun isDue(): Boolean {
-        if (requestOpen || held.isRenewing) return false
-        if (clock.steadyMs - held.confirmedAt < ElectionTuning.CONFIRM_LEADERSHIP_MS) return false
-        return clock.steadyMs >= nextTryAt
+        if (isRequestInFlight || held.isRenewing) return false
+        if (clock.steadyMs - held.confirmedAtMs < ElectionTuning.CONFIRMATION_INTERVAL_MS) return false
+        return clock.steadyMs >= nextTryAtMs
     }
 }
--- a/src/main/kotlin/ledgearch/election/LeadershipWrites.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipWriter.kt
@@ -12,10 +12,10 @@
 import ledgearch.wire.Condition
 
 /**
- * Writes and removes the leadership record. Each write compares the record's revision (compare-and-swap), so that the
- * state service lets one writer through.
+ * Writes and removes the leadership record by compare-and-swap on its revision, so that only one of several concurrent
+ * writes succeeds.
  */
-internal class LeadershipWrites(
+internal class LeadershipWriter(
     private val node: String,
     private val instance: Long,
     private val state: StoreClient,
@@ -23,13 +23,13 @@
     private val clock: Clock,
 ) {
     /**
-     * Writes this process instance's leadership record over the one at [expectedRevision] (0: none exists). [renews]:
+     * Replaces the leadership record at [expectedRevision], 0 if none exists, by this process instance's. [renews] is
      * the token that the record renews, 0 for a claim.
      */
     fun write(
         expectedRevision: Long,
         renews: Long,
-        done: (TransactionResult) -> Unit,
+        onResult: (TransactionResult) -> Unit,
     ) {
         val record = LeadershipRecord(node, instance, renews)
         val change =
@@ -38,24 +38,24 @@
                 value = encodeRecord(LeadershipRecord.serializer(), record),
                 leaseId = lease.id,
             )
-        state.transact(listOf(leadershipAt(expectedRevision)), listOf(change), RequestClass.CRITICAL, done)
+        state.transact(listOf(leadershipAt(expectedRevision)), listOf(change), RequestClass.CRITICAL, onResult)
     }
 
     /**
-     * Removes the leadership record at [revision] so that another node can claim it. [recordsStepDown]: the step-down
-     * is recorded along with it. The answer is not waited for: what failed to go is removed by a later try, or with
-     * the lease.
+     * Removes the leadership record at [revision] so that another node can claim it, and if [recordsStepDown] writes a
+     * step-down record along with it. The result is ignored: a record that remains is removed by a later release or
+     * when its lease expires.
      */
     fun release(
         revision: Long,
         recordsStepDown: Boolean,
     ) {
         val removal = Change(remove = Keys.leadership(0))
-        val changes = if (recordsStepDown) listOf(removal, stepDown()) else listOf(removal)
+        val changes = if (recordsStepDown) listOf(removal, stepDownChange()) else listOf(removal)
         state.transact(listOf(leadershipAt(revision)), changes, RequestClass.CRITICAL) { }
     }
 
-    private fun stepDown(): Change {
+    private fun stepDownChange(): Change {
         val record = StepDownRecord(node, clock.wallMs)
         return Change(put = Keys.stepDown(0), value = encodeRecord(StepDownRecord.serializer(), record))
     }
--- a/src/main/kotlin/ledgearch/election/NodeLease.kt
+++ b/src/main/kotlin/ledgearch/election/NodeLease.kt
@@ -7,36 +7,36 @@
 import ledgearch.store.StoreTuning
 
 /**
- * This node's lease at the state service: opened once, then kept alive, and opened again when it has expired. The
- * leadership record is attached to it, so that the record goes when its leader does.
+ * Keeps this node's lease at the state service alive, and opens a new one after it has expired. The leadership record
+ * is attached to the lease, so it is removed when its leader fails.
  */
 internal class NodeLease(
     private val state: StoreClient,
     private val clock: Clock,
 ) {
-    /** The lease id, 0 while this node has no lease. */
+    /** Lease id, 0 while this node has no lease. */
     var id = 0L
         private set
-    private var requestOpen = false
-    private var nextRequestAt = 0L
+    private var isRequestInFlight = false
+    private var nextRequestAtMs = 0L
 
     val isOpen: Boolean get() = id != 0L
 
-    /** The state service has refused a write since the lease is gone. */
-    fun expired() {
+    /** Marks the lease as expired after the state service has refused a write for that reason. */
+    fun markExpired() {
         id = 0
     }
 
-    /** Opens the lease or keeps it alive, when that is due. */
+    /** Opens the lease or keeps it alive when that is due. */
     fun drive() {
-        if (requestOpen || clock.steadyMs < nextRequestAt) return
-        requestOpen = true
-        nextRequestAt = clock.steadyMs + ElectionTuning.KEEP_ALIVE_MS
-        if (isOpen) state.keepAlive(id, ::keptAlive) else state.openLease(::opened)
+        if (isRequestInFlight || clock.steadyMs < nextRequestAtMs) return
+        isRequestInFlight = true
+        nextRequestAtMs = clock.steadyMs + ElectionTuning.LEASE_KEEP_ALIVE_INTERVAL_MS
+        if (isOpen) state.keepAlive(id, ::handleKeepAlive) else state.openLease(::handleOpen)
     }
 
-    private fun opened(result: OpenLeaseResult) {
-        requestOpen = false
+    private fun handleOpen(result: OpenLeaseResult) {
+        isRequestInFlight = false
         when (result) {
             is OpenLeaseResult.Opened -> {
                 id = result.leaseId
@@ -44,13 +44,13 @@
 
             OpenLeaseResult.Failed -> {
                 id = 0
-                retrySoon()
+                scheduleRetry()
             }
         }
     }
 
-    private fun keptAlive(result: KeepAliveResult) {
-        requestOpen = false
+    private fun handleKeepAlive(result: KeepAliveResult) {
+        isRequestInFlight = false
         when (result) {
             KeepAliveResult.KEPT_ALIVE -> {
                 Unit
@@ -58,16 +58,16 @@
 
             KeepAliveResult.EXPIRED -> {
                 id = 0
-                retrySoon()
+                scheduleRetry()
             }
 
             KeepAliveResult.UNKNOWN -> {
-                retrySoon()
+                scheduleRetry()
             }
         }
     }
 
-    private fun retrySoon() {
-        nextRequestAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+    private fun scheduleRetry() {
+        nextRequestAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
     }
 }
--- a/src/main/kotlin/ledgearch/election/TokenRenewal.kt
+++ b/src/main/kotlin/ledgearch/election/TokenRenewal.kt
@@ -4,40 +4,43 @@
 import ledgearch.store.TransactionResult
 
 /**
- * Renews the fencing token: the leader writes its own leadership record once more, whose new revision is the new token.
- * That fences commands under the old one that were lost on their way.
+ * Renews the fencing token: the leader rewrites its own leadership record, whose new revision is the new token. This
+ * fences commands under the old token that were lost in transit.
  */
 internal class TokenRenewal(
-    private val writes: LeadershipWrites,
+    private val writer: LeadershipWriter,
     private val held: HeldLeadership,
     private val check: LeadershipCheck,
     private val clock: Clock,
 ) {
-    private var renewedAt = Long.MIN_VALUE / 2
+    private var renewedAtMs = Long.MIN_VALUE / 2
 
-    /** Renews the token of this leader, unless that is under way or was done a short while ago. */
+    /**
+     * Renews the token of this leader, unless a renewal is in flight or was begun within
+     * [ElectionTuning.MIN_TOKEN_RENEWAL_INTERVAL_MS].
+     */
     fun renew() {
         if (!held.isLeader || held.isRenewing) return
-        if (clock.steadyMs - renewedAt < ElectionTuning.TOKEN_RENEWAL_MS) return
-        held.renewalStarted()
-        renewedAt = clock.steadyMs
+        if (clock.steadyMs - renewedAtMs < ElectionTuning.MIN_TOKEN_RENEWAL_INTERVAL_MS) return
+        held.beginRenewal()
+        renewedAtMs = clock.steadyMs
         val oldToken = held.token
-        writes.write(expectedRevision = oldToken, renews = oldToken) { result ->
-            // Lost, or already under the renewed token by way of the job store.
+        writer.write(expectedRevision = oldToken, renews = oldToken) { result ->
+            // The leadership was lost, or the renewed token was already adopted from the job store.
             if (held.token != oldToken || !held.isRenewing) return@write
-            held.renewalEnded()
-            answered(result)
+            held.endRenewal()
+            handleResult(result)
         }
     }
 
-    private fun answered(result: TransactionResult) {
+    private fun handleResult(result: TransactionResult) {
         when (result) {
-            is TransactionResult.Committed -> committed(result.revision)
+            is TransactionResult.Committed -> handleCommit(result.revision)
 
-            // An earlier try may have been carried out late: the record itself tells.
+            // An earlier try of this renewal may have been carried out late; the record shows whether it was.
             is TransactionResult.Conflict -> check.compareWithStateService()
 
-            // Perhaps written: the job store has it, now or later.
+            // The record may have been written, and then appears in the job store now or later.
             TransactionResult.Unknown,
             TransactionResult.LeaseExpired,
             TransactionResult.Refused,
@@ -46,8 +49,8 @@
         }
     }
 
-    private fun committed(revision: Long) {
-        if (check.isSuperseded(revision)) return held.lose(LeadershipCheck.SUPERSEDED)
+    private fun handleCommit(revision: Long) {
+        if (check.isSuperseded(revision)) return held.lose(LeadershipCheck.SUPERSEDED_REASON)
         held.replaceToken(revision)
     }
 }
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -129,7 +129,7 @@
             oversized.batchAnswered()
             when (result) {
                 is TransactionResult.Committed -> {
-                    election.leadershipConfirmed(sentAt, sentUnder)
+                    election.recordConfirmation(sentAt, sentUnder)
                     committed(entries, result.revision)
                 }
 
@@ -188,7 +188,7 @@
         val pauseMs =
             if (failedKeys.isEmpty() || isLeadershipDoubted) StoreTuning.RETRY_PAUSE_MS else RuntimeTuning.TICK_MS
         retryAt = clock.steadyMs + pauseMs
-        if (isLeadershipDoubted) election.leadershipDoubted(sentUnder)
+        if (isLeadershipDoubted) election.verifyLeadership(sentUnder)
         val failedInTerm = term
         val toRead = ArrayList<String>()
         for (condition in conditions) {
--- a/src/main/kotlin/ledgearch/standby/ReplicaFollower.kt
+++ b/src/main/kotlin/ledgearch/standby/ReplicaFollower.kt
@@ -91,11 +91,11 @@
 
     /**
      * How long this node waits before it claims a free leadership record (ms): the longer the replica's lag the longer,
-     * at most [ElectionTuning.HEAD_START_MS], which a node without a whole replica waits.
+     * at most [ElectionTuning.MAX_REPLICA_LAG_DELAY_MS], which a node without a whole replica waits.
      */
     fun headStartMs(): Long {
-        val lag = lagMs ?: return ElectionTuning.HEAD_START_MS
-        return ElectionTuning.HEAD_START_MS * minOf(lag, StandbyTuning.HEAD_START_LAG_MS) /
+        val lag = lagMs ?: return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS
+        return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS * minOf(lag, StandbyTuning.HEAD_START_LAG_MS) /
             StandbyTuning.HEAD_START_LAG_MS
     }
 }
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -60,7 +60,7 @@
 
     /**
      * How long this node waits before it claims a free leadership record (ms), beside the random part of the wait. The
-     * longest wait is [ElectionTuning.ELECTION_SPREAD_MS], as without standby.
+     * longest wait is [ElectionTuning.MAX_CLAIM_DELAY_MS], as without standby.
      */
     fun headStartMs(): Long = follower.headStartMs()
 
