--- a/src/main/kotlin/ledgearch/persistence/Batch.kt
+++ b/src/main/kotlin/ledgearch/persistence/Batch.kt
@@ -2,32 +2,30 @@
 
 import ledgearch.store.StoreTuning
 
-/**
- * What one transaction holds: entries in the order in which they are offered, until one has no room.
- */
+/** Collects the entries of one transaction, in the order in which they are added, until the transaction is full. */
 internal class Batch(
     maxChanges: Int,
-    private val oversized: OversizedRecords,
+    private val oversizedEntries: OversizedEntries,
 ) {
-    /** The entries in it. */
+    /** The entries added so far. */
     val entries = ArrayList<BatchEntry>()
 
-    /** The number of changes that it can still hold. */
-    var room = maxChanges
+    /** The number of changes that can still be added. */
+    var remainingChanges = maxChanges
         private set
     private var bytes = 0
 
-    /** False when the batch is full. An entry that waits since it was too large is passed over. */
+    /** Adds [entry]; returns false if the batch is full. Skips an entry that is deferred because it is too large. */
     fun add(entry: BatchEntry): Boolean {
-        if (oversized.isWaiting(entry.key)) return true
+        if (oversizedEntries.isDeferred(entry.key)) return true
         if (entries.isNotEmpty() && isFullFor(entry)) return false
-        if (entry.changes.size > room) return false
-        room -= entry.changes.size
+        if (entry.changes.size > remainingChanges) return false
+        remainingChanges -= entry.changes.size
         bytes += entry.bytes
         entries.add(entry)
         return true
     }
 
     private fun isFullFor(entry: BatchEntry) =
-        oversized.isSearching || bytes + entry.bytes > StoreTuning.TRANSACTION_BYTES
+        oversizedEntries.isIsolating || bytes + entry.bytes > StoreTuning.TRANSACTION_BYTES
 }
--- a/src/main/kotlin/ledgearch/persistence/BatchEntry.kt
+++ b/src/main/kotlin/ledgearch/persistence/BatchEntry.kt
@@ -3,21 +3,20 @@
 import ledgearch.model.Job
 import ledgearch.wire.Change
 
-/**
- * One part of a batch: its changes are made together or not at all. [closedJob]: the job that they close, null if none;
- * [onWritten] is called once they are durable.
- */
+/** Changes that are made together or not at all, as one part of a batch. */
 internal class BatchEntry(
     val changes: List<Change>,
+    /** The job whose final record is written by the changes; null if there is none. */
     val closedJob: Job? = null,
+    /** Called when the changes are durable. */
     val onWritten: () -> Unit,
 ) {
-    /** The key that the entry is known by from try to try. */
+    /** The first changed key, which identifies the entry across retries. */
     val key: String = keyOf(changes.first())
 
-    /** Bytes of all values that it puts. */
+    /** The size of all values written by the changes. */
     val bytes: Int = changes.sumOf { change -> change.value?.let(::encodedBytes) ?: 0 }
 }
 
-/** The key that [change] puts or removes. */
+/** Returns the key that [change] writes or removes. */
 internal fun keyOf(change: Change): String = change.put ?: change.remove.orEmpty()
--- a/src/main/kotlin/ledgearch/persistence/EncodedSize.kt
+++ b/src/main/kotlin/ledgearch/persistence/EncodedSize.kt
@@ -2,5 +2,5 @@
 
 import kotlinx.serialization.json.JsonElement
 
-/** The size in bytes of [value] as it is sent. */
+/** Returns the size of [value] in bytes as it is sent to the state service. */
 internal fun encodedBytes(value: JsonElement): Int = value.toString().encodeToByteArray().size
--- a/src/main/kotlin/ledgearch/persistence/KeyRevisions.kt
+++ b/src/main/kotlin/ledgearch/persistence/KeyRevisions.kt
@@ -7,17 +7,18 @@
 import ledgearch.wire.Condition
 
 /**
- * The revisions of the keys that the leader alone writes, as last read or written by it; absent keys have 0. Every
- * change compares its key's revision (compare-and-swap), so that of several tries without an answer one at most is
- * carried out: a late one never puts what is older over what is newer. A comparison that fails says that a try was
- * carried out, and the key is read again.
+ * Holds the revisions of the keys that only the leader writes, as it last read or wrote them; 0 for absent keys.
+ *
+ * Every change compares the revision of its key (compare-and-swap). If a change is sent several times because no answer
+ * came, at most one of these attempts takes effect, and a late one never overwrites a newer value. A failed comparison
+ * means that an earlier attempt took effect, and the key is read again.
  */
 internal class KeyRevisions(
     private val state: StoreClient,
 ) {
     private val revisions = HashMap<String, Long>()
 
-    /** [key] was last changed at [revision]; 0: it does not exist. */
+    /** Sets the revision of the last change of [key]; 0 if the key does not exist. */
     fun set(
         key: String,
         revision: Long,
@@ -25,29 +26,29 @@
         if (revision == 0L) revisions.remove(key) else revisions[key] = revision
     }
 
-    /** What has to hold for [changes]: their keys are at the revisions known here. */
+    /** Returns the conditions under which [changes] may be made: their keys still have the revisions held here. */
     fun conditions(changes: List<Change>): List<Condition> =
         changes.map { change ->
             val key = keyOf(change)
             Condition(key, revisions[key] ?: 0)
         }
 
-    /** [changes] were made at [revision]. */
-    fun written(
+    /** Records that [changes] were made at [revision]. */
+    fun markWritten(
         changes: List<Change>,
         revision: Long,
     ) = changes.forEach { set(keyOf(it), if (it.put != null) revision else 0) }
 
     /**
-     * Reads [keys] again, whose comparison failed. [done] is called once every read is answered or has failed; a key
-     * whose read failed only makes one more comparison fail.
+     * Reads the revisions of [keys] again after their comparison failed. [done] is called when every read has succeeded
+     * or failed. A failed read is harmless: the next comparison of its key fails too.
      */
-    fun readAgain(
+    fun refresh(
         keys: List<String>,
         done: () -> Unit,
     ) {
-        var openReads = keys.size
-        if (openReads == 0) return done()
+        var pendingReads = keys.size
+        if (pendingReads == 0) return done()
         for (key in keys) {
             state.get(key, RequestClass.ORDINARY) { result ->
                 when (result) {
@@ -55,8 +56,8 @@
                     ReadResult.Absent -> set(key, 0)
                     ReadResult.Failed -> Unit
                 }
-                openReads--
-                if (openReads == 0) done()
+                pendingReads--
+                if (pendingReads == 0) done()
             }
         }
     }
--- a/src/main/kotlin/ledgearch/persistence/MachineGroup.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineGroup.kt
@@ -2,29 +2,26 @@
 
 import ledgearch.model.Machine
 
-/** Machines that share one record, kept under [name]. */
+/** The machines that share the machine record [name]. */
 internal class MachineGroup(
     val name: String,
 ) {
-    /** By their names, in the order in which they came. */
+    /** The machines by name, in the order in which they were added. */
     val machines = LinkedHashMap<String, Machine>()
 
-    /** The record differs from what was last written, or was never written. */
-    var isChanged = true
+    /** True if the record differs from what was last written, or was never written. */
+    var hasUnwrittenChanges = true
 
-    /** Rises with every change: a write tells by it whether the group has changed since the write was built. */
+    /** Rises with every change, so that a finished write can tell whether it contained the latest one. */
     var version = 0
         private set
 
-    /**
-     * This group and the others whose next records must be written in the same transaction: the parts of a record that
-     * was split.
-     */
+    /** The groups whose next records must be written in one transaction: this one and those split off from it. */
     var parts: List<MachineGroup> = listOf(this)
 
-    /** Something that the record tells has changed. */
-    fun changed() {
-        isChanged = true
+    /** Records that the content of the record has changed. */
+    fun markChanged() {
+        hasUnwrittenChanges = true
         version++
     }
 }
--- a/src/main/kotlin/ledgearch/persistence/MachineRecordCodec.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecordCodec.kt
@@ -10,48 +10,50 @@
 import ledgearch.records.decodeRecord
 import ledgearch.records.encodeRecord
 
-/** Machines as records hold them. */
+/** Converts machines to and from their records. */
 internal object MachineRecordCodec {
-    /** Present in records of earlier versions only, which hold one machine each. */
+    /** A field that only single-machine records of earlier versions have. */
     private const val SINGLE_MACHINE_FIELD = "endpoint"
 
-    /** One machine of a record whose list of machine types has its type at [machineType]. */
+    /** Returns the entry of [machine] in a record that has its machine type at [machineTypeIndex]. */
     fun entry(
         machine: Machine,
-        machineType: Int,
+        machineTypeIndex: Int,
         quarantined: Boolean,
-    ) = MachineEntry(machine.name, machine.endpoint, machineType, machine.zone, machine.spot, quarantined)
+    ) = MachineEntry(machine.name, machine.endpoint, machineTypeIndex, machine.zone, machine.spot, quarantined)
 
-    /** One record of all [machines]. */
+    /** Returns one record of all [machines]. */
     fun encode(machines: Collection<Machine>): JsonElement {
         val machineTypes = machines.map { it.machineType }.distinct()
         val entries = machines.map { entry(it, machineTypes.indexOf(it.machineType), it.quarantined) }
         return encodeRecord(MachinesRecord.serializer(), MachinesRecord(0, machineTypes, entries))
     }
 
-    /** The record in [value], stored under [name]; null when it can't be read, or doesn't tell all machines' types. */
+    /** Returns the record stored as [value] under [name]; null if it can't be decoded or lacks a machine's type. */
     fun decode(
         name: String,
         value: JsonElement?,
     ): MachinesRecord? {
-        val isSingle = (value as? JsonObject)?.containsKey(SINGLE_MACHINE_FIELD) == true
+        val isSingleMachine = (value as? JsonObject)?.containsKey(SINGLE_MACHINE_FIELD) == true
         val record =
-            if (isSingle) {
-                decodeRecord(SingleMachineRecord.serializer(), value)?.asOneOf(name)
+            if (isSingleMachine) {
+                decodeRecord(SingleMachineRecord.serializer(), value)?.toMachinesRecord(name)
             } else {
                 decodeRecord(MachinesRecord.serializer(), value)
             }
-        return record?.takeIf { all -> all.machines.all { it.machineType in all.machineTypes.indices } }
+        return record?.takeIf { decoded ->
+            decoded.machines.all { it.machineTypeIndex in decoded.machineTypes.indices }
+        }
     }
 
-    /** A machine of [record] as a new leader knows it at steady ms [nowMs]: inherited, and durable. */
+    /** Returns the machine of [entry] in [record], inherited from an earlier leader and known since [nowMs]. */
     fun machine(
         record: MachinesRecord,
         entry: MachineEntry,
         teams: TeamQuotas,
         nowMs: Long,
     ): Machine {
-        val machineType = record.machineTypes[entry.machineType]
+        val machineType = record.machineTypes[entry.machineTypeIndex]
         val machine = Machine(entry.name, entry.endpoint, machineType, entry.zone, entry.spot, nowMs, teams)
         machine.inherited = true
         machine.durable = true
--- a/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
@@ -6,41 +6,41 @@
 import ledgearch.records.encodeRecord
 import ledgearch.wire.MachineType
 
-/** How many machines have room in one record, for values of [valueBytes] bytes at most. */
+/** Calculates how many machines fit into one record, for values of at most [maxValueBytes]. */
 internal class MachineRecordSizes(
-    valueBytes: Int,
+    maxValueBytes: Int,
 ) {
-    /** Bytes. The size that records are planned to have at most. */
-    val maxBytes = (valueBytes * PersistenceTuning.VALUE_FILL_SHARE).toInt()
+    /** The largest planned size of a record. */
+    val maxRecordBytes = (maxValueBytes * PersistenceTuning.MAX_VALUE_FILL_RATIO).toInt()
 
-    /** The record of [machines] is larger than planned. */
+    /** Returns whether the record of [machines] is larger than planned. */
     fun isTooLarge(machines: Collection<Machine>): Boolean =
-        encodedBytes(MachineRecordCodec.encode(machines)) > maxBytes
+        encodedBytes(MachineRecordCodec.encode(machines)) > maxRecordBytes
 
     /**
-     * [machines] in order, in as few pieces as records have room for; each piece has room for all of its machines to be
+     * Divides [machines] in order into as few records as possible. Each record still fits when all of its machines are
      * quarantined.
      */
-    fun pieces(machines: Collection<Machine>): List<List<Machine>> {
-        val pieces = ArrayList<ArrayList<Machine>>()
+    fun partition(machines: Collection<Machine>): List<List<Machine>> {
+        val partitions = ArrayList<ArrayList<Machine>>()
         val machineTypes = HashSet<MachineType>()
-        var bytesLeft = 0
+        var remainingBytes = 0
         for (machine in machines) {
             val entryBytes = entryBytes(machine)
             val newTypeBytes = if (machine.machineType in machineTypes) 0 else typeBytes(machine.machineType)
             val neededBytes = entryBytes + newTypeBytes
-            val isFull = pieces.isEmpty() || pieces.last().size == PersistenceTuning.MAX_MACHINES_PER_RECORD
-            if (isFull || neededBytes > bytesLeft) {
-                pieces.add(ArrayList())
+            val isFull = partitions.isEmpty() || partitions.last().size == PersistenceTuning.MAX_MACHINES_PER_RECORD
+            if (isFull || neededBytes > remainingBytes) {
+                partitions.add(ArrayList())
                 machineTypes.clear()
-                bytesLeft = maxBytes - EMPTY_RECORD_BYTES - entryBytes - typeBytes(machine.machineType)
+                remainingBytes = maxRecordBytes - EMPTY_RECORD_BYTES - entryBytes - typeBytes(machine.machineType)
             } else {
-                bytesLeft -= neededBytes
+                remainingBytes -= neededBytes
             }
             machineTypes.add(machine.machineType)
-            pieces.last().add(machine)
+            partitions.last().add(machine)
         }
-        return pieces
+        return partitions
     }
 
     private fun entryBytes(machine: Machine): Int {
@@ -52,14 +52,14 @@
         encodedBytes(encodeRecord(MachineType.serializer(), machineType)) + COMMA_BYTES
 
     private companion object {
-        /** The comma after an element of a list. */
+        /** The comma after a list element. */
         const val COMMA_BYTES = 1
 
-        /** A record without machines. */
+        /** The size of a record without machines. */
         val EMPTY_RECORD_BYTES =
             encodedBytes(encodeRecord(MachinesRecord.serializer(), MachinesRecord(0, emptyList(), emptyList())))
 
-        /** As long a number as the index of a machine's type can be. */
+        /** A type index with as many digits as any index in a record. */
         const val LONGEST_TYPE_INDEX = 10
     }
 }
--- a/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
@@ -8,54 +8,54 @@
 import ledgearch.wire.KeyValue
 
 /**
- * The records of the cluster's machines, several machines in one: a record each would take longer to write than the
- * machines to boot. A machine stays in the record that it came into, and the record goes with its last machine.
+ * The records of the cluster's machines. Several machines share a record, since writing one record for each would take
+ * longer than the machines take to boot. A machine stays in its first record, which is removed with its last machine.
  *
- * A record read may be larger than may be written by now. Once it changes it is split: its key keeps some of the
- * machines and the others get keys of their own, all in one transaction. So at no moment is a machine without a record
- * that may have a task, nor in two, which earlier versions would take for two machines. Until that transaction has gone
- * through, every try has the same keys: one that was carried out without an answer leaves none behind. Where one
- * transaction can't hold all the parts, the record is left as it is until fewer machines are left in it. It then names
- * machines that are gone, which the next leader finds out as it does of any machine that is missing, and never one too
- * few.
+ * If the value limit is lowered, a stored record may be too large to be written again. On its next change it is split:
+ * its key keeps some of the machines and the others get new keys, all in one transaction. A machine that may have a
+ * task is therefore never without a record, nor in two, which earlier versions would take for two machines. Every
+ * attempt at this transaction uses the same keys, so an attempt that took effect without an answer leaves no extra
+ * record behind. If the parts don't fit into one transaction, the record stays unchanged until it has fewer machines.
+ * It then still lists machines that are gone. The next leader handles these as any machine that does not report; it
+ * never misses a machine.
  */
 internal class MachineRecords(
-    valueBytes: Int,
+    maxValueBytes: Int,
     private val maxChanges: Int,
-) : RecordCollector {
-    private val sizes = MachineRecordSizes(valueBytes)
+) : PendingWrites {
+    private val sizes = MachineRecordSizes(maxValueBytes)
     private val groups = LinkedHashMap<String, MachineGroup>()
     private val groupOfMachine = HashMap<String, MachineGroup>()
 
-    /** Machines that are in no group yet. */
+    /** Machines that have no group yet. */
     private val newMachines = LinkedHashMap<String, Machine>()
 
-    /** Names of records that can't be read. They are left as they are, so that the next leader knows of them too. */
-    private val unreadable = HashSet<String>()
+    /** Names of records that can't be decoded. They are left in place, so that the next leader finds them too. */
+    private val undecodableNames = HashSet<String>()
 
-    /** Forgets all machines: a leadership term has ended. */
+    /** Discards all machines when a leadership term has ended. */
     fun clear() {
         groups.clear()
         groupOfMachine.clear()
         newMachines.clear()
-        unreadable.clear()
+        undecodableNames.clear()
     }
 
-    /** [machine] belongs to the cluster, or something that its record tells has changed. */
+    /** Adds [machine], or queues its record for writing if the machine was added before. */
     fun put(machine: Machine) {
         val group = groupOfMachine[machine.name]
-        if (group == null) newMachines[machine.name] = machine else group.changed()
+        if (group == null) newMachines[machine.name] = machine else group.markChanged()
     }
 
-    /** [machine] does not belong to the cluster any more. */
+    /** Removes [machine] from its record. */
     fun remove(machine: Machine) {
         newMachines.remove(machine.name)
         val group = groupOfMachine.remove(machine.name) ?: return
         group.machines.remove(machine.name)
-        group.changed()
+        group.markChanged()
     }
 
-    /** Machines of the record [stored] under [name], read by a new leader; null when it can't tell all of them. */
+    /** Adds and returns the machines of the record [stored] under [name]; null if the record can't be decoded. */
     fun restore(
         name: String,
         stored: KeyValue,
@@ -64,18 +64,18 @@
     ): List<Machine>? {
         val record = MachineRecordCodec.decode(name, stored.value)
         if (record == null) {
-            unreadable.add(name)
+            undecodableNames.add(name)
             return null
         }
         val group = MachineGroup(name)
-        group.isChanged = false
+        group.hasUnwrittenChanges = false
         groups[name] = group
         return record.machines.map { entry ->
-            MachineRecordCodec.machine(record, entry, teams, nowMs).also { join(it, group) }
+            MachineRecordCodec.machine(record, entry, teams, nowMs).also { addToGroup(it, group) }
         }
     }
 
-    private fun join(
+    private fun addToGroup(
         machine: Machine,
         group: MachineGroup,
     ) {
@@ -83,73 +83,79 @@
         groupOfMachine[machine.name] = group
     }
 
-    /** New machines first, since nothing starts on them before their record is durable. */
-    override fun collect(batch: Batch): Boolean {
-        for (piece in sizes.pieces(newMachines.values)) newGroup(piece)
+    /** Adds records with new machines first, since no task starts on a machine before its record is durable. */
+    override fun addTo(batch: Batch): Boolean {
+        for (members in sizes.partition(newMachines.values)) createGroup(members)
         newMachines.clear()
-        val changed = groups.values.filter { it.isChanged && it.parts.first() === it }
+        val changed = groups.values.filter { it.hasUnwrittenChanges && it.parts.first() === it }
         val (durable, withNewMachines) = changed.partition { group -> group.machines.values.all { it.durable } }
         for (group in withNewMachines + durable) {
-            val entry = entry(group) ?: continue
+            val entry = createEntry(group) ?: continue
             if (!batch.add(entry)) return false
         }
         return true
     }
 
-    private fun newGroup(members: List<Machine>): MachineGroup {
-        val group = MachineGroup(freeName(members.first().name))
-        members.forEach { join(it, group) }
+    private fun createGroup(members: List<Machine>): MachineGroup {
+        val group = MachineGroup(unusedName(members.first().name))
+        members.forEach { addToGroup(it, group) }
         groups[group.name] = group
         return group
     }
 
-    /** A name without a record: the record under a machine's own name may hold other machines by now. */
-    private fun freeName(name: String) = generateSequence(name) { "$it+" }.first { it !in groups && it !in unreadable }
+    /** Returns a name without a record, as the record under the name of a machine may hold other machines by now. */
+    private fun unusedName(name: String) =
+        generateSequence(name) { "$it+" }.first {
+            it !in groups &&
+                it !in undecodableNames
+        }
 
-    /** Null when the group can't be written: too large, and in too many parts for one transaction. */
-    private fun entry(group: MachineGroup): BatchEntry? {
+    /** Returns the entry of [group]; null if its record is too large and one transaction can't hold all parts. */
+    private fun createEntry(group: MachineGroup): BatchEntry? {
         if (mustBeSplit(group) && !split(group)) return null
         val parts = group.parts
         val machines = parts.flatMap { it.machines.values }
         val versions = parts.map { it.version }
-        return BatchEntry(parts.map(::change)) {
+        return BatchEntry(parts.map(::createChange)) {
             machines.forEach { it.durable = true }
-            for ((index, part) in parts.withIndex()) written(part, versions[index])
+            for ((index, part) in parts.withIndex()) markWritten(part, versions[index])
         }
     }
 
     private fun mustBeSplit(group: MachineGroup) =
         group.parts.size == 1 && group.machines.isNotEmpty() && sizes.isTooLarge(group.machines.values)
 
-    /** Splits a group for its next record; false when one transaction can't hold that. */
+    /** Splits [group] for its next write; returns false if one transaction can't hold all parts. */
     private fun split(group: MachineGroup): Boolean {
-        val pieces = sizes.pieces(group.machines.values)
-        // One machine that is too large by itself is sent as it is: the service tells.
-        if (pieces.size == 1) return true
-        if (pieces.size > maxChanges || pieces.size * sizes.maxBytes > StoreTuning.TRANSACTION_BYTES) return false
-        val split = pieces.drop(1)
-        for (machine in split.flatten()) group.machines.remove(machine.name)
-        val parts = listOf(group) + split.map(::newGroup)
+        val partitions = sizes.partition(group.machines.values)
+        // A single machine may exceed the planned size and still be within the service's limit, so it is sent.
+        if (partitions.size == 1) return true
+        if (partitions.size > maxChanges || partitions.size * sizes.maxRecordBytes > StoreTuning.TRANSACTION_BYTES) {
+            return false
+        }
+        val movedPartitions = partitions.drop(1)
+        for (machine in movedPartitions.flatten()) group.machines.remove(machine.name)
+        val parts = listOf(group) + movedPartitions.map(::createGroup)
         parts.forEach { it.parts = parts }
         return true
     }
 
-    /** The record of [group] as it was at [version] is durable. */
-    private fun written(
+    /** Called when the record of [group] at [version] is durable. */
+    private fun markWritten(
         group: MachineGroup,
         version: Int,
     ) {
         group.parts = listOf(group)
         if (group.version != version) {
-            group.isChanged = true
+            group.hasUnwrittenChanges = true
         } else if (group.machines.isEmpty()) {
             groups.remove(group.name)
         } else {
-            group.isChanged = false
+            group.hasUnwrittenChanges = false
         }
     }
 
-    private fun change(group: MachineGroup): Change {
+    private fun createChange(group: MachineGroup): Change {
         val key = Keys.machine(group.name)
         val machines = group.machines.values
         return if (machines.isEmpty()) {
--- a/src/main/kotlin/ledgearch/persistence/JobClosings.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingJobClosings.kt
@@ -8,26 +8,26 @@
 import ledgearch.wire.Change
 import ledgearch.wire.JobState
 
-/** Told what becomes of the jobs in [JobClosings]. */
+/** Receives the outcomes of [PendingJobClosings]. */
 internal interface JobClosingListener {
-    /** [job] is over and needs no more writes: its final record, by this leader or another, is durable. */
-    fun forgotten(job: Job)
+    /** Called when a final record of [job] is durable, written by this leader or another. */
+    fun onJobEnded(job: Job)
 
-    /** The final record of [job] was written by this leader. */
-    fun closed(
+    /** Called after [onJobEnded] if this leader has written [record], the final record of [job]. */
+    fun onFinalRecordWritten(
         job: Job,
         record: FinalRecord,
     )
 }
 
 /**
- * Jobs that are over, each until its final record is durable: that record is written and the open one removed in one
- * transaction, which compares the open record's revision.
+ * Holds jobs that have ended until their final records are durable. One transaction writes the final record of a job
+ * and removes the open one, on condition that the revision of the open record is unchanged.
  */
-internal class JobClosings(
+internal class PendingJobClosings(
     private val jobStore: JobStore,
     private val listener: JobClosingListener,
-) : RecordCollector {
+) : PendingWrites {
     private class Closing(
         val job: Job,
         val state: JobState,
@@ -38,12 +38,12 @@
     private val closings = LinkedHashMap<String, Closing>()
 
     /**
-     * By job id, the revision of an open record that the state service has no more at that revision: what became of
-     * the job is learnt from the watch.
+     * For each job id, the revision of the open record that a transaction found outdated. The job is not written again
+     * before the watch has delivered the newer record or the end of the job.
      */
     private val outdatedRevisions = HashMap<String, Long>()
 
-    /** [job] is over in [state]; a job that is being closed already stays as it is. */
+    /** Queues the final record of [job] with [state], unless the job is already being closed. */
     fun add(
         job: Job,
         state: JobState,
@@ -53,37 +53,37 @@
         closings[job.id] = Closing(job, state)
     }
 
-    /** The comparison of the open record of the job [id] with [revision] has failed. */
-    fun conflicted(
+    /** Records that the open record of the job [id] is no longer at [revision]. */
+    fun markOutdated(
         id: String,
         revision: Long,
     ) {
         outdatedRevisions[id] = revision
     }
 
-    /** Forgets all jobs: a leadership term has ended. */
+    /** Drops all pending writes when a leadership term has ended. */
     fun clear() {
         outdatedRevisions.clear()
         closings.clear()
     }
 
-    override fun collect(batch: Batch): Boolean {
+    override fun addTo(batch: Batch): Boolean {
         for (closing in closings.values) {
             val job = closing.job
-            // The revision is compared so that a cancellation marked meanwhile is seen before the job is closed.
+            // The revision is compared so that a cancellation requested in the meantime is seen before the job is closed.
             if (!isOpen(job) || outdatedRevisions[job.id] == job.modRevision) continue
-            if (!batch.add(entry(closing))) return false
+            if (!batch.add(createEntry(closing))) return false
         }
         closings.values
             .map { it.job }
             .filterNot(::isOpen)
-            .forEach(::forget)
+            .forEach(::discard)
         return true
     }
 
     private fun isOpen(job: Job) = jobStore.jobs[job.id] === job
 
-    private fun entry(closing: Closing): BatchEntry {
+    private fun createEntry(closing: Closing): BatchEntry {
         val job = closing.job
         val record = closing.record
         val changes =
@@ -92,14 +92,14 @@
                 Change(remove = Keys.job(job.id)),
             )
         return BatchEntry(changes, job) {
-            forget(job)
-            listener.closed(job, record)
+            discard(job)
+            listener.onFinalRecordWritten(job, record)
         }
     }
 
-    private fun forget(job: Job) {
+    private fun discard(job: Job) {
         closings.remove(job.id)
         outdatedRevisions.remove(job.id)
-        listener.forgotten(job)
+        listener.onJobEnded(job)
     }
 }
--- a/src/main/kotlin/ledgearch/persistence/KeyRemovals.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingKeyRemovals.kt
@@ -2,19 +2,19 @@
 
 import ledgearch.wire.Change
 
-/** Keys that are to be removed, each until its removal is durable. */
-internal class KeyRemovals : RecordCollector {
+/** Holds keys that are to be removed until each removal is durable. */
+internal class PendingKeyRemovals : PendingWrites {
     private val keys = LinkedHashSet<String>()
 
-    /** [key] is to be removed. */
+    /** Queues the removal of [key]. */
     fun add(key: String) {
         keys.add(key)
     }
 
-    /** Forgets all keys: a leadership term has ended. */
+    /** Drops all pending removals when a leadership term has ended. */
     fun clear() = keys.clear()
 
-    override fun collect(batch: Batch): Boolean =
+    override fun addTo(batch: Batch): Boolean =
         keys.toList().all { key ->
             batch.add(BatchEntry(listOf(Change(remove = key))) { keys.remove(key) })
         }
--- a/src/main/kotlin/ledgearch/persistence/PersistenceTuning.kt
+++ b/src/main/kotlin/ledgearch/persistence/PersistenceTuning.kt
@@ -1,22 +1,16 @@
 package ledgearch.persistence
 
-/** The leader's records: constants with their unit and the reason for their value. */
+/** Sizes and intervals for writing the leader's records. */
 internal object PersistenceTuning {
-    /**
-     * Share of the limit on values that records of machines are planned to fill: the service may count spaces or
-     * escapes.
-     */
-    const val VALUE_FILL_SHARE = 0.8
+    /** The part of the value limit that machine records fill, as the service may count spaces or escapes. */
+    const val MAX_VALUE_FILL_RATIO = 0.8
 
-    /** Machines. In one record; a rental brings up to 50, and each that goes has the rest written again. */
+    /** The cloud provides up to 50 machines at once, and a machine that leaves causes its whole record to be rewritten. */
     const val MAX_MACHINES_PER_RECORD = 40
 
-    /** ms. Between two records of one job's finished tasks: what is lost with one is on the machines' lists. */
-    const val FINISHED_TASKS_INTERVAL_MS = 5_000L
+    /** Per job. Finished tasks that are not durable yet are still on their machines' lists. */
+    const val FINISHED_TASKS_WRITE_INTERVAL_MS = 5_000L
 
-    /**
-     * ms. An entry that the service took for too large when it was sent alone waits this long: its limits may rise
-     * again.
-     */
-    const val TOO_LARGE_RETRY_MS = 30_000L
+    /** A rejected entry is sent again because the service's limits may be raised. */
+    const val OVERSIZED_ENTRY_RETRY_DELAY_MS = 30_000L
 }
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -19,58 +19,58 @@
 import ledgearch.wire.KeyValue
 
 /**
- * Makes durable what the leader decides, in batches of one transaction at a time. Each compares the leadership: a
- * transaction that is applied late, when another leadership record was written, changes nothing. Applied late under the
- * same token it does not change anything either that was written since, as every key is compared too ([KeyRevisions];
- * for a job that closes, the revision of its own open record).
+ * Writes the leader's decisions to the state service in batches, one transaction at a time. Each transaction compares
+ * the leadership record: one that is applied after another leadership record was written changes nothing. Each also
+ * compares every key that it changes, so that a late one under the same token overwrites no newer value ([KeyRevisions];
+ * for a job that is closed, the revision of its open record).
  */
 internal class RecordWriter(
     private val state: StoreClient,
     private val election: Election,
     jobStore: JobStore,
     private val clock: Clock,
-    valueBytes: Int,
+    maxValueBytes: Int,
 ) {
-    /** Changes with every leadership term: what an earlier term's transactions made durable does not count for it. */
+    /** Incremented at the end of every leadership term, so that results of transactions of that term are ignored. */
     private var term = 0
     private var keyRevisions = KeyRevisions(state)
 
-    /** A transaction, or the reads after one that conflicted, is under way. */
-    private var isBusy = false
+    /** True while a transaction, or the reads that follow a conflict, are pending. */
+    private var isWritePending = false
     private var retryAt = Long.MIN_VALUE
-    private val oversized = OversizedRecords(clock)
-    private val machines = MachineRecords(valueBytes, state.maxChanges)
-    private val closings = JobClosings(jobStore, ClosingEvents())
-    private val removals = KeyRemovals()
-    private val finishedTasks = FinishedTaskWrites(valueBytes, jobStore, removals, clock)
-    private val catalogWrites = CatalogWrites(valueBytes)
+    private val oversizedEntries = OversizedEntries(clock)
+    private val machines = MachineRecords(maxValueBytes, state.maxChanges)
+    private val closings = PendingJobClosings(jobStore, ClosingEvents())
+    private val removals = PendingKeyRemovals()
+    private val finishedTasks = PendingFinishedTaskWrites(maxValueBytes, jobStore, removals, clock)
+    private val catalogWrite = PendingCatalogWrite(maxValueBytes)
 
-    /** In the order in which they fill a batch. */
-    private val collectors: List<RecordCollector> = listOf(machines, closings, finishedTasks, removals, catalogWrites)
+    /** All kinds of pending writes, in the order in which they are added to a batch. */
+    private val pendingWrites: List<PendingWrites> = listOf(machines, closings, finishedTasks, removals, catalogWrite)
 
-    /** Called when the final record of a job is durable. */
+    /** Called when this leader has written the final record of a job. */
     var onClosed: (Job, FinalRecord) -> Unit = { _, _ -> }
 
-    /** Forgets everything: a leadership term has ended. */
+    /** Drops all pending writes when a leadership term has ended. */
     fun clear() {
         term++
         keyRevisions = KeyRevisions(state)
-        isBusy = false
+        isWritePending = false
         machines.clear()
         closings.clear()
         removals.clear()
         finishedTasks.clear()
-        catalogWrites.clear()
-        oversized.clear()
+        catalogWrite.clear()
+        oversizedEntries.clear()
     }
 
-    /** [machine] belongs to the cluster, or something that its record tells has changed. */
+    /** Writes the record of [machine], which is new or has changed. */
     fun putMachine(machine: Machine) = machines.put(machine)
 
-    /** [machine] does not belong to the cluster any more. */
+    /** Removes [machine] from its record. */
     fun removeMachine(machine: Machine) = machines.remove(machine)
 
-    /** The machines of the record [stored] that an earlier leader wrote under [name]; null when it can't be read. */
+    /** Returns the machines of the record [stored] under [name], read by a new leader; null if it can't be decoded. */
     fun restore(
         name: String,
         stored: KeyValue,
@@ -81,64 +81,64 @@
     /** Removes [key]. */
     fun remove(key: String) = removals.add(key)
 
-    /** A new leader has read [key], last changed at [modRevision]. */
+    /** Records that a new leader has read [key] at [modRevision]. */
     fun keyRead(
         key: String,
         modRevision: Long,
     ) = keyRevisions.set(key, modRevision)
 
-    /** Writes the final record of [job], which is over in [state]. A job that is being closed already is left alone. */
+    /** Writes the final record of [job] with [state], unless the job is already being closed. */
     fun close(
         job: Job,
         state: JobState,
     ) = closings.add(job, state)
 
-    /** Writes the finished tasks of [job] when that is due. */
+    /** Writes the finished tasks of [job] once the interval since the last write has passed. */
     fun writeFinishedTasks(job: Job) = finishedTasks.add(job)
 
     /**
-     * Writes the catalog. One that is too large is not kept: nodes that start while the cloud is out then wait for the
-     * cloud, or know an older catalog.
+     * Writes the catalog. A catalog that is larger than a value may be is not stored: nodes that start during a cloud
+     * outage then wait for the cloud, or use an older catalog.
      */
-    fun writeCatalog(record: CatalogRecord) = catalogWrites.put(record)
+    fun writeCatalog(record: CatalogRecord) = catalogWrite.put(record)
 
-    /** Writes the next batch, if there is anything to write and no other transaction under way. */
+    /** Writes the next batch if there are pending writes and no other transaction is pending. */
     fun drive() {
-        if (isBusy || !election.isLeader || clock.steadyMs < retryAt) return
-        val entries = collect()
+        if (isWritePending || !election.isLeader || clock.steadyMs < retryAt) return
+        val entries = collectEntries()
         if (entries.isNotEmpty()) write(entries)
     }
 
-    private fun collect(): List<BatchEntry> {
-        val batch = Batch(state.maxChanges, oversized)
-        for (collector in collectors) {
-            if (!collector.collect(batch)) break
+    private fun collectEntries(): List<BatchEntry> {
+        val batch = Batch(state.maxChanges, oversizedEntries)
+        for (writes in pendingWrites) {
+            if (!writes.addTo(batch)) break
         }
         return batch.entries
     }
 
     private fun write(entries: List<BatchEntry>) {
-        isBusy = true
+        isWritePending = true
         val sentAt = clock.steadyMs
-        val sentUnder = election.token
+        val sentToken = election.token
         val sentInTerm = term
-        val conditions = conditions(entries)
+        val conditions = createConditions(entries)
         state.transact(conditions, entries.flatMap { it.changes }, RequestClass.ORDINARY) { result ->
             if (term != sentInTerm) return@transact
-            isBusy = false
-            oversized.batchAnswered()
+            isWritePending = false
+            oversizedEntries.onBatchAnswered()
             when (result) {
                 is TransactionResult.Committed -> {
-                    election.leadershipConfirmed(sentAt, sentUnder)
-                    committed(entries, result.revision)
+                    election.leadershipConfirmed(sentAt, sentToken)
+                    onCommitted(entries, result.revision)
                 }
 
                 is TransactionResult.Conflict -> {
-                    conflicted(result.failed.toSet(), conditions, sentUnder)
+                    onConflict(result.failed.toSet(), conditions, sentToken)
                 }
 
                 TransactionResult.TooLarge -> {
-                    oversized.rejected(entries)
+                    oversizedEntries.onBatchTooLarge(entries)
                 }
 
                 TransactionResult.LeaseExpired,
@@ -151,7 +151,7 @@
         }
     }
 
-    private fun conditions(entries: List<BatchEntry>): List<Condition> {
+    private fun createConditions(entries: List<BatchEntry>): List<Condition> {
         val conditions = ArrayList<Condition>()
         conditions.add(election.condition)
         for (entry in entries) {
@@ -165,49 +165,49 @@
         return conditions
     }
 
-    private fun committed(
+    private fun onCommitted(
         entries: List<BatchEntry>,
         revision: Long,
     ) {
         for (entry in entries) {
-            if (entry.closedJob == null) keyRevisions.written(entry.changes, revision)
+            if (entry.closedJob == null) keyRevisions.markWritten(entry.changes, revision)
             entry.onWritten()
         }
     }
 
     /**
-     * The comparisons of [failedKeys] failed, so that nothing was written: what is to be compared is put right before
-     * the next try.
+     * Called when nothing was written because the comparisons of [failedKeys] failed. Updates the revisions to compare
+     * before the next attempt.
      */
-    private fun conflicted(
+    private fun onConflict(
         failedKeys: Set<String>,
         conditions: List<Condition>,
-        sentUnder: Long,
+        sentToken: Long,
     ) {
-        val isLeadershipDoubted = Keys.leadership(0) in failedKeys
-        val pauseMs =
-            if (failedKeys.isEmpty() || isLeadershipDoubted) StoreTuning.RETRY_PAUSE_MS else RuntimeTuning.TICK_MS
-        retryAt = clock.steadyMs + pauseMs
-        if (isLeadershipDoubted) election.leadershipDoubted(sentUnder)
-        val failedInTerm = term
-        val toRead = ArrayList<String>()
+        val isLeadershipInDoubt = Keys.leadership(0) in failedKeys
+        val delayMs =
+            if (failedKeys.isEmpty() || isLeadershipInDoubt) StoreTuning.RETRY_PAUSE_MS else RuntimeTuning.TICK_MS
+        retryAt = clock.steadyMs + delayMs
+        if (isLeadershipInDoubt) election.leadershipDoubted(sentToken)
+        val conflictTerm = term
+        val keysToRead = ArrayList<String>()
         for (condition in conditions) {
             val key = condition.key
             if (key !in failedKeys || key == Keys.leadership(0)) continue
             if (key.startsWith(Keys.JOBS)) {
-                closings.conflicted(key.removePrefix(Keys.JOBS), condition.modRevision)
+                closings.markOutdated(key.removePrefix(Keys.JOBS), condition.modRevision)
             } else {
-                toRead.add(key)
+                keysToRead.add(key)
             }
         }
-        isBusy = true
-        keyRevisions.readAgain(toRead) { if (term == failedInTerm) isBusy = false }
+        isWritePending = true
+        keyRevisions.refresh(keysToRead) { if (term == conflictTerm) isWritePending = false }
     }
 
     private inner class ClosingEvents : JobClosingListener {
-        override fun forgotten(job: Job) = finishedTasks.forget(job)
+        override fun onJobEnded(job: Job) = finishedTasks.discard(job)
 
-        override fun closed(
+        override fun onFinalRecordWritten(
             job: Job,
             record: FinalRecord,
         ) = onClosed(job, record)
--- a/src/main/kotlin/ledgearch/records/CatalogRecord.kt
+++ b/src/main/kotlin/ledgearch/records/CatalogRecord.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.Serializable
 import ledgearch.wire.MachineType
 
-/** The catalog that was last read from the cloud, so that a restart while the cloud is out knows the machine types. */
+/** The catalog last read from the cloud. A node that starts during a cloud outage takes the machine types from it. */
 @Serializable
 internal data class CatalogRecord(
     @SerialName("racks") val machineTypes: List<MachineType>,
--- a/src/main/kotlin/ledgearch/records/Chunks.kt
+++ b/src/main/kotlin/ledgearch/records/Chunks.kt
@@ -3,66 +3,67 @@
 import java.util.BitSet
 
 /**
- * Which finished tasks of a job go into one record, so that none is larger than a value may be. Chunks have [tasks]
- * tasks: [MOST_TASKS], or that halved as often as the limit asks for.
+ * Assigns the tasks of a job to chunks, so that a record of the finished tasks of one chunk never exceeds
+ * [maxValueBytes]. A chunk has [tasksPerChunk] tasks: [MAX_TASKS_PER_CHUNK], halved until the record fits.
  *
- * Every version can read and remove the chunks of every other: a record holds task numbers, whatever its chunk's
- * number, and whoever has read or written a number removes its key when the job is over. Chunks of [MOST_TASKS] have
- * the numbers that versions without smaller ones give them. Each smaller size has numbers of its own above those, so
- * that no record is written over one of other tasks. A task may so be in two records; finished is finished, and both go
- * with the job.
+ * Versions with different chunk sizes can read and remove each other's records: a record holds task indices and can be
+ * read without its chunk number, and a leader removes every chunk key that it has read or written when the job ends.
+ * Chunks of [MAX_TASKS_PER_CHUNK] tasks have the numbers that versions without smaller chunks use. Each smaller size
+ * has its own numbers above those, so that no record overwrites one of a different set of tasks. A task may therefore
+ * be in two records. That is harmless: a finished task stays finished, and both records are removed with the job.
  */
 internal class Chunks(
-    valueBytes: Int,
+    maxValueBytes: Int,
 ) {
-    private val halvings: Int =
-        generateSequence(0) { it + 1 }.first { halvings ->
-            tasksAfter(halvings) == 1 || maxRecordBytes(tasksAfter(halvings)) <= valueBytes
+    private val halvingCount: Int =
+        generateSequence(0) { it + 1 }.first { halvingCount ->
+            tasksAfterHalvings(halvingCount) == 1 || maxRecordBytes(tasksAfterHalvings(halvingCount)) <= maxValueBytes
         }
 
-    /** Tasks in one chunk. */
-    val tasks = tasksAfter(halvings)
+    /** The number of tasks in one chunk. */
+    val tasksPerChunk = tasksAfterHalvings(halvingCount)
 
-    /** The number of the first chunk of this size: all larger sizes have the numbers below it. */
-    private val firstNumber = MOST_CHUNKS * ((1 shl halvings) - 1)
+    /** The number of the first chunk of this size. The chunks of all larger sizes have lower numbers. */
+    private val firstChunk = MAX_CHUNKS_OF_MAX_SIZE * ((1 shl halvingCount) - 1)
 
-    /** The number of the chunk that the task number [task] belongs to. */
-    fun numberOf(task: Int): Int = firstNumber + task / tasks
+    /** Returns the number of the chunk that contains [task]. */
+    fun chunkOf(task: Int): Int = firstChunk + task / tasksPerChunk
 
-    /** The task numbers of the chunk [number]. */
-    fun tasksOfChunk(number: Int): IntRange {
-        val firstTask = (number - firstNumber) * tasks
-        return firstTask until firstTask + tasks
+    /** Returns the indices of the tasks in [chunk]. */
+    fun tasksOf(chunk: Int): IntRange {
+        val firstTask = (chunk - firstChunk) * tasksPerChunk
+        return firstTask until firstTask + tasksPerChunk
     }
 
     companion object {
-        /** Tasks. The size of versions without smaller ones. */
-        const val MOST_TASKS = 500
+        /** The only chunk size of versions without smaller chunks. */
+        const val MAX_TASKS_PER_CHUNK = 500
 
-        /** Chunks of [MOST_TASKS]: a job has at most 100,000 tasks. */
-        private const val MOST_CHUNKS = 200
+        /** A job has at most 100,000 tasks. */
+        private const val MAX_CHUNKS_OF_MAX_SIZE = 200
 
-        /** Tasks. At worst two of so many are finished, as a range of its own. */
-        private const val TASKS_OF_WORST_RANGE = 3
+        /** At worst, two of every three tasks are finished and form a range of their own. */
+        private const val TASKS_PER_WORST_CASE_RANGE = 3
 
-        /** Bytes. The longest such range, with the comma after it: `99996-99997,`. */
-        private const val WORST_RANGE_BYTES = 12
+        /** The longest such range with the comma after it: `99996-99997,`. */
+        private const val WORST_CASE_RANGE_BYTES = 12
 
-        /** Bytes. What is around the ranges: `{"r":""}`. */
+        /** The record without ranges: `{"r":""}`. */
         private const val EMPTY_RECORD_BYTES = 8
 
-        /** Tasks in a chunk after so many [halvings], each rounded up. */
-        private fun tasksAfter(halvings: Int): Int = (MOST_TASKS + (1 shl halvings) - 1) shr halvings
+        /** Returns the chunk size after [halvingCount] halvings, rounded up. */
+        private fun tasksAfterHalvings(halvingCount: Int): Int =
+            (MAX_TASKS_PER_CHUNK + (1 shl halvingCount) - 1) shr halvingCount
 
-        /** Bytes. The most that a record of [tasks] tasks takes; tasks left over need a range of their own. */
+        /** Returns the largest possible size in bytes of a record of [tasks] consecutive tasks. */
         private fun maxRecordBytes(tasks: Int): Int {
-            val ranges = (tasks + TASKS_OF_WORST_RANGE - 1) / TASKS_OF_WORST_RANGE
-            return ranges * WORST_RANGE_BYTES + EMPTY_RECORD_BYTES
+            val ranges = (tasks + TASKS_PER_WORST_CASE_RANGE - 1) / TASKS_PER_WORST_CASE_RANGE
+            return ranges * WORST_CASE_RANGE_BYTES + EMPTY_RECORD_BYTES
         }
     }
 }
 
-/** Those of this set's tasks that are in [range], as a new set. */
+/** Returns a new set of the tasks in this set that are in [range]. */
 internal fun BitSet.within(range: IntRange): BitSet {
     val tasks = BitSet()
     tasks.set(range.first, range.last + 1)
--- a/src/main/kotlin/ledgearch/records/Keys.kt
+++ b/src/main/kotlin/ledgearch/records/Keys.kt
@@ -1,11 +1,11 @@
 package ledgearch.records
 
 /**
- * The keys of the state service; every key that this software uses is named here. They are stored, and versions that
- * run side by side share them: a key never changes.
+ * All keys that the cluster uses in the state service. They are stored, and versions that run side by side share them,
+ * so a key must never change.
  */
 internal object Keys {
-    /** Prefix of what every node watches: the leadership, open jobs, final records, the catalog. */
+    /** Prefix of the keys that every node watches: leadership, open jobs, final records and the catalog. */
     const val WATCHED = "w/"
 
     /** Prefix of the leadership and step-down records. */
@@ -14,34 +14,34 @@
     /** Prefix of the records of open jobs. */
     const val JOBS = "w/j/"
 
-    /** Prefix of the final records. */
+    /** Prefix of the final records of jobs. */
     const val FINALS = "w/d/"
 
-    /** The catalog of machine types. */
+    /** Key of the catalog of machine types. */
     const val CATALOG = "w/c"
 
-    /** Prefix of the records of machines, read only by a new leader. */
+    /** Prefix of the machine records, which only a new leader reads. */
     const val MACHINES = "m/"
 
-    /** Prefix of the records of finished tasks, read only by a new leader. */
+    /** Prefix of the records of finished tasks, which only a new leader reads. */
     const val FINISHED = "f/"
 
-    /** The leadership record of a shard; the cluster has one shard, 0. */
+    /** Returns the key of the leadership record of [shard]. The cluster has one shard, 0. */
     fun leadership(shard: Int) = "$LEADERSHIP$shard"
 
-    /** The step-down record of a shard. */
+    /** Returns the key of the step-down record of [shard]. */
     fun stepDown(shard: Int) = "$LEADERSHIP$shard/silence"
 
-    /** The open record of the job [id]. */
+    /** Returns the key of the open record of the job [id]. */
     fun job(id: String) = "$JOBS$id"
 
-    /** The final record of the job [id]. */
+    /** Returns the key of the final record of the job [id]. */
     fun final(id: String) = "$FINALS$id"
 
-    /** The record [name] of machines. */
+    /** Returns the key of the machine record [name]. */
     fun machine(name: String) = "$MACHINES$name"
 
-    /** The record of the finished tasks in the chunk [chunk] of the job [id]. */
+    /** Returns the key of the record of the finished tasks in [chunk] of the job [id]. */
     fun finished(
         id: String,
         chunk: Int,
--- a/src/main/kotlin/ledgearch/records/LeadershipRecords.kt
+++ b/src/main/kotlin/ledgearch/records/LeadershipRecords.kt
@@ -3,20 +3,19 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/**
- * Which process instance of which node is the leader. The revision of this record is the fencing token. [renews]: the
- * token that the record renews, 0 for a claim and in records of earlier versions.
- */
+/** The node and the process instance that hold the leadership. The revision of this record is the fencing token. */
 @Serializable
 internal data class LeadershipRecord(
     val node: String,
     @SerialName("life") val instance: Long,
+    /** The token that this record renews; 0 in a claim and in records of earlier versions. */
     @SerialName("over") val renews: Long = 0,
 )
 
-/** The leader [node] stepped down at the wall ms [at], since it heard next to no machine. */
+/** The record of a leader, [node], that stepped down because it received heartbeats from almost no machine. */
 @Serializable
 internal data class StepDownRecord(
     val node: String,
+    /** Wall-clock time. */
     val at: Long,
 )
--- a/src/main/kotlin/ledgearch/records/MachinesRecord.kt
+++ b/src/main/kotlin/ledgearch/records/MachinesRecord.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.Serializable
 import ledgearch.wire.MachineType
 
-/** Machines of a shard's cluster, written before anything starts on them. */
+/** The record of several machines of a shard. It is durable before any task starts on them. */
 @Serializable
 internal data class MachinesRecord(
     @SerialName("block") val shard: Int,
@@ -12,21 +12,20 @@
     val machines: List<MachineEntry>,
 )
 
-/**
- * One machine of a [MachinesRecord]. [machineType]: the index of its type in the record. [quarantined]: it fails what
- * it starts, and gets no new tasks.
- */
+/** One machine of a [MachinesRecord]. */
 @Serializable
 internal data class MachineEntry(
     val name: String,
     val endpoint: String,
-    @SerialName("rack") val machineType: Int,
+    /** Index into [MachinesRecord.machineTypes]. */
+    @SerialName("rack") val machineTypeIndex: Int,
     @SerialName("hall") val zone: String,
     @SerialName("borrowed") val spot: Boolean,
+    /** True if the machine gets no new tasks because tasks fail on it. */
     @SerialName("aside") val quarantined: Boolean = false,
 )
 
-/** A record of earlier versions: one machine, whose name is in the key. */
+/** The record of a single machine, as earlier versions write it. The machine's name is in the key. */
 @Serializable
 internal data class SingleMachineRecord(
     val endpoint: String,
@@ -35,7 +34,7 @@
     @SerialName("borrowed") val spot: Boolean,
     @SerialName("aside") val quarantined: Boolean = false,
 ) {
-    /** The same for the machine [name] in today's form. */
-    fun asOneOf(name: String) =
+    /** Converts this record of the machine [name] to the current format. */
+    fun toMachinesRecord(name: String) =
         MachinesRecord(0, listOf(machineType), listOf(MachineEntry(name, endpoint, 0, zone, spot, quarantined)))
 }
--- a/src/main/kotlin/ledgearch/records/Ranges.kt
+++ b/src/main/kotlin/ledgearch/records/Ranges.kt
@@ -2,9 +2,9 @@
 
 import java.util.BitSet
 
-/** Ranges of task numbers as text, e.g. `0-3,7`. */
+/** Encodes sets of task indices as text, for example `0-3,7`. */
 internal object Ranges {
-    /** The task numbers in [tasks] as ranges, in rising order. */
+    /** Returns [tasks] as ranges in ascending order. */
     fun encode(tasks: BitSet): String {
         val text = StringBuilder()
         var first = tasks.nextSetBit(0)
@@ -18,16 +18,16 @@
         return text.toString()
     }
 
-    /** Adds the ranges in [text] to [tasks]. A range that can't be parsed or is not below [limit] is left out. */
+    /** Adds the ranges in [text] to [tasks]. Skips a range that can't be parsed or reaches [taskCount]. */
     fun decode(
         text: String,
         tasks: BitSet,
-        limit: Int,
+        taskCount: Int,
     ) {
         for (range in text.split(',')) {
             val first = range.substringBefore('-').toIntOrNull() ?: continue
             val last = range.substringAfter('-').toIntOrNull() ?: continue
-            if (first in 0..last && last < limit) tasks.set(first, last + 1)
+            if (first in 0..last && last < taskCount) tasks.set(first, last + 1)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/records/RecordCodec.kt
+++ b/src/main/kotlin/ledgearch/records/RecordCodec.kt
@@ -9,7 +9,7 @@
 
 private val log = LoggerFactory.getLogger("ledgearch.records")
 
-/** The record in a stored [value]; null when there is no value, or one that something else must have written. */
+/** Returns the record stored as [value], or null if there is no value or it is not a record of this type. */
 internal fun <T> decodeRecord(
     serializer: DeserializationStrategy<T>,
     value: JsonElement?,
@@ -17,11 +17,11 @@
     try {
         value?.let { WireJson.decodeFromJsonElement(serializer, it) }
     } catch (exception: SerializationException) {
-        log.error("a record in the state service can't be read and is left alone: {}", exception.message)
+        log.error("ignoring a record in the state service that can't be decoded: {}", exception.message)
         null
     }
 
-/** [record] as it is stored. */
+/** Returns [record] in the form in which it is stored. */
 internal fun <T> encodeRecord(
     serializer: SerializationStrategy<T>,
     record: T,
--- a/src/test/kotlin/ledgearch/records/ChunksTest.kt
+++ b/src/test/kotlin/ledgearch/records/ChunksTest.kt
@@ -6,45 +6,48 @@
 import org.junit.jupiter.api.Test
 import java.util.BitSet
 
-/** How the finished tasks of a job are divided into records, under any limit on the size of values. */
+/** Checks how the finished tasks of a job are divided into records, for several limits on the size of values. */
 internal class ChunksTest {
-    private val limits = listOf(256, 512, 1024, 1536, 2048, 8192, 16384)
+    private val valueLimitsBytes = listOf(256, 512, 1024, 1536, 2048, 8192, 16384)
 
     @Test
-    fun `no record is larger than a value may be`() {
-        for (limit in limits) {
-            for (every in 2..5) {
-                for (shift in 0 until every) {
-                    val chunks = Chunks(limit)
+    fun `no record exceeds the value limit`() {
+        for (limitBytes in valueLimitsBytes) {
+            for (period in 2..5) {
+                for (offset in 0 until period) {
+                    val chunks = Chunks(limitBytes)
                     val finished = BitSet()
-                    for (task in 0 until TASKS) if ((task + shift) % every != 0) finished.set(task)
-                    val largest =
-                        (0 until TASKS step chunks.tasks).maxOf {
-                            recordBytes(finished.within(chunks.tasksOfChunk(chunks.numberOf(it))))
+                    for (task in 0 until MAX_TASKS) if ((task + offset) % period != 0) finished.set(task)
+                    val largestBytes =
+                        (0 until MAX_TASKS step chunks.tasksPerChunk).maxOf {
+                            recordBytes(finished.within(chunks.tasksOf(chunks.chunkOf(it))))
                         }
-                    assertTrue(largest <= limit, "$largest bytes of $limit with ${chunks.tasks} tasks a chunk")
+                    assertTrue(
+                        largestBytes <= limitBytes,
+                        "record of $largestBytes bytes exceeds $limitBytes bytes with ${chunks.tasksPerChunk} tasks per chunk",
+                    )
                 }
             }
         }
     }
 
     @Test
-    fun `every task is in the chunk of its number`() {
-        for (limit in limits) {
-            val chunks = Chunks(limit)
-            for (task in 0 until TASKS) assertTrue(task in chunks.tasksOfChunk(chunks.numberOf(task)))
+    fun `every task is in the chunk that it is assigned to`() {
+        for (limitBytes in valueLimitsBytes) {
+            val chunks = Chunks(limitBytes)
+            for (task in 0 until MAX_TASKS) assertTrue(task in chunks.tasksOf(chunks.chunkOf(task)))
         }
     }
 
     @Test
-    fun `chunks of earlier versions keep their numbers, and no other size has any of them`() {
-        val large = Chunks(8192)
-        for (task in 0 until TASKS) assertEquals(task / 500, large.numberOf(task))
-        val numbers =
-            limits.map(::Chunks).distinctBy { it.tasks }.map { chunks ->
-                (0 until TASKS).mapTo(HashSet(), chunks::numberOf)
+    fun `chunks of earlier versions keep their numbers, and no two sizes share a number`() {
+        val maxSizeChunks = Chunks(8192)
+        for (task in 0 until MAX_TASKS) assertEquals(task / 500, maxSizeChunks.chunkOf(task))
+        val chunkNumbers =
+            valueLimitsBytes.map(::Chunks).distinctBy { it.tasksPerChunk }.map { chunks ->
+                (0 until MAX_TASKS).mapTo(HashSet(), chunks::chunkOf)
             }
-        assertEquals(numbers.sumOf { it.size }, numbers.flatten().toSet().size)
+        assertEquals(chunkNumbers.sumOf { it.size }, chunkNumbers.flatten().toSet().size)
     }
 
     private fun recordBytes(tasks: BitSet) =
@@ -56,7 +59,7 @@
             .size
 
     private companion object {
-        /** Tasks. The most that a job has. */
-        const val TASKS = 100_000
+        /** The largest number of tasks of a job. */
+        const val MAX_TASKS = 100_000
     }
 }
--- a/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
@@ -29,28 +29,29 @@
 import kotlin.io.path.readText
 
 /**
- * Controllers of two versions run side by side while a new version is rolled out: each reads what the other writes.
+ * Checks that this version and the production version can read each other's records and frames, since controllers of
+ * both run side by side during a rollout.
  *
- * The files in `mixed-versions` were written by the classes of the production version, commit [PRODUCTION], from the
- * values below. The Production classes are copies of that version's records and stand for its reader. When another
- * version becomes production, its records are added as further files; those of earlier versions stay.
+ * The files in `mixed-versions` were written by the production version, commit [PRODUCTION_COMMIT], from the values
+ * below. The Production classes are copies of that version's record classes and represent its reader. When another
+ * version goes into production, its records are added as further files; those of earlier versions stay.
  */
 internal class MixedVersionsTest {
-    /** A [value] that production wrote to the file [name], and the class by which production reads such a record. */
+    /** A [value] that production wrote to the file [name], with the serializer by which production reads it. */
     private class Example<T, P>(
         val name: String,
         val value: T,
         val serializer: KSerializer<T>,
         val productionSerializer: KSerializer<P>,
     ) {
-        val written = file("$name.json")
+        val writtenByProduction = file("$name.json")
 
-        fun read(): T = WireJson.decodeFromString(serializer, written)
+        fun read(): T = WireJson.decodeFromString(serializer, writtenByProduction)
 
         fun write(): String = WireJson.encodeToJsonElement(serializer, value).toString()
 
-        /** The text as production would write it again after reading [text]. */
-        fun throughProduction(text: String): String {
+        /** Returns [text] as production writes it after reading it. */
+        fun rewriteByProduction(text: String): String {
             val record = ProductionJson.decodeFromString(productionSerializer, text)
             return ProductionJson.encodeToJsonElement(productionSerializer, record).toString()
         }
@@ -62,35 +63,35 @@
         productionSerializer: KSerializer<P>,
     ) = Example(name, value, serializer<T>(), productionSerializer)
 
-    /** Every record of the state service with its file: one example of each kind, and each form that it takes. */
+    /** An example of every kind of record in the state service, in each of its forms. */
     private val records: List<Example<*, *>> =
         listOf(
             example(
                 "job-all-fields",
-                JobRecord(FULL_SPEC, AT, cancelRequested = true),
+                JobRecord(FULL_SPEC, AT_MS, cancelRequested = true),
                 ProductionJobRecord.serializer(),
             ),
-            example("job-required-fields", JobRecord(SHORT_SPEC, AT), ProductionJobRecord.serializer()),
+            example("job-required-fields", JobRecord(MINIMAL_SPEC, AT_MS), ProductionJobRecord.serializer()),
             example("final-done", FinalRecord(JobState.DONE, 12), ProductionFinalRecord.serializer()),
             example("final-withdrawn", FinalRecord(JobState.CANCELLED), ProductionFinalRecord.serializer()),
             example("grant-claim", LeadershipRecord("stall-0", 7), ProductionGrantRecord.serializer()),
             example("grant-renewal", LeadershipRecord("stall-0", 7, renews = 41), ProductionGrantRecord.serializer()),
-            example("silence", StepDownRecord("stall-0", AT), ProductionSilenceRecord.serializer()),
+            example("silence", StepDownRecord("stall-0", AT_MS), ProductionSilenceRecord.serializer()),
             example(
                 "machines",
-                MachinesRecord(0, listOf(FULL_MACHINE_TYPE, SHORT_MACHINE_TYPE), MACHINES),
+                MachinesRecord(0, listOf(FULL_MACHINE_TYPE, MINIMAL_MACHINE_TYPE), MACHINES),
                 ProductionMachinesRecord.serializer(),
             ),
             example("single-machine", SINGLE_MACHINE, ProductionSingleMachineRecord.serializer()),
             example("finished", FinishedRecord("0-3,7"), ProductionFinishedRecord.serializer()),
             example(
                 "catalog",
-                CatalogRecord(listOf(FULL_MACHINE_TYPE, SHORT_MACHINE_TYPE)),
+                CatalogRecord(listOf(FULL_MACHINE_TYPE, MINIMAL_MACHINE_TYPE)),
                 ProductionCatalogRecord.serializer(),
             ),
         )
 
-    /** Every form of a frame with its file. */
+    /** Every form of a frame, by the name of its file. */
     private val frames: Map<String, LeaderStatus> =
         mapOf(
             "frame-state-answers" to LeaderStatus(PROGRESS, served = true),
@@ -100,7 +101,7 @@
         )
 
     @TestFactory
-    fun `records written by production are read`(): List<DynamicTest> =
+    fun `records written by production can be read`(): List<DynamicTest> =
         records.map {
             dynamicTest(it.name) { assertEquals(it.value, it.read()) }
         }
@@ -108,25 +109,25 @@
     @TestFactory
     fun `records are written byte for byte as production writes them`(): List<DynamicTest> =
         records.map {
-            dynamicTest(it.name) { assertEquals(it.written, it.write()) }
+            dynamicTest(it.name) { assertEquals(it.writtenByProduction, it.write()) }
         }
 
     @TestFactory
-    fun `production reads the records that are written now`(): List<DynamicTest> =
+    fun `production can read records written by this version`(): List<DynamicTest> =
         records.map {
-            dynamicTest(it.name) { assertEquals(it.written, it.throughProduction(it.write())) }
+            dynamicTest(it.name) { assertEquals(it.writtenByProduction, it.rewriteByProduction(it.write())) }
         }
 
     @Test
-    fun `every example file is tested`() {
-        val tested = records.map { "${it.name}.json" } + frames.keys.map { "$it.hex" } + SETTINGS
-        assertEquals(tested.sorted(), FOLDER.listDirectoryEntries().map { it.name }.sorted())
+    fun `every example file is used`() {
+        val usedFiles = records.map { "${it.name}.json" } + frames.keys.map { "$it.hex" } + SETTINGS_FILE
+        assertEquals(usedFiles.sorted(), EXAMPLES_FOLDER.listDirectoryEntries().map { it.name }.sorted())
     }
 
-    /** Production ignores the field, as it does any that it does not know, and keeps all others. */
+    /** Production ignores the field, as any unknown field, and reads all others. */
     @Test
-    fun `production reads a job that depends on others`() {
-        val record = JobRecord(FULL_SPEC.copy(dependsOn = listOf("job-7", "job-8")), AT, cancelRequested = true)
+    fun `production can read a job with dependencies`() {
+        val record = JobRecord(FULL_SPEC.copy(dependsOn = listOf("job-7", "job-8")), AT_MS, cancelRequested = true)
         val written = WireJson.encodeToJsonElement(JobRecord.serializer(), record).toString()
         assertTrue("\"awaits\":[\"job-7\",\"job-8\"]" in written, written)
         val read = ProductionJson.decodeFromString(ProductionJobRecord.serializer(), written)
@@ -140,21 +141,21 @@
     }
 
     @Test
-    fun `a job that depends on nothing is written byte for byte as production writes it`() {
-        assertNull(SHORT_SPEC.dependsOn)
-        val written = WireJson.encodeToJsonElement(JobRecord.serializer(), JobRecord(SHORT_SPEC, AT)).toString()
+    fun `a job without dependencies is written byte for byte as production writes it`() {
+        assertNull(MINIMAL_SPEC.dependsOn)
+        val written = WireJson.encodeToJsonElement(JobRecord.serializer(), JobRecord(MINIMAL_SPEC, AT_MS)).toString()
         assertEquals(file("job-required-fields.json"), written)
     }
 
     @TestFactory
-    fun `frames written by production are read`(): List<DynamicTest> =
+    fun `frames written by production can be read`(): List<DynamicTest> =
         frames.map { (name, status) ->
             dynamicTest(name) {
                 val buffer = Buffer().write(file("$name.hex").decodeHex())
-                val read = checkNotNull(Frames.take(buffer)) { "the frame is not whole" }
+                val read = checkNotNull(Frames.take(buffer)) { "the frame is incomplete" }
                 assertEquals(status.progress, read.progress)
                 assertEquals(status.served, read.served)
-                assertTrue(buffer.exhausted(), "bytes are left after the frame")
+                assertTrue(buffer.exhausted(), "unexpected bytes after the frame")
             }
         }
 
@@ -164,25 +165,25 @@
             dynamicTest(name) { assertEquals(file("$name.hex"), Frames.encode(status).hex()) }
         }
 
-    /** The settings of an upgrade announce lower limits, and may hold more than is known here. */
+    /** The settings for an upgrade announce lower limits and may contain unknown fields. */
     @Test
-    fun `settings that announce other limits are accepted`() {
-        val settings = SettingsLoader.load(FOLDER.resolve(SETTINGS))
-        val next = NextStateLimits(writeRps = 18.0, valueKb = 2.0, txnOps = 5)
-        val expected = StateLimits(rps = 200.0, writeRps = 80.0, valueKb = 16.0, txnOps = 24, next = next)
-        assertEquals(expected, settings.deployment.state)
+    fun `settings that announce new limits are accepted`() {
+        val settings = SettingsLoader.load(EXAMPLES_FOLDER.resolve(SETTINGS_FILE))
+        val nextLimits = NextStateLimits(writeRps = 18.0, valueKb = 2.0, txnOps = 5)
+        val expectedLimits = StateLimits(rps = 200.0, writeRps = 80.0, valueKb = 16.0, txnOps = 24, next = nextLimits)
+        assertEquals(expectedLimits, settings.deployment.state)
         assertEquals(emptyList<String>(), SettingsLoader.warnings(settings))
     }
 
     private companion object {
-        /** The commit whose classes wrote the files. */
-        const val PRODUCTION = "e3f86e2"
-        const val SETTINGS = "settings-with-state-next.json"
-        val FOLDER: Path = Path.of("src/test/resources/mixed-versions")
+        /** The commit of the version that wrote the files. */
+        const val PRODUCTION_COMMIT = "e3f86e2"
+        const val SETTINGS_FILE = "settings-with-state-next.json"
+        val EXAMPLES_FOLDER: Path = Path.of("src/test/resources/mixed-versions")
 
-        fun file(name: String) = FOLDER.resolve(name).readText().trim()
+        fun file(name: String) = EXAMPLES_FOLDER.resolve(name).readText().trim()
 
-        const val AT = 1_790_000_000_000L
+        const val AT_MS = 1_790_000_000_000L
 
         val FULL_SPEC =
             JobSpec(
@@ -208,7 +209,7 @@
                 deadlineS = 90.5,
             )
 
-        val SHORT_SPEC =
+        val MINIMAL_SPEC =
             JobSpec(
                 id = "job-2",
                 jobClass = "training",
@@ -237,7 +238,7 @@
                 zones = listOf("a", "b"),
             )
 
-        val SHORT_MACHINE_TYPE = MachineType(name = "small", vcpus = 2.0, memoryGb = 4.0)
+        val MINIMAL_MACHINE_TYPE = MachineType(name = "small", vcpus = 2.0, memoryGb = 4.0)
 
         val MACHINES =
             listOf(
@@ -246,7 +247,7 @@
             )
 
         val SINGLE_MACHINE =
-            SingleMachineRecord("10.0.1.2:9000", SHORT_MACHINE_TYPE, "b", spot = true, quarantined = true)
+            SingleMachineRecord("10.0.1.2:9000", MINIMAL_MACHINE_TYPE, "b", spot = true, quarantined = true)
 
         val PROGRESS = listOf(JobProgress("job-1", 3, 2), JobProgress("job-ä", 0, 1_000_000))
     }
--- a/src/test/kotlin/ledgearch/records/ProductionRecords.kt
+++ b/src/test/kotlin/ledgearch/records/ProductionRecords.kt
@@ -4,8 +4,8 @@
 import kotlinx.serialization.json.Json
 
 /*
- * Copies of the records of the version in production, with that version's names: they stand for its reader and are not
- * renamed with the code.
+ * Copies of the record classes of the production version, which represent its reader. They keep that version's names
+ * and are not renamed with the code.
  */
 
 /** The JSON settings of the production version. */
@@ -16,7 +16,7 @@
         encodeDefaults = false
     }
 
-/** What a user submits, as production reads it. */
+/** A job submission, as production reads it. */
 @Serializable
 internal data class ProductionWorkRequest(
     val ref: String,
@@ -41,7 +41,7 @@
     val serveS: Double? = null,
 )
 
-/** A job that is open, as production reads it. */
+/** An open job, as production reads it. */
 @Serializable
 internal data class ProductionJobRecord(
     val spec: ProductionWorkRequest,
@@ -56,7 +56,7 @@
     val n: Int = 0,
 )
 
-/** Which controller leads, as production reads it. */
+/** The leadership record, as production reads it. */
 @Serializable
 internal data class ProductionGrantRecord(
     val node: String,
@@ -64,7 +64,7 @@
     val over: Long = 0,
 )
 
-/** A controller that stepped down, as production reads it. */
+/** The step-down record, as production reads it. */
 @Serializable
 internal data class ProductionSilenceRecord(
     val node: String,
@@ -86,7 +86,7 @@
     val halls: List<String> = emptyList(),
 )
 
-/** Several machines, as production reads it. */
+/** A record of several machines, as production reads it. */
 @Serializable
 internal data class ProductionMachinesRecord(
     val block: Int,
@@ -94,7 +94,7 @@
     val machines: List<ProductionMachineEntry>,
 )
 
-/** One of several machines, as production reads it. */
+/** One machine of a [ProductionMachinesRecord], as production reads it. */
 @Serializable
 internal data class ProductionMachineEntry(
     val name: String,
@@ -105,7 +105,7 @@
     val aside: Boolean = false,
 )
 
-/** One machine, as earlier versions wrote it, as production reads it. */
+/** A single-machine record of earlier versions, as production reads it. */
 @Serializable
 internal data class ProductionSingleMachineRecord(
     val endpoint: String,
@@ -121,7 +121,7 @@
     val r: String,
 )
 
-/** The machine types of the cloud, as production reads it. */
+/** The catalog of machine types, as production reads it. */
 @Serializable
 internal data class ProductionCatalogRecord(
     val racks: List<ProductionRack>,
