--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -51,14 +51,14 @@
     /** Condition under which a transaction commits only while this node is the leader under [token]. */
     val condition: Condition get() = held.condition
 
-    /** Records that a transaction with [condition] under [sentUnderToken], sent at [sentAtMs], has committed. */
+    /** Records that a transaction with [condition] under [sentToken], sent at [sentAtMs], has committed. */
     fun recordConfirmation(
         sentAtMs: Long,
-        sentUnderToken: Long,
-    ) = held.recordConfirmation(sentAtMs, sentUnderToken)
+        sentToken: Long,
+    ) = held.recordConfirmation(sentAtMs, sentToken)
 
-    /** Reads the leadership record after a transaction with [condition] under [sentUnderToken] has failed. */
-    fun verifyLeadership(sentUnderToken: Long) = check.verify(sentUnderToken)
+    /** Reads the leadership record after a transaction with [condition] under [sentToken] has failed. */
+    fun verifyLeadership(sentToken: Long) = check.verify(sentToken)
 
     /**
      * Called when the leadership record in the job store has changed. A leader stops at a newer record, even during a
--- a/src/main/kotlin/ledgearch/election/HeldLeadership.kt
+++ b/src/main/kotlin/ledgearch/election/HeldLeadership.kt
@@ -52,12 +52,12 @@
         listener.elected(token, isNewTerm = true)
     }
 
-    /** Records that a transaction with [condition] under [sentUnderToken], sent at [sentAtMs], has committed. */
+    /** Records that a transaction with [condition] under [sentToken], sent at [sentAtMs], has committed. */
     fun recordConfirmation(
         sentAtMs: Long,
-        sentUnderToken: Long,
+        sentToken: Long,
     ) {
-        if (sentUnderToken == token && sentAtMs > confirmedAtMs) confirmedAtMs = sentAtMs
+        if (sentToken == token && sentAtMs > confirmedAtMs) confirmedAtMs = sentAtMs
     }
 
     /** Marks a renewal of the token as in flight. */
--- a/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
@@ -21,10 +21,10 @@
     private val jobStore: JobStore,
     private val held: HeldLeadership,
 ) {
-    /** Reads the leadership record after a transaction that compared it with [sentUnderToken] has failed. */
-    fun verify(sentUnderToken: Long) {
+    /** Reads the leadership record after a transaction that compared it with [sentToken] has failed. */
+    fun verify(sentToken: Long) {
         // During a renewal the failure may come from the renewal itself, whose result settles it.
-        if (held.isLeader && !held.isRenewing && held.token == sentUnderToken) compareWithStateService()
+        if (held.isLeader && !held.isRenewing && held.token == sentToken) compareWithStateService()
     }
 
     /** Ends this node's leadership if the record in the job store is newer and not its own renewal, or is gone. */
--- a/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
@@ -24,13 +24,13 @@
         if (!isDue()) return
         isRequestInFlight = true
         nextTryAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
-        val sentUnderToken = held.token
+        val sentToken = held.token
         val sentAtMs = clock.steadyMs
         state.transact(listOf(held.condition), emptyList(), RequestClass.CRITICAL) { result ->
             isRequestInFlight = false
             when (result) {
-                is TransactionResult.Committed -> held.recordConfirmation(sentAtMs, sentUnderToken)
-                is TransactionResult.Conflict -> check.verify(sentUnderToken)
+                is TransactionResult.Committed -> held.recordConfirmation(sentAtMs, sentToken)
+                is TransactionResult.Conflict -> check.verify(sentToken)
                 else -> Unit
             }
         }
