--- a/src/main/kotlin/ledgearch/agents/AgentTuning.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentTuning.kt
@@ -33,8 +33,8 @@
     const val LOST_HEARTBEAT_INTERVALS = 3.5
 
     /**
-     * Share of machines below which the leader is assumed to be isolated itself. It is low because a partitioned zone
-     * can hold half of the machines, which no other leader would hear either.
+     * Share of reporting machines below which the leader is assumed to be isolated, or a zone to be partitioned. It is
+     * low because a partitioned zone can hold half of the machines, which no other leader would hear either.
      */
     const val MIN_REPORTING_SHARE = 0.1
 
@@ -50,10 +50,10 @@
      */
     const val ONE_WAY_FAULT_GRACE_MS = 120_000L
 
-    /** Pause of a machine that refused a start, and of a job that its agent does not recognize. */
+    /** Pause of a machine that refused a start, and of a job that an agent does not recognize. */
     const val REFUSED_START_PAUSE_MS = 1_000L
 
-    /** Pause of a machine on which a task failed: a faulty machine fails tasks at once, one after another. */
+    /** Pause of a machine on which a task failed: a faulty machine would quickly fail a whole queue of tasks. */
     const val FAILED_TASK_PAUSE_MS = 3_000L
 
     /** Factor on an agent's lease: the steady clocks of two machines drift by 0.05% each, doubled for safety. */
@@ -82,7 +82,7 @@
      */
     private const val PROBES_PER_PROCESSOR = 500
 
-    /** With less processor time the probes are not reduced further, since that would delay a new leader. */
+    /** With fewer processors the probes are not reduced further, since that would delay a new leader. */
     private const val MIN_PROCESSORS = 0.1
 
     /** Returns how many probes may be in flight at once on [cpu] processors. */
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Releases machines that have been unreachable for long. Heartbeats alone don't make a machine healthy: while it
-     * receives neither commands nor replies it would hold its tasks indefinitely.
+     * Releases machines that have been unreachable for long. Heartbeats alone don't make a machine healthy: one that
+     * receives neither replies nor commands would hold its tasks indefinitely and be given more.
      */
     private fun releaseUnreachable() {
         val candidates = dispatcher.unreachableMachines.filter(::isLongUnreachable)
@@ -122,8 +122,8 @@
     }
 
     /**
-     * Steps down if almost all machines are silent, since the fault is then on this node's side. Their leases expire
-     * unless a node that they can reach becomes leader soon.
+     * Steps down if almost all machines are silent, since the fault is then on this node's side, unless a leader did so
+     * recently. The agents' leases expire unless a node that they can reach becomes leader soon.
      */
     private fun stepDownIfIsolated(active: List<Machine>): Boolean {
         val silentCount = active.count(silence::isSilent)
--- a/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
+++ b/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
@@ -6,7 +6,7 @@
 
 /**
  * Measures how many heartbeat intervals machines have been silent. Silence counts from the election and from the end of
- * a partition of the machine's zone, without the time in which this node lagged and heartbeats may have waited unread.
+ * a partition of the machine's zone; time in which this node lagged and heartbeats may have waited unread is excluded.
  */
 internal class HeartbeatSilence(
     /** Time between two heartbeats of an agent. */
--- a/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
+++ b/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
@@ -13,7 +13,7 @@
 
 /** Proves that an agent's lease has expired, without information from the cloud. */
 internal class LeaseExpiry(
-    /** Time after the last valid reply to its heartbeats at which an agent ends its tasks. */
+    /** Time after the last valid reply to its heartbeats after which an agent ends its tasks. */
     private val leaseMs: Long,
     private val election: Election,
     private val clock: Clock,
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -43,10 +43,10 @@
     private fun wasBeingReturned(machine: Machine) = machine.returningHint && machine.probesUnanswered > 0
 
     /**
-     * Returns whether most other machines sent heartbeats after [machine] was probed in vain. While this node lags, a
-     * timed-out probe alone proves nothing, since the reply may wait here unread. But messages are read in the order of
-     * their arrival, and those later heartbeats have been read. Without this rule a node that always lags a little
-     * would detect the machine only by its heartbeat silence.
+     * Returns whether most other machines sent heartbeats after [machine] was first probed without a reply. While this
+     * node lags, a timed-out probe alone proves nothing, since the reply may wait here unread. But messages are read in
+     * the order of their arrival, and those later heartbeats have been read. Without this rule a node that always lags a
+     * little would detect the machine only by its heartbeat silence.
      */
     private fun haveOthersReportedSince(
         machine: Machine,
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Returns whether enough machines have confirmed the token to exclude a fault of this node: most of them, or at
-     * least some once every healthy agent has had the time to send a heartbeat.
+     * Returns whether enough machines have confirmed the token to exclude a fault of this node: most of them, or more
+     * than [AgentTuning.MIN_REPORTING_SHARE] once every healthy agent has had the time to send a heartbeat.
      */
     private fun areEnoughConfirmed(
         confirmedCount: Int,
--- a/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
+++ b/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
@@ -129,7 +129,7 @@
      *
      * A confirmed machine is kept if it has or had such replicas; any other work is best restarted elsewhere soon. An
      * unconfirmed one is kept if a recent leader may be partitioned with it and renew its lease. Otherwise no leader
-     * does, and older jobs would wait for the machine in vain.
+     * does, and older jobs would wait for the machine without need.
      */
     fun shouldKeep(machine: Machine): Boolean {
         if (reachableZoneCount >= 2) return false
@@ -149,7 +149,7 @@
         }
 
     private companion object {
-        /** Earlier than any other time on the steady clock, but such that differences don't overflow. */
+        /** Earlier than any other time on the steady clock, yet differences to it don't overflow. */
         const val NEVER = Long.MIN_VALUE / 2
     }
 }
