--- a/src/main/kotlin/ledgearch/scheduling/CandidateRating.kt
+++ b/src/main/kotlin/ledgearch/scheduling/CandidateRating.kt
@@ -3,28 +3,30 @@
 import ledgearch.model.Job
 import ledgearch.model.Machine
 
-/** Rates machines as places for the next task of [job]; made anew for each time that tasks of it are started. */
+/** Rates machines for the next task of [job]; a new instance is created whenever tasks of the job are to be started. */
 internal class CandidateRating(
     private val job: Job,
     reliability: Reliability,
     ranking: Ranking,
     private val latencySensitiveImages: Set<String>,
 ) {
-    /** Room on machines that are up costs nothing more; spot first lets on-demand ones run empty and be returned. */
-    private val spotFirst = reliability.spotFirst(job)
-    private val latencySensitive = ranking.isLatencySensitive(job)
+    /**
+     * Machines in service cost the same when idle; filling spot ones first lets on-demand ones drain and be returned.
+     */
+    private val prefersSpot = reliability.placesOnSpotFirst(job)
+    private val isLatencySensitive = ranking.isLatencySensitive(job)
     private val pendingTasks = job.pendingCount
 
-    /** Sets all the criteria of [candidate] to what holds now. */
+    /** Sets all criteria of [candidate] to their current values. */
     fun rate(candidate: Candidates.Candidate) {
         val machine = candidate.machine
         val imageDistance = machine.imageDistance(job.spec.image)
         candidate.imageDistance = imageDistance
-        if (job.isService) candidate.replicas = job.attempts.values.count { it.machine === machine }
+        if (job.isService) candidate.replicaCount = job.attempts.values.count { it.machine === machine }
         candidate.imageRank = imageRank(machine, imageDistance)
-        candidate.pricingRank = if (machine.spot == spotFirst) 0 else 1
-        candidate.fetching = if (imageDistance == Machine.IMAGE_ABSENT) machine.fetching else 0
-        // A job is late when any of its tasks is lost: on few spot machines it loses one less often.
+        candidate.pricingRank = if (machine.spot == prefersSpot) 0 else 1
+        candidate.pendingFetches = if (imageDistance == Machine.IMAGE_ABSENT) machine.fetching else 0
+        // One lost task delays the whole job, and a job on fewer spot machines is hit by a loss less often.
         candidate.spotRoomRank = if (machine.spot && !job.isService) -machine.roomFor(job, pendingTasks) else 0
         candidate.freeCpus = machine.machineType.vcpus - machine.usedCpus
     }
@@ -34,15 +36,15 @@
         imageDistance: Int,
     ): Int =
         when {
-            latencySensitive -> imageDistance
+            isLatencySensitive -> imageDistance
 
-            // A replica is up once its image is there; apart from that, replicas keep apart as far as they can.
+            // Only a present image lets a replica start at once; otherwise spreading the replicas ranks higher.
             job.isService -> minOf(imageDistance, Machine.IMAGE_COMING)
 
-            else -> latencySensitiveImagesOn(machine)
+            else -> countLatencySensitiveImages(machine)
         }
 
-    private fun latencySensitiveImagesOn(machine: Machine): Int =
+    private fun countLatencySensitiveImages(machine: Machine): Int =
         if (machine.fetched.isEmpty()) {
             0
         } else {
--- a/src/main/kotlin/ledgearch/scheduling/Candidates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Candidates.kt
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue
 
 /**
- * The machines with room for tasks of one job, ordered once; a machine that takes a task finds its new place. Of the
- * zones, the one with the fewest replicas comes first; tasks of jobs that are no services are not spread.
+ * Holds the machines with room for tasks of one job, sorted by their rating; only a machine that receives a task is
+ * rated again. For a service, the zone with the fewest replicas comes first; other jobs are not spread over zones.
  */
 internal class Candidates(
     private val job: Job,
@@ -15,29 +15,32 @@
     private val rating: CandidateRating,
 ) {
     /**
-     * A machine with the criteria that it is rated by, from the weightiest on; less is better. [order] is its place
-     * among the machines given, which decides when all else is equal.
+     * A machine with its rating criteria, the most significant first; lower values are better. [index] is the machine's
+     * position in the input, which breaks ties.
      */
     class Candidate(
         val machine: Machine,
-        val order: Int,
+        val index: Int,
     ) {
-        /** How near the image is, where that matters most; else how many images of latency-sensitive jobs it holds. */
+        /**
+         * For latency-sensitive jobs and services the distance of the image (see [CandidateRating]); for other jobs the
+         * number of images of latency-sensitive jobs on the machine.
+         */
         var imageRank = 0
 
-        /** Replicas of the same service. */
-        var replicas = 0
+        /** Number of replicas of the same service on the machine. */
+        var replicaCount = 0
 
-        /** 0 for the kind that the job goes to first, spot or on-demand, 1 for the other. */
+        /** 0 for the pricing (spot or on-demand) that the job prefers, 1 for the other. */
         var pricingRank = 0
 
         /** See [Machine.imageDistance]. */
         var imageDistance = 0
 
-        /** Attempts that already wait for an image here, if this one has to. */
-        var fetching = 0
+        /** Number of attempts on the machine that wait for their image, if this image is absent there; otherwise 0. */
+        var pendingFetches = 0
 
-        /** Minus the number of the job's tasks that fit, on spot machines; 0 on others. */
+        /** On spot machines the negated number of the job's tasks that fit, unless it is a service; otherwise 0. */
         var spotRoomRank = 0
         var freeCpus = 0.0
     }
@@ -46,46 +49,50 @@
         val name: String,
     ) {
         val candidates = PriorityQueue(BEST_FIRST)
-        var replicas = 0
+        var replicaCount = 0
     }
 
     private val zones = ArrayList<Zone>()
 
-    /** No machine is left that has room for a task, in whichever zone. */
+    /** True if no machine in any zone has room for another task. */
     val isEmpty: Boolean get() = zones.all { it.candidates.isEmpty() }
 
     init {
-        machines.forEachIndexed { order, machine -> add(Candidate(machine, order)) }
-        if (job.isService) for (attempt in job.attempts.values) zone(attempt.machine.zone).replicas++
+        machines.forEachIndexed { index, machine -> add(Candidate(machine, index)) }
+        if (job.isService) for (attempt in job.attempts.values) getOrAddZone(attempt.machine.zone).replicaCount++
     }
 
-    private fun zone(name: String): Zone = zones.firstOrNull { it.name == name } ?: Zone(name).also { zones.add(it) }
+    private fun getOrAddZone(name: String): Zone =
+        zones.firstOrNull { it.name == name } ?: Zone(name).also { zones.add(it) }
 
     private fun add(candidate: Candidate) {
         rating.rate(candidate)
-        zone(candidate.machine.zone).candidates.add(candidate)
+        getOrAddZone(candidate.machine.zone).candidates.add(candidate)
     }
 
-    /** The machine for the next task, which [start] places there; false when there is none. */
-    inline fun next(
-        allowed: ZoneSpread,
+    /**
+     * Calls [start] with the best machine in the zones that [zoneSpread] allows, and rates it again; returns false if
+     * there is none.
+     */
+    inline fun startOnBest(
+        zoneSpread: ZoneSpread,
         start: (Machine) -> Unit,
     ): Boolean {
-        val candidate = take(allowed) ?: return false
+        val candidate = takeBest(zoneSpread) ?: return false
         start(candidate.machine)
         putBack(candidate)
         return true
     }
 
-    /** Takes the best machine out; null when there is none in the zones that are [allowed]. */
-    fun take(allowed: ZoneSpread): Candidate? {
+    /** Removes and returns the best machine in the zones that [zoneSpread] allows; null if there is none. */
+    fun takeBest(zoneSpread: ZoneSpread): Candidate? {
         var best: Zone? = null
         for (zone in zones) {
             val top = zone.candidates.peek() ?: continue
-            if (!allowed.allows(zone.name)) continue
+            if (!zoneSpread.allows(zone.name)) continue
             val other = best
-            if (other == null || zone.replicas < other.replicas ||
-                (zone.replicas == other.replicas && BEST_FIRST.compare(top, other.candidates.peek()) < 0)
+            if (other == null || zone.replicaCount < other.replicaCount ||
+                (zone.replicaCount == other.replicaCount && BEST_FIRST.compare(top, other.candidates.peek()) < 0)
             ) {
                 best = zone
             }
@@ -93,25 +100,25 @@
         return best?.candidates?.poll()
     }
 
-    /** Puts a machine that was taken out and got a task back to its new place, if it has room for another. */
+    /** Adds [candidate] again after it was removed and received a task, if it has room for another one. */
     fun putBack(candidate: Candidate) {
-        if (job.isService) zone(candidate.machine.zone).replicas++
+        if (job.isService) getOrAddZone(candidate.machine.zone).replicaCount++
         if (candidate.machine.hasRoom(job)) add(candidate)
     }
 
     private companion object {
-        /** Written out, since this is compared most often of all and a chain of comparators would box each number. */
+        /** Not built with [compareBy], which would box every number on the hottest path of placement. */
         val BEST_FIRST =
             Comparator<Candidate> { one, other ->
                 when {
                     one.imageRank != other.imageRank -> one.imageRank.compareTo(other.imageRank)
-                    one.replicas != other.replicas -> one.replicas.compareTo(other.replicas)
+                    one.replicaCount != other.replicaCount -> one.replicaCount.compareTo(other.replicaCount)
                     one.pricingRank != other.pricingRank -> one.pricingRank.compareTo(other.pricingRank)
                     one.imageDistance != other.imageDistance -> one.imageDistance.compareTo(other.imageDistance)
-                    one.fetching != other.fetching -> one.fetching.compareTo(other.fetching)
+                    one.pendingFetches != other.pendingFetches -> one.pendingFetches.compareTo(other.pendingFetches)
                     one.spotRoomRank != other.spotRoomRank -> one.spotRoomRank.compareTo(other.spotRoomRank)
                     one.freeCpus != other.freeCpus -> one.freeCpus.compareTo(other.freeCpus)
-                    else -> one.order.compareTo(other.order)
+                    else -> one.index.compareTo(other.index)
                 }
             }
     }
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -6,9 +6,10 @@
 import ledgearch.runtime.MS_PER_SECOND
 
 /**
- * When jobs have to end so that deadlines are met: their own, and those of the jobs that depend on them. A job's end
- * leaves time for the run times still to come on the longest path to the deadline (the critical path). Results are kept
- * while the clock stands, that is for one placement pass. [dependentsOf]: the open jobs that directly depend on one.
+ * Computes by when jobs have to end so that their own deadlines and those of the jobs that depend on them are met. The
+ * end of a job leaves time for the run times on the longest path to the deadline (the critical path). Results are
+ * cached while the clock stands still, that is for one placement pass. [dependentsOf] returns the open jobs that
+ * directly depend on a job.
  */
 internal class Deadlines(
     objectives: List<Objective>,
@@ -16,54 +17,52 @@
     private val clock: Clock,
     private val dependentsOf: (Job) -> Collection<Job>,
 ) {
-    /** For each class, the multiples of the deadline that its service-level objectives ask for, ascending. */
+    /** By class, the multiples of the deadline that its service-level objectives name, ascending. */
     private val deadlineMultiples: Map<String, List<Double>> =
         objectives
             .filter { it.kind == "deadline" && it.jobClass != null }
             .groupBy({ it.jobClass.orEmpty() }, { it.times })
             .mapValues { it.value.sorted() }
 
-    private val knownEnds = HashMap<Job, List<Double>>()
+    private val cachedEndsS = HashMap<Job, List<Double>>()
 
-    /** Steady ms at which [knownEnds] was last emptied. */
-    private var validAt = Long.MIN_VALUE
+    /** Steady ms for which [cachedEndsS] is valid. */
+    private var cachedAtMs = Long.MIN_VALUE
 
-    /**
-     * The latest times, in wall-clock seconds and ascending, at which [job] may end; one for each deadline to be met.
-     */
-    fun latestEnds(job: Job): List<Double> {
-        if (validAt != clock.steadyMs) {
-            validAt = clock.steadyMs
-            knownEnds.clear()
+    /** Returns the latest end times of [job] in wall-clock seconds, ascending, one for each deadline to be met. */
+    fun latestEndsS(job: Job): List<Double> {
+        if (cachedAtMs != clock.steadyMs) {
+            cachedAtMs = clock.steadyMs
+            cachedEndsS.clear()
         }
-        return latestEnds(job, SchedulingTuning.DEADLINE_LOOK_AHEAD)
+        return latestEndsS(job, SchedulingTuning.MAX_DEADLINE_CHAIN_JOBS)
     }
 
-    /** [depth]: how many more jobs along the chain are asked. Of all paths the one with the earliest end counts. */
-    private fun latestEnds(
+    /** Considers at most [depth] more jobs along each path; the path with the earliest end determines the result. */
+    private fun latestEndsS(
         job: Job,
         depth: Int,
     ): List<Double> {
-        val own = ownDeadlines(job)
+        val own = ownDeadlinesS(job)
         val dependents = dependentsOf(job)
         if (dependents.isEmpty() || depth == 0) return own
-        knownEnds[job]?.let { return it }
-        // Also ends the search where a record claims a cycle.
-        knownEnds[job] = own
+        cachedEndsS[job]?.let { return it }
+        // Also ends the recursion if records contain a dependency cycle.
+        cachedEndsS[job] = own
         val candidates =
-            dependents.map { dependent -> latestStarts(dependent, depth - 1) } +
+            dependents.map { dependent -> latestStartsS(dependent, depth - 1) } +
                 listOf(own)
         val earliest = candidates.filter { it.isNotEmpty() }.minByOrNull { it.first() }.orEmpty()
-        knownEnds[job] = earliest
+        cachedEndsS[job] = earliest
         return earliest
     }
 
-    private fun latestStarts(
+    private fun latestStartsS(
         job: Job,
         depth: Int,
-    ): List<Double> = latestEnds(job, depth).map { it - estimates.seconds(job) }
+    ): List<Double> = latestEndsS(job, depth).map { it - estimates.seconds(job) }
 
-    private fun ownDeadlines(job: Job): List<Double> {
+    private fun ownDeadlinesS(job: Job): List<Double> {
         val deadlineS = job.spec.deadlineS ?: return emptyList()
         val submittedAtS = job.record.submittedAt / MS_PER_SECOND
         return (deadlineMultiples[job.spec.jobClass] ?: listOf(1.0)).map { submittedAtS + deadlineS * it }
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -7,9 +7,9 @@
 import ledgearch.runtime.Metrics
 
 /**
- * The ordinary path of placement. Machines start the heads of their first-come queues as room shows; new tasks take a
- * machine with room, else they are bound to the queue of a home machine or of one of its buddies ([QueueBinding]), else
- * they wait unbound. More urgent priorities go first. [start] starts the task of that index on a machine.
+ * Places the pending tasks of jobs, more urgent priorities first: on a machine with room if there is one; otherwise
+ * room is made by preemption if that is allowed ([Preemption]), and the tasks are bound to the queues of machines
+ * ([QueueBinder]) or wait unbound. [startTask] starts the task with a given index on a machine.
  */
 internal class Placer(
     private val machines: Map<String, Machine>,
@@ -21,72 +21,76 @@
     private val recovery: RecoveryPolicy,
     private val estimates: Estimates,
     private val metrics: Metrics,
-    start: (Job, Int, Machine) -> Unit,
+    startTask: (Job, Int, Machine) -> Unit,
 ) {
     /**
-     * Images of latency-sensitive arrays; machines that hold one are left to those while others have room. An image
-     * stays among them until [clear].
+     * Images of latency-sensitive arrays, kept until [clear]. Other arrays start on machines without these images as
+     * long as such machines have room.
      */
     private val latencySensitiveImages = HashSet<String>()
-    private val queues = QueueBinding(machines, clock, recovery)
+    private val queues = QueueBinder(machines, clock, recovery)
     private val starter =
-        TaskStarter(teams, recovery, queues, start) { job ->
+        TaskStarter(teams, recovery, queues, startTask) { job ->
             CandidateRating(job, reliability, ranking, latencySensitiveImages)
         }
     private val reservations = StarvedJobReservations(clock)
 
-    /** [job] is over: none of its tasks waits in a queue any more. */
-    fun forget(job: Job) = queues.forget(job)
+    /** Removes all tasks of [job], which is over, from the queues. */
+    fun forget(job: Job) = queues.unbindAll(job)
 
-    /** Machines have come, changed or gone; the tasks bound to the queue of [gone] wait unbound again. */
-    fun machinesChanged(gone: Machine? = null) = queues.machinesChanged(gone)
+    /** Called when machines have joined, changed or left; tasks bound to the queue of [removed] wait unbound again. */
+    fun machinesChanged(removed: Machine? = null) = queues.updateMachines(removed)
 
-    /** Forgets all that only a leader knows. */
+    /** Clears all state that is kept only while this node leads. */
     fun clear() {
         queues.clear()
         latencySensitiveImages.clear()
         reservations.clear()
     }
 
-    /** New tasks may be started on [machine] now. */
+    /** Returns whether new tasks may be started on [machine] now. */
     fun usable(machine: Machine): Boolean = machine.isUsable(clock)
 
-    /** Starts, makes room for or binds to queues what it can of the tasks of [jobs] that wait. */
+    /**
+     * Starts the pending tasks of [jobs], preempts other tasks for them or binds them to queues, as far as possible.
+     */
     fun pass(jobs: Collection<Job>) {
-        val open = jobs.filter { it.startable(clock.steadyMs) }
-        recovery.look(open)
-        if (open.isEmpty()) return
+        val startable = jobs.filter { it.startable(clock.steadyMs) }
+        recovery.look(startable)
+        if (startable.isEmpty()) return
         val allUsable = machines.values.filter { usable(it) }
         starter.beginPass()
-        noteLatencySensitiveImages(open)
-        val usable = without(serveStarved(open, allUsable), allUsable)
+        addLatencySensitiveImages(startable)
+        val usable = excluding(serveStarved(startable, allUsable), allUsable)
         val running = jobs.filter { it.attempts.isNotEmpty() }
-        val waiting = serveByPriority(open, usable, running)
+        val waiting = serveByPriority(startable, usable, running)
         if (waiting.isEmpty()) return
         val admitting = if (recovery.isActive) usable.filter { !it.heldBack } else usable
-        metrics.spend("preemption") { preemption.pass(waiting, admitting, running, estimates.freedCpusPerSecond(jobs)) }
+        metrics.spend("preemption") {
+            preemption.runPass(waiting, admitting, running, estimates.freedCpusPerSecond(jobs))
+        }
         metrics.spend("queues") { queues.bindWaiting(waiting, usable) }
     }
 
-    private fun noteLatencySensitiveImages(open: List<Job>) {
-        for (job in open) {
+    private fun addLatencySensitiveImages(startable: List<Job>) {
+        for (job in startable) {
             if (!job.isService && ranking.isLatencySensitive(job)) latencySensitiveImages.add(job.spec.image)
         }
     }
 
     /** Returns the jobs that still wait for room, in serving order. */
     private fun serveByPriority(
-        open: List<Job>,
+        startable: List<Job>,
         usable: List<Machine>,
         running: List<Job>,
     ): List<Job> {
         val waiting = ArrayList<Job>()
         val levels =
-            open
+            startable
                 .groupBy { it.priority }
                 .toSortedMap()
                 .values
-                .map(ranking::order)
+                .map(ranking::sortByRank)
         for (ordered in recovery.arrange(levels)) {
             for (job in ordered) {
                 if (ranking.isLatencySensitive(job)) {
@@ -103,8 +107,8 @@
     }
 
     /**
-     * Latency-sensitive tasks for which room can't be made at once where their image is start anywhere, and before less
-     * urgent work takes that room: the image is there for the next.
+     * Makes room for latency-sensitive tasks on machines with their image, and starts the remaining ones on any machine
+     * before less urgent work takes the room: their image is then present there for the next ones.
      */
     private fun startLatencySensitive(
         jobs: List<Job>,
@@ -112,37 +116,37 @@
         running: List<Job>,
     ) {
         if (jobs.isEmpty()) return
-        // The status shows the time spent under this name.
-        val assigned = metrics.spend("latency_sensitive") { preemption.makeRoomWhereImageIs(jobs, usable, running) }
+        val assigned =
+            metrics.spend("latency_sensitive") { preemption.makeRoomWhereImageIsPresent(jobs, usable, running) }
         for (job in jobs) starter.startAnywhere(job, usable, keepPending = assigned[job] ?: 0)
     }
 
     /**
-     * Starved jobs come first, with a part of their tasks, so that what else waits goes on being served. Where there is
-     * no room for one, a machine is reserved for it until there is: small tasks would take each piece that frees.
+     * Starts a part of the tasks of each starved job, so that other jobs are served as well. If none of a job's tasks
+     * fits anywhere, reserves a machine for it, since smaller tasks would otherwise take all room that becomes free.
      * Returns the reserved machines.
      */
     private fun serveStarved(
-        open: List<Job>,
+        startable: List<Job>,
         usable: List<Machine>,
     ): Set<Machine> {
-        val starved = open.filter { it.attempts.isEmpty() && ranking.isStarved(it) }.sortedBy { it.readyAt }
+        val starved = startable.filter { it.attempts.isEmpty() && ranking.isStarved(it) }.sortedBy { it.readyAt }
         val reserved = HashSet<Machine>()
         for (job in starved) {
-            val free = without(reserved, usable)
-            val part = maxOf(1, job.pendingCount / SchedulingTuning.STARVED_PARTS)
-            starter.startAnywhere(job, free, keepPending = job.pendingCount - part)
+            val unreserved = excluding(reserved, usable)
+            val part = maxOf(1, job.pendingCount / SchedulingTuning.STARVED_JOB_PARTS)
+            starter.startAnywhere(job, unreserved, keepPending = job.pendingCount - part)
             job.attempts.values.forEach { it.exemptFromPreemption = true }
             val mayReserve = job.attempts.isEmpty() && teams.allows(job)
-            if (mayReserve && reserved.size < SchedulingTuning.RESERVED_AT_ONCE) {
-                reservations.reserve(job, free)?.let { reserved.add(it) }
+            if (mayReserve && reserved.size < SchedulingTuning.MAX_RESERVED_MACHINES) {
+                reservations.reserve(job, unreserved)?.let { reserved.add(it) }
             }
         }
-        reservations.keepOnly(starved)
+        reservations.retainOnly(starved)
         return reserved
     }
 
-    private fun without(
+    private fun excluding(
         reserved: Set<Machine>,
         usable: List<Machine>,
     ): List<Machine> = if (reserved.isEmpty()) usable else usable.filter { it !in reserved }
--- a/src/main/kotlin/ledgearch/scheduling/Preemption.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Preemption.kt
@@ -7,9 +7,9 @@
 import ledgearch.runtime.Clock
 
 /**
- * Makes room for work that may not wait: for a job of higher priority, or for one within its team's guaranteed share at
- * the cost of work that another team runs beyond its own. What has run least is preempted first. [preempt] stops an
- * attempt for a job.
+ * Preempts tasks for jobs of a higher priority, and for jobs within their team's guaranteed share at the expense of
+ * other teams' surplus. The cheapest victims ([PreemptionCosts]) are preempted first. [preempt] stops an attempt to
+ * make room for a job.
  */
 internal class Preemption(
     private val teams: TeamQuotas,
@@ -22,34 +22,35 @@
     private val costs = PreemptionCosts(ranking, clock, recovery)
 
     /**
-     * [waiting]: jobs in serving order that found no room; [usable]: machines that may serve them; [running]: jobs with
-     * tasks on machines, of which it is asked whether anything may be preempted before each machine is;
-     * [freedCpusPerSecond]: processors that running tasks free. Where that much frees soon, nothing is preempted for a
-     * job that has just come.
+     * Makes room on [usable] machines for the [waiting] jobs, which found none and are in serving order. [running] are
+     * the jobs with tasks on machines. Nothing is preempted for a job that has just arrived if the processors that
+     * running tasks free ([freedCpusPerSecond]) will soon suffice for it.
      */
-    fun pass(
+    fun runPass(
         waiting: List<Job>,
         usable: List<Machine>,
         running: List<Job>,
         freedCpusPerSecond: Double,
     ) {
-        var expectedCpus = freedCpusPerSecond * SchedulingTuning.PATIENCE_S * SchedulingTuning.FREED_SHARE_COUNTED
+        var expectedCpus =
+            freedCpusPerSecond * SchedulingTuning.MAX_PREEMPTION_DELAY_S * SchedulingTuning.FREED_SHARE_COUNTED
         val claimants =
             waiting.filter { job ->
                 val wantedCpus = job.pendingCount * job.spec.vcpus
-                val servedSoon = ranking.canWait(job, SchedulingTuning.PATIENCE_S) && expectedCpus >= wantedCpus
+                val isServedSoon =
+                    ranking.canWait(job, SchedulingTuning.MAX_PREEMPTION_DELAY_S) && expectedCpus >= wantedCpus
                 expectedCpus -= wantedCpus
-                !servedSoon && (teams.anyLowerPriority(job) || rules.mayClaimGuarantee(job, 1))
+                !isServedSoon && (teams.anyLowerPriority(job) || rules.mayClaimGuarantee(job, 1))
             }
         if (claimants.isEmpty()) return
         serve(claimants, usable, running, PreemptionMode.ANY_MACHINE)
     }
 
     /**
-     * Room for [latencySensitive] jobs on machines that have their image, at the cost of no other job's service-level
-     * objectives. Returns for each job that got any how many of its tasks get room at once.
+     * Makes room for [latencySensitive] jobs on machines that have their image, without causing any other job to miss a
+     * service-level objective. Returns, for each job that got room, the number of its tasks that did.
      */
-    fun makeRoomWhereImageIs(
+    fun makeRoomWhereImageIsPresent(
         latencySensitive: List<Job>,
         usable: List<Machine>,
         running: List<Job>,
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionCandidate.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionCandidate.kt
@@ -3,26 +3,26 @@
 import ledgearch.model.FreeResources
 import ledgearch.model.Machine
 
-/** A machine that one pass of preemption considers, with its reclaimable resources and its possible victims. */
+/** A machine that a preemption pass considers, with the resources available to the pass and the possible victims. */
 internal class PreemptionCandidate(
     val machine: Machine,
     private val costs: PreemptionCosts,
 ) {
     /**
-     * What is free once all attempts that were told to stop are gone, less what this pass has assigned to waiting
-     * tasks. The pass itself keeps it up to date.
+     * The resources that are free once all attempts being stopped have exited, less those that the pass has assigned to
+     * waiting tasks. The pass updates them.
      */
-    val freeOnceStopped: FreeResources =
+    val freeAfterStops: FreeResources =
         machine.roomLeft().apply {
             for (attempt in machine.attempts.values) {
                 if (!attempt.exited && !attempt.continues) give(attempt.job)
             }
         }
 
-    /** The attempts that continue and are not exempt, cheapest first; built when first asked for. */
+    /** The attempts that may be preempted, the cheapest first. */
     val victims: List<PreemptionVictim> by lazy(LazyThreadSafetyMode.NONE) {
         machine.attempts.values
-            .mapNotNull(costs::victim)
-            .sortedBy { it.cost }
+            .mapNotNull(costs::toVictim)
+            .sortedBy { it.costCpuS }
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
@@ -7,48 +7,51 @@
 import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.wire.Priority
 
-/** What it costs to preempt an attempt, in processor seconds: the work lost and, priced as such, the harm done. */
+/**
+ * Computes the cost of preempting an attempt, in processor seconds: the work lost, plus surcharges for missed
+ * objectives and for the priority.
+ */
 internal class PreemptionCosts(
     private val ranking: Ranking,
     private val clock: Clock,
     private val recovery: RecoveryPolicy,
 ) {
-    /** The attempt as a victim; null if it may not be preempted at all. */
-    fun victim(attempt: TaskAttempt): PreemptionVictim? {
+    /** Returns [attempt] with its cost, or null if it may not be preempted at all. */
+    fun toVictim(attempt: TaskAttempt): PreemptionVictim? {
         val job = attempt.job
         if (job == null || attempt.exemptFromPreemption || !attempt.continues) return null
-        val missed = missedObjectives(attempt, job)
-        val cost =
-            lostWork(attempt, job) +
-                missed * SchedulingTuning.MISSED_OBJECTIVE_COST +
-                priorityCost(job) -
+        val missedObjectives = countMissedObjectives(attempt, job)
+        val costCpuS =
+            lostWorkCpuS(attempt, job) +
+                missedObjectives * SchedulingTuning.MISSED_OBJECTIVE_COST_CPU_S +
+                priorityCostCpuS(job) -
                 recovery.yieldsFor(job)
-        return PreemptionVictim(attempt, job, missed, cost)
+        return PreemptionVictim(attempt, job, missedObjectives, costCpuS)
     }
 
-    /** Work that is as urgent as what it makes room for is preempted last, however little it has done. */
-    private fun priorityCost(job: Job): Double =
-        (Priority.entries.size - 1 - job.priority.ordinal) * SchedulingTuning.PRIORITY_LEVEL_COST
+    private fun priorityCostCpuS(job: Job): Double =
+        (Priority.entries.size - 1 - job.priority.ordinal) * SchedulingTuning.PRIORITY_LEVEL_COST_CPU_S
 
     /**
-     * Objectives that [job] meets only if [attempt] goes on; none if other tasks of the job wait to be started anyway.
+     * Returns how many objectives [job] meets only if [attempt] continues; 0 if other tasks of the job are still to be
+     * started anyway.
      */
-    private fun missedObjectives(
+    private fun countMissedObjectives(
         attempt: TaskAttempt,
         job: Job,
     ): Int {
         if (job.pendingCount > 0 || attempt.state != AttemptState.RUNNING) return 0
-        return ranking.missedByRestart(job, secondsSince(attempt.runningSince))
+        return ranking.countMissedByRestart(job, secondsSince(attempt.runningSince))
     }
 
-    private fun lostWork(
+    private fun lostWorkCpuS(
         attempt: TaskAttempt,
         job: Job,
     ): Double {
-        val running = attempt.state == AttemptState.RUNNING
-        val since = if (running) attempt.runningSince else attempt.assignedAt
-        val startCost = if (running) SchedulingTuning.LOST_START_COST else 0.0
-        return secondsSince(since) * job.spec.vcpus + startCost
+        val isRunning = attempt.state == AttemptState.RUNNING
+        val sinceMs = if (isRunning) attempt.runningSince else attempt.assignedAt
+        val startCostCpuS = if (isRunning) SchedulingTuning.LOST_START_COST_CPU_S else 0.0
+        return secondsSince(sinceMs) * job.spec.vcpus + startCostCpuS
     }
 
     private fun secondsSince(steadyMs: Long): Double = (clock.steadyMs - steadyMs) / MS_PER_SECOND
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionPass.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionPass.kt
@@ -7,11 +7,11 @@
 import ledgearch.model.ZoneSpread
 import ledgearch.wire.Priority
 
-/** Where and at whose cost a pass of preemption makes room. */
+/** Which machines a preemption pass considers, and which victims it accepts. */
 internal enum class PreemptionMode(
-    /** Victims may be taken whose jobs then miss service-level objectives. */
+    /** Whether jobs may miss service-level objectives because their tasks are preempted. */
     val mayMissObjectives: Boolean,
-    /** Only machines that have the job's image are considered. */
+    /** Whether only machines that have the job's image are considered. */
     val onlyImageHolders: Boolean,
 ) {
     ANY_MACHINE(mayMissObjectives = true, onlyImageHolders = false),
@@ -19,8 +19,9 @@
 }
 
 /**
- * One pass of preemption: lets each job in turn find or make room for its tasks. What is assigned here is not started:
- * the pass only keeps it off the [candidates] for the jobs that come later. [running]: all jobs with tasks on machines.
+ * A preemption pass: each job in turn takes free resources on the [candidates], or has tasks preempted for it. The pass
+ * starts no tasks; it only subtracts what it assigns from the candidates' resources, so that later jobs do not get the
+ * same. [running] are all jobs with tasks on machines.
  */
 internal class PreemptionPass(
     private val rules: PreemptionRules,
@@ -30,105 +31,105 @@
     private val running: List<Job>,
     private val mode: PreemptionMode,
 ) {
-    /** Jobs that may preempt the same: [team] matters only for those that claim its guaranteed share. */
+    /** Identifies jobs that may preempt the same tasks; [team] is set only for claims to its guaranteed share. */
     private data class PreemptionLevel(
         val priority: Priority,
         val team: String?,
     )
 
-    private val assigned = HashMap<Job, Int>()
+    private val assignedTasks = HashMap<Job, Int>()
 
-    /** Of each team, the processors of the tasks that were assigned here. */
+    /** Processors of the tasks that this pass has assigned, by team. */
     private val assignedCpus = HashMap<String, Double>()
 
-    /** What was tried in vain for one job is not tried again for another that may preempt no more. */
+    /** Sizes for which this pass found no room; they hold for all jobs of the same level. */
     private val unplaceable = HashMap<PreemptionLevel, UnplaceableSizes>()
     private val allZones = candidates.mapTo(HashSet()) { it.machine.zone }
 
-    /** Serves [jobs] in their order; returns for each job that got room how many of its tasks did. */
+    /** Serves [jobs] in their order; returns, for each job that got room, the number of its tasks that did. */
     fun serve(jobs: List<Job>): Map<Job, Int> {
         for (job in jobs) {
             val request = Request(job)
-            while (request.assignedTasks < job.pendingCount) {
+            while (request.assignedCount < job.pendingCount) {
                 if (!request.assignOneTask()) break
             }
         }
-        return assigned
+        return assignedTasks
     }
 
-    /** The tasks of one job that wait for room in this pass. */
+    /** Assigns resources to the pending tasks of one job. */
     private inner class Request(
         private val job: Job,
     ) {
-        private val places =
+        private val jobCandidates =
             if (mode.onlyImageHolders) {
                 candidates.filter { it.machine.imageDistance(job.spec.image) == Machine.IMAGE_PRESENT }
             } else {
                 candidates
             }
-        private val zones = ZoneSpread(job)
+        private val zoneSpread = ZoneSpread(job)
         private val quotaVictims by lazy(LazyThreadSafetyMode.NONE) {
-            val anyQuotaVictims = running.any { rules.mayTakeQuota(job, it) }
-            QuotaVictims(job, if (anyQuotaVictims) candidates else emptyList(), rules)
+            val hasQuotaVictims = running.any { rules.mayPreemptForQuota(job, it) }
+            QuotaVictims(job, if (hasQuotaVictims) candidates else emptyList(), rules)
         }
         private var search: ResourceSearch? = null
 
-        /** Whether [search] was begun for tasks that claim the team's guaranteed share. */
+        /** Whether [search] is for tasks that claim the team's guaranteed share. */
         private var searchClaimsGuarantee = false
 
-        var assignedTasks = 0
+        var assignedCount = 0
             private set
 
-        /** False if there is no room for another task, or its team's quota allows none. */
+        /** Returns false if there is no room for another task or the team's quota does not allow it. */
         fun assignOneTask(): Boolean {
-            val claimsGuarantee = rules.mayClaimGuarantee(job, 1 + tasksWorthAssigned())
+            val claimsGuarantee = rules.mayClaimGuarantee(job, 1 + teamAssignedTasks())
             val level = PreemptionLevel(job.priority, if (claimsGuarantee) job.spec.team else null)
-            val unplaceableHere = unplaceable.getOrPut(level) { UnplaceableSizes() }
-            val allowedZones = allZones.filterTo(HashSet()) { zones.allows(it) }
-            // A search on some of the machines only says nothing about the others.
-            if (!mode.onlyImageHolders && unplaceableHere.covers(job, allowedZones)) return false
-            val quotaLeft = assignedTasks < teams.roomOnceStopped(job)
-            val quotaVictim = if (quotaLeft) null else quotaVictims.next() ?: return false
-            val search = searchFor(claimsGuarantee)
+            val unplaceableAtLevel = unplaceable.getOrPut(level) { UnplaceableSizes() }
+            val allowedZones = allZones.filterTo(HashSet()) { zoneSpread.allows(it) }
+            // A search of image holders only does not show that the other machines have no room.
+            if (!mode.onlyImageHolders && unplaceableAtLevel.covers(job, allowedZones)) return false
+            val isQuotaLeft = assignedCount < teams.roomOnceStopped(job)
+            val quotaVictim = if (isQuotaLeft) null else quotaVictims.next() ?: return false
+            val search = getOrCreateSearch(claimsGuarantee)
             val candidate = search.next()
             if (candidate == null) {
-                if (!mode.onlyImageHolders) unplaceableHere.add(job, allowedZones)
+                if (!mode.onlyImageHolders) unplaceableAtLevel.add(job, allowedZones)
                 return false
             }
-            quotaVictim?.let(::takeQuota)
+            quotaVictim?.let(::preemptForQuota)
             assign(candidate)
             search.putBack(candidate)
             return true
         }
 
-        /** What this pass has assigned to the job's team, in tasks of this job. */
-        private fun tasksWorthAssigned(): Int {
+        /** Returns the processors that this pass has assigned to the team, as a number of tasks of this job. */
+        private fun teamAssignedTasks(): Int {
             val cpus = assignedCpus[job.spec.team] ?: 0.0
             return if (job.spec.vcpus > 0) (cpus / job.spec.vcpus).toInt() else 0
         }
 
-        /** The search so far; a new one when the tasks reach the end of the guaranteed share or come under it again. */
-        private fun searchFor(claimsGuarantee: Boolean): ResourceSearch {
+        /** Returns the current search, or a new one if [claimsGuarantee] has changed since it was created. */
+        private fun getOrCreateSearch(claimsGuarantee: Boolean): ResourceSearch {
             search?.let { if (searchClaimsGuarantee == claimsGuarantee) return it }
-            val selection = VictimSelection(job, claimsGuarantee, mode, rules, teams)
-            val anyVictims = running.any { rules.mayPreempt(job, claimsGuarantee, it) }
-            val begun = ResourceSearch(job, places, zones, selection, anyVictims, preempt)
-            search = begun
+            val victimSelector = VictimSelector(job, claimsGuarantee, mode, rules, teams)
+            val hasVictims = running.any { rules.mayPreempt(job, claimsGuarantee, it) }
+            val newSearch = ResourceSearch(job, jobCandidates, zoneSpread, victimSelector, hasVictims, preempt)
+            search = newSearch
             searchClaimsGuarantee = claimsGuarantee
-            return begun
+            return newSearch
         }
 
-        private fun takeQuota(from: QuotaVictim) {
-            from.candidate.freeOnceStopped.give(from.victim.job)
-            preempt(from.victim.attempt, job)
+        private fun preemptForQuota(quotaVictim: QuotaVictim) {
+            quotaVictim.candidate.freeAfterStops.give(quotaVictim.victim.job)
+            preempt(quotaVictim.victim.attempt, job)
         }
 
         private fun assign(candidate: PreemptionCandidate) {
-            candidate.freeOnceStopped.take(job)
-            zones.add(candidate.machine.zone)
-            assigned.merge(job, 1, Int::plus)
+            candidate.freeAfterStops.take(job)
+            zoneSpread.add(candidate.machine.zone)
+            assignedTasks.merge(job, 1, Int::plus)
             assignedCpus.merge(job.spec.team, job.spec.vcpus, Double::plus)
-            assignedTasks++
+            assignedCount++
         }
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
@@ -3,22 +3,24 @@
 import ledgearch.model.Job
 import ledgearch.model.TeamQuotas
 
-/** Which job may preempt tasks of which other. */
+/** Decides which jobs may preempt tasks of which other jobs. */
 internal class PreemptionRules(
     private val teams: TeamQuotas,
     private val ranking: Ranking,
     private val recovery: RecoveryPolicy,
 ) {
-    /** [tasks] more tasks of [job] are within its team's guaranteed share, and it has waited long enough to claim. */
+    /**
+     * Returns whether [job] may claim its team's guaranteed share by now and [tasks] more of its tasks are within it.
+     */
     fun mayClaimGuarantee(
         job: Job,
         tasks: Int,
     ): Boolean = ranking.mayClaimGuarantee(job) && teams.mayClaim(job, tasks)
 
     /**
-     * [job] may preempt tasks of [victim]: those of a lower priority and, if [claimsGuarantee], those of its own
-     * priority that another team runs beyond its guaranteed share. A victim must come after [job] in serving order:
-     * else it would be started again and preempted again for ever.
+     * Returns whether [job] may preempt tasks of [victim]: those of a lower priority and, if [claimsGuarantee], the
+     * surplus of other teams at its own priority. A victim must come after [job] in serving order; otherwise it would
+     * be restarted and preempted again endlessly.
      */
     fun mayPreempt(
         job: Job,
@@ -30,17 +32,17 @@
         return claimsGuarantee && victim.priority == job.priority && isSurplusOfOtherTeam(job, victim)
     }
 
-    /** [victim] runs beyond the guaranteed share of another team than the one of [job], and that team can spare it. */
+    /** Returns whether [victim] runs beyond the guaranteed share of a team other than that of [job]. */
     private fun isSurplusOfOtherTeam(
         job: Job,
         victim: Job,
     ): Boolean = !victim.guaranteed && victim.spec.team != job.spec.team && !victim.isService && teams.canSpare(victim)
 
     /**
-     * A task of [victim] may be preempted because the quota of the team that it shares with [job] is used up. It is
-     * less urgent and holds at least as much of the quota as a task of [job] asks for.
+     * Returns whether [job], whose team has used up its quota, may preempt tasks of [victim] to free some of it:
+     * [victim] belongs to the same team, is less urgent, and each of its tasks uses at least as much of the quota.
      */
-    fun mayTakeQuota(
+    fun mayPreemptForQuota(
         job: Job,
         victim: Job,
     ): Boolean =
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionVictim.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionVictim.kt
@@ -4,24 +4,24 @@
 import ledgearch.model.TaskAttempt
 
 /**
- * An attempt that may be preempted, and what that costs. Both are computed once and hold for a whole pass; whether the
- * attempt still [continues][TaskAttempt.continues] is to be asked again before it is preempted.
+ * An attempt that may be preempted, with its cost. The cost is computed once per pass, in which the attempt may be
+ * stopped: before it is preempted, [TaskAttempt.continues] must be checked again.
  */
 internal class PreemptionVictim(
     val attempt: TaskAttempt,
     /** The job of [attempt]. */
     val job: Job,
-    /** Service-level objectives that [job] misses if the task starts again, and would meet otherwise. */
+    /** Number of service-level objectives that [job] misses only if the task is restarted. */
     val missedObjectives: Int,
-    /** In processor seconds, see [PreemptionCosts]; may be negative. */
-    val cost: Double,
+    /** Cost in processor seconds, see [PreemptionCosts]; may be negative. */
+    val costCpuS: Double,
 )
 
-/** The victims on one machine that have to be preempted for one more task to fit there, and what that costs. */
+/** The victims that must be preempted for one more task to fit on a machine, with their cost. */
 internal class VictimSet(
     val candidate: PreemptionCandidate,
-    /** In the order in which they were selected: the cheapest first. */
+    /** The victims, the cheapest first. */
     val victims: List<PreemptionVictim>,
-    /** In processor seconds: the sum over [victims], and what it costs that the machine lacks the image. */
-    val cost: Double,
+    /** Cost of all [victims] in processor seconds, plus that of the image if it is not present on the machine. */
+    val costCpuS: Double,
 )
--- a/src/main/kotlin/ledgearch/scheduling/PreferredLists.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreferredLists.kt
@@ -3,36 +3,36 @@
 import ledgearch.model.Machine
 
 /**
- * The paper's preferred lists, inside one block and zone: the machines in the order of their names form a ring, and the
- * k-th preferred machine of each is the one a fixed number of places further on, the same for all. So every machine is
- * the k-th preferred of exactly one other, and overloaded machines do not dump their tasks on the same buddy.
+ * The preferred lists of buddies within one block and zone. The machines of a zone, sorted by name, form a ring, and
+ * the k-th buddy of each machine is at the same offset from it. So every machine is the k-th buddy of exactly one
+ * other, and overloaded machines do not all transfer tasks to the same buddy.
  */
 internal class PreferredLists(
     machines: Collection<Machine>,
 ) {
-    private class Place(
+    private class RingPosition(
         val ring: List<Machine>,
         val index: Int,
     )
 
-    private val places = HashMap<Machine, Place>()
+    private val positions = HashMap<Machine, RingPosition>()
 
     init {
         for (ring in machines.groupBy { it.zone }.values.map { list -> list.sortedBy { it.name } }) {
-            ring.forEachIndexed { index, machine -> places[machine] = Place(ring, index) }
+            ring.forEachIndexed { index, machine -> positions[machine] = RingPosition(ring, index) }
         }
     }
 
-    /** The buddies of [machine], first the most preferred; empty if it is not one of the machines. */
-    fun of(machine: Machine): List<Machine> {
-        val place = places[machine] ?: return emptyList()
-        val size = place.ring.size
-        return offsets(size).map { place.ring[Math.floorMod(place.index + it, size)] }
+    /** Returns the buddies of [machine], the most preferred first; empty if it is not one of the machines. */
+    fun buddiesOf(machine: Machine): List<Machine> {
+        val position = positions[machine] ?: return emptyList()
+        val size = position.ring.size
+        return offsets(size).map { position.ring[Math.floorMod(position.index + it, size)] }
     }
 
     private fun offsets(size: Int): List<Int> {
-        val count = minOf(SchedulingTuning.BUDDIES, size - 1)
-        // +1, -1, +2, -2, ...: near neighbours first, and no place twice.
+        val count = minOf(SchedulingTuning.MAX_BUDDIES, size - 1)
+        // +1, -1, +2, -2, ...: near neighbours first, and no position twice.
         return (0 until count).map { if (it % 2 == 0) it / 2 + 1 else -(it / 2 + 1) }
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/QuotaVictims.kt
+++ b/src/main/kotlin/ledgearch/scheduling/QuotaVictims.kt
@@ -2,15 +2,15 @@
 
 import ledgearch.model.Job
 
-/** A victim whose preemption frees quota of its team, with the machine that it is on. */
+/** A victim whose preemption frees quota of its team, with its machine. */
 internal class QuotaVictim(
     val candidate: PreemptionCandidate,
     val victim: PreemptionVictim,
 )
 
 /**
- * The less urgent tasks of the same team, for a [job] that its team's quota leaves no room for: cheapest first, each
- * returned once. On which machine they are does not matter.
+ * Iterates over the tasks, on any machine, that may be preempted to free quota of the team of [job]: the cheapest
+ * first, each once.
  */
 internal class QuotaVictims(
     job: Job,
@@ -21,12 +21,12 @@
         candidates
             .flatMap { candidate ->
                 candidate.victims
-                    .filter { rules.mayTakeQuota(job, it.job) }
+                    .filter { rules.mayPreemptForQuota(job, it.job) }
                     .map { QuotaVictim(candidate, it) }
-            }.sortedBy { it.victim.cost }
+            }.sortedBy { it.victim.costCpuS }
             .iterator()
 
-    /** The next one that has not been preempted meanwhile; null when there is none left. */
+    /** Returns the next victim that has not been stopped meanwhile; null if there is none. */
     fun next(): QuotaVictim? {
         while (remaining.hasNext()) {
             val next = remaining.next()
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -7,9 +7,9 @@
 import ledgearch.runtime.MS_PER_SECOND
 
 /**
- * The order in which jobs are served. The paper's queues are first-come with equal tasks; here tasks differ, so within
- * a priority a job that can still meet its service-level objectives goes before one that can't, and less expected work
- * before more, with waiting counted in a job's favour.
+ * Determines the order in which jobs are served. The paper serves equal tasks in order of arrival; here tasks differ,
+ * so within a priority jobs in their team's guaranteed share come first, then those that can still meet more of their
+ * service-level objectives, then those with less expected work, with waiting time counted in a job's favour.
  */
 internal class Ranking(
     objectives: List<Objective>,
@@ -17,121 +17,125 @@
     private val clock: Clock,
     private val deadlines: Deadlines,
 ) {
-    /** By class, the seconds after which a job is to be finished, ascending. */
-    private val finishWithin: Map<String, List<Double>> =
+    /** By class, the seconds within which a job is to be finished, ascending. */
+    private val finishWithinS: Map<String, List<Double>> =
         objectives
             .filter { it.kind == "finished" && it.jobClass != null && it.withinS != null }
             .groupBy({ it.jobClass.orEmpty() }, { it.withinS ?: 0.0 })
             .mapValues { it.value.sorted() }
 
-    /** By class, the seconds after which a job is to be started. */
-    private val startWithin: Map<String, Double> = objectives.startWithinS()
+    /** By class, the seconds within which a job is to be started. */
+    private val startWithinS: Map<String, Double> = objectives.startWithinS()
 
-    /** Seconds after which work within a team's guaranteed share is to be started. */
-    private val guaranteeWithin: Double? =
+    /** Seconds within which work in a team's guaranteed share is to be started. */
+    private val startGuaranteedWithinS: Double? =
         objectives
             .filter { it.kind == "guarantee" }
             .mapNotNull { it.withinS }
             .minOrNull()
 
-    /** The job's class is to start sooner than its image can be fetched, and it is not too late for that. */
+    /** Returns whether [job] is to start sooner than its image can be fetched, and the time for that has not passed. */
     fun isLatencySensitive(job: Job): Boolean {
-        val within = startWithin[job.spec.jobClass] ?: return false
-        return within < imageFetchS(job) && waitedS(job) < within
+        val withinS = startWithinS[job.spec.jobClass] ?: return false
+        return withinS < imageFetchS(job) && waitedS(job) < withinS
     }
 
     /**
-     * Work within a guaranteed share claims room from other teams' surplus only once half the time in which it is to
-     * start, less what its image takes, is over: it is served before all else of its priority, and mostly enough frees
-     * by itself.
+     * Returns whether [job] has waited long enough to preempt other teams' surplus if it is in its team's guaranteed
+     * share: half of the time in which it is to start, after subtracting the image fetch. Until then it is only served
+     * first within its priority, and usually enough room becomes free without preemption.
      */
     fun mayClaimGuarantee(job: Job): Boolean {
-        val within = guaranteeWithin ?: return true
-        return waitedS(job) >= (within - imageFetchS(job)) / 2
+        val withinS = startGuaranteedWithinS ?: return true
+        return waitedS(job) >= (withinS - imageFetchS(job)) / 2
     }
 
-    /** An array that came less than [seconds] ago, and half the time in which it is to start is not over. */
+    /**
+     * Returns whether [job] is an array that has waited for less than [maxWaitS] seconds and for less than half of the
+     * time in which it is to start.
+     */
     fun canWait(
         job: Job,
-        seconds: Double,
+        maxWaitS: Double,
     ): Boolean =
-        !job.isService && waitedS(job) < minOf(seconds, (startWithin[job.spec.jobClass] ?: Double.MAX_VALUE) / 2)
+        !job.isService && waitedS(job) < minOf(maxWaitS, (startWithinS[job.spec.jobClass] ?: Double.MAX_VALUE) / 2)
 
     /**
-     * No task of the job was started for so long that it goes before all others. Without this bound a steady stream of
-     * small or more urgent work would keep a large job waiting for ever.
+     * Returns whether no task of [job] was started for so long that it is served before all others. Without this bound
+     * a steady stream of small or more urgent jobs would keep a large job waiting forever.
      */
     fun isStarved(job: Job): Boolean = job.unservedMs(clock.wallMs) > SchedulingTuning.STARVED_MS
 
     private class RankedJob(
         val job: Job,
         val missedObjectives: Int,
-        val cost: Double,
+        val costCpuS: Double,
     )
 
-    /** [jobs] of one priority, first to be served first. */
-    fun order(jobs: List<Job>): List<Job> =
+    /** Returns [jobs], all of one priority, in serving order. */
+    fun sortByRank(jobs: List<Job>): List<Job> =
         jobs
-            .map { RankedJob(it, missedIfStartedNow(it), cost(it)) }
-            .sortedWith(compareBy({ !it.job.guaranteed }, { it.missedObjectives }, { it.cost }, { it.job.id }))
+            .map { RankedJob(it, countMissedIfStartedNow(it), costCpuS(it)) }
+            .sortedWith(compareBy({ !it.job.guaranteed }, { it.missedObjectives }, { it.costCpuS }, { it.job.id }))
             .map { it.job }
 
-    /** How many of its objectives the job can't meet any more even if it started now. */
-    private fun missedIfStartedNow(job: Job): Int =
+    /** Returns how many of its objectives [job] would miss even if it started now. */
+    private fun countMissedIfStartedNow(job: Job): Int =
         if (job.isService) {
             0
         } else {
-            missedObjectives(
+            countMissed(
                 job,
                 waitedS(job) + estimates.seconds(job),
             )
         }
 
-    /** How many more objectives [job] misses when a task that has run for [ranS] seconds starts again. */
-    fun missedByRestart(
+    /** Returns how many more objectives [job] misses if a task that has run for [ranS] seconds is restarted. */
+    fun countMissedByRestart(
         job: Job,
         ranS: Double,
     ): Int {
         if (job.isService) return 0
-        val end = waitedS(job) + estimates.seconds(job)
-        return missedObjectives(job, end) - missedObjectives(job, end - ranS)
+        val endS = waitedS(job) + estimates.seconds(job)
+        return countMissed(job, endS) - countMissed(job, endS - ranS)
     }
 
     /**
-     * How many more objectives [job], whose tasks take [seconds], misses when its end is put off by [delay] seconds.
+     * Returns how many more objectives [job], whose tasks run for [runS] seconds, misses if its end is delayed by
+     * [delayS] seconds.
      */
-    fun missedByLoss(
+    fun countMissedByDelay(
         job: Job,
-        seconds: Double,
-        delay: Double,
+        runS: Double,
+        delayS: Double,
     ): Int {
         if (job.isService) return 0
-        val end = seconds + if (job.attempts.isEmpty()) waitedS(job) else 0.0
-        return missedObjectives(job, end + delay) - missedObjectives(job, end)
+        val endS = runS + if (job.attempts.isEmpty()) waitedS(job) else 0.0
+        return countMissed(job, endS + delayS) - countMissed(job, endS)
     }
 
-    /** Seconds since the job could start. */
+    /** Returns the seconds since [job] became ready to start. */
     private fun waitedS(job: Job): Double = (clock.wallMs - job.readyAt) / MS_PER_SECOND
 
-    private fun imageFetchS(job: Job): Double = job.spec.imageGb * SchedulingTuning.FETCH_S_PER_GB
+    private fun imageFetchS(job: Job): Double = job.spec.imageGb * SchedulingTuning.IMAGE_FETCH_S_PER_GB
 
-    /** [end]: seconds after the job could start. */
-    private fun missedObjectives(
+    /** Returns how many objectives [job] misses if it ends [endS] seconds after it became ready to start. */
+    private fun countMissed(
         job: Job,
-        end: Double,
+        endS: Double,
     ): Int {
         var missed = 0
-        finishWithin[job.spec.jobClass]?.forEach { if (end > it) missed++ }
-        val endsAt = job.readyAt / MS_PER_SECOND + end
-        deadlines.latestEnds(job).forEach { if (endsAt > it) missed++ }
+        finishWithinS[job.spec.jobClass]?.forEach { if (endS > it) missed++ }
+        val wallEndS = job.readyAt / MS_PER_SECOND + endS
+        deadlines.latestEndsS(job).forEach { if (wallEndS > it) missed++ }
         return missed
     }
 
-    /** Processor seconds still to be done, less a credit for each second waited. */
-    private fun cost(job: Job): Double {
-        val waited = waitedS(job)
-        if (job.isService) return -waited
-        val work = job.pendingCount * job.spec.vcpus * estimates.seconds(job)
-        return work - waited * job.spec.vcpus * job.spec.taskCount * SchedulingTuning.AGE_CREDIT
+    /** Returns the processor seconds of the pending tasks, less a credit for the time waited. */
+    private fun costCpuS(job: Job): Double {
+        val waitedS = waitedS(job)
+        if (job.isService) return -waitedS
+        val workCpuS = job.pendingCount * job.spec.vcpus * estimates.seconds(job)
+        return workCpuS - waitedS * job.spec.vcpus * job.spec.taskCount * SchedulingTuning.WAITING_CREDIT_SHARE
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/RecoveryPolicy.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RecoveryPolicy.kt
@@ -4,51 +4,56 @@
 import ledgearch.model.Machine
 
 /**
- * What the recovery from a lost zone changes in placement: in which order, where and how fast work is started. It never
- * allows what the rules or a team's quota forbid.
+ * Changes the order, place and pace of placement while the cluster recovers from the loss of a zone. It only restricts
+ * placement or reorders jobs and never permits what the rules or a team's quota forbid.
  */
 internal interface RecoveryPolicy {
-    /** Some zone is not up, so that the other members may answer something else than usual. */
+    /** False while all zones are up and no displaced work is tracked: then the policy changes nothing. */
     val isActive: Boolean
 
-    /** Tells that [waiting] are all the jobs that wait for room at present. */
+    /** Called at the start of each placement pass with all jobs that wait for room. */
     fun look(waiting: Collection<Job>)
 
-    /** Takes jobs by levels of priority, each in serving order; returns them as they are to be served. */
+    /** Returns the jobs of [levels], one list per priority in serving order, in the order in which they are served. */
     fun arrange(levels: List<List<Job>>): List<List<Job>>
 
-    /** New tasks of [job] may go to [machine] now, as far as the recovery is concerned. */
+    /** Returns whether the recovery permits new tasks of [job] on [machine] now. */
     fun admits(
         machine: Machine,
         job: Job,
     ): Boolean
 
-    /** One more task of [job] may be started now. */
+    /** Returns whether one more task of [job] may be started now. */
     fun mayStart(job: Job): Boolean
 
-    /** Where [job] finds no room may say nothing about others: it is held back, or allowed more than they are. */
+    /**
+     * Returns whether the recovery limits [job] more or less than other jobs, so that a failed search for room for it
+     * does not apply to them, nor theirs to it.
+     */
     fun isSpecial(job: Job): Boolean
 
-    /** Tells that the task [index] of [job] was started. */
+    /** Called when the task [index] of [job] was started. */
     fun started(
         job: Job,
         index: Int,
     )
 
-    /** [victim] may not be preempted for [job]: both were displaced, and the operators' order has [victim] first. */
+    /**
+     * Returns whether [victim] may not be preempted for [job]: both are displaced, and [victim] is to recover first.
+     */
     fun protects(
         victim: Job,
         job: Job,
     ): Boolean
 
     /**
-     * Processor seconds that are taken off the cost of preempting a task of [job]: displaced work of later groups is
-     * preempted first.
+     * Returns the processor seconds subtracted from the cost of preempting a task of [job], so that displaced work of
+     * later recovery groups is preempted first.
      */
     fun yieldsFor(job: Job): Double
 }
 
-/** Zone recovery is switched off: placement is as if no zone were ever lost. */
+/** The policy when zone recovery is switched off: placement does not depend on the loss of zones. */
 internal object NoRecovery : RecoveryPolicy {
     override val isActive = false
 
--- a/src/main/kotlin/ledgearch/scheduling/Reliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Reliability.kt
@@ -5,149 +5,155 @@
 import kotlin.math.exp
 
 /**
- * How often spot machines are lost, from what was observed, and which jobs had therefore better run on on-demand
- * machines.
+ * Estimates the loss rate of spot machines from observation, and chooses the jobs that should run on on-demand machines
+ * because of it.
  */
 internal class Reliability(
     private val estimates: Estimates,
     private val ranking: Ranking,
 ) {
-    /** Machine hours observed and losses counted in them; both begin with a first guess. */
-    private var hours = SchedulingTuning.LOSS_PRIOR_HOURS
-    private var losses = SchedulingTuning.LOSS_PRIOR_HOURS * SchedulingTuning.LOSS_PRIOR_RATE
+    /** Observed spot machine hours, and the losses counted in them; both start with the prior. */
+    private var machineHours = SchedulingTuning.PRIOR_LOSS_MACHINE_HOURS
+    private var losses = SchedulingTuning.PRIOR_LOSS_MACHINE_HOURS * SchedulingTuning.PRIOR_LOSSES_PER_MACHINE_HOUR
 
-    /** Steady ms up to which [hours] are counted; 0 before the first time. */
-    private var countedAt = 0L
+    /** Steady ms up to which [machineHours] are counted; 0 before the first count. */
+    private var countedUntilMs = 0L
     private var spotMachines = 0
 
-    /** Steady ms at which the present window of losses began. */
-    private var windowAt = Long.MIN_VALUE / 2
+    /** Steady ms at which the current loss window began. */
+    private var windowStartMs = Long.MIN_VALUE / 2
 
-    /** Losses that still count in the present window. */
-    private var windowLeft = 0.0
+    /** Number of losses that can still be counted in the current window. */
+    private var windowLossesLeft = 0.0
 
-    /** Risky jobs that on-demand machines have room for, as last chosen. */
+    /** Jobs at risk that are placed on on-demand machines, as of the last choice. */
     private val onDemandJobs = HashSet<Job>()
 
-    /** Risky jobs that had better run on on-demand machines, room or not, as last chosen. */
-    private val wantingOnDemand = HashSet<Job>()
+    /** Jobs at risk that would gain by on-demand machines, whether or not they have room for them. */
+    private val gainingJobs = HashSet<Job>()
 
-    /** [machines] are all there are at [nowMs], steady: adds the hours of the spot machines since the last call. */
+    /** Adds the hours of the spot machines among all [machines] from the last call to [nowMs] (steady). */
     fun count(
         machines: Collection<Machine>,
         nowMs: Long,
     ) {
         spotMachines = machines.count { it.spot }
-        if (countedAt != 0L) hours += spotMachines * (nowMs - countedAt) / MS_PER_HOUR
-        countedAt = nowMs
+        if (countedUntilMs != 0L) machineHours += spotMachines * (nowMs - countedUntilMs) / MS_PER_HOUR
+        countedUntilMs = nowMs
     }
 
     /**
-     * [machine] was lost at [nowMs], steady. Hundreds lost at once, with a zone or in a burst of spot preemptions, are
-     * one event: counted one by one they would look like a rate of loss and move all work off spot machines for the
-     * rest of the day.
+     * Records the loss of [machine] at [nowMs] (steady). The number of losses counted per window is limited: hundreds
+     * at once, with a zone or in a burst of spot preemptions, are one event, and counting them all would raise the rate
+     * so far that all work would avoid spot machines for the rest of the day.
      */
     fun lost(
         machine: Machine,
         nowMs: Long,
     ) {
         if (!machine.spot) return
-        if (nowMs - windowAt > SchedulingTuning.LOSS_WINDOW_MS) {
-            windowAt = nowMs
-            windowLeft = SchedulingTuning.WINDOW_LOSSES + lossesCountedByRate()
+        if (nowMs - windowStartMs > SchedulingTuning.LOSS_WINDOW_MS) {
+            windowStartMs = nowMs
+            windowLossesLeft = SchedulingTuning.MIN_WINDOW_LOSSES + expectedWindowLosses()
         }
-        if (windowLeft < 1.0) return
-        windowLeft -= 1.0
+        if (windowLossesLeft < 1.0) return
+        windowLossesLeft -= 1.0
         losses += 1.0
     }
 
     /**
-     * Chooses the risky jobs that are to keep to on-demand machines, of which [reserved] processors are left to work
-     * that may go nowhere else. A job that is half on spot machines loses tasks nearly as often as one that is there as
-     * a whole, so a share of each would help none: jobs are taken whole, first those that gain most by what they take
-     * up. One that would meet its service-level objectives all the same gains nothing.
+     * Chooses the jobs at risk that are placed on on-demand machines, where [reservedCpus] processors are kept for jobs
+     * that may not run on spot machines. A job half on spot machines loses tasks nearly as often as one entirely there,
+     * so whole jobs are chosen, those with the highest gain for the processor seconds they use first. A job that would
+     * meet its service-level objectives anyway gains nothing.
      */
     fun chooseOnDemandJobs(
         jobs: Collection<Job>,
         machines: Collection<Machine>,
-        reserved: Double,
+        reservedCpus: Double,
     ) {
         onDemandJobs.clear()
-        wantingOnDemand.clear()
+        gainingJobs.clear()
         var freeCpus =
-            machines.sumOf { if (it.spot || !it.inService) 0.0 else it.machineType.vcpus } - reserved -
+            machines.sumOf { if (it.spot || !it.inService) 0.0 else it.machineType.vcpus } - reservedCpus -
                 jobs.sumOf { if (it.spec.allowsSpot) 0.0 else unfinishedCpus(it) }
-        for (gaining in gainingByOnDemand(jobs)) {
+        for (gaining in sortByGain(jobs)) {
             val job = gaining.job
             val cpus = unfinishedCpus(job)
-            wantingOnDemand.add(job)
+            gainingJobs.add(job)
             if (cpus > freeCpus) continue
             freeCpus -= cpus
             onDemandJobs.add(job)
         }
     }
 
-    /** Spot machines come first for [job]: it is in little danger there, or on-demand ones are for others. */
-    fun spotFirst(job: Job): Boolean = job !in onDemandJobs
+    /** Returns whether tasks of [job] go to spot machines first: it was not chosen for on-demand machines. */
+    fun placesOnSpotFirst(job: Job): Boolean = job !in onDemandJobs
 
-    /** On-demand machines are worth keeping for [job]. */
-    fun wantsOnDemand(job: Job): Boolean = !job.spec.allowsSpot || job in wantingOnDemand
+    /**
+     * Returns whether [job] must or should run on on-demand machines, so that keeping them in service is worthwhile.
+     */
+    fun wantsOnDemand(job: Job): Boolean = !job.spec.allowsSpot || job in gainingJobs
 
     private class GainingJob(
         val job: Job,
-        /** How many fewer objectives it is likely to miss, by the processor seconds that it takes. */
+        /**
+         * Objectives that it is expected not to miss on on-demand machines, per processor second that it uses there.
+         */
         val gain: Double,
     )
 
-    /** Those that gain most come first. */
-    private fun gainingByOnDemand(jobs: Collection<Job>): List<GainingJob> =
+    /** Returns the jobs at risk on spot machines that gain by on-demand ones, those with the highest gain first. */
+    private fun sortByGain(jobs: Collection<Job>): List<GainingJob> =
         jobs
-            .filter { it.spec.allowsSpot && !it.complete && spotIsRisky(it) }
-            .map { GainingJob(it, gainByOnDemand(it)) }
+            .filter { it.spec.allowsSpot && !it.complete && isAtRiskOnSpot(it) }
+            .map { GainingJob(it, onDemandGain(it)) }
             .filter { it.gain > 0 }
             .sortedByDescending { it.gain }
 
-    /** More likely than not the job would lose a task on spot machines, and be late by as much as it had run. */
-    private fun spotIsRisky(job: Job): Boolean = expectedLosses(job) > SchedulingTuning.EXPECTED_LOSSES
+    private fun isAtRiskOnSpot(job: Job): Boolean = expectedLosses(job) > SchedulingTuning.MAX_EXPECTED_LOSSES
 
     private fun expectedLosses(job: Job): Double = expectedLossesPerTask(estimates.seconds(job)) * unfinishedTasks(job)
 
-    /** Of one task that takes [seconds]. */
-    private fun expectedLossesPerTask(seconds: Double): Double = losses / hours * seconds / SECONDS_PER_HOUR
+    private fun expectedLossesPerTask(runS: Double): Double = losses / machineHours * runS / SECONDS_PER_HOUR
 
-    /** A multiple of the losses that the rate so far gives for all spot machines in one window. */
-    private fun lossesCountedByRate(): Double =
-        SchedulingTuning.WINDOW_LOSS_FACTOR * losses / hours * spotMachines * SchedulingTuning.LOSS_WINDOW_MS /
+    /** Returns a multiple of the losses that the current rate predicts for all spot machines in one window. */
+    private fun expectedWindowLosses(): Double =
+        SchedulingTuning.WINDOW_LOSS_FACTOR * losses / machineHours * spotMachines * SchedulingTuning.LOSS_WINDOW_MS /
             MS_PER_HOUR
 
     private fun unfinishedTasks(job: Job): Int = job.spec.taskCount - job.finishedCount
 
     private fun unfinishedCpus(job: Job): Double = job.spec.vcpus * unfinishedTasks(job)
 
-    private fun gainByOnDemand(job: Job): Double {
-        val seconds = estimates.seconds(job)
+    private fun onDemandGain(job: Job): Double {
+        val runS = estimates.seconds(job)
         val factors =
-            if (job.runTime.tasks > 0) SchedulingTuning.RUN_TIMES_KNOWN else SchedulingTuning.RUN_TIMES_GUESSED
-        val missed = factors.map { missedOnSpot(job, seconds * it) }.average()
-        return missed / (unfinishedCpus(job) * seconds).coerceAtLeast(1.0)
+            if (job.runTime.tasks > 0) {
+                SchedulingTuning.OBSERVED_RUN_TIME_FACTORS
+            } else {
+                SchedulingTuning.ESTIMATED_RUN_TIME_FACTORS
+            }
+        val missed = factors.map { expectedMissedOnSpot(job, runS * it) }.average()
+        return missed / (unfinishedCpus(job) * runS).coerceAtLeast(1.0)
     }
 
-    /** Objectives that the job is likely to miss on spot machines if its tasks take [seconds]. */
-    private fun missedOnSpot(
+    /** Returns the objectives that [job] is expected to miss on spot machines if its tasks run for [runS] seconds. */
+    private fun expectedMissedOnSpot(
         job: Job,
-        seconds: Double,
+        runS: Double,
     ): Double {
-        val lossesPerTask = expectedLossesPerTask(seconds)
-        val expected = lossesPerTask * unfinishedTasks(job)
-        // Lost tasks put off the end: the last of them, and the last lost once more, and so on.
-        var lost = expected
-        var delay = 0.0
-        while (lost > SchedulingTuning.EXPECTED_LOSSES && delay < SchedulingTuning.MAX_DELAY_S) {
-            delay += seconds * lost / (lost + 1) + SchedulingTuning.LOSS_DETECTION_S
+        val lossesPerTask = expectedLossesPerTask(runS)
+        val expectedLosses = lossesPerTask * unfinishedTasks(job)
+        // The last of the lost tasks delays the end by its restart; then the last of those lost again, and so on.
+        var lost = expectedLosses
+        var delayS = 0.0
+        while (lost > SchedulingTuning.MAX_EXPECTED_LOSSES && delayS < SchedulingTuning.MAX_DELAY_S) {
+            delayS += runS * lost / (lost + 1) + SchedulingTuning.LOSS_DETECTION_S
             lost *= lossesPerTask
         }
-        val chanceOfLoss = 1 - exp(-expected)
-        return chanceOfLoss * ranking.missedByLoss(job, seconds, delay)
+        val lossProbability = 1 - exp(-expectedLosses)
+        return lossProbability * ranking.countMissedByDelay(job, runS, delayS)
     }
 
     private companion object {
--- a/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
@@ -9,15 +9,15 @@
 import ledgearch.runtime.Clock
 import org.slf4j.LoggerFactory
 
-/** Moves replicas of services off machines that are to go, by stopping them: placement starts them elsewhere. */
+/** Moves replicas of services off machines that are to be released: it stops them, and placement restarts them. */
 internal class ReplicaMover(
     private val clock: Clock,
-    private val usable: (Machine) -> Boolean,
-    private val stop: (TaskAttempt) -> Unit,
+    private val isUsable: (Machine) -> Boolean,
+    private val stopAttempt: (TaskAttempt) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.scheduling")
 
-    /** A machine that replicas could move to, with what is free there less what those planned so far take. */
+    /** A machine that replicas could move to, with its free resources less those of the moves planned so far. */
     private class Destination(
         val machine: Machine,
     ) {
@@ -25,8 +25,9 @@
     }
 
     /**
-     * The replicas on [machine] have settled, and others of [machines] have room for them and their images, in the same
-     * zone where the zone matters: moved there, each is away for no longer than a start takes.
+     * Returns whether the replicas on [machine] have settled and others of [machines] have room for them and their
+     * images (in the same zone if the job spreads over zones or keeps to one), so that a move takes each replica down
+     * for no longer than a start takes.
      */
     fun canMove(
         machine: Machine,
@@ -34,7 +35,7 @@
     ): Boolean {
         val replicas = machine.attempts.values.filter { it.job?.isService == true && !it.exited }
         if (replicas.isEmpty()) return true
-        val destinations = machines.filter { it !== machine && usable(it) }.map { Destination(it) }
+        val destinations = machines.filter { it !== machine && isUsable(it) }.map { Destination(it) }
         return replicas.all { replica ->
             val job = replica.job ?: return false
             val destination = if (hasSettled(replica)) destinationFor(job, machine, destinations) else null
@@ -45,31 +46,31 @@
 
     private fun hasSettled(replica: TaskAttempt): Boolean =
         replica.state == AttemptState.RUNNING &&
-            clock.steadyMs - replica.runningSince > SchedulingTuning.SETTLED_MS &&
+            clock.steadyMs - replica.runningSince > SchedulingTuning.MIN_REPLICA_RUN_MS &&
             replica.stop == StopMode.NONE
 
     private fun destinationFor(
         job: Job,
-        from: Machine,
+        source: Machine,
         destinations: List<Destination>,
     ): Destination? {
-        val anyZone = !job.spec.spreadZones && !job.spec.singleZone
+        val hasNoZoneSpread = !job.spec.spreadZones && !job.spec.singleZone
         return destinations.firstOrNull {
             val machine = it.machine
-            (anyZone || machine.zone == from.zone) &&
+            (hasNoZoneSpread || machine.zone == source.zone) &&
                 machine.allows(job) &&
                 machine.imageDistance(job.spec.image) == Machine.IMAGE_PRESENT &&
                 it.free.fits(job)
         }
     }
 
-    /** Stops the replicas on [machine], so that they start elsewhere; returns whether there were any. */
+    /** Stops the replicas on [machine] so that they start elsewhere; returns whether there were any. */
     fun move(machine: Machine): Boolean {
         val replicas = machine.attempts.values.filter { it.continues && it.job?.isService == true }
         for (replica in replicas) {
-            stop(replica)
+            stopAttempt(replica)
             log.debug(
-                "Replica is stopped to start on another machine; job={} task={} attempt={} machine={}",
+                "replica stopped to be moved to another machine; job={} task={} attempt={} machine={}",
                 replica.job?.id,
                 replica.taskId,
                 replica.number,
--- a/src/main/kotlin/ledgearch/scheduling/ResourceSearch.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ResourceSearch.kt
@@ -6,40 +6,40 @@
 import java.util.PriorityQueue
 
 /**
- * The search for resources for the tasks of one [job]: machines with room first, those with its image before others;
- * then those where preemption makes room at the least cost. They are ordered once, and the victims on a machine are
- * selected again when its turn comes.
+ * Searches for resources for the tasks of one [job]: first on machines with room, those with the job's image before
+ * others, then on machines where preemption makes room at the lowest cost. Machines are sorted once; the victims on a
+ * machine are selected again when it is its turn.
  */
 internal class ResourceSearch(
     private val job: Job,
     candidates: List<PreemptionCandidate>,
-    private val zones: ZoneSpread,
-    private val selection: VictimSelection,
-    /** False if [job] may preempt nothing that runs anywhere, so that no machine needs to be asked. */
-    private val anyVictims: Boolean,
+    private val zoneSpread: ZoneSpread,
+    private val victimSelector: VictimSelector,
+    /** False if no running job has tasks that [job] may preempt; no machine is searched for victims then. */
+    private val hasVictims: Boolean,
     private val preempt: (TaskAttempt, Job) -> Unit,
 ) {
-    private class MachineWithRoom(
+    private class CandidateWithRoom(
         val imageDistance: Int,
         val candidate: PreemptionCandidate,
     )
 
-    private val allowed = candidates.filter { it.machine.allows(job) }
-    private val withRoom = PriorityQueue<MachineWithRoom>(compareBy { it.imageDistance })
+    private val allowedCandidates = candidates.filter { it.machine.allows(job) }
+    private val withRoom = PriorityQueue<CandidateWithRoom>(compareBy { it.imageDistance })
 
-    /** The cheapest set of victims of each machine without room; built once no machine with room is left. */
+    /** The victims on each machine that needs preemption; built when no machine with room is left. */
     private var victimSets: PriorityQueue<VictimSet>? = null
 
     init {
-        allowed.forEach(::addIfRoom)
+        allowedCandidates.forEach(::addIfRoom)
     }
 
-    /** A machine that has room for one more task; its victims, if it needed any, have been preempted. Null if none. */
+    /** Returns a machine with room for one more task, after preempting tasks there if needed; null if there is none. */
     fun next(): PreemptionCandidate? = nextWithRoom() ?: nextByPreemption()
 
-    /** Takes [candidate], which [next] returned and a task was assigned to, into the search again. */
+    /** Adds [candidate], which [next] returned, to the search again after a task was assigned to it. */
     fun putBack(candidate: PreemptionCandidate) {
-        if (candidate.freeOnceStopped.fits(job)) {
+        if (candidate.freeAfterStops.fits(job)) {
             addIfRoom(candidate)
         } else {
             victimSets?.let { addVictimSet(it, candidate) }
@@ -47,34 +47,34 @@
     }
 
     private fun addIfRoom(candidate: PreemptionCandidate) {
-        if (!candidate.freeOnceStopped.fits(job)) return
-        withRoom.add(MachineWithRoom(candidate.machine.imageDistance(job.spec.image), candidate))
+        if (!candidate.freeAfterStops.fits(job)) return
+        withRoom.add(CandidateWithRoom(candidate.machine.imageDistance(job.spec.image), candidate))
     }
 
     private fun addVictimSet(
-        to: PriorityQueue<VictimSet>,
+        sets: PriorityQueue<VictimSet>,
         candidate: PreemptionCandidate,
     ) {
-        selection.on(candidate)?.let { to.add(it) }
+        victimSelector.selectOn(candidate)?.let { sets.add(it) }
     }
 
     private fun nextWithRoom(): PreemptionCandidate? {
         while (true) {
             val candidate = withRoom.poll()?.candidate ?: return null
-            if (candidate.freeOnceStopped.fits(job) && zones.allows(candidate.machine.zone)) return candidate
+            if (candidate.freeAfterStops.fits(job) && zoneSpread.allows(candidate.machine.zone)) return candidate
         }
     }
 
     private fun nextByPreemption(): PreemptionCandidate? {
-        val open = victimSets ?: selectEverywhere().also { victimSets = it }
+        val sets = victimSets ?: selectOnAll().also { victimSets = it }
         while (true) {
-            val cheapest = open.poll() ?: return null
+            val cheapest = sets.poll() ?: return null
             val candidate = cheapest.candidate
-            if (!zones.allows(candidate.machine.zone)) continue
-            // Meanwhile victims may have stopped, or a team have no surplus left.
-            val current = selection.on(candidate) ?: continue
-            if (current.cost > cheapest.cost) {
-                open.add(current)
+            if (!zoneSpread.allows(candidate.machine.zone)) continue
+            // Since the set was selected, victims may have been stopped or a team may have lost its surplus.
+            val current = victimSelector.selectOn(candidate) ?: continue
+            if (current.costCpuS > cheapest.costCpuS) {
+                sets.add(current)
                 continue
             }
             preemptAll(current)
@@ -82,15 +82,15 @@
         }
     }
 
-    private fun selectEverywhere(): PriorityQueue<VictimSet> {
-        val all = PriorityQueue<VictimSet>(compareBy { it.cost })
-        if (anyVictims) allowed.forEach { addVictimSet(all, it) }
-        return all
+    private fun selectOnAll(): PriorityQueue<VictimSet> {
+        val sets = PriorityQueue<VictimSet>(compareBy { it.costCpuS })
+        if (hasVictims) allowedCandidates.forEach { addVictimSet(sets, it) }
+        return sets
     }
 
     private fun preemptAll(set: VictimSet) {
         for (victim in set.victims) {
-            set.candidate.freeOnceStopped.give(victim.job)
+            set.candidate.freeAfterStops.give(victim.job)
             preempt(victim.attempt, job)
         }
     }
--- a/src/main/kotlin/ledgearch/scheduling/StarvedJobReservations.kt
+++ b/src/main/kotlin/ledgearch/scheduling/StarvedJobReservations.kt
@@ -5,20 +5,20 @@
 import ledgearch.model.ZoneSpread
 import ledgearch.runtime.Clock
 
-/** The machines reserved for starved jobs, one for each job at most. */
+/** Keeps the machines reserved for starved jobs, at most one for each job. */
 internal class StarvedJobReservations(
     private val clock: Clock,
 ) {
     private class Reservation(
         val machine: Machine,
         /** Steady ms. */
-        val until: Long,
+        val endsAtMs: Long,
     )
 
     private val reservations = HashMap<Job, Reservation>()
 
-    /** Ends the reservations of all jobs but [starved]. */
-    fun keepOnly(starved: List<Job>) {
+    /** Ends the reservations of all jobs except those in [starved]. */
+    fun retainOnly(starved: List<Job>) {
         if (starved.isEmpty()) reservations.clear() else reservations.keys.retainAll(starved.toSet())
     }
 
@@ -26,24 +26,25 @@
     fun clear() = reservations.clear()
 
     /**
-     * The machine reserved for [job], of those that are [free]: the same as before while it will do, else the one least
-     * in use that could take it; null if there is none. After a while it is let go for a moment, since what runs there
-     * may go on for long and others wait beside its room.
+     * Returns the machine reserved for [job] if it is still one of [available]; otherwise reserves the least used of
+     * them that could take a task of the job, or returns null if there is none. A reservation that ends is followed by
+     * a pause without one, since the tasks on the machine may run for long while other jobs wait for the room left
+     * there.
      */
     fun reserve(
         job: Job,
-        free: List<Machine>,
+        available: List<Machine>,
     ): Machine? {
-        val before = reservations[job]
-        if (before != null && clock.steadyMs < before.until) {
-            if (before.machine in free) return before.machine
-        } else if (before != null && clock.steadyMs < before.until + SchedulingTuning.RESERVATION_PAUSE_MS) {
+        val previous = reservations[job]
+        if (previous != null && clock.steadyMs < previous.endsAtMs) {
+            if (previous.machine in available) return previous.machine
+        } else if (previous != null && clock.steadyMs < previous.endsAtMs + SchedulingTuning.RESERVATION_PAUSE_MS) {
             return null
         }
-        val zones = ZoneSpread(job)
+        val zoneSpread = ZoneSpread(job)
         val machine =
-            free
-                .filter { it.allows(job) && zones.allows(it.zone) && it.couldTake(job) }
+            available
+                .filter { it.allows(job) && zoneSpread.allows(it.zone) && it.couldTake(job) }
                 .minByOrNull { it.usedCpus } ?: return null
         reservations[job] = Reservation(machine, clock.steadyMs + SchedulingTuning.RESERVATION_MS)
         return machine
--- a/src/main/kotlin/ledgearch/scheduling/TaskStarter.kt
+++ b/src/main/kotlin/ledgearch/scheduling/TaskStarter.kt
@@ -5,52 +5,55 @@
 import ledgearch.model.TeamQuotas
 import ledgearch.model.ZoneSpread
 
-/** Starts tasks at once on machines that have room for them, the best rated first. */
+/** Starts pending tasks on machines that have room for them, the best rated machine first. */
 internal class TaskStarter(
     private val teams: TeamQuotas,
     private val recovery: RecoveryPolicy,
-    private val queues: QueueBinding,
-    private val start: (Job, Int, Machine) -> Unit,
-    private val ratingFor: (Job) -> CandidateRating,
+    private val queues: QueueBinder,
+    private val startTask: (Job, Int, Machine) -> Unit,
+    private val createRating: (Job) -> CandidateRating,
 ) {
-    /** Sizes of tasks for which this pass has found no room anywhere. */
+    /** Task sizes for which the current pass has found no room on any machine. */
     private val unplaceable = UnplaceableSizes()
 
-    /** Machines may have room again for what found none before. */
+    /** Starts a new pass, in which sizes that found no room before are tried again. */
     fun beginPass() = unplaceable.clear()
 
-    /** Starts what there is room for on all [usable] machines, but for the last [keepPending] tasks. */
+    /** Starts the pending tasks of [job] except the last [keepPending], as far as the [usable] machines have room. */
     fun startAnywhere(
         job: Job,
         usable: List<Machine>,
         keepPending: Int = 0,
     ) {
-        val special = recovery.isSpecial(job)
-        if (!special && unplaceable.covers(job)) return
-        val roomLeft = startOn(job, usable, keepPending)
-        if (!roomLeft && !special) unplaceable.add(job)
+        val isSpecial = recovery.isSpecial(job)
+        if (!isSpecial && unplaceable.covers(job)) return
+        val hasRoomLeft = startOn(job, usable, keepPending)
+        if (!hasRoomLeft && !isSpecial) unplaceable.add(job)
     }
 
-    /** Starts what there is room for on [places], but for the last [keepPending] tasks; false if no room is left. */
+    /**
+     * Starts the pending tasks of [job] except the last [keepPending], as far as [machines] have room; returns false if
+     * they have no room left for another one.
+     */
     fun startOn(
         job: Job,
-        places: List<Machine>,
+        machines: List<Machine>,
         keepPending: Int = 0,
     ): Boolean {
         if (job.pendingCount <= keepPending || !teams.allows(job)) return true
-        val fitting = places.filter { it.hasRoom(job) && it.allows(job) && recovery.admits(it, job) }
-        val candidates = Candidates(job, fitting, ratingFor(job))
-        val zones = ZoneSpread(job)
+        val fitting = machines.filter { it.hasRoom(job) && it.allows(job) && recovery.admits(it, job) }
+        val candidates = Candidates(job, fitting, createRating(job))
+        val zoneSpread = ZoneSpread(job)
         while (job.pendingCount > keepPending && teams.allows(job) && recovery.mayStart(job)) {
             val index = job.nextPending() ?: break
-            val found =
-                candidates.next(zones) { machine ->
-                    queues.leaveQueue(job, machine)
-                    start(job, index, machine)
+            val isStarted =
+                candidates.startOnBest(zoneSpread) { machine ->
+                    queues.unbindStarted(job, machine)
+                    startTask(job, index, machine)
                     recovery.started(job, index)
-                    zones.add(machine.zone)
+                    zoneSpread.add(machine.zone)
                 }
-            if (!found) break
+            if (!isStarted) break
         }
         return !candidates.isEmpty
     }
--- a/src/main/kotlin/ledgearch/scheduling/UnplaceableSizes.kt
+++ b/src/main/kotlin/ledgearch/scheduling/UnplaceableSizes.kt
@@ -4,10 +4,10 @@
 import ledgearch.wire.JobSpec
 
 /**
- * Sizes of tasks that found no room in this pass: until room shows, none that asks for as much or more needs to look.
+ * The task sizes that found no room in a pass, so that the search is not repeated for tasks of the same size or more.
  */
 internal class UnplaceableSizes {
-    /** [zones]: where it was tried; null for everywhere. */
+    /** A size that found no room in [zones]; null stands for all zones. */
     private class UnplaceableSize(
         val spec: JobSpec,
         val zones: Set<String>?,
@@ -15,10 +15,10 @@
 
     private val sizes = ArrayList<UnplaceableSize>()
 
-    /** Forgets all sizes: there may be room again. */
+    /** Removes all sizes. */
     fun clear() = sizes.clear()
 
-    /** [job] found no room in [zones], or in any zone. */
+    /** Adds the size of the tasks of [job], which found no room in [zones], or in any zone if null. */
     fun add(
         job: Job,
         zones: Set<String>? = null,
@@ -26,12 +26,17 @@
         if (!covers(job, zones)) sizes.add(UnplaceableSize(job.spec, zones))
     }
 
-    /** A job with no fewer places to go to, and tasks no larger, found no room. */
+    /**
+     * Returns whether tasks no larger than those of [job], and allowed on at least the same machines, found no room.
+     */
     fun covers(
         job: Job,
         zones: Set<String>? = null,
     ): Boolean =
-        sizes.any { isNoLarger(it.spec, job.spec) && triedIn(it, zones) && hasNoFewerPlaces(it.spec, job.spec) }
+        sizes.any {
+            isNoLarger(it.spec, job.spec) && wasTriedIn(it, zones) &&
+                isNoMoreRestricted(it.spec, job.spec)
+        }
 
     private fun isNoLarger(
         tried: JobSpec,
@@ -41,12 +46,12 @@
             tried.memoryGb <= spec.memoryGb &&
             tried.accelerators <= spec.accelerators
 
-    private fun triedIn(
+    private fun wasTriedIn(
         size: UnplaceableSize,
         zones: Set<String>?,
     ): Boolean = size.zones == null || (zones != null && size.zones.containsAll(zones))
 
-    private fun hasNoFewerPlaces(
+    private fun isNoMoreRestricted(
         tried: JobSpec,
         spec: JobSpec,
     ): Boolean =
--- a/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
+++ b/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
@@ -3,7 +3,10 @@
 import ledgearch.model.Machine
 import ledgearch.runtime.Clock
 
-/** New tasks may be started on this machine now: it is the block's, it answers, and it is not on its way out. */
+/**
+ * Returns whether new tasks may be started on this machine now: it is part of the block, responds, is not about to
+ * leave, and has not just refused or failed a task.
+ */
 internal fun Machine.isUsable(clock: Clock): Boolean =
     durable && confirmed && !quarantined && !draining && !releasing &&
         !unreachable &&
--- a/src/main/kotlin/ledgearch/scheduling/VictimSelection.kt
+++ b/src/main/kotlin/ledgearch/scheduling/VictimSelector.kt
@@ -4,38 +4,39 @@
 import ledgearch.model.TeamQuotas
 
 /**
- * Selects on one machine the victims that make room for one more task of [job]: the cheapest that [job] may preempt,
- * one after the other until the task fits.
+ * Selects the victims on one machine that make room for one more task of [job]: of those that [job] may preempt, the
+ * cheapest, until the task fits.
  */
-internal class VictimSelection(
+internal class VictimSelector(
     private val job: Job,
     private val claimsGuarantee: Boolean,
     private val mode: PreemptionMode,
     private val rules: PreemptionRules,
     private val teams: TeamQuotas,
 ) {
-    /** Null if nothing may be preempted on the machine of [candidate], or if that does not make enough room. */
-    fun on(candidate: PreemptionCandidate): VictimSet? {
+    /** Returns the victims on the machine of [candidate]; null if there are none or they do not make enough room. */
+    fun selectOn(candidate: PreemptionCandidate): VictimSet? {
         val victims = select(candidate) ?: return null
-        val imageCost = candidate.machine.imageDistance(job.spec.image) * SchedulingTuning.IMAGE_DISTANCE_COST
-        return VictimSet(candidate, victims, victims.sumOf { it.cost } + imageCost)
+        val imageCostCpuS =
+            candidate.machine.imageDistance(job.spec.image) * SchedulingTuning.IMAGE_DISTANCE_COST_CPU_S
+        return VictimSet(candidate, victims, victims.sumOf { it.costCpuS } + imageCostCpuS)
     }
 
-    /** Counts the victims as gone while it selects, and takes that back in the end. */
+    /** Gives back the victims' resources to the candidate during the selection, and takes them again at the end. */
     private fun select(candidate: PreemptionCandidate): List<PreemptionVictim>? {
-        val free = candidate.freeOnceStopped
+        val free = candidate.freeAfterStops
         var selected: ArrayList<PreemptionVictim>? = null
         for (victim in candidate.victims) {
-            if (!mayPreempt(victim) || !teamCanSpare(victim, selected)) continue
+            if (!mayPreempt(victim) || !canTeamSpare(victim, selected)) continue
             val victims = selected ?: ArrayList<PreemptionVictim>().also { selected = it }
             victims.add(victim)
             free.give(victim.job)
             if (free.fits(job)) break
         }
         val victims = selected ?: return null
-        val enough = free.fits(job)
+        val isEnough = free.fits(job)
         victims.forEach { free.take(it.job) }
-        return if (enough) victims else null
+        return if (isEnough) victims else null
     }
 
     private fun mayPreempt(victim: PreemptionVictim): Boolean =
@@ -43,8 +44,8 @@
             rules.mayPreempt(job, claimsGuarantee, victim.job) &&
             (mode.mayMissObjectives || victim.missedObjectives == 0)
 
-    /** The team of a victim selected before may have no surplus left. */
-    private fun teamCanSpare(
+    /** Returns whether the victim's team still has surplus, not counting the victims selected so far. */
+    private fun canTeamSpare(
         victim: PreemptionVictim,
         selected: List<PreemptionVictim>?,
     ): Boolean =
--- a/src/test/kotlin/ledgearch/scheduling/ReliabilityTest.kt
+++ b/src/test/kotlin/ledgearch/scheduling/ReliabilityTest.kt
@@ -14,7 +14,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What lost spot machines mean for the jobs that come after. */
+/**
+ * Guards against a burst of lost spot machines being taken for a high loss rate, which would keep all work off them.
+ */
 internal class ReliabilityTest {
     private val clock = Clock()
     private val estimates = Estimates()
@@ -22,7 +24,7 @@
     private val deadlines = Deadlines(objectives, estimates, clock) { emptyList() }
     private val reliability = Reliability(estimates, Ranking(objectives, estimates, clock, deadlines))
     private val teams = TeamQuotas(emptyList())
-    private val spot =
+    private val spotMachines =
         List(300) { Machine("host-$it", "h:1", MachineType("r", 8.0, memoryGb = 16.0), "a", true, 0, teams) }
     private val job =
         Job(
@@ -47,30 +49,30 @@
             1,
         )
 
-    private fun isExposed(): Boolean {
+    private fun shouldRunOnDemand(): Boolean {
         reliability.chooseOnDemandJobs(listOf(job), emptyList(), 0.0)
         return reliability.wantsOnDemand(job)
     }
 
-    private fun hold(
+    private fun observe(
         seconds: Int,
-        losses: (Int) -> Int,
+        lossesAt: (Int) -> Int,
     ) {
         for (second in 0..seconds) {
-            repeat(losses(second)) { reliability.lost(spot[it], second * 1000L) }
-            reliability.count(spot, second * 1000L)
+            repeat(lossesAt(second)) { reliability.lost(spotMachines[it], second * 1000L) }
+            reliability.count(spotMachines, second * 1000L)
         }
     }
 
     @Test
-    fun `hundreds lost at once are no rate of loss`() {
-        hold(seconds = 60) { if (it == 30) 300 else 0 }
-        assertFalse(isExposed())
+    fun `a burst of hundreds of losses does not move a job to on-demand machines`() {
+        observe(seconds = 60) { if (it == 30) 300 else 0 }
+        assertFalse(shouldRunOnDemand())
     }
 
     @Test
-    fun `as many lost one after the other are a rate of loss`() {
-        hold(seconds = 300) { 1 }
-        assertTrue(isExposed())
+    fun `as many losses spread over time move a job to on-demand machines`() {
+        observe(seconds = 300) { 1 }
+        assertTrue(shouldRunOnDemand())
     }
 }
