--- a/src/main/kotlin/ledgearch/agents/AgentClient.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentClient.kt
@@ -55,7 +55,7 @@
                 machine.answerMs = clock.steadyMs - sentAtMs
                 queue.markReachable(machine)
                 if (listener.isRegistered(machine) && isNotAfter(status, incarnation, sequence)) {
-                    listener.agentStateLost(machine)
+                    listener.onAgentStateLost(machine)
                 }
             }
             onResult(status)
--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -45,7 +45,7 @@
                 recordFailure(machine, sentAtMs)
                 return@send
             }
-            if (listener.isRegistered(machine)) listener.replyReceived(machine, status)
+            if (listener.isRegistered(machine)) listener.onReply(machine, status)
             // An agent rejects a token sent for another incarnation than its own. Its reply contains the right
             // incarnation, so the token is sent again at once.
             if (listener.isRegistered(machine) && !machine.confirmed && machine.incarnation != incarnation) {
--- a/src/main/kotlin/ledgearch/agents/AgentReplyListener.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentReplyListener.kt
@@ -9,11 +9,11 @@
     fun isRegistered(machine: Machine): Boolean
 
     /** Called when the agent of [machine] has replied with [status], which may contain a newer leader's token. */
-    fun replyReceived(
+    fun onReply(
         machine: Machine,
         status: Heartbeat,
     )
 
     /** Called when the agent of [machine] numbers its messages from the start again: it restarted without its state. */
-    fun agentStateLost(machine: Machine)
+    fun onAgentStateLost(machine: Machine)
 }
--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -100,7 +100,7 @@
             endStarts(machine, started, token, isAnswered = status != null)
             // A time-out while this node lagged may be this node's own and says nothing about the machine.
             if (status == null && !stalls.wasLaggingSince(sentAtMs)) queue.markUnreachable(machine)
-            if (status != null && listener.isRegistered(machine)) listener.replyReceived(machine, status)
+            if (status != null && listener.isRegistered(machine)) listener.onReply(machine, status)
             if (commands.size == AgentTuning.MAX_COMMANDS_PER_MESSAGE) enqueue(machine)
         }
     }
--- a/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
+++ b/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
@@ -8,7 +8,7 @@
 /** Receives expired leases of agents. */
 internal interface LeaseExpiryListener {
     /** Called when the lease of the agent of [machine] has expired, so that it has ended its tasks and incarnation. */
-    fun leaseExpired(machine: Machine)
+    fun onLeaseExpired(machine: Machine)
 }
 
 /** Proves that an agent's lease has expired, without information from the cloud. */
@@ -32,6 +32,6 @@
                 AgentTuning.LEASE_EXPIRY_MARGIN_MS
         if (clock.steadyMs <= leaseEndsAtMs || election.confirmedAtMs <= leaseEndsAtMs) return
         log.info("agent lease expired; machine={}", machine.name)
-        listener.leaseExpired(machine)
+        listener.onLeaseExpired(machine)
     }
 }
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -20,10 +20,10 @@
 /** Receives changes that follow from the agents' lists of tasks. */
 internal interface TaskStatusListener {
     /** Called when a change may allow pending tasks to start. */
-    fun placementChanged()
+    fun onPlacementChanged()
 
     /** Called when [attempt] was lost with its machine or its agent's incarnation instead of exiting. */
-    fun attemptLost(attempt: TaskAttempt)
+    fun onAttemptLost(attempt: TaskAttempt)
 }
 
 /** Applies the agents' lists of tasks to the leader's attempts. */
@@ -129,7 +129,7 @@
         val job = attempt.job ?: return
         machine.touchImage(job.spec.image, job.spec.imageGb)
         // Latency-sensitive tasks are placed on machines that have their image.
-        if (machine.fetched.add(job.spec.image)) listener.placementChanged()
+        if (machine.fetched.add(job.spec.image)) listener.onPlacementChanged()
     }
 
     private fun markExited(
@@ -139,7 +139,7 @@
         val machine = attempt.machine
         attempt.state = AttemptState.EXITED
         attempt.cause = cause
-        listener.placementChanged()
+        listener.onPlacementChanged()
         metrics.count("task.exited.${cause?.text}")
         log.debug(
             "attempt exited; task={} attempt={} machine={} cause={}",
@@ -196,11 +196,11 @@
                 attempt.number,
                 attempt.machine.name,
             )
-            if (attempt.stop == StopMode.NONE) listener.attemptLost(attempt)
+            if (attempt.stop == StopMode.NONE) listener.onAttemptLost(attempt)
         }
         attempt.machine.detach(attempt)
         attempt.job?.free(attempt)
-        listener.placementChanged()
+        listener.onPlacementChanged()
     }
 
     private companion object {
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -131,5 +131,5 @@
     }
 
     /** An agent whose lease expires ends its tasks and its incarnation, whether or not anything is received of it. */
-    override fun leaseExpired(machine: Machine) = beginIncarnation(machine, machine.incarnation + 1)
+    override fun onLeaseExpired(machine: Machine) = beginIncarnation(machine, machine.incarnation + 1)
 }
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -115,7 +115,7 @@
 
     private inner class JobStoreEvents : JobStoreListener {
         override fun leadershipChanged() {
-            election.leadershipChanged()
+            election.onLeadershipChanged()
             standby?.leadershipChanged(jobStore.leadership, jobStore.leadershipRevision)
             mesh.follow(leaderAddress)
             val node = jobStore.leadership?.node ?: "none"
@@ -146,14 +146,14 @@
     }
 
     private inner class ElectionEvents : ElectionListener {
-        override fun elected(
+        override fun onElected(
             token: Long,
             isNewTerm: Boolean,
         ) {
             if (isNewTerm) leader.begin(token, standby?.begin(token))
         }
 
-        override fun leadershipLost() {
+        override fun onLeadershipLost() {
             leader.end()
             standby?.end()
         }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -226,18 +226,18 @@
     private inner class AgentReplies : AgentReplyListener {
         override fun isRegistered(machine: Machine) = registry.contains(machine)
 
-        override fun replyReceived(
+        override fun onReply(
             machine: Machine,
             status: Heartbeat,
         ) = heartbeats.replied(machine, status)
 
-        override fun agentStateLost(machine: Machine) = heartbeats.lostItsState(machine)
+        override fun onAgentStateLost(machine: Machine) = heartbeats.lostItsState(machine)
     }
 
     private inner class TaskEvents : TaskStatusListener {
-        override fun placementChanged() = placement.requestPass()
+        override fun onPlacementChanged() = placement.requestPass()
 
-        override fun attemptLost(attempt: TaskAttempt) {
+        override fun onAttemptLost(attempt: TaskAttempt) {
             recovery?.lost(attempt)
         }
     }
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -17,7 +17,7 @@
 internal class Election(
     node: String,
     instance: Long,
-    state: StoreClient,
+    storeClient: StoreClient,
     private val jobStore: JobStore,
     private val clock: Clock,
     random: Random,
@@ -25,12 +25,12 @@
     /** Returns how long this node waits before it claims a free leadership. */
     private val claimDelayMs: () -> Long = { random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS) },
 ) {
-    private val lease = NodeLease(state, clock)
+    private val lease = NodeLease(storeClient, clock)
     private val held = HeldLeadership(clock, listener)
-    private val writer = LeadershipWriter(node, instance, state, lease, clock)
-    private val check = LeadershipCheck(node, instance, state, jobStore, held)
+    private val writer = LeadershipWriter(node, instance, storeClient, lease, clock)
+    private val check = LeadershipCheck(node, instance, storeClient, jobStore, held)
     private val claim = LeadershipClaim(node, writer, lease, held, check, jobStore, clock, random)
-    private val confirmation = LeadershipConfirmation(state, held, check, clock)
+    private val confirmation = LeadershipConfirmation(storeClient, held, check, clock)
     private val renewal = TokenRenewal(writer, held, check, clock)
 
     /** Fencing token of this node's leadership, 0 if it is not the leader. */
@@ -64,7 +64,7 @@
      * Called when the leadership record in the job store has changed. A leader stops at a newer record, even during a
      * renewal, before it sees anything accepted under that record, which is for the next leader to start.
      */
-    fun leadershipChanged() {
+    fun onLeadershipChanged() {
         check.compareWithJobStore()
         claim.postpone(claimDelayMs())
     }
--- a/src/main/kotlin/ledgearch/election/ElectionListener.kt
+++ b/src/main/kotlin/ledgearch/election/ElectionListener.kt
@@ -6,11 +6,11 @@
      * Called when this node has become the leader, or when its fencing token was renewed within the current term;
      * [isNewTerm] is false in the latter case.
      */
-    fun elected(
+    fun onElected(
         token: Long,
         isNewTerm: Boolean,
     )
 
     /** Called when this node is no longer the leader. */
-    fun leadershipLost()
+    fun onLeadershipLost()
 }
--- a/src/main/kotlin/ledgearch/election/HeldLeadership.kt
+++ b/src/main/kotlin/ledgearch/election/HeldLeadership.kt
@@ -49,7 +49,7 @@
         confirmedAtMs = claimSentAtMs
         electedAtMs = clock.steadyMs
         log.info("this node was elected leader; token={}", token)
-        listener.elected(token, isNewTerm = true)
+        listener.onElected(token, isNewTerm = true)
     }
 
     /** Records that a transaction with [condition] under [sentToken], sent at [sentAtMs], has committed. */
@@ -75,7 +75,7 @@
         log.info("fencing token renewed, replacing {}; token={}", token, newToken)
         token = newToken
         isRenewing = false
-        listener.elected(token, isNewTerm = false)
+        listener.onElected(token, isNewTerm = false)
     }
 
     /** Ends this node's leadership, if it is the leader; [reason] is logged. */
@@ -84,6 +84,6 @@
         log.warn("this node is no longer the leader: {}; token={}", reason, token)
         token = 0
         isRenewing = false
-        listener.leadershipLost()
+        listener.onLeadershipLost()
     }
 }
--- a/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
@@ -17,7 +17,7 @@
 internal class LeadershipCheck(
     private val node: String,
     private val instance: Long,
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val jobStore: JobStore,
     private val held: HeldLeadership,
 ) {
@@ -42,7 +42,7 @@
     /** Reads the record and ends this node's leadership if it is neither current nor its own renewal, or is gone. */
     fun compareWithStateService() {
         val comparedToken = held.token
-        state.get(Keys.leadership(0), RequestClass.CRITICAL) { result ->
+        storeClient.get(Keys.leadership(0), RequestClass.CRITICAL) { result ->
             if (held.token != comparedToken || !held.isLeader) return@get
             when (result) {
                 is ReadResult.Found -> compare(result.value)
--- a/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
@@ -11,7 +11,7 @@
  * has confirmed it for [ElectionTuning.CONFIRMATION_INTERVAL_MS].
  */
 internal class LeadershipConfirmation(
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val held: HeldLeadership,
     private val check: LeadershipCheck,
     private val clock: Clock,
@@ -26,7 +26,7 @@
         nextTryAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
         val sentToken = held.token
         val sentAtMs = clock.steadyMs
-        state.transact(listOf(held.condition), emptyList(), RequestClass.CRITICAL) { result ->
+        storeClient.transact(listOf(held.condition), emptyList(), RequestClass.CRITICAL) { result ->
             isRequestInFlight = false
             when (result) {
                 is TransactionResult.Committed -> held.recordConfirmation(sentAtMs, sentToken)
--- a/src/main/kotlin/ledgearch/election/LeadershipWriter.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipWriter.kt
@@ -18,7 +18,7 @@
 internal class LeadershipWriter(
     private val node: String,
     private val instance: Long,
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val lease: NodeLease,
     private val clock: Clock,
 ) {
@@ -38,7 +38,7 @@
                 value = encodeRecord(LeadershipRecord.serializer(), record),
                 leaseId = lease.id,
             )
-        state.transact(listOf(leadershipAt(expectedRevision)), listOf(change), RequestClass.CRITICAL, onResult)
+        storeClient.transact(listOf(leadershipAt(expectedRevision)), listOf(change), RequestClass.CRITICAL, onResult)
     }
 
     /**
@@ -52,7 +52,7 @@
     ) {
         val removal = Change(remove = Keys.leadership(0))
         val changes = if (recordsStepDown) listOf(removal, stepDownChange()) else listOf(removal)
-        state.transact(listOf(leadershipAt(revision)), changes, RequestClass.CRITICAL) { }
+        storeClient.transact(listOf(leadershipAt(revision)), changes, RequestClass.CRITICAL) { }
     }
 
     private fun stepDownChange(): Change {
--- a/src/main/kotlin/ledgearch/election/NodeLease.kt
+++ b/src/main/kotlin/ledgearch/election/NodeLease.kt
@@ -11,7 +11,7 @@
  * is attached to the lease, so it is removed when its leader fails.
  */
 internal class NodeLease(
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val clock: Clock,
 ) {
     /** Lease id, 0 while this node has no lease. */
@@ -32,7 +32,7 @@
         if (isRequestInFlight || clock.steadyMs < nextRequestAtMs) return
         isRequestInFlight = true
         nextRequestAtMs = clock.steadyMs + ElectionTuning.LEASE_KEEP_ALIVE_INTERVAL_MS
-        if (isOpen) state.keepAlive(id, ::handleKeepAlive) else state.openLease(::handleOpen)
+        if (isOpen) storeClient.keepAlive(id, ::handleKeepAlive) else storeClient.openLease(::handleOpen)
     }
 
     private fun handleOpen(result: OpenLeaseResult) {
