--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -9,17 +9,17 @@
 import ledgearch.wire.Heartbeat
 import org.slf4j.LoggerFactory
 
-/** How a status message of an agent has come. */
+/** How an agent's status message reached the leader. */
 internal enum class StatusSource {
-    /** Sent by the agent by itself: a copy of it may come late. */
+    /** Sent by the agent on its own schedule; a delayed duplicate of it may arrive later. */
     HEARTBEAT,
 
-    /** The agent's answer to a direct command, made after the command was sent. */
+    /** Returned in reply to a direct command, so it was made after the command was sent. */
     COMMAND_REPLY,
 }
 
 /**
- * What the agents' status messages say of their machines: incarnation, time of the last message, fencing token,
+ * Applies the agents' status messages to their machines: incarnation, time of the last message, fencing token,
  * confirmation, tasks and preemption notice.
  */
 internal class AgentStatusHandler(
@@ -27,15 +27,18 @@
     private val failover: Failover,
     private val election: Election,
     private val dispatcher: CommandDispatcher,
-    private val confirmation: MachineConfirmation,
-    private val tasks: TaskStatusHandler,
-    private val notices: PreemptionNotices,
-    private val placement: PlacementLoop,
+    private val machineConfirmation: MachineConfirmation,
+    private val taskStatusHandler: TaskStatusHandler,
+    private val preemptionNotices: PreemptionNotices,
+    private val placementLoop: PlacementLoop,
     private val clock: Clock,
 ) : LeaseExpiryListener {
     private val log = LoggerFactory.getLogger("ledgearch.control")
 
-    /** Applies [status] to [machine]; a message older than what is known changes nothing but the times. */
+    /**
+     * Applies [status] to [machine]. A message of an earlier incarnation is ignored; one that is not newer than the
+     * last applied message updates only the times.
+     */
     fun apply(
         machine: Machine,
         status: Heartbeat,
@@ -43,29 +46,30 @@
     ) {
         if (status.incarnation < machine.incarnation) return
         if (status.incarnation > machine.incarnation) beginIncarnation(machine, status.incarnation)
-        // The first message of an incarnation: it began before, and its lease runs from then on in full without any
-        // answer of this node.
+        // First message of an incarnation. The agent's lease began with the incarnation, before this message and
+        // without an answer from this node.
         if (machine.sequence == 0L) machine.lastAnsweredAt = clock.steadyMs
-        val current = isCurrent(machine, status, source)
-        if (source == StatusSource.HEARTBEAT) updateHeartbeatTimes(machine, status, current)
+        val isCurrent = countsAsCurrent(machine, status, source)
+        if (source == StatusSource.HEARTBEAT) updateHeartbeatTimes(machine, status, isCurrent)
         if (status.sequence <= machine.sequence) return
         machine.sequence = status.sequence
-        if (current) machine.lastHeardAt = clock.steadyMs
+        if (isCurrent) machine.lastHeardAt = clock.steadyMs
         if (!machine.unreachable && machine.confirmed) machine.probesFailed = 0
-        notices.update(machine, status)
+        preemptionNotices.update(machine, status)
         updateToken(machine, status.token)
         if (!machine.confirmed) {
-            if (!confirms(machine, status, source)) return
-            confirmation.confirm(machine)
+            if (!confirmsToken(machine, status, source)) return
+            machineConfirmation.confirm(machine)
         }
-        tasks.reconcile(machine, status.tasks)
-        notices.evacuate(machine)
+        taskStatusHandler.reconcile(machine, status.tasks)
+        preemptionNotices.evacuate(machine)
     }
 
     /**
-     * Of a machine that has not confirmed the token, a heartbeat without it may be a copy as old as a former leader.
+     * Returns whether [status] counts as current. Until the machine has confirmed the token, a heartbeat
+     * with a lower token may be a duplicate from an earlier leader's term.
      */
-    private fun isCurrent(
+    private fun countsAsCurrent(
         machine: Machine,
         status: Heartbeat,
         source: StatusSource,
@@ -74,19 +78,19 @@
     private fun updateHeartbeatTimes(
         machine: Machine,
         heartbeat: Heartbeat,
-        current: Boolean,
+        isCurrent: Boolean,
     ) {
         if (heartbeat.sequence <= machine.heartbeatSequence) return
         machine.heartbeatSequence = heartbeat.sequence
         machine.heartbeatSentAfter = machine.heartbeatFirstSeenAt
         machine.heartbeatFirstSeenAt = clock.steadyMs
-        if (current) {
+        if (isCurrent) {
             machine.lastHeardAt = clock.steadyMs
             machine.lastHeartbeatAt = clock.steadyMs
         }
     }
 
-    /** A start sent under an earlier token that was never answered can't be carried out any more. */
+    /** Records the agent's token. From then on the agent executes no start that was sent under an earlier one. */
     private fun updateToken(
         machine: Machine,
         token: Long,
@@ -100,17 +104,17 @@
     }
 
     /**
-     * Whether [status] confirms the term's token. A machine without a record is sent the token directly first: its
-     * heartbeat may be a copy, and the machine gone.
+     * Returns whether [status] confirms the term's token. For a machine without a record only a command reply does: its
+     * heartbeat may be a duplicate from a machine that is gone.
      */
-    private fun confirms(
+    private fun confirmsToken(
         machine: Machine,
         status: Heartbeat,
         source: StatusSource,
-    ) = status.token >= term.firstToken && failover.ready &&
+    ) = status.token >= term.firstToken && failover.isReady &&
         (source != StatusSource.HEARTBEAT || machine.inherited)
 
-    /** The agent of [machine] has started a new incarnation: all attempts of the one before are gone. */
+    /** Begins [incarnation] of the agent of [machine] and ends all attempts of the previous one. */
     private fun beginIncarnation(
         machine: Machine,
         incarnation: Long,
@@ -123,13 +127,13 @@
                 machine.attempts.size,
             )
         }
-        tasks.allGone(machine)
+        taskStatusHandler.allGone(machine)
         machine.incarnation = incarnation
         machine.sequence = 0
         machine.heartbeatSequence = 0
-        placement.requestPass()
+        placementLoop.requestPass()
     }
 
-    /** An agent whose lease expires ends its tasks and its incarnation, whether or not anything is received of it. */
+    /** Called when the agent's lease has expired: the agent has then ended its tasks and its incarnation by itself. */
     override fun leaseExpired(machine: Machine) = beginIncarnation(machine, machine.incarnation + 1)
 }
--- a/src/main/kotlin/ledgearch/control/AttemptControl.kt
+++ b/src/main/kotlin/ledgearch/control/AttemptControl.kt
@@ -9,7 +9,7 @@
 import ledgearch.runtime.Metrics
 import org.slf4j.LoggerFactory
 
-/** Starts, stops and preempts attempts: it notes the decision at the attempt and has the machine's agent told of it. */
+/** Starts, stops and preempts attempts: records the decision in the attempt and queues the command for the agent. */
 internal class AttemptControl(
     private val term: LeadershipTerm,
     private val dispatcher: CommandDispatcher,
@@ -35,10 +35,10 @@
         log.debug("attempt placed; task={} attempt={} machine={}", attempt.taskId, number, machine.name)
     }
 
-    /** Stops [attempt] to make room for [claimant]. */
+    /** Stops [attempt] to free resources for [preemptor]. */
     fun preempt(
         attempt: TaskAttempt,
-        claimant: Job,
+        preemptor: Job,
     ) {
         metrics.count("task.preempted")
         log.debug(
@@ -46,13 +46,13 @@
             attempt.taskId,
             attempt.number,
             attempt.machine.name,
-            claimant.id,
-            claimant.spec.jobClass,
+            preemptor.id,
+            preemptor.spec.jobClass,
         )
         stop(attempt)
     }
 
-    /** Stops [attempt], with a checkpoint first if its job makes any and [secondsLeft] suffice for one. */
+    /** Stops [attempt], after a checkpoint if its job makes checkpoints and one takes less than [secondsLeft]. */
     fun stop(
         attempt: TaskAttempt,
         secondsLeft: Double = Double.MAX_VALUE,
--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -1,37 +1,40 @@
 package ledgearch.control
 
-/** The controller and the leader: constants with their unit and the reason for their value. */
+/** Constants of the controller and the leader. */
 internal object ControlTuning {
-    /** ms. Between two lines of the debug log with what the owner's time was spent on. */
-    const val LOG_LOAD_MS = 10_000L
+    /** Interval of the debug log line that lists what the owner's time was spent on. */
+    const val LOAD_LOG_INTERVAL_MS = 10_000L
 
-    /** ms. A node that the state service has not answered for this long is not healthy while others may be. */
-    const val STATE_SILENT_MS = 4_000L
+    /** A node without an answer of the state service for this long is unhealthy, unless the leader reports an outage. */
+    const val MAX_STATE_SILENCE_MS = 4_000L
 
-    /** ms. A leader that the state service has not answered for this long says so: sooner than others step aside. */
-    const val LEADER_UNSERVED_MS = 2_500L
+    /** Shorter than [MAX_STATE_SILENCE_MS], so that the leader reports an outage before other nodes turn unhealthy. */
+    const val LEADER_MAX_STATE_SILENCE_MS = 2_500L
 
-    /** ms. What the leader said of an outage counts this long: it speaks every second, and may be late. */
-    const val OUTAGE_VALID_MS = 3_000L
+    /** Validity of an outage reported by the leader: several times [PUBLISH_INTERVAL_MS], as reports may be late. */
+    const val OUTAGE_REPORT_VALID_MS = 3_000L
 
-    /** ms. Between two publications of progress. */
-    const val PUBLISH_MS = 1_000L
+    /** Interval at which the leader publishes its status. */
+    const val PUBLISH_INTERVAL_MS = 1_000L
 
-    /** Jobs. Finished jobs whose answer is kept in memory (a name and one word each); the rest are read when asked. */
-    const val FINAL_CACHE = 20_000L
+    /** Finished jobs whose final record stays in memory; older ones are read from the state service on request. */
+    const val FINAL_RECORD_CACHE_SIZE = 20_000L
 
-    /** Bits of an attempt's number that count within a term; the token above them makes it unique for ever. */
-    const val ATTEMPT_BITS = 28
+    /** Low bits of an attempt number that count within a term; the fencing token above them makes it unique. */
+    const val ATTEMPT_COUNTER_BITS = 28
 
-    /** Attempts. After these a new term is needed: a fortnight at a hundred starts a second, half of what there is. */
-    const val ATTEMPTS_PER_TERM = 1L shl (ATTEMPT_BITS - 1)
+    /**
+     * Half of what [ATTEMPT_COUNTER_BITS] can count: two weeks at a hundred starts per second. Beyond it the leader
+     * steps down, so that a new term begins.
+     */
+    const val MAX_ATTEMPTS_PER_TERM = 1L shl (ATTEMPT_COUNTER_BITS - 1)
 
-    /** ms. An agent drops answers 4 s after its heartbeat was sent; some more, since clocks drift and batches wait. */
-    const val ANSWER_AWAITED_MS = 4_500L
+    /** An agent drops an answer 4 s after it sent the heartbeat; the rest covers clock drift and queueing. */
+    const val HEARTBEAT_ANSWER_TIMEOUT_MS = 4_500L
 
-    /** ms. Between two counts of machine hours. */
-    const val COUNT_MS = 1_000L
+    /** Interval at which the hours of spot machines are counted. */
+    const val RELIABILITY_UPDATE_INTERVAL_MS = 1_000L
 
-    /** ms. Between two placement passes without any change, since time alone may make a placement possible. */
-    const val IDLE_PASS_MS = 250L
+    /** Interval of placement passes without a change; time alone can make a placement possible. */
+    const val IDLE_PASS_INTERVAL_MS = 250L
 }
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -9,45 +9,46 @@
 import kotlin.random.Random
 
 /**
- * The one owner of all state of the process. It is given commands in batches with the time, and acts on the world only
- * through its transport and mesh; it knows no sockets, threads or clocks.
+ * Owns all state of the process. Its caller passes in commands in batches together with the time; all output goes
+ * through the transport and the mesh. It uses no sockets, threads or clocks of its own.
  */
 internal class Controller(
     settings: Settings,
     transport: Transport,
     mesh: Mesh,
     random: Random,
-    instance: Long,
-    nanos: () -> Long,
-    finalsKept: Long = ControlTuning.FINAL_CACHE,
+    instanceId: Long,
+    nanoTime: () -> Long,
+    finalRecordCacheSize: Long = ControlTuning.FINAL_RECORD_CACHE_SIZE,
     private val stepFailed: (RuntimeException) -> Unit = ::logFailure,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
-    private val components = ControllerComponents(settings, transport, mesh, random, instance, nanos, finalsKept)
+    private val components =
+        ControllerComponents(settings, transport, mesh, random, instanceId, nanoTime, finalRecordCacheSize)
     private val clock = components.clock
     private val metrics = components.metrics
-    private val state = components.state
+    private val storeClient = components.storeClient
     private val jobStore = components.jobStore
     private val election = components.election
     private val stalls = components.stalls
     private val leader = components.leader
-    private var loadLogAt = 0L
+    private var nextLoadLogAt = 0L
 
-    /** Null unless the operators have switched it on. */
+    /** The warm standby; null unless it is enabled in the operator settings. */
     val standby: WarmStandby? = components.standby
 
-    /** Null unless the operators have switched it on. */
+    /** The zone recovery; null unless it is enabled in the operator settings. */
     val zoneRecovery: ZoneRecovery? get() = leader.recovery
 
-    /** ms from this leader's election until every recorded machine was confirmed; null before, and on other nodes. */
+    /** Milliseconds from this node's election until every recorded machine was confirmed; null before. */
     val failoverMs: Long? get() = leader.failoverMs
 
-    /** The state service has been read: callers need not be turned away. */
+    /** Whether this node has read the jobs from the state service and can serve requests. */
     val isReady: Boolean get() = jobStore.isLoaded
 
     /**
-     * One batch at [steadyMs] on the steady clock and [wallMs] of the time of day: all [commands] in their order, then
-     * whatever follows from them.
+     * Runs one batch at [steadyMs] on the steady clock and [wallMs] on the wall clock: executes all [commands] in
+     * order, then drives every component once.
      */
     fun run(
         steadyMs: Long,
@@ -57,36 +58,40 @@
         clock.steadyMs = steadyMs
         clock.wallMs = wallMs
         stalls.began()
-        for (command in commands) guarded { carryOut(command) }
-        guarded { jobStore.drive() }
-        guarded { election.drive() }
-        guarded { components.autoscaler.driveCatalog(election.isLeader) }
-        guarded { metrics.spend("api") { components.userApi.drive() } }
-        guarded { leader.drive() }
-        guarded { components.progress.drive() }
-        if (standby != null) guarded { metrics.spend("standby") { standby.drive(election.isLeader && leader.ready) } }
-        guarded { metrics.spend("state") { state.pump() } }
-        logLoad()
+        for (command in commands) runIsolated { execute(command) }
+        runIsolated { jobStore.drive() }
+        runIsolated { election.drive() }
+        runIsolated { components.autoscaler.driveCatalog(election.isLeader) }
+        runIsolated { metrics.spend("api") { components.userApi.drive() } }
+        runIsolated { leader.drive() }
+        runIsolated { components.leaderStatusExchange.drive() }
+        if (standby !=
+            null
+        ) {
+            runIsolated { metrics.spend("standby") { standby.drive(election.isLeader && leader.isReady) } }
+        }
+        runIsolated { metrics.spend("state") { storeClient.pump() } }
+        logTimeSpent()
     }
 
-    private fun carryOut(command: OwnerCommand) {
+    private fun execute(command: OwnerCommand) {
         when (command) {
             is OwnerCommand.Serve -> components.router.handle(command.request, command.respond)
             is OwnerCommand.Answered -> metrics.spend("answers") { command.done(command.reply) }
-            is OwnerCommand.LeaderStatusReceived -> components.progress.received(command.status)
-            is OwnerCommand.Standby -> standby?.handle(command.event, components.leaderAddress)
-            is OwnerCommand.PeerRefused -> components.nodeAt(command.address)?.let { election.challenge(it) }
+            is OwnerCommand.LeaderStatusReceived -> components.leaderStatusExchange.apply(command.status)
+            is OwnerCommand.Standby -> standby?.handle(command.event, components.leaderMeshAddress)
+            is OwnerCommand.PeerRefused -> components.nodeAtMeshAddress(command.address)?.let { election.challenge(it) }
             is OwnerCommand.Tick -> stalls.ticked(command.queuedAt)
         }
     }
 
     /**
-     * An exception ends [step] alone. The commands after it are carried out: one of them may be the answer without
-     * which this node would wait for ever. Errors, such as no memory, are not caught: after one the process ends.
-     * The catch is generic since this is the last barrier of the owner's loop: whatever a step throws, the others run.
+     * Runs [step] and reports an exception of it, so that the remaining steps still run: a later command may be the
+     * reply without which this node would wait forever. The catch is generic because any exception must be contained
+     * here. Errors, such as running out of memory, are not caught and end the process.
      */
     @Suppress("TooGenericExceptionCaught")
-    private inline fun guarded(step: () -> Unit) {
+    private inline fun runIsolated(step: () -> Unit) {
         try {
             step()
         } catch (e: RuntimeException) {
@@ -94,23 +99,23 @@
         }
     }
 
-    /** For finding out from a log what a busy node spends its time on. */
-    private fun logLoad() {
-        if (!log.isDebugEnabled || clock.steadyMs < loadLogAt) return
-        loadLogAt = clock.steadyMs + ControlTuning.LOG_LOAD_MS
+    /** Logs what the owner's time was spent on, at most once per [ControlTuning.LOAD_LOG_INTERVAL_MS]. */
+    private fun logTimeSpent() {
+        if (!log.isDebugEnabled || clock.steadyMs < nextLoadLogAt) return
+        nextLoadLogAt = clock.steadyMs + ControlTuning.LOAD_LOG_INTERVAL_MS
         log.debug("time spent by the owner since the process began; ms={}", metrics.spentMs())
     }
 
-    /** The last batch took [micros] and left [waiting] commands. */
+    /** Records that the last batch took [micros] microseconds and left [waiting] commands in the queue. */
     fun worked(
         micros: Long,
         waiting: Int,
     ) = metrics.worked(micros, waiting)
 
-    /** Whether the counts kept of machines and teams are those of a recount. */
+    /** Returns whether the counts kept of machines, teams and jobs equal a recount; true unless this node leads. */
     fun countsHold(): Boolean = !election.isLeader || leader.countsHold()
 }
 
-/** Whoever sent what could not be carried out gets no answer and comes back. */
+/** Logs [e]. The sender of the failed command gets no answer and has to retry. */
 private fun logFailure(e: RuntimeException) =
-    LoggerFactory.getLogger("ledgearch.control").error("step of the owner failed; the others go on", e)
+    LoggerFactory.getLogger("ledgearch.control").error("a step of the owner failed; the remaining steps still run", e)
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -27,58 +27,77 @@
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
 
-/** The parts of a controller and their wiring: who is told when the job store, the election or a job changes. */
+/** Creates the components of a controller and connects the listeners of the job store and the election. */
 internal class ControllerComponents(
     private val settings: Settings,
     transport: Transport,
     private val mesh: Mesh,
     private val random: Random,
-    instance: Long,
-    nanos: () -> Long,
-    finalsKept: Long,
+    instanceId: Long,
+    nanoTime: () -> Long,
+    finalRecordCacheSize: Long,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
-    private val addresses = settings.members.associate { it.node to it.addr }
+    private val meshAddressByNode = settings.members.associate { it.node to it.addr }
 
     /** The time of the current batch. */
     val clock = Clock()
 
-    /** Counters, latencies and where the owner's time goes. */
-    val metrics = Metrics(clock, nanos)
-    private val metered = MeteredTransport(transport, settings.outside, metrics, clock)
-
-    /** The state service. */
-    val state =
-        StoreClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, clock)
+    /** Counters, latencies and the time that the owner spends on each kind of work. */
+    val metrics = Metrics(clock, nanoTime)
+    private val meteredTransport = MeteredTransport(transport, settings.outside, metrics, clock)
+
+    /** Client of the state service. */
+    val storeClient =
+        StoreClient(
+            settings.outside.state,
+            settings.deployment.state,
+            settings.members.size + 1,
+            meteredTransport,
+            clock,
+        )
 
-    /** This node's view of the watched records. */
-    val jobStore = JobStore(state, clock, JobStoreEvents(), DependencyEvents(), finalsKept)
+    /** This node's replicated view of the watched records. */
+    val jobStore = JobStore(storeClient, clock, JobStoreEvents(), DependencyEvents(), finalRecordCacheSize)
 
-    /** Whether this node leads, and by which token. */
+    /** This node's part in the leader election, with its fencing token. */
     val election: Election =
-        Election(settings.node, instance, state, jobStore, clock, random, ElectionEvents(), ::claimDelayMs)
-    private val recordWriter = RecordWriter(state, election, jobStore, clock, settings.deployment.state.safeValueBytes)
+        Election(settings.node, instanceId, storeClient, jobStore, clock, random, ElectionEvents(), ::claimDelayMs)
+    private val recordWriter =
+        RecordWriter(storeClient, election, jobStore, clock, settings.deployment.state.safeValueBytes)
 
-    /** How far this node is behind with its own work. */
+    /** Tracks when this node was behind with its own work. */
     val stalls = StallCompensation(clock, metrics)
 
-    /** Rents and returns machines on the leader; reads the catalog on every node. */
-    val autoscaler: Autoscaler = Autoscaler(settings, metered, election, jobStore, clock, stalls, recordWriter)
-
-    /** Serves the machines while this node leads. */
-    val leader = Leader(settings, state, metered, election, jobStore, clock, recordWriter, autoscaler, metrics, stalls)
+    /** Provisions and releases machines on the leader; reads the machine catalog on every node. */
+    val autoscaler: Autoscaler = Autoscaler(settings, meteredTransport, election, jobStore, clock, stalls, recordWriter)
+
+    /** Manages the machines and places tasks while this node leads. */
+    val leader =
+        Leader(
+            settings,
+            storeClient,
+            meteredTransport,
+            election,
+            jobStore,
+            clock,
+            recordWriter,
+            autoscaler,
+            metrics,
+            stalls,
+        )
 
-    /** Answers the users' requests about jobs. */
-    val userApi = UserApi(settings, jobStore, state, LeadershipEvents(), clock)
+    /** Handles the users' requests about jobs. */
+    val userApi = UserApi(settings, jobStore, storeClient, LeadershipEvents(), clock)
 
-    /** Null unless the operators have switched it on. */
-    val standby: WarmStandby? = warmStandby()
-    private val healthCheck = HealthCheck(jobStore, state, clock)
+    /** The warm standby; null unless it is enabled in the operator settings. */
+    val standby: WarmStandby? = createWarmStandby()
+    private val healthCheck = HealthCheck(jobStore, storeClient, clock)
 
-    /** Publishes the leader's status to the other nodes, and applies it there. */
-    val progress = ProgressExchange(mesh, election, leader, jobStore, state, healthCheck, clock)
+    /** Publishes the leader's status to the other nodes and applies a received one. */
+    val leaderStatusExchange = LeaderStatusExchange(mesh, election, leader, jobStore, storeClient, healthCheck, clock)
 
-    /** Answers all HTTP requests. */
+    /** Routes all HTTP requests. */
     val router =
         RequestRouter(
             healthCheck,
@@ -93,20 +112,23 @@
         recordWriter.onClosed = { job, record -> jobStore.rememberFinal(job.id, record) }
     }
 
-    /** The mesh address of the leader, as far as the job store knows one. */
-    val leaderAddress: String? get() = jobStore.leadership?.node?.let { addresses[it] }
+    /** The mesh address of the leader, or null when no leader is known. */
+    val leaderMeshAddress: String? get() = jobStore.leadership?.node?.let { meshAddressByNode[it] }
 
-    /** The name of the node at a mesh address. */
-    fun nodeAt(address: String): String? = addresses.entries.firstOrNull { it.value == address }?.key
+    /** Returns the name of the node at the mesh [address], or null when there is none. */
+    fun nodeAtMeshAddress(address: String): String? = meshAddressByNode.entries.firstOrNull { it.value == address }?.key
 
-    private fun warmStandby(): WarmStandby? {
+    private fun createWarmStandby(): WarmStandby? {
         if (!settings.operator.standby.enabled) return null
         val snapshot =
             LeaderSnapshot(leader.machines, leader.estimates, jobStore, autoscaler, StandbyTuning.REPLICA_BYTES)
         return WarmStandby(settings.node, mesh, clock, settings.deployment.quota.cpu, snapshot)
     }
 
-    /** The more current replica has a head start; the longest wait is the same with and without it. */
+    /**
+     * Returns how long this node waits before it claims a free leadership. With warm standby, a node with a more
+     * current replica waits less. The longest wait is the same with and without standby.
+     */
     private fun claimDelayMs(): Long {
         val headStartMs = standby?.headStartMs() ?: return random.nextLong(ElectionTuning.ELECTION_SPREAD_MS)
         return headStartMs + random.nextLong(ElectionTuning.ELECTION_SPREAD_MS - ElectionTuning.HEAD_START_MS)
@@ -116,17 +138,17 @@
         override fun leadershipChanged() {
             election.leadershipChanged()
             standby?.leadershipChanged(jobStore.leadership, jobStore.leadershipRevision)
-            mesh.follow(leaderAddress)
+            mesh.follow(leaderMeshAddress)
             val node = jobStore.leadership?.node ?: "none"
             log.info("leader changed; node={} token={}", node, jobStore.leadershipRevision)
         }
 
-        override fun jobOpened(job: Job) = leader.jobs.opened(job)
+        override fun jobOpened(job: Job) = leader.jobLifecycle.opened(job)
 
-        override fun jobChanged(job: Job) = leader.jobs.changed(job)
+        override fun jobChanged(job: Job) = leader.jobLifecycle.changed(job)
 
         override fun jobClosed(job: Job) {
-            leader.jobs.closed(job)
+            leader.jobLifecycle.closed(job)
             userApi.closed(job.id)
         }
 
@@ -134,14 +156,14 @@
     }
 
     private inner class DependencyEvents : DependencyListener {
-        override fun released(job: Job) = leader.jobs.released(job)
+        override fun released(job: Job) = leader.jobLifecycle.released(job)
 
-        override fun dependencyCancelled(job: Job) = leader.jobs.dependencyCancelled(job)
+        override fun dependencyCancelled(job: Job) = leader.jobLifecycle.dependencyCancelled(job)
 
         override fun priorityChanged(
             job: Job,
             priority: Priority,
-        ) = leader.jobs.priorityChanged(job, priority)
+        ) = leader.jobLifecycle.priorityChanged(job, priority)
     }
 
     private inner class ElectionEvents : ElectionListener {
--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -9,66 +9,66 @@
 import ledgearch.standby.FailoverHints
 import org.slf4j.LoggerFactory
 
-/** The first phase of a leadership term: the records are read, and hints of a standby's replica applied to them. */
+/** First phase of a leadership term: loads the records and applies the hints of a warm standby's replica. */
 internal class Failover(
     private val term: LeadershipTerm,
-    private val loader: RecordLoader,
-    private val registry: MachineRegistry,
+    private val recordLoader: RecordLoader,
+    private val machineRegistry: MachineRegistry,
     private val jobStore: JobStore,
     private val election: Election,
     private val clock: Clock,
     private val estimates: Estimates,
     private val autoscaler: Autoscaler,
-    private val placement: PlacementLoop,
+    private val placementLoop: PlacementLoop,
 ) : RecordLoaderListener {
     private val log = LoggerFactory.getLogger("ledgearch.control")
 
-    /** What a replica of the replaced leader's state suggests; it proves nothing. Null without one and once used. */
+    /** Unverified hints from a replica of the previous leader's state; null without a replica and once applied. */
     private var hints: FailoverHints? = null
 
-    /** The records are read: from here on machines are confirmed and tasks placed. */
-    var ready = false
+    /** Whether all records are loaded. Only then are machines confirmed and tasks placed. */
+    var isReady = false
         private set
 
-    /** A new term begins; [end] was called before. [failoverHints]: null without a replica. */
+    /** Begins a term after [end]; [failoverHints] is null without a replica. */
     fun begin(failoverHints: FailoverHints?) {
         hints = failoverHints
     }
 
-    /** The term has ended. */
+    /** Ends the term. */
     fun end() {
         hints = null
-        ready = false
+        isReady = false
     }
 
-    /** Reads on, until [ready]. */
+    /** Loads the next records; called until [isReady] holds. */
     fun drive() {
-        // Jobs accepted before the election are in the job store once the watch has passed the leadership record.
+        // Once the watch has passed the leadership record, the job store has all jobs accepted before the election.
         if (jobStore.revision < term.firstToken) return
-        loader.drive(this)
+        recordLoader.drive(this)
     }
 
     override fun machineRestored(machine: Machine) {
-        registry.join(machine)
+        machineRegistry.add(machine)
         hints?.applyTo(machine, clock)
     }
 
     override fun allRecordsLoaded() {
         applyHints()
-        ready = true
-        placement.requestPass()
+        isReady = true
+        placementLoop.requestPass()
         log.info(
             "failover: all records read; machines={} jobs={} token={}",
-            registry.machines.size,
+            machineRegistry.machines.size,
             jobStore.jobs.size,
             election.token,
         )
     }
 
     private fun applyHints() {
-        val used = hints ?: return
+        val currentHints = hints ?: return
         hints = null
-        used.applyAll(registry.machines, estimates, jobStore, autoscaler, clock)
-        registry.setProbeOrder(used.inProbeOrder(registry.unconfirmed))
+        currentHints.applyAll(machineRegistry.machines, estimates, jobStore, autoscaler, clock)
+        machineRegistry.setProbeOrder(currentHints.inProbeOrder(machineRegistry.unconfirmed))
     }
 }
--- a/src/main/kotlin/ledgearch/control/HealthCheck.kt
+++ b/src/main/kotlin/ledgearch/control/HealthCheck.kt
@@ -4,28 +4,28 @@
 import ledgearch.runtime.Clock
 import ledgearch.store.StoreClient
 
-/** Whether users are to be sent to this node. */
+/** Decides whether the load balancer should send users to this node. */
 internal class HealthCheck(
     private val jobStore: JobStore,
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val clock: Clock,
 ) {
-    /** When the leader last said that the state service does not answer it either (steady ms). */
-    private var leaderUnservedAt = Long.MIN_VALUE / 2
+    /** Steady time in ms at which the leader last reported that the state service does not answer it. */
+    private var leaderOutageReportedAt = Long.MIN_VALUE / 2
 
-    /** The leader says that the state service does not answer it. */
-    fun leaderIsUnserved() {
-        leaderUnservedAt = clock.steadyMs
+    /** Records that the leader reports an outage of the state service. */
+    fun recordLeaderOutage() {
+        leaderOutageReportedAt = clock.steadyMs
     }
 
     /**
-     * Users are better served elsewhere while the state service refuses this node alone. In an outage nobody serves
-     * them better, and nodes that all stepped aside would be long in coming back: what is known for good is answered,
-     * and everyone else told at once when to come back.
+     * Returns whether this node is healthy. It is not while the state service answers other nodes but not this one, as
+     * those serve users better. In a general outage it stays healthy: otherwise all nodes would leave the load balancer
+     * and be slow to return. It then still answers from final results and tells other users when to retry.
      */
     fun isHealthy(): Boolean {
         if (!jobStore.isLoaded || jobStore.machineTypes.isEmpty()) return false
-        return clock.steadyMs - state.lastAnswerAt < ControlTuning.STATE_SILENT_MS ||
-            clock.steadyMs - leaderUnservedAt < ControlTuning.OUTAGE_VALID_MS
+        return clock.steadyMs - storeClient.lastAnswerAt < ControlTuning.MAX_STATE_SILENCE_MS ||
+            clock.steadyMs - leaderOutageReportedAt < ControlTuning.OUTAGE_REPORT_VALID_MS
     }
 }
--- a/src/main/kotlin/ledgearch/control/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatEndpoint.kt
@@ -11,24 +11,25 @@
 import ledgearch.wire.Redirect
 import ledgearch.wire.WireJson
 
-/** The HTTP side of heartbeats: commands from the leader, the leader's name from every other node. */
+/** Answers heartbeats over HTTP: with commands on the leader, and with a redirect to the leader on every other node. */
 internal class HeartbeatEndpoint(
     private val node: String,
     private val election: Election,
     private val jobStore: JobStore,
     private val leader: Leader,
 ) {
-    /** The answer to the heartbeat in [request]. */
+    /** Returns the answer to the heartbeat in [request]. */
     fun answer(request: Request): Response {
         if (!election.isLeader) return redirect()
-        val heartbeat = parse(request.body) ?: return errorResponse(HttpStatus.BAD_REQUEST, "not a report")
+        val heartbeat =
+            parse(request.body) ?: return errorResponse(HttpStatus.BAD_REQUEST, "the body is not a valid heartbeat")
         val result = leader.handle(heartbeat)
         if (result.isNotLeader) return redirect()
         val reply = HeartbeatReply(election.token, result.commands)
         return Response(HttpStatus.OK, WireJson.encodeToString(HeartbeatReply.serializer(), reply))
     }
 
-    /** Null when [body] is no heartbeat; the sender is told so, and the cause would only repeat what it sent. */
+    /** Returns the heartbeat in [body], or null when it is not valid; the exception would only repeat the body. */
     @Suppress("SwallowedException")
     private fun parse(body: String): Heartbeat? =
         try {
@@ -38,9 +39,9 @@
         }
 
     private fun redirect(): Response {
-        val other = jobStore.leadership?.node
-        if (other == null || other == node) return errorResponse(HttpStatus.UNAVAILABLE, "no leader is known")
-        val body = WireJson.encodeToString(Redirect.serializer(), Redirect(other))
+        val leaderNode = jobStore.leadership?.node
+        if (leaderNode == null || leaderNode == node) return errorResponse(HttpStatus.UNAVAILABLE, "no leader is known")
+        val body = WireJson.encodeToString(Redirect.serializer(), Redirect(leaderNode))
         return Response(HttpStatus.MISDIRECTED, body)
     }
 }
--- a/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
@@ -10,35 +10,35 @@
 import ledgearch.wire.TaskCommand
 import org.slf4j.LoggerFactory
 
-/** What a heartbeat is answered with: commands, or that this node does not lead. */
+/** The answer to a heartbeat: commands for the agent, or that this node is not the leader. */
 @JvmInline
 internal value class HeartbeatResult private constructor(
     private val commandsIfLeader: List<TaskCommand>?,
 ) {
-    /** This node may not answer for the cluster; there are no commands. */
+    /** Whether this node is not the leader; there are no commands then. */
     val isNotLeader: Boolean get() = commandsIfLeader == null
 
-    /** The commands for the agent, empty without any. */
+    /** The commands for the agent; may be empty. */
     val commands: List<TaskCommand> get() = commandsIfLeader.orEmpty()
 
     companion object {
-        /** This node may not answer for the cluster. */
+        /** This node is not the leader. */
         val NOT_LEADER get() = HeartbeatResult(null)
 
-        /** The agent has nothing to do at present. */
+        /** There are no commands for the agent. */
         val NO_COMMANDS get() = HeartbeatResult(emptyList())
 
-        /** The agent is to carry out [commands]. */
+        /** Returns a result with [commands] for the agent. */
         fun of(commands: List<TaskCommand>) = HeartbeatResult(commands)
     }
 }
 
-/** The receiving end of all messages of agents: it checks tokens and copies, and answers heartbeats with commands. */
+/** Receives all messages of agents, rejects fenced and duplicate ones, and answers heartbeats with commands. */
 internal class HeartbeatHandler(
-    private val registry: MachineRegistry,
-    private val loader: RecordLoader,
+    private val machineRegistry: MachineRegistry,
+    private val recordLoader: RecordLoader,
     private val failover: Failover,
-    private val admission: MachineAdmission,
+    private val machineAdmission: MachineAdmission,
     private val statusHandler: AgentStatusHandler,
     private val dispatcher: CommandDispatcher,
     private val election: Election,
@@ -50,21 +50,20 @@
     /** Applies [heartbeat] and returns the commands for its agent. */
     fun handle(heartbeat: Heartbeat): HeartbeatResult {
         if (isFenced(heartbeat)) return HeartbeatResult.NOT_LEADER
-        if (!loader.machinesRead) return HeartbeatResult.NO_COMMANDS
-        val machine = registry.machines[heartbeat.machine] ?: admission.admit(heartbeat)
-        // The answer to a late copy reaches no agent that would accept it, so it renews no lease, and the content of
-        // the copy is old.
-        if (machine == null || isLateCopy(machine, heartbeat)) return HeartbeatResult.NO_COMMANDS
-        // Every other answer may renew the agent's lease, also that of a machine being released: until the release is
-        // carried out, its tasks are on it and must be stopped like any others.
+        if (!recordLoader.areMachinesLoaded) return HeartbeatResult.NO_COMMANDS
+        val machine = machineRegistry.machines[heartbeat.machine] ?: machineAdmission.admit(heartbeat)
+        // No agent accepts an answer to a late duplicate, so it renews no lease, and the duplicate's content is old.
+        if (machine == null || isLateDuplicate(machine, heartbeat)) return HeartbeatResult.NO_COMMANDS
+        // Every other answer may renew the agent's lease. This includes a machine being released: until the release
+        // is done its tasks may run there and must be stopped like any others.
         machine.lastAnsweredAt = clock.steadyMs
         statusHandler.apply(machine, heartbeat, StatusSource.HEARTBEAT)
-        if (heartbeat.incarnation != machine.incarnation || !failover.ready) return HeartbeatResult.NO_COMMANDS
-        return HeartbeatResult.of(commandsInReplyTo(machine, heartbeat))
+        if (heartbeat.incarnation != machine.incarnation || !failover.isReady) return HeartbeatResult.NO_COMMANDS
+        return HeartbeatResult.of(collectCommands(machine, heartbeat))
     }
 
-    /** The commands are carried out or dropped before the agent's next heartbeat. */
-    private fun commandsInReplyTo(
+    /** Returns the pending commands of [machine], which its agent executes or drops before its next heartbeat. */
+    private fun collectCommands(
         machine: Machine,
         heartbeat: Heartbeat,
     ): List<TaskCommand> {
@@ -77,25 +76,25 @@
         return commands
     }
 
-    /** An agent that has seen a higher token follows a newer leader: this node's term is over. */
+    /** Returns whether the agent has seen the token of a newer leader; if so, ends this node's leadership. */
     private fun isFenced(status: Heartbeat): Boolean {
         if (status.token <= election.token) return false
         election.loseLeadership("an agent has seen the higher fencing token ${status.token}")
         return true
     }
 
-    /** An agent waits for the answer to its last heartbeat only, and not for long. */
-    private fun isLateCopy(
+    /** Returns whether the agent no longer waits for the answer: it accepts one only to its last heartbeat, for 4 s. */
+    private fun isLateDuplicate(
         machine: Machine,
         heartbeat: Heartbeat,
     ): Boolean {
         if (heartbeat.incarnation != machine.incarnation) return heartbeat.incarnation < machine.incarnation
         if (heartbeat.sequence != machine.heartbeatSequence) return heartbeat.sequence < machine.heartbeatSequence
-        return clock.steadyMs - machine.heartbeatFirstSeenAt > ControlTuning.ANSWER_AWAITED_MS
+        return clock.steadyMs - machine.heartbeatFirstSeenAt > ControlTuning.HEARTBEAT_ANSWER_TIMEOUT_MS
     }
 
-    /** The agent of [machine] has answered a direct command with [status]. */
-    fun replied(
+    /** Applies the [status] with which the agent of [machine] replied to a direct command. */
+    fun handleReply(
         machine: Machine,
         status: Heartbeat,
     ) {
@@ -104,11 +103,11 @@
     }
 
     /**
-     * The agent of [machine] has restarted without its state. Nothing that it sends from now on can be told from late
-     * copies of what it sent before, since its numbers start again too: the machine is not used any more. What ran
-     * there is free once the machine is returned.
+     * Releases [machine], whose agent has restarted without its state. The agent's sequence numbers start again, so its
+     * new messages can't be told from late duplicates of old ones. The tasks that ran there are pending again once the
+     * machine is gone.
      */
-    fun lostItsState(machine: Machine) {
+    fun handleStateLoss(machine: Machine) {
         if (machine.releasing) return
         log.warn("machine released: its agent restarted without its state; machine={}", machine.name)
         autoscaler.release(machine)
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -10,44 +10,44 @@
 import ledgearch.wire.Priority
 import org.slf4j.LoggerFactory
 
-/** What the leader does as jobs are opened, released by their dependencies, changed, cancelled and closed. */
+/** Reacts on the leader to jobs that are opened, released by their dependencies, changed, cancelled or closed. */
 internal class JobLifecycle(
     private val term: LeadershipTerm,
     private val jobStore: JobStore,
-    private val registry: MachineRegistry,
+    private val machineRegistry: MachineRegistry,
     private val reconciliation: Reconciliation,
-    private val attempts: AttemptControl,
+    private val attemptControl: AttemptControl,
     private val placer: Placer,
-    private val placement: PlacementLoop,
+    private val placementLoop: PlacementLoop,
     private val recordWriter: RecordWriter,
     private val headroom: Headroom,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
 
-    /** Jobs that are to be closed as cancelled: cancelled themselves, or dependent on a cancelled one. */
-    private val cancelled = LinkedHashSet<Job>()
+    /** Jobs to close as cancelled: those cancelled by request and those that depend on a cancelled job. */
+    private val cancelledJobs = LinkedHashSet<Job>()
 
-    /** A new term begins; [end] was called before. */
+    /** Begins a term after [end]. */
     fun begin() {
         for (job in jobStore.jobs.values) {
-            job.accountedFor = term.isNewer(job) && !job.record.cancelRequested
-            if (isCancelled(job)) cancelled.add(job)
+            job.accountedFor = term.wasWrittenInTerm(job) && !job.record.cancelRequested
+            if (isCancelled(job)) cancelledJobs.add(job)
         }
-        placement.invalidateGuarantees()
+        placementLoop.invalidateGuarantees()
     }
 
-    /** The term has ended. */
-    fun end() = cancelled.clear()
+    /** Ends the term. */
+    fun end() = cancelledJobs.clear()
 
-    /** [job] is in the job store from now on. */
+    /** Called when [job] was added to the job store. */
     fun opened(job: Job) {
         if (!job.waitsForOthers) headroom.opened(job)
         logOpened(job)
         if (!term.isActive) return
-        job.accountedFor = reconciliation.accountsFor(job)
-        if (isCancelled(job)) cancelled.add(job)
-        placement.invalidateGuarantees()
-        placement.requestPass()
+        job.accountedFor = reconciliation.isAccountedFor(job)
+        if (isCancelled(job)) cancelledJobs.add(job)
+        placementLoop.invalidateGuarantees()
+        placementLoop.requestPass()
     }
 
     private fun isCancelled(job: Job) = job.record.cancelRequested || job.dependencyCancelled
@@ -66,68 +66,74 @@
         )
     }
 
-    /** Every job that [job] depends on is done. */
+    /** Called when every job that [job] depends on is done. */
     fun released(job: Job) {
         headroom.opened(job)
         if (!term.isActive) return
         log.debug("job released: all its dependencies are done; job={}", job.id)
-        placement.invalidateGuarantees()
-        placement.requestPass()
+        placementLoop.invalidateGuarantees()
+        placementLoop.requestPass()
     }
 
-    /** A job that [job] depends on was cancelled. */
+    /** Called when a job that [job] depends on was cancelled. */
     fun dependencyCancelled(job: Job) {
-        if (term.isActive) cancelled.add(job)
+        if (term.isActive) cancelledJobs.add(job)
     }
 
-    /** [job] is served with [priority] from now on. */
+    /** Sets the effective priority of [job] to [priority]. */
     fun priorityChanged(
         job: Job,
         priority: Priority,
     ) {
-        // Attempts are counted by priority, so those of the job are taken out of the counts while it changes.
-        val counted = registry.machines.values.flatMap { machine -> machine.attempts.values.filter { it.job === job } }
-        counted.forEach { it.machine.count(it, -1) }
+        // Attempts are counted by priority: those of the job are subtracted before the change and added after it.
+        val countedAttempts =
+            machineRegistry.machines.values.flatMap { machine ->
+                machine.attempts.values.filter {
+                    it.job ===
+                        job
+                }
+            }
+        countedAttempts.forEach { it.machine.count(it, -1) }
         job.priority = priority
-        counted.forEach { it.machine.count(it, 1) }
-        placement.requestPass()
+        countedAttempts.forEach { it.machine.count(it, 1) }
+        placementLoop.requestPass()
     }
 
-    /** The record of [job] has changed. */
+    /** Called when the record of [job] has changed. */
     fun changed(job: Job) {
         if (!term.isActive) return
-        if (job.record.cancelRequested) cancelled.add(job)
-        placement.requestPass()
+        if (job.record.cancelRequested) cancelledJobs.add(job)
+        placementLoop.requestPass()
     }
 
-    /** The final record of [job] is durable. */
+    /** Called when the final record of [job] is durable. */
     fun closed(job: Job) {
         if (!term.isActive) return
         job.closed = true
-        cancelled.remove(job)
+        cancelledJobs.remove(job)
         placer.forget(job)
-        attempts.stopAll(job)
-        placement.invalidateGuarantees()
-        placement.requestPass()
+        attemptControl.stopAll(job)
+        placementLoop.invalidateGuarantees()
+        placementLoop.requestPass()
     }
 
-    /** Stops cancelled jobs, and closes each once none of its tasks can be on a machine or get there. */
+    /** Stops cancelled jobs, and closes each one once none of its tasks can be on a machine or still start. */
     fun closeCancelled() {
-        for (job in cancelled) {
+        for (job in cancelledJobs) {
             if (job.closing) continue
             placer.forget(job)
-            attempts.stopAll(job)
-            if (nothingIsLeft(job)) recordWriter.close(job, JobState.CANCELLED)
+            attemptControl.stopAll(job)
+            if (isFullyStopped(job)) recordWriter.close(job, JobState.CANCELLED)
         }
     }
 
     /**
-     * Once the job is closed nothing of it is left, so that no later leader need count it for its team. A job that
-     * depends on a cancelled one was never released, by any leader: nothing of it can be anywhere.
+     * Returns whether no task of [job] can be on any machine, so that no later leader has to count it for its team.
+     * This holds at once for a job that depends on a cancelled one: no leader ever released it.
      */
-    private fun nothingIsLeft(job: Job) = job.dependencyCancelled || (job.accountedFor && job.attempts.isEmpty())
+    private fun isFullyStopped(job: Job) = job.dependencyCancelled || (job.accountedFor && job.attempts.isEmpty())
 
-    /** Whether the counts of running attempts are those of a recount. */
+    /** Returns whether the counts of running attempts equal a recount. */
     fun countsHold(): Boolean =
         jobStore.jobs.values.all { job ->
             !term.isActive || job.runningCount == job.attempts.values.count { it.state == AttemptState.RUNNING }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -39,13 +39,13 @@
 import ledgearch.wire.Heartbeat
 
 /**
- * The leader of the cluster: it alone binds tasks to machines. It begins and ends the leadership term, has its
- * collaborators work in a fixed order, and is what the autoscaler knows of the cluster. But for estimates nothing here
- * outlives the term: a new leader learns what runs from the agents, after each has confirmed the new fencing token.
+ * The leader of the cluster; it alone assigns tasks to machines. It begins and ends the leadership term, drives its
+ * components in a fixed order, and is the autoscaler's view of the cluster. Except for the estimates, no state is kept
+ * beyond the term: a new leader learns the running tasks from the agents, each after it has confirmed the new token.
  */
 internal class Leader(
     settings: Settings,
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     transport: Transport,
     private val election: Election,
     private val jobStore: JobStore,
@@ -56,17 +56,17 @@
     stalls: StallCompensation,
 ) : Cluster {
     private val term = LeadershipTerm()
-    private val registry = MachineRegistry()
-    override val machines: Map<String, Machine> get() = registry.machines
+    private val machineRegistry = MachineRegistry()
+    override val machines: Map<String, Machine> get() = machineRegistry.machines
     override val teams = TeamQuotas(settings.deployment.teams)
     override val estimates = Estimates()
     override val headroom = Headroom(settings, clock)
 
-    /** Null unless the operators have switched it on. */
-    override val recovery: ZoneRecovery? = zoneRecovery(settings, clock)
+    /** The zone recovery; null unless it is enabled in the operator settings. */
+    override val recovery: ZoneRecovery? = createZoneRecovery(settings, clock)
     private val dispatcher =
         CommandDispatcher(transport, election, clock, stalls, DispatchLimits.of(settings.deployment), AgentReplies())
-    private val attempts = AttemptControl(term, dispatcher, clock, metrics)
+    private val attemptControl = AttemptControl(term, dispatcher, clock, metrics)
     private val deadlines =
         Deadlines(settings.deployment.objectives, estimates, clock, jobStore.dependencies::dependentsOf)
     private val ranking = Ranking(settings.deployment.objectives, estimates, clock, deadlines)
@@ -77,24 +77,45 @@
             teams,
             clock,
             ranking,
-            Preemption(teams, ranking, clock, recovery ?: NoRecovery, attempts::preempt),
+            Preemption(teams, ranking, clock, recovery ?: NoRecovery, attemptControl::preempt),
             reliability,
             recovery ?: NoRecovery,
             estimates,
             metrics,
-            attempts::start,
+            attemptControl::start,
         )
-    override val replicas = ReplicaMover(clock, placer::usable) { attempts.stop(it) }
-    private val placement =
-        PlacementLoop(jobStore, registry, placer, teams, reliability, headroom, autoscaler, clock, stalls, metrics)
-    private val tasks =
+    override val replicas = ReplicaMover(clock, placer::usable) { attemptControl.stop(it) }
+    private val placementLoop =
+        PlacementLoop(
+            jobStore,
+            machineRegistry,
+            placer,
+            teams,
+            reliability,
+            headroom,
+            autoscaler,
+            clock,
+            stalls,
+            metrics,
+        )
+    private val taskStatusHandler =
         TaskStatusHandler(jobStore, machines, estimates, recordWriter, metrics, clock, dispatcher, TaskEvents())
 
-    private val loader = RecordLoader(state, jobStore, recordWriter, teams, clock)
+    private val recordLoader = RecordLoader(storeClient, jobStore, recordWriter, teams, clock)
     private val failover =
-        Failover(term, loader, registry, jobStore, election, clock, estimates, autoscaler, placement)
+        Failover(term, recordLoader, machineRegistry, jobStore, election, clock, estimates, autoscaler, placementLoop)
     private val reconciliation =
-        Reconciliation(term, registry, loader, dispatcher, jobStore, election, placement, recovery, clock)
+        Reconciliation(
+            term,
+            machineRegistry,
+            recordLoader,
+            dispatcher,
+            jobStore,
+            election,
+            placementLoop,
+            recovery,
+            clock,
+        )
 
     private val statusHandler =
         AgentStatusHandler(
@@ -102,18 +123,18 @@
             failover,
             election,
             dispatcher,
-            MachineConfirmation(registry, dispatcher, recordWriter, placer, placement, clock),
-            tasks,
-            PreemptionNotices(attempts, estimates, clock),
-            placement,
+            MachineConfirmation(machineRegistry, dispatcher, recordWriter, placer, placementLoop, clock),
+            taskStatusHandler,
+            PreemptionNotices(attemptControl, estimates, clock),
+            placementLoop,
             clock,
         )
-    private val heartbeats =
+    private val heartbeatHandler =
         HeartbeatHandler(
-            registry,
-            loader,
+            machineRegistry,
+            recordLoader,
             failover,
-            MachineAdmission(registry, jobStore, teams, autoscaler, clock, metrics),
+            MachineAdmission(machineRegistry, jobStore, teams, autoscaler, clock, metrics),
             statusHandler,
             dispatcher,
             election,
@@ -135,19 +156,27 @@
             stalls,
         )
 
-    /** What the leader does as jobs change; the job store and their dependencies call it. */
-    val jobs =
-        JobLifecycle(term, jobStore, registry, reconciliation, attempts, placer, placement, recordWriter, headroom)
+    /** Receives the changes of jobs from the job store and the dependencies. */
+    val jobLifecycle =
+        JobLifecycle(
+            term,
+            jobStore,
+            machineRegistry,
+            reconciliation,
+            attemptControl,
+            placer,
+            placementLoop,
+            recordWriter,
+            headroom,
+        )
 
-    /** The records are read: from here on machines are confirmed and tasks placed. */
-    val ready: Boolean get() = failover.ready
+    /** Whether all records are loaded. Only then are machines confirmed and tasks placed. */
+    val isReady: Boolean get() = failover.isReady
 
-    /** ms from the election until every recorded machine was confirmed; null before. */
+    /** Milliseconds from the election until every recorded machine was confirmed; null before. */
     val failoverMs: Long? get() = reconciliation.failoverMs
 
-    /**
-     * This node leads from the election with [token] on; [failoverHints]: what a standby's replica suggests, if any.
-     */
+    /** Begins the term of the election with [token]; [failoverHints] come from a warm standby's replica, if any. */
     fun begin(
         token: Long,
         failoverHints: FailoverHints? = null,
@@ -155,54 +184,54 @@
         end()
         term.begin(token)
         failover.begin(failoverHints)
-        jobs.begin()
-        loader.begin()
+        jobLifecycle.begin()
+        recordLoader.begin()
         recovery?.begin()
-        state.setBudgetShare(leader = true)
+        storeClient.setBudgetShare(leader = true)
     }
 
-    /** This node no longer leads: all that belongs to the term is forgotten. */
+    /** Ends the term and clears its state. */
     fun end() {
         term.end()
         failover.end()
         reconciliation.end()
-        registry.clear()
-        jobs.end()
+        machineRegistry.clear()
+        jobLifecycle.end()
         dispatcher.clear()
         failureDetector.clear()
         placer.clear()
         teams.clear()
-        loader.clear()
+        recordLoader.clear()
         recordWriter.clear()
         recovery?.end()
         for (job in jobStore.jobs.values) job.forgetLeaderState()
         autoscaler.end()
-        state.setBudgetShare(leader = false)
+        storeClient.setBudgetShare(leader = false)
     }
 
     /**
-     * Does what is due; without effect while this node does not lead. The names of the stages are those of their times
-     * in `GET /metrics`.
+     * Performs the work that is due; does nothing while this node does not lead. The stage names are the keys of the
+     * times in `GET /metrics`.
      */
     fun drive() {
         if (!term.isActive || !election.isLeader) return
-        if (!failover.ready) failover.drive()
-        if (!failover.ready) return
-        if (term.attemptNumbersUsedUp) return election.stepDown("attempt numbers are used up")
+        if (!failover.isReady) failover.drive()
+        if (!failover.isReady) return
+        if (term.areAttemptNumbersExhausted) return election.stepDown("the attempt numbers of the term are exhausted")
         reconciliation.drive()
-        jobs.closeCancelled()
+        jobLifecycle.closeCancelled()
         metrics.spend("failure_detection") { failureDetector.drive() }
-        // The failure detector steps down when this node receives next to no heartbeats.
+        // The failure detector may have stepped down because this node receives almost no heartbeats.
         if (!election.isLeader) return
-        placement.updateReliability()
-        metrics.spend("placement") { placement.drive() }
+        placementLoop.updateReliability()
+        metrics.spend("placement") { placementLoop.drive() }
         metrics.spend("commands") { dispatcher.drive() }
         metrics.spend("autoscaling") { autoscaler.drive(this) }
         metrics.spend("records") { recordWriter.drive() }
     }
 
-    /** Applies [heartbeat] and returns what it is answered with. */
-    fun handle(heartbeat: Heartbeat): HeartbeatResult = heartbeats.handle(heartbeat)
+    /** Applies [heartbeat] and returns the answer to it. */
+    fun handle(heartbeat: Heartbeat): HeartbeatResult = heartbeatHandler.handle(heartbeat)
 
     override val anyZoneUnsettled get() = !partitionedZones.isEmpty || recovery?.anyUnsettled == true
 
@@ -210,32 +239,33 @@
 
     override fun machineGone(machine: Machine) {
         metrics.count("machine.gone")
-        tasks.allGone(machine)
-        registry.remove(machine)
+        taskStatusHandler.allGone(machine)
+        machineRegistry.remove(machine)
         dispatcher.forget(machine)
         placer.machinesChanged(machine)
         recordWriter.removeMachine(machine)
-        placement.requestPass()
+        placementLoop.requestPass()
     }
 
-    override fun changed() = placement.requestPass()
+    override fun changed() = placementLoop.requestPass()
 
-    /** Whether the counts kept as attempts come and go are those of a recount. */
-    fun countsHold() = machines.values.all { it.countsHold() } && teams.countsHold(machines.values) && jobs.countsHold()
+    /** Returns whether the counts that are updated with each attempt equal a recount. */
+    fun countsHold() =
+        machines.values.all { it.countsHold() } && teams.countsHold(machines.values) && jobLifecycle.countsHold()
 
     private inner class AgentReplies : AgentReplyListener {
-        override fun isCurrent(machine: Machine) = registry.contains(machine)
+        override fun isCurrent(machine: Machine) = machineRegistry.contains(machine)
 
         override fun replied(
             machine: Machine,
             status: Heartbeat,
-        ) = heartbeats.replied(machine, status)
+        ) = heartbeatHandler.handleReply(machine, status)
 
-        override fun lostItsState(machine: Machine) = heartbeats.lostItsState(machine)
+        override fun lostItsState(machine: Machine) = heartbeatHandler.handleStateLoss(machine)
     }
 
     private inner class TaskEvents : TaskStatusListener {
-        override fun placementChanged() = placement.requestPass()
+        override fun placementChanged() = placementLoop.requestPass()
 
         override fun attemptLost(attempt: TaskAttempt) {
             recovery?.lost(attempt)
@@ -243,14 +273,13 @@
     }
 
     private companion object {
-        /** Null unless the operators have switched it on. */
-        fun zoneRecovery(
+        /** Returns the zone recovery, or null unless it is enabled in the operator settings. */
+        fun createZoneRecovery(
             settings: Settings,
             clock: Clock,
         ): ZoneRecovery? {
             if (!settings.operator.zoneRecovery.enabled) return null
-            // An agent that goes on sends a heartbeat within this time: a new leader then knows which zones are cut
-            // off.
+            // A running agent sends a heartbeat within this time, so a new leader then knows which zones are cut off.
             val detectionMs =
                 settings.deployment.workers.reportS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEATS
             return ZoneRecovery(settings.operator.zoneRecovery, clock, detectionMs.toLong())
--- /dev/null
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -0,0 +1,51 @@
+package ledgearch.control
+
+import ledgearch.election.Election
+import ledgearch.jobs.JobStore
+import ledgearch.model.JobProgress
+import ledgearch.peers.LeaderStatus
+import ledgearch.peers.Mesh
+import ledgearch.runtime.Clock
+import ledgearch.store.StoreClient
+
+/**
+ * Publishes the leader's status to the other controllers and applies it there: the progress of jobs, which they get
+ * only from here, the zones that are not up, and whether the state service answers the leader.
+ */
+internal class LeaderStatusExchange(
+    private val mesh: Mesh,
+    private val election: Election,
+    private val leader: Leader,
+    private val jobStore: JobStore,
+    private val storeClient: StoreClient,
+    private val healthCheck: HealthCheck,
+    private val clock: Clock,
+) {
+    private var nextPublishAt = 0L
+
+    /** Value of [Mesh.joined] at the last publication. */
+    private var joinedAtLastPublish = 0
+
+    /** On the leader, publishes once per interval the changed progress, or all of it when a peer has joined. */
+    fun drive() {
+        if (!election.isLeader || clock.steadyMs < nextPublishAt) return
+        nextPublishAt = clock.steadyMs + ControlTuning.PUBLISH_INTERVAL_MS
+        val hasNewPeer = mesh.joined != joinedAtLastPublish
+        joinedAtLastPublish = mesh.joined
+        val progress =
+            jobStore.jobs.values.mapNotNull { job ->
+                val current = JobProgress(job.id, job.finishedCount, job.runningCount)
+                if (!hasNewPeer && current == job.lastProgress) null else current.also { job.lastProgress = it }
+            }
+        // A status without progress is published too: it shows that the leader is alive.
+        val isServed = clock.steadyMs - storeClient.lastAnswerAt < ControlTuning.LEADER_MAX_STATE_SILENCE_MS
+        mesh.publish(LeaderStatus(progress, isServed, leader.recovery?.statuses().orEmpty()))
+    }
+
+    /** Applies the [status] that the leader published. */
+    fun apply(status: LeaderStatus) {
+        status.progress.forEach { jobStore.jobs[it.job]?.lastProgress = it }
+        if (status.served == false) healthCheck.recordLeaderOutage()
+        if (!election.isLeader) leader.recovery?.heard(status.zones)
+    }
+}
--- a/src/main/kotlin/ledgearch/control/LeadershipTerm.kt
+++ b/src/main/kotlin/ledgearch/control/LeadershipTerm.kt
@@ -3,38 +3,38 @@
 import ledgearch.model.Job
 
 /**
- * The leadership term of this node: its first fencing token and the numbers of the attempts started in it. Renewals of
- * the token stay within the term.
+ * The leadership term of this node: its first fencing token and the attempt numbers assigned in it. A renewal of the
+ * token does not begin a new term.
  */
 internal class LeadershipTerm {
     /**
-     * The token of the election that began the term, or 0 when this node does not lead. An agent that has seen it no
-     * longer follows any earlier leader.
+     * The fencing token of the election that began the term, or 0 when this node does not lead. An agent that has seen
+     * it executes no commands of an earlier leader.
      */
     var firstToken = 0L
         private set
     private var attemptsStarted = 0L
 
-    /** This node leads. */
+    /** Whether a term is in progress. */
     val isActive: Boolean get() = firstToken != 0L
 
-    /** A number used twice could be taken for an attempt that has been running for a long time. */
-    val attemptNumbersUsedUp: Boolean get() = attemptsStarted > ControlTuning.ATTEMPTS_PER_TERM
+    /** Whether a new term is needed to assign more numbers: a reused one could be that of an attempt still running. */
+    val areAttemptNumbersExhausted: Boolean get() = attemptsStarted > ControlTuning.MAX_ATTEMPTS_PER_TERM
 
-    /** This node leads from the election with [token] on. */
+    /** Begins the term of the election with [token]. */
     fun begin(token: Long) {
         firstToken = token
         attemptsStarted = 0
     }
 
-    /** This node no longer leads. */
+    /** Ends the term. */
     fun end() {
         firstToken = 0
     }
 
-    /** A number that no other attempt has in any term. */
-    fun nextAttemptNumber(): Long = (firstToken shl ControlTuning.ATTEMPT_BITS) or ++attemptsStarted
+    /** Returns a number that is unique among the attempts of all terms. */
+    fun nextAttemptNumber(): Long = (firstToken shl ControlTuning.ATTEMPT_COUNTER_BITS) or ++attemptsStarted
 
-    /** [job] was last written after the election. */
-    fun isNewer(job: Job): Boolean = job.modRevision > firstToken
+    /** Returns whether the record of [job] was last written after the election that began the term. */
+    fun wasWrittenInTerm(job: Job): Boolean = job.modRevision > firstToken
 }
--- a/src/main/kotlin/ledgearch/control/MachineAdmission.kt
+++ b/src/main/kotlin/ledgearch/control/MachineAdmission.kt
@@ -9,9 +9,12 @@
 import ledgearch.wire.Heartbeat
 import org.slf4j.LoggerFactory
 
-/** Admits machines without a record to the cluster: nothing was ever started on them, since the record comes first. */
+/**
+ * Admits machines without a record to the cluster. No task was ever started on them, as a machine is recorded before
+ * its first task.
+ */
 internal class MachineAdmission(
-    private val registry: MachineRegistry,
+    private val machineRegistry: MachineRegistry,
     private val jobStore: JobStore,
     private val teams: TeamQuotas,
     private val autoscaler: Autoscaler,
@@ -20,7 +23,7 @@
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
 
-    /** The machine that sent [heartbeat], or null when its type is unknown or it is being returned. */
+    /** Adds the machine that sent [heartbeat] and returns it, or null when its type is unknown or it is released. */
     fun admit(heartbeat: Heartbeat): Machine? {
         val machineType = jobStore.machineTypes[heartbeat.machineType] ?: return null
         if (autoscaler.isReleased(heartbeat.machine)) return null
@@ -36,7 +39,7 @@
             )
         machine.lastAnsweredAt = clock.steadyMs
         metrics.count("machine.joined")
-        registry.join(machine)
+        machineRegistry.add(machine)
         autoscaler.arrived(machine)
         log.info(
             "machine joined; machine={} type={} zone={} spot={}",
--- a/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
+++ b/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
@@ -6,25 +6,25 @@
 import ledgearch.runtime.Clock
 import ledgearch.scheduling.Placer
 
-/** The step by which a machine enters service in a leadership term. */
+/** Puts a machine into service once its agent has confirmed the term's fencing token. */
 internal class MachineConfirmation(
-    private val registry: MachineRegistry,
+    private val machineRegistry: MachineRegistry,
     private val dispatcher: CommandDispatcher,
     private val recordWriter: RecordWriter,
     private val placer: Placer,
-    private val placement: PlacementLoop,
+    private val placementLoop: PlacementLoop,
     private val clock: Clock,
 ) {
-    /** The agent of [machine] has confirmed the term's fencing token. */
+    /** Puts [machine] into service. */
     fun confirm(machine: Machine) {
         machine.confirm()
         dispatcher.markReachable(machine)
-        registry.confirmed(machine)
+        machineRegistry.markConfirmed(machine)
         if (!machine.durable) recordWriter.putMachine(machine)
         placer.machinesChanged()
         machine.lastAnsweredAt = clock.steadyMs
-        // It may have found the way back only now: its next heartbeat is due from here on.
+        // The agent may have reached this leader only now, so the heartbeat timeout starts here.
         machine.lastHeartbeatAt = clock.steadyMs
-        placement.requestPass()
+        placementLoop.requestPass()
     }
 }
--- a/src/main/kotlin/ledgearch/control/MachineRegistry.kt
+++ b/src/main/kotlin/ledgearch/control/MachineRegistry.kt
@@ -4,46 +4,46 @@
 
 /** The machines of the cluster in the current leadership term; empty while this node does not lead. */
 internal class MachineRegistry {
-    private val byName = LinkedHashMap<String, Machine>()
-    private val notConfirmed = LinkedHashSet<Machine>()
+    private val machinesByName = LinkedHashMap<String, Machine>()
+    private val unconfirmedMachines = LinkedHashSet<Machine>()
 
     /** The machines by name. */
-    val machines: Map<String, Machine> get() = byName
+    val machines: Map<String, Machine> get() = machinesByName
 
-    /** Machines whose agent has not confirmed the term's fencing token, in the order in which they are probed. */
-    val unconfirmed: Set<Machine> get() = notConfirmed
+    /** Machines whose agents have not confirmed the term's fencing token, in probe order. */
+    val unconfirmed: Set<Machine> get() = unconfirmedMachines
 
-    /** [machine] is part of the cluster in this term; another machine object of the same name is not. */
-    fun contains(machine: Machine): Boolean = byName[machine.name] === machine
+    /** Returns whether [machine] is in the registry; another object with the same name does not count. */
+    fun contains(machine: Machine): Boolean = machinesByName[machine.name] === machine
 
-    /** [machine] belongs to the cluster from now on and has yet to confirm the token. */
-    fun join(machine: Machine) {
-        byName[machine.name] = machine
+    /** Adds [machine] as an unconfirmed machine. */
+    fun add(machine: Machine) {
+        machinesByName[machine.name] = machine
         machine.joined()
-        notConfirmed.add(machine)
+        unconfirmedMachines.add(machine)
     }
 
-    /** The agent of [machine] has confirmed the token. */
-    fun confirmed(machine: Machine) {
-        notConfirmed.remove(machine)
+    /** Marks [machine] as confirmed: its agent has confirmed the token. */
+    fun markConfirmed(machine: Machine) {
+        unconfirmedMachines.remove(machine)
     }
 
-    /** [machine] is gone, and all attempts on it were ended before. */
+    /** Removes [machine], whose attempts were ended before. */
     fun remove(machine: Machine) {
-        byName.remove(machine.name)
+        machinesByName.remove(machine.name)
         machine.left()
-        notConfirmed.remove(machine)
+        unconfirmedMachines.remove(machine)
     }
 
-    /** [ordered]: the unconfirmed machines in the order in which they are to be probed. */
+    /** Sets the probe order of the unconfirmed machines to that of [ordered]. */
     fun setProbeOrder(ordered: List<Machine>) {
-        notConfirmed.clear()
-        notConfirmed.addAll(ordered)
+        unconfirmedMachines.clear()
+        unconfirmedMachines.addAll(ordered)
     }
 
-    /** The term has ended. */
+    /** Removes all machines at the end of a term. */
     fun clear() {
-        byName.clear()
-        notConfirmed.clear()
+        machinesByName.clear()
+        unconfirmedMachines.clear()
     }
 }
--- a/src/main/kotlin/ledgearch/control/MetricsSource.kt
+++ b/src/main/kotlin/ledgearch/control/MetricsSource.kt
@@ -6,7 +6,7 @@
 import ledgearch.standby.WarmStandby
 import ledgearch.status.MetricsReport
 
-/** Gathers what `GET /metrics` shows of this node. */
+/** Gathers the metrics of this node for `GET /metrics`. */
 internal class MetricsSource(
     private val node: String,
     private val election: Election,
@@ -15,7 +15,7 @@
     private val metrics: Metrics,
     private val standby: WarmStandby?,
 ) {
-    /** The metrics as of now. */
+    /** Returns the current metrics. */
     fun report() =
         MetricsReport(
             node = node,
--- a/src/main/kotlin/ledgearch/control/OwnerCommand.kt
+++ b/src/main/kotlin/ledgearch/control/OwnerCommand.kt
@@ -6,35 +6,35 @@
 import ledgearch.peers.LeaderStatus
 import ledgearch.peers.StandbyEvent
 
-/** What the owner is asked to do; the commands of a batch are carried out in their order. */
+/** A command for the owner; the commands of a batch are executed in order. */
 internal sealed interface OwnerCommand {
-    /** Answer an HTTP request: [respond] is called once, at once or in a later batch. */
+    /** Serves an HTTP [request]; [respond] is called exactly once, in this batch or a later one. */
     class Serve(
         val request: Request,
         val respond: (Response) -> Unit,
     ) : OwnerCommand
 
-    /** The leader has published its status to this node. */
+    /** Applies the [status] that the leader published to this node. */
     class LeaderStatusReceived(
         val status: LeaderStatus,
     ) : OwnerCommand
 
-    /** Something has happened on a decision stream between the leader and a standby. */
+    /** Handles an [event] of the decision stream between the leader and a standby. */
     class Standby(
         val event: StandbyEvent,
     ) : OwnerCommand
 
-    /** The controller at this mesh address refuses connections after one of its own ended. */
+    /** Handles that the controller at the mesh [address] ended its connection and now refuses new ones. */
     class PeerRefused(
         val address: String,
     ) : OwnerCommand
 
-    /** Time has passed; [queuedAt]: when this was queued (steady ms). */
+    /** Triggers the work that is due by time; [queuedAt] is the steady time in ms at which the tick was queued. */
     class Tick(
         val queuedAt: Long,
     ) : OwnerCommand
 
-    /** A call of the transport has ended with [reply], which [done] is waiting for. */
+    /** Passes the [reply] to a call of the transport to its callback [done]. */
     class Answered(
         val reply: Reply,
         val done: (Reply) -> Unit,
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -10,10 +10,10 @@
 import ledgearch.scheduling.Placer
 import ledgearch.scheduling.Reliability
 
-/** Decides when a placement pass runs, and keeps what a pass is based on up to date: guarantees and spot risk. */
+/** Decides when a placement pass runs, and updates the passes' input: team guarantees and spot reliability. */
 internal class PlacementLoop(
     private val jobStore: JobStore,
-    private val registry: MachineRegistry,
+    private val machineRegistry: MachineRegistry,
     private val placer: Placer,
     private val teams: TeamQuotas,
     private val reliability: Reliability,
@@ -23,49 +23,49 @@
     private val stalls: StallCompensation,
     private val metrics: Metrics,
 ) {
-    private var passRequested = true
-    private var guaranteesOutdated = true
-    private var passAt = Long.MIN_VALUE / 2
+    private var isPassRequested = true
+    private var areGuaranteesOutdated = true
+    private var lastPassAt = Long.MIN_VALUE / 2
     private var reliabilityUpdatedAt = 0L
 
-    /** Something has changed that may let pending tasks start: the next pass is not put off until it is due by time. */
+    /** Requests a pass before the idle interval is over; called after a change that may let pending tasks start. */
     fun requestPass() {
-        passRequested = true
+        isPassRequested = true
     }
 
-    /** The set of open jobs has changed, and with it what fits into the teams' guarantees. */
+    /** Marks the teams' guarantees for a recount; called when the set of open jobs has changed. */
     fun invalidateGuarantees() {
-        guaranteesOutdated = true
+        areGuaranteesOutdated = true
     }
 
-    /** Counts the hours of spot machines, from which their rate of loss is estimated; does so in intervals. */
+    /** Counts, once per interval, the hours of spot machines, from which their loss rate is estimated. */
     fun updateReliability() {
-        if (clock.steadyMs - reliabilityUpdatedAt <= ControlTuning.COUNT_MS) return
+        if (clock.steadyMs - reliabilityUpdatedAt <= ControlTuning.RELIABILITY_UPDATE_INTERVAL_MS) return
         reliabilityUpdatedAt = clock.steadyMs
-        reliability.count(registry.machines.values, clock.steadyMs)
-        chooseSheltered()
+        reliability.count(machineRegistry.machines.values, clock.steadyMs)
+        updateOnDemandJobs()
     }
 
-    /** Runs a pass when something has changed, and in intervals since time alone may make a placement possible. */
+    /** Runs a pass if one was requested or the idle interval is over, and the pacing of passes allows it. */
     fun drive() {
-        if (!passRequested && clock.steadyMs - passAt < ControlTuning.IDLE_PASS_MS) return
+        if (!isPassRequested && clock.steadyMs - lastPassAt < ControlTuning.IDLE_PASS_INTERVAL_MS) return
         if (!stalls.mayPass()) return
-        passAt = clock.steadyMs
-        passRequested = false
-        if (guaranteesOutdated) {
-            guaranteesOutdated = false
+        lastPassAt = clock.steadyMs
+        isPassRequested = false
+        if (areGuaranteesOutdated) {
+            areGuaranteesOutdated = false
             teams.countGuarantees(jobStore.jobs.values)
-            chooseSheltered()
+            updateOnDemandJobs()
         }
         teams.countUnfound(jobStore.jobs.values)
         stalls.passed(metrics.timed { placer.pass(jobStore.jobs.values) })
     }
 
-    private fun chooseSheltered() =
+    private fun updateOnDemandJobs() =
         metrics.spend("reliability") {
             reliability.chooseOnDemandJobs(
                 jobStore.jobs.values.filter { !it.waitsForOthers },
-                registry.machines.values,
+                machineRegistry.machines.values,
                 headroom.onDemandCpus(autoscaler.bootS()),
             )
         }
--- a/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
+++ b/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
@@ -9,15 +9,15 @@
 import ledgearch.wire.Heartbeat
 import org.slf4j.LoggerFactory
 
-/** The cloud's notices that it takes a spot machine soon. */
+/** Handles the cloud's notices that it will preempt a spot machine. */
 internal class PreemptionNotices(
-    private val attempts: AttemptControl,
+    private val attemptControl: AttemptControl,
     private val estimates: Estimates,
     private val clock: Clock,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
 
-    /** Notes the notice that [heartbeat] carries, or that there is none. */
+    /** Sets the preemption time of [machine] from [heartbeat], or clears it when the heartbeat has no notice. */
     fun update(
         machine: Machine,
         heartbeat: Heartbeat,
@@ -28,17 +28,17 @@
     }
 
     /**
-     * If the cloud takes [machine] soon, its attempts are stopped: replicas move, what can make a checkpoint does, and
-     * what would not be done by then starts elsewhere without waiting for the end.
+     * Stops the attempts on [machine] if a preemption is announced, so that they restart elsewhere early. An attempt
+     * makes a checkpoint first if the time allows; array tasks expected to finish in time keep running.
      */
     fun evacuate(machine: Machine) {
         if (machine.preemptionAt == 0L) return
         val secondsLeft = (machine.preemptionAt - clock.steadyMs) / MS_PER_SECOND
         for (attempt in machine.attempts.values) {
-            if (!attempt.continues || endsInTime(attempt, secondsLeft)) continue
-            attempts.stop(attempt, secondsLeft)
+            if (!attempt.continues || shouldKeepRunning(attempt, secondsLeft)) continue
+            attemptControl.stop(attempt, secondsLeft)
             log.debug(
-                "attempt stopped: its machine is preempted; task={} attempt={} machine={} leftS={}",
+                "attempt stopped before its machine is preempted; task={} attempt={} machine={} leftS={}",
                 attempt.taskId,
                 attempt.number,
                 machine.name,
@@ -47,17 +47,17 @@
         }
     }
 
-    /** Nothing is gained by stopping it: it is expected to be done by then, or has no open job. */
-    private fun endsInTime(
+    /** Returns whether stopping [attempt] gains nothing: it is expected to finish in time, or has no open job. */
+    private fun shouldKeepRunning(
         attempt: TaskAttempt,
         secondsLeft: Double,
     ): Boolean {
         val job = attempt.job ?: return true
         if (job.isService || job.spec.checkpointIntervalS != 0.0) return false
-        return estimates.seconds(job) - secondsRun(attempt) <= secondsLeft
+        return estimates.seconds(job) - runTimeS(attempt) <= secondsLeft
     }
 
-    private fun secondsRun(attempt: TaskAttempt) =
+    private fun runTimeS(attempt: TaskAttempt) =
         if (attempt.state == AttemptState.RUNNING) {
             (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND
         } else {
--- a/src/main/kotlin/ledgearch/control/Reconciliation.kt
+++ b/src/main/kotlin/ledgearch/control/Reconciliation.kt
@@ -9,53 +9,54 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Has every machine confirm the term's fencing token. A machine that has confirmed it follows no earlier leader, so its
- * list of tasks is all that can be on it; once every recorded machine has, the tasks of all older jobs are known.
+ * Makes every machine confirm the term's fencing token. A machine that has confirmed it executes no commands of an
+ * earlier leader, so the tasks it reports are all that can be on it. Once every recorded machine has confirmed, the
+ * tasks of all jobs from before the term are known.
  */
 internal class Reconciliation(
     private val term: LeadershipTerm,
-    private val registry: MachineRegistry,
-    private val loader: RecordLoader,
+    private val machineRegistry: MachineRegistry,
+    private val recordLoader: RecordLoader,
     private val dispatcher: CommandDispatcher,
     private val jobStore: JobStore,
     private val election: Election,
-    private val placement: PlacementLoop,
+    private val placementLoop: PlacementLoop,
     private val recovery: ZoneRecovery?,
     private val clock: Clock,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
 
-    /** Every recorded machine has confirmed the token or is gone. */
-    private var complete = false
+    /** Whether every recorded machine has confirmed the token or is gone. */
+    private var isComplete = false
 
-    /** ms from the election until every recorded machine was confirmed; null before. */
+    /** Milliseconds from the election until every recorded machine was confirmed; null before. */
     var failoverMs: Long? = null
         private set
 
-    /** The term has ended. */
+    /** Ends the term. */
     fun end() {
-        complete = false
+        isComplete = false
         failoverMs = null
     }
 
-    /** Probes the machines that have not confirmed the token, and notes when no recorded one is left. */
+    /** Probes the machines that have not confirmed the token, and completes when no recorded one is left. */
     fun drive() {
-        // Also those that are being released: the cloud API may be out, and an earlier leader's attempts may go on
+        // Includes machines being released: the cloud API may be down, and attempts of an earlier leader may run
         // there until the agent has seen the token.
-        for (machine in registry.unconfirmed) dispatcher.probe(machine)
-        if (complete || loader.anyUnreadable || registry.unconfirmed.any { it.inherited }) return
-        complete = true
+        for (machine in machineRegistry.unconfirmed) dispatcher.probe(machine)
+        if (isComplete || recordLoader.hasUnreadableRecord || machineRegistry.unconfirmed.any { it.inherited }) return
+        isComplete = true
         failoverMs = clock.steadyMs - election.electedAt
         jobStore.jobs.values.forEach { it.accountedFor = true }
-        recovery?.confirmed(jobStore.jobs.values.filter { !term.isNewer(it) })
-        placement.requestPass()
+        recovery?.confirmed(jobStore.jobs.values.filter { !term.wasWrittenInTerm(it) })
+        placementLoop.requestPass()
         log.info("reconciliation complete: every recorded machine is confirmed; ms={}", failoverMs)
     }
 
-    /** Whether no unconfirmed machine can have a task of [job], which has just been opened. */
-    fun accountsFor(job: Job): Boolean {
-        // A job accepted after the election can't have been learnt of by an earlier leader while it still led.
-        // Of a cancelled one only the cancellation may be that new.
-        return if (job.record.cancelRequested) complete else term.isNewer(job)
+    /** Returns whether no unconfirmed machine can have a task of [job], which has just been opened. */
+    fun isAccountedFor(job: Job): Boolean {
+        // No earlier leader can have started a job that was accepted after the election. The record of a cancelled job
+        // does not show this: its last write may be the cancellation.
+        return if (job.record.cancelRequested) isComplete else term.wasWrittenInTerm(job)
     }
 }
--- a/src/main/kotlin/ledgearch/control/RecordLoader.kt
+++ b/src/main/kotlin/ledgearch/control/RecordLoader.kt
@@ -15,24 +15,24 @@
 import ledgearch.wire.KeyValue
 import org.slf4j.LoggerFactory
 
-/** Told of what a new leader reads. */
+/** Receives what a new leader loads. */
 internal interface RecordLoaderListener {
-    /** [machine] has a record in the state service. */
+    /** Called for each machine of a machine record in the state service. */
     fun machineRestored(machine: Machine)
 
-    /** All records are read. */
+    /** Called when all records are loaded. */
     fun allRecordsLoaded()
 }
 
-/** Reads what a new leader needs before it acts: the records of machines, then the finished tasks of open jobs. */
+/** Loads what a new leader needs before it acts: the machine records, then the finished tasks of open jobs. */
 internal class RecordLoader(
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val jobStore: JobStore,
     private val recordWriter: RecordWriter,
     private val teams: TeamQuotas,
     private val clock: Clock,
 ) {
-    /** The next listing of the keys under [prefix]: those after the key [after], or from the first on. */
+    /** The next page to list of the keys under [prefix]: those after the key [after], or from the first when null. */
     private class PendingPage(
         val prefix: String,
         val after: String?,
@@ -40,55 +40,55 @@
 
     private val log = LoggerFactory.getLogger("ledgearch.control")
     private val pendingPages = ArrayDeque<PendingPage>()
-    private var reading = false
+    private var isReading = false
     private var retryAt = Long.MIN_VALUE
 
-    /** Changes with every term: what an earlier one asked for means nothing here. */
-    private var term = 0
+    /** Counts the terms, so that replies to requests of an earlier term are ignored. */
+    private var termCount = 0
 
-    /** Every machine that has a record is known. */
-    var machinesRead = false
+    /** Whether all machine records are loaded. */
+    var areMachinesLoaded = false
         private set
 
     /**
-     * Some machine record can't be read. Tasks of older jobs may be on machines that nobody here knows, so none of
-     * those jobs may be trusted as long as it is there.
+     * Whether a machine record can't be decoded. Tasks of jobs from before the term may then be on unknown machines, so
+     * those jobs start no tasks in this term.
      */
-    var anyUnreadable = false
+    var hasUnreadableRecord = false
         private set
 
-    /** A new term begins; [clear] was called before. */
+    /** Begins a term after [clear]. */
     fun begin() {
         pendingPages.addLast(PendingPage(Keys.MACHINES, after = null))
         pendingPages.addLast(PendingPage(Keys.FINISHED, after = null))
     }
 
-    /** The term has ended: answers that are still under way are ignored. */
+    /** Ends the term; later replies to its requests are ignored. */
     fun clear() {
-        term++
+        termCount++
         pendingPages.clear()
-        reading = false
-        machinesRead = false
-        anyUnreadable = false
+        isReading = false
+        areMachinesLoaded = false
+        hasUnreadableRecord = false
     }
 
-    /** Reads the next page, or tells [listener] that all are read. */
+    /** Requests the next page, or calls [RecordLoaderListener.allRecordsLoaded] when none is left. */
     fun drive(listener: RecordLoaderListener) {
-        if (reading || clock.steadyMs < retryAt) return
+        if (isReading || clock.steadyMs < retryAt) return
         val page = pendingPages.firstOrNull() ?: return listener.allRecordsLoaded()
-        reading = true
-        val askedIn = term
-        state.list(page.prefix, page.after, RequestClass.CRITICAL) { result ->
-            if (term != askedIn) return@list
-            reading = false
+        isReading = true
+        val requestTermCount = termCount
+        storeClient.list(page.prefix, page.after, RequestClass.CRITICAL) { result ->
+            if (termCount != requestTermCount) return@list
+            isReading = false
             when (result) {
-                is ReadResult.Found -> pageRead(page, result.value.pairs, result.value.hasNext, listener)
+                is ReadResult.Found -> applyPage(page, result.value.pairs, result.value.hasNext, listener)
                 else -> retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
             }
         }
     }
 
-    private fun pageRead(
+    private fun applyPage(
         page: PendingPage,
         pairs: List<KeyValue>,
         hasNext: Boolean,
@@ -97,7 +97,7 @@
         pendingPages.removeFirst()
         pairs.forEach { restore(page.prefix, it, listener) }
         if (hasNext) pendingPages.addFirst(PendingPage(page.prefix, after = pairs.last().key))
-        if (pendingPages.none { it.prefix == Keys.MACHINES }) machinesRead = true
+        if (pendingPages.none { it.prefix == Keys.MACHINES }) areMachinesLoaded = true
     }
 
     private fun restore(
@@ -118,10 +118,10 @@
         val machines = recordWriter.restore(name, pair, teams, clock.steadyMs)
         if (machines == null) {
             log.error(
-                "machine record unreadable: older jobs wait until it is removed and the term ends; key={}",
+                "machine record unreadable: jobs older than the term wait until it is removed and the term ends; key={}",
                 pair.key,
             )
-            anyUnreadable = true
+            hasUnreadableRecord = true
         } else {
             machines.forEach(listener::machineRestored)
         }
--- a/src/main/kotlin/ledgearch/control/RequestRouter.kt
+++ b/src/main/kotlin/ledgearch/control/RequestRouter.kt
@@ -11,16 +11,16 @@
 import ledgearch.status.MetricsReport
 import ledgearch.wire.WireJson
 
-/** Routes HTTP requests by their path to those who answer them, and measures how long the answers take. */
+/** Routes HTTP requests to their handlers by path, and measures the latency of the responses. */
 internal class RequestRouter(
     private val healthCheck: HealthCheck,
-    private val heartbeats: HeartbeatEndpoint,
+    private val heartbeatEndpoint: HeartbeatEndpoint,
     private val metricsSource: MetricsSource,
     private val userApi: UserApi,
     private val metrics: Metrics,
     private val clock: Clock,
 ) {
-    /** Answers [request] by [respond], at once or when its answer is known. */
+    /** Handles [request]; [respond] is called at once or later, when the response is known. */
     fun handle(
         request: Request,
         respond: Respond,
@@ -28,52 +28,52 @@
         val isHeartbeat = request.path == HEARTBEAT_PATH
         metrics.spend(if (isHeartbeat) "heartbeats" else "requests") {
             when (request.path) {
-                HEALTH_PATH -> respond(health())
-                HEARTBEAT_PATH -> heartbeat(request, respond)
-                METRICS_PATH -> respond(metricsReport())
-                else -> userApi.handle(request, measured(UserApi.kind(request), respond))
+                HEALTH_PATH -> respond(healthResponse())
+                HEARTBEAT_PATH -> handleHeartbeat(request, respond)
+                METRICS_PATH -> respond(metricsResponse())
+                else -> userApi.handle(request, recordingLatency(UserApi.kind(request), respond))
             }
         }
     }
 
-    private fun health() =
+    private fun healthResponse() =
         if (healthCheck.isHealthy()) {
             Response(HttpStatus.OK, "{}")
         } else {
-            errorResponse(HttpStatus.UNAVAILABLE, "not ready")
+            errorResponse(HttpStatus.UNAVAILABLE, "the node is not ready")
         }
 
-    private fun heartbeat(
+    private fun handleHeartbeat(
         request: Request,
         respond: Respond,
     ) {
         if (request.method == "POST") {
-            val respondMeasured = measured("heartbeat", respond)
-            respondMeasured(heartbeats.answer(request))
+            val respondMeasured = recordingLatency("heartbeat", respond)
+            respondMeasured(heartbeatEndpoint.answer(request))
         } else {
-            respond(errorResponse(HttpStatus.METHOD_NOT_ALLOWED, "use POST"))
+            respond(errorResponse(HttpStatus.METHOD_NOT_ALLOWED, "method not allowed, use POST"))
         }
     }
 
-    private fun metricsReport() =
+    private fun metricsResponse() =
         Response(HttpStatus.OK, WireJson.encodeToString(MetricsReport.serializer(), metricsSource.report()))
 
-    private fun measured(
-        what: String,
+    private fun recordingLatency(
+        requestKind: String,
         respond: Respond,
     ): Respond {
         val startedAt = clock.steadyMs
         return {
-            metrics.answered(what, it.status, startedAt)
+            metrics.answered(requestKind, it.status, startedAt)
             respond(it)
         }
     }
 
     companion object {
-        /** Where the load balancer checks the health of a controller. */
+        /** Path of the load balancer's health checks. */
         const val HEALTH_PATH = "/up"
 
-        /** Where workers send their heartbeats. */
+        /** Path of the agents' heartbeats. */
         const val HEARTBEAT_PATH = "/checkin"
         private const val METRICS_PATH = "/metrics"
     }
--- a/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
+++ b/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
@@ -21,12 +21,20 @@
 import org.junit.jupiter.api.assertThrows
 import kotlin.random.Random
 
-/** A command that fails costs nothing but itself, and errors are not caught. */
+/** A command that throws an exception must not stop the commands and work after it; errors must not be caught. */
 internal class FailingCommandsTest {
     private val failures = ArrayList<RuntimeException>()
-    private val calls = ArrayList<String>()
+    private val sentRequests = ArrayList<String>()
     private val controller =
-        Controller(settings(), Calls(), NoMesh(), Random(1), 1, { 0L }, stepFailed = { failures.add(it) })
+        Controller(
+            settings(),
+            RecordingTransport(),
+            UnconnectedMesh(),
+            Random(1),
+            1,
+            { 0L },
+            stepFailed = { failures.add(it) },
+        )
 
     private fun settings() =
         Settings(
@@ -48,7 +56,7 @@
             operator = OperatorSettings(),
         )
 
-    private inner class Calls : Transport {
+    private inner class RecordingTransport : Transport {
         override fun call(
             address: String,
             method: String,
@@ -57,11 +65,11 @@
             timeoutMs: Long,
             done: (Reply) -> Unit,
         ) {
-            calls.add("$method $target")
+            sentRequests.add("$method $target")
         }
     }
 
-    private class NoMesh : Mesh {
+    private class UnconnectedMesh : Mesh {
         override val joined = 0
 
         override fun follow(address: String?) = Unit
@@ -69,30 +77,30 @@
         override fun publish(status: LeaderStatus) = Unit
     }
 
-    private val failing = OwnerCommand.Answered(Reply.NONE) { throw IllegalStateException("a callback fails") }
+    private val failingCommand = OwnerCommand.Answered(Reply.NONE) { throw IllegalStateException("the callback fails") }
 
-    private fun run(vararg commands: OwnerCommand) = controller.run(1_000, 1_000, commands.toList())
+    private fun runBatch(vararg commands: OwnerCommand) = controller.run(1_000, 1_000, commands.toList())
 
     @Test
-    fun `the commands after one that fails are carried out`() {
-        val answered = ArrayList<Int>()
-        run(
-            failing,
-            OwnerCommand.Serve(Request("GET", "/up", "", true)) { answered.add(it.status) },
-            OwnerCommand.Answered(Reply(200, "{}")) { answered.add(it.status) },
+    fun `the commands after a failing one are executed`() {
+        val statuses = ArrayList<Int>()
+        runBatch(
+            failingCommand,
+            OwnerCommand.Serve(Request("GET", "/up", "", true)) { statuses.add(it.status) },
+            OwnerCommand.Answered(Reply(200, "{}")) { statuses.add(it.status) },
         )
-        assertEquals(listOf(503, 200), answered)
+        assertEquals(listOf(503, 200), statuses)
         assertEquals(1, failures.size)
     }
 
     @Test
-    fun `what follows from a batch is done though a command of it failed`() {
-        run(failing)
-        assertTrue(calls.any { it.startsWith("GET /keys?under=") }, calls.toString())
+    fun `the work after a batch is done although a command of the batch failed`() {
+        runBatch(failingCommand)
+        assertTrue(sentRequests.any { it.startsWith("GET /keys?under=") }, sentRequests.toString())
     }
 
     @Test
-    fun `an error is not taken for a command that failed`() {
-        assertThrows<StackOverflowError> { run(OwnerCommand.Answered(Reply.NONE) { throw StackOverflowError() }) }
+    fun `an error is not caught like an exception of a command`() {
+        assertThrows<StackOverflowError> { runBatch(OwnerCommand.Answered(Reply.NONE) { throw StackOverflowError() }) }
     }
 }
--- a/src/test/kotlin/ledgearch/control/HeartbeatCostTest.kt
+++ b/src/test/kotlin/ledgearch/control/HeartbeatCostTest.kt
@@ -13,62 +13,65 @@
 import java.lang.management.ManagementFactory
 
 /**
- * A heartbeat that changes nothing costs the leader the same however many machines there are. Counted in bytes
- * allocated, which repeat: a step that goes over all machines makes lists or iterators of them.
+ * The leader's cost of a heartbeat that changes nothing must not grow with the number of machines. It is measured in
+ * allocated bytes, which are reproducible: a step that visits all machines allocates lists or iterators.
  */
 internal class HeartbeatCostTest {
     @Test
-    fun `a heartbeat costs no more with many times as many machines`() {
-        val few = bytesAHeartbeat(FEW)
-        val many = bytesAHeartbeat(MANY)
-        assertTrue(many < few * SLACK, "$few bytes a heartbeat with $FEW machines, $many with $MANY")
+    fun `the cost of a heartbeat does not grow with the number of machines`() {
+        val bytesWithFew = bytesPerHeartbeat(FEW_MACHINES)
+        val bytesWithMany = bytesPerHeartbeat(MANY_MACHINES)
+        assertTrue(
+            bytesWithMany < bytesWithFew * MAX_COST_RATIO,
+            "$bytesWithFew bytes per heartbeat with $FEW_MACHINES machines, $bytesWithMany with $MANY_MACHINES",
+        )
     }
 
-    private fun bytesAHeartbeat(machines: Int): Long {
-        val simulation = Simulation(SimulationOptions(nodeCount = 1, seed = 1, teamMax = machines * CPUS_A_MACHINE))
+    private fun bytesPerHeartbeat(machines: Int): Long {
+        val simulation = Simulation(SimulationOptions(nodeCount = 1, seed = 1, teamMax = machines * CPUS_PER_MACHINE))
         simulation.cloud.capacity = machines
         repeat(machines) { simulation.cloud.add("a", spot = false) }
         simulation.nodes.forEach { it.start() }
-        simulation.clock.after(SUBMIT_MS) {
-            val words = "job-1 service=yes priority=prod cpus=5 tasks=$machines"
-            simulation.users.submit(jobSpecOf(words.split(' ')), null)
+        simulation.clock.after(SUBMITTED_AT_MS) {
+            val specFields = "job-1 service=yes priority=prod cpus=5 tasks=$machines"
+            simulation.users.submit(jobSpecOf(specFields.split(' ')), null)
         }
-        simulation.clock.runUntil(QUIET_MS)
+        simulation.clock.runUntil(SETTLED_AT_MS)
         val leader = simulation.nodes.single { it.name == leader(simulation) }
         val worker = simulation.workers.values.first()
-        var answered = 0
-        repeat(HEARTBEATS) { heartbeatOf(worker) { body -> leader.run(serve(body) { answered++ }) } }
-        val before = allocated()
-        repeat(HEARTBEATS) { heartbeatOf(worker) { body -> leader.run(serve(body) { answered++ }) } }
-        val bytes = allocated() - before
-        assertEquals(2 * HEARTBEATS, answered)
+        var answerCount = 0
+        repeat(HEARTBEATS) { sendHeartbeatOf(worker) { body -> leader.run(heartbeatCommand(body) { answerCount++ }) } }
+        val bytesBefore = allocatedBytes()
+        repeat(HEARTBEATS) { sendHeartbeatOf(worker) { body -> leader.run(heartbeatCommand(body) { answerCount++ }) } }
+        val bytes = allocatedBytes() - bytesBefore
+        assertEquals(2 * HEARTBEATS, answerCount)
         return bytes / HEARTBEATS
     }
 
-    private fun heartbeatOf(
+    private fun sendHeartbeatOf(
         worker: FakeWorker,
         send: (String) -> Unit,
     ) = worker.handle("GET", "/show", null) { send(it.body) }
 
-    private fun serve(
+    private fun heartbeatCommand(
         body: String,
-        done: () -> Unit,
+        onAnswer: () -> Unit,
     ) = OwnerCommand.Serve(Request("POST", "/checkin", body, true)) {
-        assertEquals(OK, it.status)
-        done()
+        assertEquals(HTTP_OK, it.status)
+        onAnswer()
     }
 
-    private fun allocated(): Long =
+    private fun allocatedBytes(): Long =
         (ManagementFactory.getThreadMXBean() as ThreadMXBean).getThreadAllocatedBytes(Thread.currentThread().id)
 
     private companion object {
-        const val FEW = 50
-        const val MANY = 1_500
-        const val SLACK = 1.3
+        const val FEW_MACHINES = 50
+        const val MANY_MACHINES = 1_500
+        const val MAX_COST_RATIO = 1.3
         const val HEARTBEATS = 300
-        const val CPUS_A_MACHINE = 8.0
-        const val SUBMIT_MS = 3_000L
-        const val QUIET_MS = 14_000L
-        const val OK = 200
+        const val CPUS_PER_MACHINE = 8.0
+        const val SUBMITTED_AT_MS = 3_000L
+        const val SETTLED_AT_MS = 14_000L
+        const val HTTP_OK = 200
     }
 }
--- a/src/test/kotlin/ledgearch/loopback/FailoverWatch.kt
+++ b/src/test/kotlin/ledgearch/loopback/FailoverWatch.kt
@@ -37,7 +37,7 @@
 
     private fun token() = simulation.store.modRevision(FakeStore.LEADERSHIP_KEY)
 
-    private fun term() = simulation.invariants.lastAttempt shr ControlTuning.ATTEMPT_BITS
+    private fun term() = simulation.invariants.lastAttempt shr ControlTuning.ATTEMPT_COUNTER_BITS
 
     private fun check() {
         val sinceMs = simulation.clock.now - beganAt
--- a/src/test/kotlin/ledgearch/simulation/invariants/InvariantChecker.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/InvariantChecker.kt
@@ -264,7 +264,7 @@
         task: FakeWorker.Task,
     ) {
         lastAttempt = maxOf(lastAttempt, task.attempt)
-        termsSeen.add(task.attempt shr ControlTuning.ATTEMPT_BITS)
+        termsSeen.add(task.attempt shr ControlTuning.ATTEMPT_COUNTER_BITS)
         if (task.job in cancelledAt) {
             reportBroken("ran_cancelled", "${task.taskId} sent to ${worker.name} after its job was called cancelled")
         }
