--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -127,7 +127,7 @@
                 machine.attempts.size,
             )
         }
-        taskStatusHandler.allGone(machine)
+        taskStatusHandler.removeAll(machine)
         machine.incarnation = incarnation
         machine.sequence = 0
         machine.heartbeatSequence = 0
--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -5,7 +5,7 @@
     /** Interval of the debug log line that lists what the owner's time was spent on. */
     const val LOAD_LOG_INTERVAL_MS = 10_000L
 
-    /** A node without an answer of the state service for this long is unhealthy, unless the leader reports an outage. */
+    /** A node without a state service reply for this long is unhealthy, unless the leader reports an outage. */
     const val MAX_STATE_SILENCE_MS = 4_000L
 
     /** Shorter than [MAX_STATE_SILENCE_MS], so that the leader reports an outage before other nodes turn unhealthy. */
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -5,7 +5,7 @@
 import ledgearch.agents.CommandDispatcher
 import ledgearch.agents.DispatchLimits
 import ledgearch.agents.FailureDetector
-import ledgearch.agents.MachineReleases
+import ledgearch.agents.MachineReleaser
 import ledgearch.agents.PartitionedZones
 import ledgearch.agents.RecentLeaderZones
 import ledgearch.agents.TaskStatusHandler
@@ -148,7 +148,7 @@
             machines,
             election,
             dispatcher,
-            MachineReleases(autoscaler, reliability, recovery, clock),
+            MachineReleaser(autoscaler, reliability, recovery, clock),
             partitionedZones,
             recovery,
             statusHandler,
@@ -239,9 +239,9 @@
 
     override fun machineGone(machine: Machine) {
         metrics.count("machine.gone")
-        taskStatusHandler.allGone(machine)
+        taskStatusHandler.removeAll(machine)
         machineRegistry.remove(machine)
-        dispatcher.forget(machine)
+        dispatcher.remove(machine)
         placer.machinesChanged(machine)
         recordWriter.removeMachine(machine)
         placementLoop.requestPass()
@@ -254,14 +254,14 @@
         machines.values.all { it.countsHold() } && teams.countsHold(machines.values) && jobLifecycle.countsHold()
 
     private inner class AgentReplies : AgentReplyListener {
-        override fun isCurrent(machine: Machine) = machineRegistry.contains(machine)
+        override fun isRegistered(machine: Machine) = machineRegistry.contains(machine)
 
-        override fun replied(
+        override fun replyReceived(
             machine: Machine,
             status: Heartbeat,
         ) = heartbeatHandler.handleReply(machine, status)
 
-        override fun lostItsState(machine: Machine) = heartbeatHandler.handleStateLoss(machine)
+        override fun agentStateLost(machine: Machine) = heartbeatHandler.handleStateLoss(machine)
     }
 
     private inner class TaskEvents : TaskStatusListener {
@@ -281,7 +281,7 @@
             if (!settings.operator.zoneRecovery.enabled) return null
             // A running agent sends a heartbeat within this time, so a new leader then knows which zones are cut off.
             val detectionMs =
-                settings.deployment.workers.reportS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEATS
+                settings.deployment.workers.reportS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEAT_INTERVALS
             return ZoneRecovery(settings.operator.zoneRecovery, clock, detectionMs.toLong())
         }
     }
--- a/src/main/kotlin/ledgearch/control/Reconciliation.kt
+++ b/src/main/kotlin/ledgearch/control/Reconciliation.kt
@@ -46,7 +46,7 @@
         for (machine in machineRegistry.unconfirmed) dispatcher.probe(machine)
         if (isComplete || recordLoader.hasUnreadableRecord || machineRegistry.unconfirmed.any { it.inherited }) return
         isComplete = true
-        failoverMs = clock.steadyMs - election.electedAt
+        failoverMs = clock.steadyMs - election.electedAtMs
         jobStore.jobs.values.forEach { it.accountedFor = true }
         recovery?.confirmed(jobStore.jobs.values.filter { !term.wasWrittenInTerm(it) })
         placementLoop.requestPass()
--- a/src/main/kotlin/ledgearch/control/RecordLoader.kt
+++ b/src/main/kotlin/ledgearch/control/RecordLoader.kt
@@ -118,7 +118,7 @@
         val machines = recordWriter.restore(name, pair, teams, clock.steadyMs)
         if (machines == null) {
             log.error(
-                "machine record unreadable: jobs older than the term wait until it is removed and the term ends; key={}",
+                "machine record unreadable: jobs from earlier terms wait until it is removed and the term ends; key={}",
                 pair.key,
             )
             hasUnreadableRecord = true
