--- a/src/main/kotlin/ledgearch/model/AttemptState.kt
+++ b/src/main/kotlin/ledgearch/model/AttemptState.kt
@@ -1,21 +1,21 @@
 package ledgearch.model
 
 /**
- * The state of an attempt as the leader knows it. The order is part of the decision stream between controllers and
- * never changes.
+ * State of a task attempt as known to the leader. The ordinals are part of the replication stream between controllers,
+ * so the order of the entries must not change.
  */
 internal enum class AttemptState {
-    /** The leader has decided on it; the worker has not said yet what it does with it. */
+    /** The leader has placed the task; the worker has not reported the attempt yet. */
     ASSIGNED,
 
-    /** The worker fetches the image. */
+    /** The worker is fetching the image. */
     FETCHING,
 
     RUNNING,
 
-    /** The task saves a checkpoint, since it is to stop. */
+    /** The task is saving a checkpoint before it stops. */
     SAVING,
 
-    /** Nothing of it runs any more; the worker may still list it. */
+    /** Nothing of the attempt runs any more; the worker may still list it. */
     EXITED,
 }
--- a/src/main/kotlin/ledgearch/model/FreeResources.kt
+++ b/src/main/kotlin/ledgearch/model/FreeResources.kt
@@ -4,9 +4,9 @@
 import kotlin.math.abs
 
 /**
- * The free resources of one machine as a vector of processors, accelerators and gigabytes of memory: for the packing of
- * tasks onto machines. It begins with all that [machineType] has. Amounts are sums of decimal numbers and are compared
- * with [Machine.ROUNDING] as slack; they may fall below 0, if more is taken than there is.
+ * Free processors, accelerators and gigabytes of memory of one machine, used to pack tasks onto machines. It starts
+ * with all resources of [machineType]. Amounts are sums of decimal numbers, so comparisons allow a difference of
+ * [Machine.ROUNDING]. They fall below 0 when more is taken than the machine has.
  */
 internal class FreeResources(
     private val machineType: MachineType,
@@ -17,7 +17,7 @@
     private var accelerators = machineType.accelerators
     private var memoryGb = machineType.memoryGb
 
-    /** A copy that changes on its own. */
+    /** Returns an independent copy. */
     fun copy(): FreeResources =
         FreeResources(machineType).also {
             it.cpus = cpus
@@ -25,10 +25,10 @@
             it.memoryGb = memoryGb
         }
 
-    /** One task of [job] takes its part; one of an unknown job may take as much as the machine has. */
+    /** Takes the resources of one task of [job]; for an unknown job (null), all resources of the machine. */
     fun take(job: Job?) = add(job, -1)
 
-    /** One task of [job] gives back what [take] took for it. */
+    /** Gives back what [take] took for one task of [job]. */
     fun give(job: Job?) = add(job, 1)
 
     private fun add(
@@ -41,7 +41,7 @@
         memoryGb += sign * (spec?.memoryGb ?: machineType.memoryGb)
     }
 
-    /** How many tasks of [job] fit, at most [most]. */
+    /** Returns how many tasks of [job] fit, at most [most]. */
     fun count(
         job: Job,
         most: Int,
@@ -53,7 +53,7 @@
         )
     }
 
-    /** One more task of [job] fits. */
+    /** Returns whether one more task of [job] fits. */
     fun fits(job: Job): Boolean {
         val spec = job.spec
         return spec.vcpus <= cpus + Machine.ROUNDING &&
@@ -61,25 +61,32 @@
             spec.memoryGb <= memoryGb + Machine.ROUNDING
     }
 
-    /** Both are the same but for rounding. */
+    /** Returns whether both hold the same amounts, apart from rounding. */
     fun isAbout(other: FreeResources): Boolean =
         abs(cpus - other.cpus) <= Machine.ROUNDING &&
             abs(accelerators - other.accelerators) <= Machine.ROUNDING &&
             abs(memoryGb - other.memoryGb) <= Machine.ROUNDING
 
     companion object {
-        /** How often [each] and [eachToo] fit into [free] and [freeToo], at most [most]; what needs 0 always fits. */
+        /**
+         * Returns how many tasks that each need [perTask] and [perTaskOther] of two resources fit into [free] and
+         * [freeOther], at most [most]. A resource that a task does not need sets no limit.
+         */
         fun tasks(
             free: Double,
-            each: Double,
-            freeToo: Double,
-            eachToo: Double,
+            perTask: Double,
+            freeOther: Double,
+            perTaskOther: Double,
             most: Int,
-        ): Int = minOf(timesIn(free, each), timesIn(freeToo, eachToo)).coerceIn(0.0, most.toDouble()).toInt()
+        ): Int =
+            minOf(
+                countFitting(free, perTask),
+                countFitting(freeOther, perTaskOther),
+            ).coerceIn(0.0, most.toDouble()).toInt()
 
-        private fun timesIn(
+        private fun countFitting(
             free: Double,
-            each: Double,
-        ): Double = if (each > 0) (free + Machine.ROUNDING) / each else Double.MAX_VALUE
+            perTask: Double,
+        ): Double = if (perTask > 0) (free + Machine.ROUNDING) / perTask else Double.MAX_VALUE
     }
 }
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -11,8 +11,9 @@
 import java.util.BitSet
 
 /**
- * An open job: the durable part, which every node knows, and what its block's leader knows of its tasks. A task is
- * pending, or taken by an attempt that may be on a machine, or finished. Tasks go by their index, from 0.
+ * An open job: its durable record, which every node has, and the state of its tasks, which only the leader of its block
+ * has. A task is pending, taken by an attempt that may be on a machine, or finished. Tasks are identified by their
+ * index, from 0.
  */
 internal class Job(
     /** The durable record as last read or written. */
@@ -20,39 +21,42 @@
     /** Revision of the state service at which [record] was last written. */
     var modRevision: Long,
 ) {
-    // --- What every node knows --------------------------------------------------------------------------------
+    // --- State on every node ---------------------------------------------------------------------------------------
 
-    /** What the user submitted. */
+    /** The specification that the user submitted. */
     val spec: JobSpec get() = record.spec
 
     /** Unique among all jobs. */
     val id: String get() = spec.id
 
-    /** It keeps its tasks running as replicas until it is cancelled; else it is an array, whose tasks end. */
+    /**
+     * Whether the job is a service, whose tasks run as replicas until it is cancelled; otherwise it is an array of
+     * tasks that end.
+     */
     val isService: Boolean = spec.kind == JobKind.SERVICE
 
-    /** The priority that it was submitted with. */
+    /** Priority that the job was submitted with. */
     val ownPriority: Priority = spec.priority
 
-    /** The priority that it is served with: that of the most urgent open job that depends on it, if that is higher. */
+    /** Priority that scheduling uses: the highest among the job's own and those of the open jobs that depend on it. */
     var priority: Priority = ownPriority
 
-    /** Ids of the jobs that have to be done before this one starts and are not known to be. */
+    /** Ids of the jobs that must finish before this one starts and are not known to have finished. */
     val unfinishedDependencies = LinkedHashSet<String>()
 
-    /** A job that it depends on, directly or through others, was cancelled: it never starts and is cancelled too. */
+    /** Whether a direct or indirect dependency was cancelled: this job then never starts and is cancelled too. */
     var dependencyCancelled = false
 
-    /** Wall ms from which its waiting counts: its submission, or the end of the last job that it depends on. */
+    /** Wall-clock ms from which the waiting time counts: the submission, or the end of the last dependency. */
     var readyAt = record.submittedAt
 
-    /** It has to wait for other jobs, or was cancelled with one of them. */
+    /** Whether the job waits for dependencies, or one of them was cancelled. */
     val waitsForOthers: Boolean get() = dependencyCancelled || unfinishedDependencies.isNotEmpty()
 
-    /** What the leader last told of it, on the nodes that are not leader; what was last told, on the leader. */
+    /** On a follower, the progress last received from the leader; on the leader, the progress last sent. */
     var lastProgress: JobProgress? = null
 
-    /** Its tasks may run on machines of this type, zone and kind. */
+    /** Returns whether tasks of the job may run on machines of this type, zone and kind (spot or on-demand). */
     fun allows(
         machineType: MachineType,
         zone: String,
@@ -64,134 +68,136 @@
             (spec.allowsSpot || !spot)
     }
 
-    // --- Its record -------------------------------------------------------------------------------------------
+    // --- Durable record --------------------------------------------------------------------------------------------
 
-    /** Numbers of the chunks ([Chunks]) that were written at some time and must be removed in the end. */
+    /** Numbers of the chunks ([Chunks]) that have ever been written and must be removed when the job closes. */
     val writtenChunks = BitSet()
 
-    /** Steady ms of the last writing of its finished tasks. */
+    /** Steady-clock ms at which finished tasks were last written. */
     var progressAt = Long.MIN_VALUE / 2
 
-    /** The final record is being written. */
+    /** Whether the final record is being written. */
     var closing = false
 
-    /** The final record is durable. */
+    /** Whether the final record is durable. */
     var closed = false
 
-    // --- Its tasks, as the leader knows them ------------------------------------------------------------------
+    // --- Tasks, on the leader only ---------------------------------------------------------------------------------
 
-    /** Tasks that are finished, durable or not yet. */
+    /** Indices of the finished tasks, durable or not. */
     val finished = BitSet()
 
-    /** How many [finished] has. */
+    /** Size of [finished]. */
     var finishedCount = 0
         private set
 
-    /** Tasks whose completion is durable. */
+    /** Indices of the tasks whose completion is durable. */
     val recorded = BitSet()
 
-    /** Tasks finished or possibly on a machine. */
-    private val taken = BitSet()
+    /** Indices of the tasks that are finished or may be on a machine. */
+    private val takenTasks = BitSet()
     private var takenCount = 0
 
-    /** The present attempt of each task that may be on a machine, by the task's index. */
+    /** Current attempt of each task that may be on a machine, by task index. */
     val attempts = Int2ObjectOpenHashMap<TaskAttempt>()
 
-    /** How many of its attempts run; kept by their machines. */
+    /** Number of running attempts, maintained by [Machine.count]. */
     var runningCount = 0
 
-    /** How many tasks wait to be started. */
+    /** Number of tasks that wait to be started. */
     val pendingCount: Int get() = spec.taskCount - takenCount
 
-    /** All its tasks are finished; never so for a service. */
+    /** Whether all tasks are finished; always false for a service. */
     val complete: Boolean get() = !isService && finishedCount == spec.taskCount
 
     /**
-     * No machine that the present leader has not confirmed can have a task of this job: it was accepted under
-     * the leader's own leadership, or every recorded machine has been confirmed since.
+     * Whether no machine that the current leader has not confirmed can hold a task of this job: the job was accepted
+     * under this leader, or every recorded machine has been confirmed since.
      */
     var accountedFor = false
 
-    /** Run times of its finished tasks, as far as the present leader saw them from start to end. */
+    /** Run times of the finished tasks that the current leader saw from start to end. */
     val runTime = RunTime()
 
-    /** The first pending task at or after [from]; null if there is none. */
-    fun nextPending(from: Int = 0): Int? = taken.nextClearBit(from).takeIf { it < spec.taskCount }
+    /** Returns the first pending task at or after [from], or null if there is none. */
+    fun nextPending(from: Int = 0): Int? = takenTasks.nextClearBit(from).takeIf { it < spec.taskCount }
 
-    /** [attempt] is from now on the attempt of its task, which is not pending any more. */
+    /** Makes [attempt] the current attempt of its task, which is then no longer pending. */
     fun place(attempt: TaskAttempt) {
         attempts.put(attempt.index, attempt)
-        take(attempt.index)
+        markTaken(attempt.index)
     }
 
-    /** The task of [attempt] is on no machine any more: it is pending again unless it is finished. */
+    /**
+     * Removes [attempt], whose task is on no machine any more; the task becomes pending again unless it is finished.
+     */
     fun free(attempt: TaskAttempt) {
         if (attempts.get(attempt.index) !== attempt) return
         attempts.remove(attempt.index)
-        if (!finished.get(attempt.index) && taken.get(attempt.index)) {
-            taken.clear(attempt.index)
+        if (!finished.get(attempt.index) && takenTasks.get(attempt.index)) {
+            takenTasks.clear(attempt.index)
             takenCount--
         }
     }
 
-    private fun take(index: Int) {
-        if (taken.get(index)) return
-        taken.set(index)
+    private fun markTaken(index: Int) {
+        if (takenTasks.get(index)) return
+        takenTasks.set(index)
         takenCount++
     }
 
-    /** The task [index] is finished. */
+    /** Marks the task [index] as finished. */
     fun finish(index: Int) {
         if (finished.get(index)) return
         finished.set(index)
         finishedCount++
-        take(index)
+        markTaken(index)
     }
 
-    /** Adds the finished tasks that the state service has in the record of [chunk], as [ranges] of indices. */
+    /** Adds the finished tasks that the state service stores for [chunk], as [ranges] of indices. */
     fun restoreFinished(
         ranges: String,
         chunk: Int,
     ) {
         Ranges.decode(ranges, finished, spec.taskCount)
-        taken.or(finished)
-        takenCount = taken.cardinality()
+        takenTasks.or(finished)
+        takenCount = takenTasks.cardinality()
         finishedCount = finished.cardinality()
         recorded.or(finished)
         writtenChunks.set(chunk)
     }
 
-    // --- Its place in scheduling ------------------------------------------------------------------------------
+    // --- Scheduling ------------------------------------------------------------------------------------------------
 
-    /** Fits into its team's guaranteed share along with the team's earlier jobs. */
+    /** Whether the job, together with the earlier jobs of its team, fits into the team's guaranteed share. */
     var guaranteed = false
 
-    /** Steady ms before which no task is started, after failures of the job's own. */
+    /** Steady-clock ms before which no task is started, after failures that the job itself caused. */
     var notBefore = Long.MIN_VALUE
 
-    /** Wall ms of the last start of one of its tasks by this leader; 0 before. */
+    /** Wall-clock ms at which this leader last started a task of the job; 0 before the first start. */
     var lastStartAt = 0L
 
-    /** Names of the machines on which its tasks failed without any having succeeded since. */
+    /** Names of the machines on which its tasks failed, since the last task that succeeded. */
     val errorMachines = HashSet<String>()
 
-    /** How often in a row it was paused because its tasks failed on several machines. */
+    /** Number of consecutive pauses of the job because its tasks failed on several machines. */
     var failedAttempts = 0
 
-    /** ms since a task of it was started, or since it could start. */
+    /** Returns the ms since a task of the job was last started, or since it could have been. */
     fun unservedMs(wallMs: Long): Long = wallMs - maxOf(lastStartAt, readyAt)
 
-    /** Waits for room, and nothing else holds it back; [nowMs] is steady. */
+    /** Returns whether the job has tasks that wait only for free resources; [nowMs] is on the steady clock. */
     fun startable(nowMs: Long): Boolean =
         accountedFor && !waitsForOthers && !closing && !record.cancelRequested && pendingCount > 0 && nowMs >= notBefore
 
-    /** Forgets all that only a leader knows. */
+    /** Clears all state that only a leader has. */
     fun forgetLeaderState() {
         finished.clear()
         finishedCount = 0
         recorded.clear()
         writtenChunks.clear()
-        taken.clear()
+        takenTasks.clear()
         takenCount = 0
         runningCount = 0
         attempts.clear()
--- a/src/main/kotlin/ledgearch/model/JobProgress.kt
+++ b/src/main/kotlin/ledgearch/model/JobProgress.kt
@@ -1,11 +1,11 @@
 package ledgearch.model
 
-/** What is shown to users of an open job: how many of its tasks are done and how many run. */
+/** Progress of an open job, as shown to users. */
 internal data class JobProgress(
-    /** The job's id. */
+    /** Id of the job. */
     val job: String,
-    /** Finished tasks. */
+    /** Number of finished tasks. */
     val done: Int,
-    /** Running tasks. */
+    /** Number of running tasks. */
     val running: Int,
 )
--- a/src/main/kotlin/ledgearch/model/LoadState.kt
+++ b/src/main/kotlin/ledgearch/model/LoadState.kt
@@ -1,22 +1,25 @@
 package ledgearch.model
 
-/** Load state of a machine by the length of its queue, with the thresholds of section 2 of the paper. */
+/**
+ * Load state of a machine by the length of its queue, with the thresholds TH_u, TH_f and TH_v of section 2 of the
+ * paper.
+ */
 internal enum class LoadState {
-    /** At most TH_u tasks wait: the machine takes surplus tasks of its buddies. */
+    /** At most TH_u tasks wait: the machine takes surplus tasks from its buddies. */
     UNDERLOADED,
 
-    /** More than TH_u, at most TH_f. */
+    /** More than TH_u and at most TH_f tasks wait. */
     MEDIUM,
 
-    /** More than TH_f, at most TH_v. */
+    /** More than TH_f and at most TH_v tasks wait. */
     FULL,
 
-    /** More than TH_v: new tasks are transferred to a buddy. */
+    /** More than TH_v tasks wait: new tasks are transferred to a buddy. */
     OVERLOADED,
     ;
 
     companion object {
-        /** The state of a machine with [queueLength] bound, unstarted tasks. */
+        /** Returns the load state of a machine with [queueLength] bound tasks that have not started. */
         fun of(queueLength: Int): LoadState =
             when {
                 queueLength <= ModelTuning.UNDERLOADED_MAX -> UNDERLOADED
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -4,195 +4,207 @@
 import ledgearch.wire.MachineType
 
 /**
- * A machine of the block, as its leader knows it: what its worker was heard to say, whether it can be reached and will
- * stay, which attempts may be on it, and what of its resources is free. Attempts come and go by [attach] and [detach],
- * which keep the counts of the machine, of the jobs and of the teams.
+ * A machine of the block as its leader sees it: the reports of its worker, whether it can be reached and will stay, the
+ * attempts that may be on it, and its free resources. Attempts are added and removed by [attach] and [detach], which
+ * maintain the counts of the machine, the jobs and the teams.
  */
 internal class Machine(
-    /** Given by the cloud, unique. */
+    /** Unique machine name, assigned by the cloud. */
     val name: String,
-    /** Address of its worker, host and port. */
+    /** Address of the worker, as HOST:PORT. */
     val endpoint: String,
     val machineType: MachineType,
     val zone: String,
-    /** The cloud may preempt it at short notice; else it is an on-demand machine. */
+    /** Whether the cloud may preempt the machine at short notice; otherwise it is an on-demand machine. */
     val spot: Boolean,
-    /** Steady ms. */
+    /** Steady-clock ms at which the machine became known. */
     val knownSince: Long,
     private val teams: TeamQuotas,
 ) {
-    // --- Part of the block ------------------------------------------------------------------------------------
+    // --- Membership of the block -----------------------------------------------------------------------------------
 
-    /** The record that binds the machine to the block is in the state service. */
+    /** Whether the state service holds the record that assigns the machine to the block. */
     var durable = false
 
-    /** Recorded by an earlier leader: until confirmed, any task of an older job may be on it. */
+    /** Whether an earlier leader recorded the machine; until it is confirmed, any task of an older job may be on it. */
     var inherited = false
 
-    /** The worker has confirmed the present leader's token: [attempts] is all that can be on it. */
+    /** Whether the worker has confirmed the current leader's token, so that [attempts] is complete. */
     var confirmed = false
         private set
 
     private val isUnconfirmed: Boolean get() = inherited && !confirmed
 
-    /** The machine is the block's from now on, and counts for its teams. */
+    /** Adds the machine to the block and counts it for the teams. */
     fun joined() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, 1)
     }
 
-    /** The worker has confirmed the present leader's token. */
+    /** Records that the worker has confirmed the current leader's token. */
     fun confirm() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
         confirmed = true
     }
 
-    /** The machine is gone, all its attempts before it. */
+    /** Removes the machine from the teams' counts; its attempts must have been detached. */
     fun left() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
     }
 
-    // --- The worker's incarnation and messages --------------------------------------------------------------------
+    // --- Incarnation and messages of the worker --------------------------------------------------------------------
 
-    /** Number of the worker's present incarnation; 0 before it was heard. */
+    /** Number of the worker's current incarnation; 0 before its first message. */
     var incarnation = 0L
 
     /**
-     * The incarnation that a replica of the last leader's state names, or 0: a first guess, which the worker answers.
+     * Incarnation according to a replica of the last leader's state, or 0. It is a first guess that the worker's answer
+     * corrects.
      */
     var incarnationHint = 0L
 
-    /** The incarnation that a command names: the one heard from the worker, or else the best guess. */
+    /** Incarnation to put into commands: the one that the worker reported, otherwise the best guess. */
     val commandIncarnation: Long get() = if (incarnation != 0L) incarnation else maxOf(incarnationHint, 1L)
 
-    /** Number of the worker's newest message of any kind in this incarnation: heartbeat or answer to a command. */
+    /** Sequence number of the worker's newest message in this incarnation, a heartbeat or an answer to a command. */
     var sequence = 0L
 
-    /** Number of the worker's newest heartbeat in this incarnation. */
+    /** Sequence number of the worker's newest heartbeat in this incarnation. */
     var heartbeatSequence = 0L
 
-    /** Steady ms at which the heartbeat with that number first came. */
+    /** Steady-clock ms at which the heartbeat [heartbeatSequence] was first received. */
     var heartbeatFirstSeenAt = 0L
 
-    /** Steady ms after which that heartbeat was sent: a worker sends the next one once the one before was answered. */
+    /**
+     * Steady-clock ms after which that heartbeat was sent: a worker sends the next heartbeat once the previous one was
+     * answered.
+     */
     var heartbeatSentAfter = 0L
 
-    /** The highest token that the worker is known to have seen. */
+    /** Highest token that the worker is known to have seen. */
     var token = 0L
 
-    /** Steady ms of the last message from the worker. */
+    /** Steady-clock ms of the last message from the worker. */
     var lastHeardAt = knownSince
 
-    /** Steady ms of the last answer that may have renewed the worker's lease. */
+    /** Steady-clock ms of the last answer to the worker that may have renewed its lease. */
     var lastAnsweredAt = 0L
 
     /**
-     * Steady ms of the last heartbeat: its answer alone renews the lease, whatever direct commands reach and bring
-     * back.
+     * Steady-clock ms of the last heartbeat. Only the answer to a heartbeat renews the lease; direct commands do not.
      */
     var lastHeartbeatAt = knownSince
 
-    /** No heartbeat has come for longer than a worker takes for one: what starts here now may end with the lease. */
+    /** Whether the next heartbeat is overdue; a task that is started now may end when the lease expires. */
     var overdue = false
 
-    // --- Commands and probes ----------------------------------------------------------------------------------
+    // --- Commands and probes ---------------------------------------------------------------------------------------
 
-    /** A direct command or a probe has been sent and not been answered yet: no other is sent. */
+    /** Whether a direct command or a probe awaits its answer; no other is sent meanwhile. */
     var commandInFlight = false
 
-    /** ms that its last answer to a direct command took. */
+    /** Latency in ms of the last answered direct command. */
     var answerMs = 0L
 
-    /** What was sent did not reach the machine: nothing new is given to it before it is reached again. */
+    /** Whether the last message could not be delivered; the machine gets no new tasks before it is reached again. */
     var unreachable = false
 
-    /** Steady ms since when nothing sent has reached the machine, or 0. */
+    /** Steady-clock ms since which no message has reached the machine, or 0. */
     var unreachableSince = 0L
 
-    /** Steady ms before which no probe is sent. */
+    /** Steady-clock ms before which no probe is sent. */
     var probeAt = 0L
 
-    /** Probes in a row without an answer, those left out that this node may have been too slow to read. */
+    /**
+     * Number of consecutive unanswered probes, without those whose answers this node may have been too slow to read.
+     */
     var probesFailed = 0
 
-    /** All probes in a row without an answer. */
+    /** Number of all consecutive unanswered probes. */
     var probesUnanswered = 0
         private set
 
-    /** Steady ms at which the first of those was sent; 0 without any. */
+    /** Steady-clock ms at which the first of those probes was sent; 0 without any. */
     var unansweredSince = 0L
         private set
 
-    /** A probe that was sent at [sentAt], steady ms, has got no answer. */
+    /** Records that the probe sent at [sentAt] (steady-clock ms) was not answered. */
     fun probeUnanswered(sentAt: Long) {
         if (probesUnanswered++ == 0) unansweredSince = sentAt
     }
 
-    /** The worker has answered a probe. */
+    /** Records that the worker has answered a probe. */
     fun probeAnswered() {
         probesUnanswered = 0
         unansweredSince = 0L
     }
 
-    // --- How long it stays, and what is held back from it -----------------------------------------------------
+    // --- Departure and restrictions --------------------------------------------------------------------------------
 
-    /** Steady ms at which the cloud preempts the spot machine, or 0. */
+    /** Steady-clock ms at which the cloud preempts the spot machine, or 0. */
     var preemptionAt = 0L
 
-    /** A replica of the last leader's state says that the machine was being returned. */
+    /** Whether, according to a replica of the last leader's state, the machine was being returned to the cloud. */
     var returningHint = false
 
-    /** Its zone returns step by step, and its turn has not come: new work goes there only if it can't wait. */
+    /**
+     * Whether the machine is held back while its zone is readmitted in steps; it gets new tasks only if they can't
+     * wait.
+     */
     var heldBack = false
 
-    /** Quarantine, since tasks fail here: nothing new is started, and the machine is emptied and returned. */
+    /**
+     * Whether the machine is quarantined because tasks fail on it: no task is started, and it is drained and returned.
+     */
     var quarantined = false
 
-    /** Not needed at present: emptied and returned unless work comes first. */
+    /**
+     * Whether the machine is not needed at present: it is drained and returned unless new tasks are placed on it first.
+     */
     var draining = false
 
-    /** It is being returned to the cloud. */
+    /** Whether the machine is being returned to the cloud. */
     var releasing = false
 
-    /** The cloud has been asked to take it back. */
+    /** Whether the cloud has been asked to take the machine back. */
     var releaseRequested = false
 
-    /** Steady ms before which nothing is started, since the worker refused a task or one failed. */
+    /** Steady-clock ms before which no task is started, since the worker refused a task or a task failed. */
     var refusedUntil = Long.MIN_VALUE
 
-    /** Ids of the jobs whose tasks failed in a row. */
+    /** Ids of the jobs whose tasks failed consecutively. */
     val errorJobs = LinkedHashSet<String>()
 
-    /** How many tasks failed in a row. */
+    /** Number of consecutive task failures. */
     var consecutiveErrors = 0
 
-    /** Serves, and nothing says that it will not go on. */
+    /** Whether the machine accepts tasks and is not known to be leaving or failing. */
     val inService: Boolean get() = confirmed && !releasing && !quarantined && !draining && !overdue && probesFailed == 0
 
-    // --- Attempts and resources -------------------------------------------------------------------------------
+    // --- Attempts and resources ------------------------------------------------------------------------------------
 
-    /** All attempts that may be on the machine, by attempt number. */
+    /** Attempts that may be on the machine, by attempt number. */
     val attempts = Long2ObjectLinkedOpenHashMap<TaskAttempt>()
 
-    /** The tasks bound to the machine that wait for room here. */
+    /** Tasks that are bound to the machine and wait for free resources on it. */
     val queue = MachineQueue()
 
     private val free = FreeResources(machineType)
 
-    /** Processors that attempts hold, those of unknown jobs all that there are. */
+    /** Processors held by attempts; an attempt of an unknown job counts as the whole machine. */
     val usedCpus: Double get() = machineType.vcpus - free.cpus
 
-    /** Attempts that wait for their image. */
+    /** Number of attempts that wait for their image. */
     var fetching = 0
         private set
 
-    /** [attempt] may be on the machine from now on. */
+    /** Adds [attempt], which may be on the machine from now on. */
     fun attach(attempt: TaskAttempt) {
         attempts.put(attempt.number, attempt)
         attempt.attached = true
         count(attempt, 1)
     }
 
-    /** [attempt] is provably not on the machine any more. */
+    /** Removes [attempt], which is proven not to be on the machine any more. */
     fun detach(attempt: TaskAttempt) {
         if (!attempt.attached) return
         attempts.remove(attempt.number)
@@ -200,7 +212,7 @@
         attempt.attached = false
     }
 
-    /** Makes a [change] to [attempt] that may alter what it counts for. */
+    /** Applies [change] to [attempt] and updates the counts that depend on it. */
     inline fun updateCounted(
         attempt: TaskAttempt,
         change: () -> Unit,
@@ -211,8 +223,8 @@
     }
 
     /**
-     * Counts [attempt] with [sign] 1, or takes off what it counted for with -1. Counts are kept as attempts come,
-     * change and go: a recount of the whole block for each heartbeat would cost too much.
+     * Adds [attempt] to the counts with [sign] 1, or removes it with -1. The counts are maintained incrementally
+     * because recounting the whole block for each heartbeat would cost too much.
      */
     fun count(
         attempt: TaskAttempt,
@@ -228,7 +240,7 @@
     private fun waitsForImage(attempt: TaskAttempt): Boolean =
         attempt.state == AttemptState.FETCHING || attempt.state == AttemptState.ASSIGNED
 
-    /** Whether what is counted is what a count from scratch gives. */
+    /** Returns whether the counts equal a recount. */
     fun countsHold(): Boolean {
         val recount = FreeResources(machineType)
         val present = attempts.values.filter { !it.exited }
@@ -236,37 +248,37 @@
         return free.isAbout(recount) && fetching == present.count { waitsForImage(it) }
     }
 
-    /** One more task of [job] fits, by resources and by number. */
+    /** Returns whether one more task of [job] fits, by resources and by number of tasks. */
     fun hasRoom(job: Job): Boolean = attempts.size < ModelTuning.MACHINE_TASKS && free.fits(job)
 
-    /** A task of [job] would fit once all that ends by itself has ended. */
+    /** Returns whether a task of [job] would fit once all tasks that end by themselves have ended. */
     fun couldTake(job: Job): Boolean {
         val free = FreeResources(machineType)
         for (attempt in attempts.values) if (!attempt.exited && attempt.job?.isService != false) free.take(attempt.job)
         return free.fits(job)
     }
 
-    /** A copy of what is free. */
+    /** Returns a copy of the free resources. */
     fun roomLeft(): FreeResources = free.copy()
 
-    /** How many tasks of [job] there is room for, at most [most]. */
+    /** Returns how many more tasks of [job] fit, at most [most]. */
     fun roomFor(
         job: Job,
         most: Int,
     ): Int = free.count(job, most)
 
-    /** Type, zone and kind allow tasks of [job]. */
+    /** Returns whether tasks of [job] may run on this machine by its type, zone and kind. */
     fun allows(job: Job): Boolean = job.allows(machineType, zone, spot)
 
-    // --- Images -----------------------------------------------------------------------------------------------
+    // --- Images ----------------------------------------------------------------------------------------------------
 
-    /** Images that are here or being fetched, with their gigabytes, the last used at the end. */
+    /** Images that are on the machine or being fetched, with their size in gigabytes, in the order of last use. */
     val images = LinkedHashMap<String, Double>()
 
-    /** Images whose fetch is known to be over: a task that needs one has run here. */
+    /** Images that are known to be on the machine because a task that needs them has run here. */
     val fetched = HashSet<String>()
 
-    /** How far the image is from being here: [IMAGE_PRESENT], [IMAGE_COMING] or [IMAGE_ABSENT]. */
+    /** Returns whether the image is on the machine: [IMAGE_PRESENT], [IMAGE_COMING] or [IMAGE_ABSENT]. */
     fun imageDistance(image: String): Int =
         when (image) {
             !in images -> IMAGE_ABSENT
@@ -274,7 +286,10 @@
             else -> IMAGE_COMING
         }
 
-    /** [image] of [gb] gigabytes is used here; those unused for longest go as long as the disk is too small for all. */
+    /**
+     * Records a use of [image], which has [gb] gigabytes, and removes the least recently used images as long as the
+     * disk is too small for all.
+     */
     fun touchImage(
         image: String,
         gb: Double,
@@ -292,7 +307,7 @@
     }
 
     companion object {
-        /** Sums of decimal amounts are compared with this much slack. */
+        /** Tolerance for comparing sums of decimal amounts. */
         const val ROUNDING = 1e-6
 
         /** The image is on the machine. */
--- a/src/main/kotlin/ledgearch/model/ModelTuning.kt
+++ b/src/main/kotlin/ledgearch/model/ModelTuning.kt
@@ -1,16 +1,16 @@
 package ledgearch.model
 
-/** Machines and their queues: constants with their unit and the reason for their value. */
+/** Limits of machines and of their queues. */
 internal object ModelTuning {
-    /** Tasks. On one machine, so that its heartbeat, some 110 bytes a task, stays under 64 KiB. */
+    /** Keeps a heartbeat, at about 110 bytes per task, below 64 KiB. */
     const val MACHINE_TASKS = 400
 
-    /** Bound, unstarted tasks. The paper's TH_u: a machine with at most this many is underloaded. */
+    /** The paper's TH_u: a machine with at most this many bound tasks is underloaded. */
     const val UNDERLOADED_MAX = 0
 
-    /** Bound, unstarted tasks. The paper's TH_f: above TH_u up to this is medium, above it full. */
+    /** The paper's TH_f: a machine with more than TH_u and at most this many bound tasks is at medium load. */
     const val MEDIUM_MAX = 1
 
-    /** Bound, unstarted tasks. The paper's TH_v: above it a machine is overloaded, new tasks go to its buddies. */
+    /** The paper's TH_v: a machine with more bound tasks is overloaded, and new tasks go to its buddies. */
     const val FULL_MAX = 2
 }
--- a/src/main/kotlin/ledgearch/model/RunTime.kt
+++ b/src/main/kotlin/ledgearch/model/RunTime.kt
@@ -1,22 +1,22 @@
 package ledgearch.model
 
-/** The mean run time of a job's finished tasks, updated task by task. */
+/** Running mean of the run times of a job's finished tasks. */
 internal class RunTime {
-    /** How many tasks the mean is over. */
+    /** Number of tasks in the mean. */
     var tasks = 0
         private set
 
-    /** Seconds; 0 as long as there are no [tasks]. */
+    /** Mean run time in seconds; 0 when there are no [tasks]. */
     var mean = 0.0
         private set
 
-    /** One more task has run for [seconds]. */
+    /** Adds a task that ran for [seconds]. */
     fun add(seconds: Double) {
         tasks++
         mean += (seconds - mean) / tasks
     }
 
-    /** Forgets all tasks. */
+    /** Removes all tasks. */
     fun clear() {
         tasks = 0
         mean = 0.0
--- a/src/main/kotlin/ledgearch/model/StopMode.kt
+++ b/src/main/kotlin/ledgearch/model/StopMode.kt
@@ -1,13 +1,13 @@
 package ledgearch.model
 
-/** Whether an attempt is told to stop, and the grace that its task gets. */
+/** Whether and how an attempt is to be stopped. */
 internal enum class StopMode {
-    /** It is not told to stop. */
+    /** The attempt is not to be stopped. */
     NONE,
 
-    /** It stops without saving anything. */
+    /** The task stops at once, without saving a checkpoint. */
     AT_ONCE,
 
-    /** It may save a checkpoint before. */
+    /** The task may save a checkpoint before it stops. */
     CHECKPOINT_FIRST,
 }
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -3,85 +3,88 @@
 import ledgearch.wire.ExitCause
 
 /**
- * One attempt of one task on one machine, from the decision until the attempt is provably gone. Its state and stop mode
- * are counted on its machine and for its team, and each change of them updates those counts.
+ * One attempt to run a task on a machine, from the placement until the attempt is proven to be gone. Its machine and
+ * its team count it by [state] and [stop]; a change of either updates those counts.
  */
 internal class TaskAttempt(
-    /** Null if the job is not open: the attempt is stopped and cleared. */
+    /** Null if the job is not open; the attempt is then stopped and cleared. */
     val job: Job?,
-    /** The job's id and the task's index, as workers know it. */
+    /** Id of the task as workers use it: the job's id and the task's index. */
     val taskId: String,
-    /** Of the task in its job, from 0. */
+    /** Index of the task in its job, from 0. */
     val index: Int,
-    /** Of the attempt. */
+    /** Attempt number. */
     val number: Long,
     val machine: Machine,
-    /** Steady ms of the decision. */
+    /** Steady-clock ms of the placement. */
     val assignedAt: Long,
-    /** Started by an earlier leader: when its run began is not known. */
+    /** Whether an earlier leader started the attempt, so that the start of its run is not known. */
     val inherited: Boolean = false,
 ) {
-    // --- What it does -----------------------------------------------------------------------------------------
+    // --- State and stop mode ---------------------------------------------------------------------------------------
 
-    /** It is among its machine's attempts, and counted there and for its team. */
+    /** Whether the attempt is among its machine's attempts and is counted there and for its team. */
     var attached = false
 
-    /** What is known of it; a change updates what the attempt counts for. */
+    /** Last known state; a change updates the counts. */
     var state = AttemptState.ASSIGNED
         set(value) {
             if (value != field) machine.updateCounted(this) { field = value }
         }
 
-    /** Why it exited; null before, or if the worker gave no cause. */
+    /** Cause of the exit; null before the exit, or if the worker gave no cause. */
     var cause: ExitCause? = null
 
-    /** What the worker is to be told; a change updates what the attempt counts for. */
+    /** How the worker is to stop the attempt; a change updates the counts. */
     var stop = StopMode.NONE
         set(value) {
             if (value != field) machine.updateCounted(this) { field = value }
         }
 
-    /** Steady ms at which it began to run; 0 before. */
+    /** Steady-clock ms at which the task began to run; 0 before. */
     var runningSince = 0L
 
-    /** Its job had starved: it is not preempted for others, for which the job would only starve again. */
+    /** Whether the attempt is not preempted for other jobs. Set for a job that had starved and would starve again. */
     var exemptFromPreemption = false
 
-    /** It runs no more. */
+    /** Whether the attempt has exited. */
     val exited: Boolean get() = state == AttemptState.EXITED
 
-    /** The task is finished. */
+    /** Whether the task is finished. */
     val done: Boolean get() = exited && cause == ExitCause.DONE
 
-    /** It may be on its machine and has not been told to stop. */
+    /** Whether the attempt may be on its machine and is not to be stopped. */
     val continues: Boolean get() = !exited && stop == StopMode.NONE
 
-    // --- What the worker has been told and has reported -------------------------------------------------------
+    // --- Messages to and from the worker ---------------------------------------------------------------------------
 
-    /** The worker has listed it. */
+    /** Whether the worker has listed the attempt. */
     var reported = false
 
-    /** Sequence number of the last message of the worker that listed it. */
+    /** Sequence number of the worker's last message that listed the attempt. */
     var lastListedSequence = 0L
 
-    /** Sequence number of the last heartbeat whose answer carried the start; any later one settles that answer. */
+    /**
+     * Sequence number of the last heartbeat whose answer carried the start command. A later heartbeat proves that the
+     * worker has received that answer or never will.
+     */
     var sentInReplyTo = 0L
 
-    /** A direct command with the start is under way. */
+    /** Whether a direct command with the start is in flight. */
     var startInFlight = false
 
     /**
-     * Token of a direct command with the start that was never answered. It may be executed at any later time
-     * until the worker is known to have seen a higher token or has begun a new incarnation.
+     * Token of a direct start command that was never answered, or 0. The worker may still execute that command until it
+     * is known to have seen a higher token or has begun a new incarnation.
      */
     var unacknowledgedToken = 0L
 
-    /** Nothing is lost when the worker forgets it. */
+    /** Whether the worker may forget the attempt without a loss. */
     val clearable: Boolean get() = exited && (!done || job == null || job.closed || job.recorded.get(index))
 
     /**
-     * No start of this attempt is still on its way, given the sequence number of the worker's last heartbeat. Until
-     * then `clear` could let it start a second time.
+     * Returns whether no start of this attempt is still in flight, given the sequence number of the worker's last
+     * heartbeat. Until then, a `clear` command could let the attempt start a second time.
      */
     fun settled(lastReportSequence: Long): Boolean =
         !startInFlight && unacknowledgedToken == 0L && lastReportSequence > sentInReplyTo
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -6,51 +6,53 @@
 import kotlin.math.abs
 
 /**
- * What each team's tasks may be using at most, and whether more may start. A team has a quota, the most that its tasks
- * may use at one time ([Team.cpusMax], [Team.gpusMax]), and within it a guaranteed share ([Team.cpus], [Team.gpus]).
- * What it runs beyond that share is surplus. Amounts are in processors and accelerators, compared with
- * [Machine.ROUNDING] as slack.
+ * Upper bound on the resources that each team's tasks may use, and whether more tasks may start. A team has a quota,
+ * the most that its tasks may use at one time ([Team.cpusMax], [Team.gpusMax]), and within it a guaranteed share
+ * ([Team.cpus], [Team.gpus]). Usage beyond that share is surplus. Amounts are in processors and accelerators;
+ * comparisons allow a difference of [Machine.ROUNDING].
  */
 internal class TeamQuotas(
     teams: List<Team>,
 ) {
     private val usages = teams.associate { it.name to TeamUsage(it) }
 
-    /** Held by attempts that could be any team's, since their jobs are over. */
-    private val unknown = ResourceSum()
+    /** Resources of attempts that may belong to any team, because their jobs are no longer open. */
+    private val ownerless = ResourceSum()
 
-    /** All that unconfirmed machines have: those an earlier leader recorded and this one has not heard from. */
+    /** All resources of unconfirmed machines, which an earlier leader recorded and this one has not heard from. */
     private val unconfirmed = ResourceSum()
 
-    /** Attempts that continue, by the ordinal of their job's priority. */
+    /** Number of attempts that continue, by the ordinal of their job's priority. */
     private val continuing = IntArray(Priority.entries.size)
 
-    // --- Counting ---------------------------------------------------------------------------------------------
+    // --- Counting --------------------------------------------------------------------------------------------------
 
     /**
-     * Sets which of [jobs] are guaranteed: those that fit into their team's guaranteed share along with the team's
-     * earlier unfinished jobs.
+     * Sets [Job.guaranteed] for those of [jobs] that fit into their team's guaranteed share together with the team's
+     * earlier open jobs.
      */
     fun countGuarantees(jobs: Collection<Job>) {
-        val promisedByTeam = HashMap<String, ResourceSum>()
+        val guaranteedByTeam = HashMap<String, ResourceSum>()
         for (job in jobs.sortedBy { it.readyAt }) {
             if (job.waitsForOthers) {
                 job.guaranteed = false
                 continue
             }
             val team = usages[job.spec.team]?.team ?: continue
-            val promised = promisedByTeam.getOrPut(job.spec.team) { ResourceSum() }
+            val promised = guaranteedByTeam.getOrPut(job.spec.team) { ResourceSum() }
             promised.addTasks(job, job.spec.taskCount)
             job.guaranteed = promised.isWithin(team.cpus, team.gpus)
         }
     }
 
-    /** [attempt] comes ([sign] 1) or goes (-1); in between it counts for its team's quota, told to stop or not. */
+    /**
+     * Adds [attempt] ([sign] 1) or removes it (-1). It counts towards its team's quota even while it is being stopped.
+     */
     fun count(
         attempt: TaskAttempt,
         sign: Int,
     ) {
-        val job = attempt.job ?: return unknown.add(attempt.machine.machineType, sign)
+        val job = attempt.job ?: return ownerless.add(attempt.machine.machineType, sign)
         if (attempt.stop == StopMode.NONE) continuing[job.priority.ordinal] += sign
         val usage = usages[job.spec.team] ?: return
         usage.used.addTasks(job, sign)
@@ -58,8 +60,8 @@
     }
 
     /**
-     * A machine of this type comes to be unconfirmed ([sign] 1) or is no more (-1). Meanwhile it may hold any task of a
-     * job that is older than this leader and whose tasks have not all been found.
+     * Adds an unconfirmed machine of this type ([sign] 1) or removes it (-1). While unconfirmed, it may hold any task
+     * of a job that is older than this leader and whose tasks have not all been found.
      */
     fun countUnconfirmed(
         machineType: MachineType,
@@ -67,8 +69,9 @@
     ) = unconfirmed.add(machineType, sign)
 
     /**
-     * Counts what of each team may run on unconfirmed machines: tasks of its older jobs that are neither finished nor
-     * found. A job is over only once all its tasks are gone, and newer jobs were never an earlier leader's.
+     * Counts for each team the tasks that may run on unconfirmed machines: the tasks of its older jobs that are neither
+     * finished nor found. A job closes only when all its tasks are gone, and no earlier leader had the newer jobs, so
+     * no other task can be there.
      */
     fun countUnfound(jobs: Collection<Job>) {
         if (unconfirmed.isWithin(0.0, 0.0)) return
@@ -80,43 +83,46 @@
         }
     }
 
-    /** Forgets all that was counted. */
+    /** Resets all counts. */
     fun clear() {
         usages.values.forEach { it.clear() }
         continuing.fill(0)
-        unknown.set(0.0)
+        ownerless.set(0.0)
         unconfirmed.set(0.0)
     }
 
-    /** Whether what is counted is what a count of [machines] from scratch gives. */
+    /** Returns whether the counts equal a recount of [machines]. */
     fun countsHold(machines: Collection<Machine>): Boolean {
         val recount = TeamQuotas(usages.values.map { it.team })
         for (machine in machines) {
             if (machine.inherited && !machine.confirmed) recount.countUnconfirmed(machine.machineType, 1)
             for (attempt in machine.attempts.values) if (!attempt.exited) recount.count(attempt, 1)
         }
-        return abs(unknown.cpus - recount.unknown.cpus) <= Machine.ROUNDING &&
+        return abs(ownerless.cpus - recount.ownerless.cpus) <= Machine.ROUNDING &&
             abs(unconfirmed.cpus - recount.unconfirmed.cpus) <= Machine.ROUNDING &&
             continuing.contentEquals(recount.continuing) &&
             usages.all { (name, usage) -> recount.usages[name]?.let(usage::isAbout) == true }
     }
 
-    // --- Questions --------------------------------------------------------------------------------------------
+    // --- Queries ---------------------------------------------------------------------------------------------------
 
-    /** Work of a lower priority than that of [job] continues somewhere. */
+    /** Returns whether any attempt of a lower priority than that of [job] continues. */
     fun anyLowerPriority(job: Job): Boolean =
         (job.priority.ordinal + 1 until continuing.size).any { continuing[it] > 0 }
 
-    /** One more task of [job] keeps its team within its quota, whatever runs where nothing is known. */
+    /**
+     * Returns whether one more task of [job] keeps its team within its quota, even if unconfirmed machines hold as many
+     * of the team's tasks as they can.
+     */
     fun allows(job: Job): Boolean {
         val usage = usages[job.spec.team] ?: return false
-        val cpus = usage.used.cpus + unknown.cpus + minOf(unconfirmed.cpus, usage.unfound.cpus)
-        val gpus = usage.used.gpus + unknown.gpus + minOf(unconfirmed.gpus, usage.unfound.gpus)
+        val cpus = usage.used.cpus + ownerless.cpus + minOf(unconfirmed.cpus, usage.unfound.cpus)
+        val gpus = usage.used.gpus + ownerless.gpus + minOf(unconfirmed.gpus, usage.unfound.gpus)
         return cpus + job.spec.vcpus <= usage.team.cpusMax + Machine.ROUNDING &&
             gpus + job.spec.accelerators <= usage.team.gpusMax + Machine.ROUNDING
     }
 
-    /** [job] is guaranteed, and [more] more of its tasks are within its team's guaranteed share. */
+    /** Returns whether [job] is guaranteed and [more] more of its tasks fit into its team's guaranteed share. */
     fun mayClaim(
         job: Job,
         more: Int,
@@ -128,23 +134,25 @@
     }
 
     /**
-     * Without a task of [job] its team would still use its whole guaranteed share. Counted without what is already
-     * being stopped, or selected to be preempted ([selected], one entry a task): two teams near their guaranteed shares
-     * would otherwise preempt each other's tasks in turn for ever.
+     * Returns whether the team of [job] would still use its whole guaranteed share without one task of [job]. Tasks
+     * that are being stopped or are selected for preemption ([selected], one entry per task) do not count as used;
+     * otherwise two teams near their guaranteed shares would preempt each other's tasks in turn for ever.
      */
     fun canSpare(
         job: Job,
         selected: List<Job> = emptyList(),
     ): Boolean {
         val usage = usages[job.spec.team] ?: return false
-        val ofTeam = selected.filter { it.spec.team == job.spec.team }
-        return usage.continuing.cpus - job.spec.vcpus - ofTeam.sumOf { it.spec.vcpus } >=
+        val selectedOfTeam = selected.filter { it.spec.team == job.spec.team }
+        return usage.continuing.cpus - job.spec.vcpus - selectedOfTeam.sumOf { it.spec.vcpus } >=
             usage.team.cpus - Machine.ROUNDING &&
-            usage.continuing.gpus - job.spec.accelerators - ofTeam.sumOf { it.spec.accelerators } >=
+            usage.continuing.gpus - job.spec.accelerators - selectedOfTeam.sumOf { it.spec.accelerators } >=
             usage.team.gpus - Machine.ROUNDING
     }
 
-    /** How many more tasks of [job] its team's quota allows once what is being stopped is gone. */
+    /**
+     * Returns how many more tasks of [job] its team's quota allows once all attempts that are being stopped are gone.
+     */
     fun roomOnceStopped(job: Job): Int {
         val usage = usages[job.spec.team] ?: return 0
         return FreeResources.tasks(
@@ -156,7 +164,7 @@
         )
     }
 
-    /** How many more tasks of [job] its team's quota allows when [promised] processors more are spoken for. */
+    /** Returns how many more tasks of [job] its team's quota allows when [promised] processors are already reserved. */
     fun roomFor(
         job: Job,
         promised: Double = 0.0,
@@ -185,7 +193,7 @@
             gpus = amount
         }
 
-        /** All that a machine of this type has, [sign] times. */
+        /** Adds [sign] times the resources of a machine of this type. */
         fun add(
             machineType: MachineType,
             sign: Int,
@@ -194,7 +202,7 @@
             gpus += sign * machineType.accelerators
         }
 
-        /** What [count] tasks of [job] use; negative to take it off. */
+        /** Adds the resources of [count] tasks of [job]; a negative count subtracts them. */
         fun addTasks(
             job: Job,
             count: Int,
@@ -212,17 +220,17 @@
             abs(cpus - other.cpus) <= Machine.ROUNDING && abs(gpus - other.gpus) <= Machine.ROUNDING
     }
 
-    /** What the tasks of one team use. */
+    /** Resources used by the tasks of one team. */
     private class TeamUsage(
         val team: Team,
     ) {
-        /** All its attempts, those that are being stopped included. */
+        /** Usage by all attempts of the team, including those being stopped. */
         val used = ResourceSum()
 
-        /** Its attempts that continue: what the team will be left with. */
+        /** Usage by the attempts that continue, which remains once the others have stopped. */
         val continuing = ResourceSum()
 
-        /** The most that its tasks may be using on unconfirmed machines; no bound as long as it is not counted. */
+        /** Upper bound on the usage on unconfirmed machines; unlimited until it is counted. */
         val unfound = ResourceSum(Double.MAX_VALUE)
 
         fun clear() {
--- a/src/main/kotlin/ledgearch/model/ZoneSpread.kt
+++ b/src/main/kotlin/ledgearch/model/ZoneSpread.kt
@@ -3,10 +3,10 @@
 import ledgearch.wire.JobSpec
 
 /**
- * Where the tasks of a job may be or are planned to be, by zone, and what the wire's `apart` ([JobSpec.spreadZones])
- * and `samePlace` ([JobSpec.singleZone]) then allow: spread over zones, no zone has more than half of the tasks; in a
- * single zone, all are in one. It begins with every task that may still be on a machine; what a plan adds to it counts
- * like those.
+ * Number of tasks of a job in each zone, and the zone limits that the wire fields `apart` ([JobSpec.spreadZones]) and
+ * `samePlace` ([JobSpec.singleZone]) set: with the former, no zone has more than half of the tasks; with the latter,
+ * all tasks are in one zone. It starts with every task that may be on a machine; planned tasks are added and count the
+ * same.
  */
 internal class ZoneSpread(
     private val job: Job,
@@ -17,7 +17,7 @@
         if (job.spec.spreadZones || job.spec.singleZone) for (attempt in job.attempts.values) add(attempt.machine.zone)
     }
 
-    /** [count] more tasks are planned in [zone]. */
+    /** Adds [count] tasks that are planned in [zone]. */
     fun add(
         zone: String,
         count: Int = 1,
@@ -25,7 +25,7 @@
         if (count > 0) tasksByZone.merge(zone, count, Int::plus)
     }
 
-    /** How many more tasks [zone] may have, at most [most]. */
+    /** Returns how many more tasks [zone] may have, at most [most]. */
     fun room(
         zone: String,
         most: Int,
@@ -36,9 +36,9 @@
             else -> most
         }
 
-    /** [zone] may have one more task. */
+    /** Returns whether [zone] may have one more task. */
     fun allows(zone: String): Boolean = room(zone, 1) > 0
 
-    /** Rounded up. */
+    /** Half of the job's tasks, rounded up. */
     private fun halfOfTasks(): Int = (job.spec.taskCount + 1) / 2
 }
