--- a/src/main/kotlin/ledgearch/runtime/Clock.kt
+++ b/src/main/kotlin/ledgearch/runtime/Clock.kt
@@ -1,10 +1,12 @@
 package ledgearch.runtime
 
-/** Time as the owner sees it: set once for each batch of commands, so that all of a batch has the same time. */
+/**
+ * Current time for the owner thread. It is set once per batch of commands, so that all of a batch has the same time.
+ */
 internal class Clock {
-    /** ms on the steady clock: for durations; its zero has no meaning. */
+    /** Milliseconds on the steady clock, for durations; the origin has no meaning. */
     var steadyMs = 0L
 
-    /** ms of the time of day since 1970: for what other machines read. */
+    /** Milliseconds of wall-clock time since 1970, for times that other machines read. */
     var wallMs = 0L
 }
--- a/src/main/kotlin/ledgearch/runtime/LruMap.kt
+++ b/src/main/kotlin/ledgearch/runtime/LruMap.kt
@@ -1,20 +1,20 @@
 package ledgearch.runtime
 
 /**
- * A map of at most [most] entries, from which the least recently used one goes first; reading an entry uses it. For one
- * thread, as all that the owner has; a library's concurrent cache would take a tenth of the start-up time for what is
- * not needed here.
+ * A map of at most [most] entries that evicts the least recently used one; reading an entry counts as use. It is not
+ * thread-safe and is used by the owner thread only. A concurrent cache from a library would add a tenth to the start-up
+ * time.
  */
 internal class LruMap<K, V>(
     private val most: Long,
-) : LinkedHashMap<K, V>(FIRST_CAPACITY, LOAD_FACTOR, BY_USE) {
+) : LinkedHashMap<K, V>(INITIAL_CAPACITY, LOAD_FACTOR, ACCESS_ORDER) {
     override fun removeEldestEntry(eldest: MutableMap.MutableEntry<K, V>): Boolean = size > most
 
     private companion object {
-        const val FIRST_CAPACITY = 64
+        const val INITIAL_CAPACITY = 64
         const val LOAD_FACTOR = 0.75f
 
-        /** The order of the entries is that of their last use, not that of their insertion. */
-        const val BY_USE = true
+        /** Orders the entries by their last use instead of their insertion. */
+        const val ACCESS_ORDER = true
     }
 }
--- a/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
+++ b/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
@@ -3,14 +3,14 @@
 import ledgearch.config.OutsideAddresses
 import ledgearch.http.Reply
 
-/** Counts and times all calls that the owner makes through [inner], by whom they go to. */
+/** Counts and times all calls that the owner makes through [inner], by the kind of peer. */
 internal class MeteredTransport(
     private val inner: Transport,
     private val outside: OutsideAddresses,
     private val metrics: Metrics,
     private val clock: Clock,
 ) : Transport {
-    /** Whom a call goes to; [label] is its kind of exchange in [Metrics]. */
+    /** Kinds of peers; [label] is the kind of exchange in [Metrics]. */
     private enum class Peer(
         val label: String,
     ) {
@@ -43,6 +43,9 @@
             else -> Peer.WORKER
         }
 
-    /** A watch is answered when something changes: how long that took says nothing. */
+    /**
+     * Returns whether [target] is a watch. A watch is answered only when something changes, so its latency says
+     * nothing.
+     */
     private fun isWatch(target: String): Boolean = target.startsWith("/changes")
 }
--- a/src/main/kotlin/ledgearch/runtime/StallCompensation.kt
+++ b/src/main/kotlin/ledgearch/runtime/StallCompensation.kt
@@ -1,114 +1,123 @@
 package ledgearch.runtime
 
 /**
- * How far this node is behind with its own work, by one measure: the event-loop lag, which is the time since the next
- * tick was due to be handled. A tick waits in the same queue as heartbeats and replies, so its lag is their queueing
- * delay as well as the scheduling delay of a process that gets no processor time or stands still. While the lag is
- * above [RuntimeTuning.BEHIND_MS], and for [RuntimeTuning.CATCH_UP_MS] after it, heartbeats and replies may wait here
- * unread: nobody was silent, and a time-out may be this node's own.
+ * Tracks the event-loop lag of this node: the time since the next tick was due to be handled. A tick waits in the same
+ * queue as heartbeats and replies, so its lag is their queueing delay, and it also covers the scheduling delay of a
+ * process that gets no processor time or is frozen. While the lag is above [RuntimeTuning.BEHIND_MS], and for
+ * [RuntimeTuning.CATCH_UP_MS] afterwards, heartbeats and replies may wait here unread. Silence during that time proves
+ * nothing about the peers, and a time-out may be caused by this node itself.
  *
- * Times are ms of [Clock.steadyMs]. It also paces the passes of placement, so that these do not add to the lag.
+ * It also paces the placement passes, so that they do not increase the lag. Times are ms of [Clock.steadyMs].
  */
 internal class StallCompensation(
     private val clock: Clock,
     private val metrics: Metrics,
 ) {
-    /** A time (steady ms) in which this node was behind, with the [RuntimeTuning.CATCH_UP_MS] after it. */
+    /** A period (steady-clock ms) in which this node lagged, including the [RuntimeTuning.CATCH_UP_MS] after it. */
     private class Stall(
-        val from: Long,
-        var until: Long,
+        val fromMs: Long,
+        var untilMs: Long,
     )
 
-    /** The oldest first; they do not overlap. */
+    /** Oldest first; they do not overlap. */
     private val stalls = ArrayDeque<Stall>()
 
-    /** When the last tick handled was put in the queue, and when it was handled; 0 before the first. */
-    private var tickQueuedAt = 0L
-    private var tickHandledAt = 0L
+    /** Steady-clock ms at which the last handled tick was queued and handled; 0 before the first tick. */
+    private var tickQueuedAtMs = 0L
+    private var tickHandledAtMs = 0L
 
-    /** When the last pass was let begin; at first so long ago that one may begin at once. */
-    private var passAt = Long.MIN_VALUE / 2
+    /**
+     * Steady-clock ms of the start of the last pass; initially in the distant past, so that a pass may start at once.
+     */
+    private var lastPassStartedAtMs = Long.MIN_VALUE / 2
 
-    /** ms that the last pass took. */
-    private var passTook = 0L
+    /** Duration of the last pass in ms. */
+    private var lastPassDurationMs = 0L
 
-    /** A batch begins: before anything of it is taken for a time-out, this node knows how late it is. */
+    /** Measures the lag at the start of a batch, before the batch evaluates any time-out. */
     fun began() {
-        if (tickQueuedAt == 0L) return
-        val lag = clock.steadyMs - tickQueuedAt - RuntimeTuning.TICK_MS
-        if (lag > RuntimeTuning.BEHIND_MS) addStall()
+        if (tickQueuedAtMs == 0L) return
+        val lagMs = clock.steadyMs - tickQueuedAtMs - RuntimeTuning.TICK_MS
+        if (lagMs > RuntimeTuning.BEHIND_MS) addStall()
     }
 
-    /** A tick is handled that was queued at [queuedAt] (steady ms); one is due every [RuntimeTuning.TICK_MS]. */
+    /**
+     * Records the handling of a tick that was queued at [queuedAt] (steady-clock ms); a tick is due every
+     * [RuntimeTuning.TICK_MS].
+     */
     fun ticked(queuedAt: Long) {
         began()
-        if (tickHandledAt != 0L) metrics.ticked(clock.steadyMs - tickHandledAt)
-        tickHandledAt = clock.steadyMs
-        tickQueuedAt = queuedAt
+        if (tickHandledAtMs != 0L) metrics.ticked(clock.steadyMs - tickHandledAtMs)
+        tickHandledAtMs = clock.steadyMs
+        tickQueuedAtMs = queuedAt
         began()
     }
 
-    /** A stall since the last tick was queued; it is a part of the one before where the two touch. */
+    /** Adds a stall that began when the last tick was queued, or extends the previous stall if they overlap. */
     private fun addStall() {
-        val until = clock.steadyMs + RuntimeTuning.CATCH_UP_MS
+        val untilMs = clock.steadyMs + RuntimeTuning.CATCH_UP_MS
         val last = stalls.lastOrNull()
-        if (last != null && tickQueuedAt <= last.until) {
-            last.until = until
+        if (last != null && tickQueuedAtMs <= last.untilMs) {
+            last.untilMs = untilMs
         } else {
-            stalls.addLast(Stall(tickQueuedAt, until))
+            stalls.addLast(Stall(tickQueuedAtMs, untilMs))
         }
-        while (clock.steadyMs - stalls.first().until > RuntimeTuning.STALLS_KEPT_MS) stalls.removeFirst()
+        while (clock.steadyMs - stalls.first().untilMs > RuntimeTuning.STALLS_KEPT_MS) stalls.removeFirst()
     }
 
-    /** This node is behind, or was a moment ago. */
+    /** Whether this node lags, or did so a moment ago. */
     val isLagging: Boolean get() = wasLaggingSince(clock.steadyMs)
 
-    /** This node was behind at some time from [time] (steady ms) on. */
-    fun wasLaggingSince(time: Long): Boolean = stalls.lastOrNull().let { it != null && it.until > time }
+    /** Returns whether this node lagged at any time since [time] (steady-clock ms). */
+    fun wasLaggingSince(time: Long): Boolean = stalls.lastOrNull().let { it != null && it.untilMs > time }
 
-    /** ms since [time] (steady ms) in which this node kept up: who was silent for those was not heard here. */
+    /**
+     * Returns the ms since [time] (steady-clock ms) in which this node did not lag. Only these count as silence of a
+     * peer.
+     */
     fun attentiveMsSince(time: Long): Long {
-        var behind = 0L
+        var laggingMs = 0L
         for (index in stalls.indices.reversed()) {
             val stall = stalls[index]
-            if (stall.until <= time) break
-            behind += minOf(stall.until, clock.steadyMs) - maxOf(stall.from, time)
+            if (stall.untilMs <= time) break
+            laggingMs += minOf(stall.untilMs, clock.steadyMs) - maxOf(stall.fromMs, time)
         }
-        return clock.steadyMs - time - behind
+        return clock.steadyMs - time - laggingMs
     }
 
     /**
-     * The latest time (steady ms) since which this node kept up for more than [ms]: the inverse of [attentiveMsSince].
+     * Returns the latest time (steady-clock ms) since which this node was free of lag for more than [ms]. It is the
+     * inverse of [attentiveMsSince].
      */
     fun attentiveSince(ms: Long): Long {
-        var left = ms
-        var end = clock.steadyMs
+        var remainingMs = ms
+        var endMs = clock.steadyMs
         for (index in stalls.indices.reversed()) {
             val stall = stalls[index]
-            val attentive = (end - stall.until).coerceAtLeast(0)
-            if (attentive > left) break
-            left -= attentive
-            end = minOf(end, stall.from)
+            val responsiveMs = (endMs - stall.untilMs).coerceAtLeast(0)
+            if (responsiveMs > remainingMs) break
+            remainingMs -= responsiveMs
+            endMs = minOf(endMs, stall.fromMs)
         }
-        return end - left - 1
+        return endMs - remainingMs - 1
     }
 
     /**
-     * Whether a pass of placement may begin now; if so it counts as begun. At most one in a while, more seldom while
-     * this node is behind and after one that took long: a pass for every batch would keep it behind, and leave workers
-     * without answers.
+     * Returns whether a placement pass may start now, and if so records its start. Passes are at least an interval
+     * apart, which is longer while this node lags and after a long pass: a pass for every batch would keep the node
+     * lagging and leave workers without answers.
      */
     fun mayPass(): Boolean {
-        val leastPause = if (isLagging) RuntimeTuning.BEHIND_PASS_MS else RuntimeTuning.PASS_MS
-        val restAfterLast = minOf(passTook * RuntimeTuning.PASS_REST, RuntimeTuning.MOST_PASS_MS)
-        val pause = maxOf(leastPause, restAfterLast)
-        if (clock.steadyMs - passAt < pause) return false
-        passAt = clock.steadyMs
+        val minIntervalMs = if (isLagging) RuntimeTuning.BEHIND_PASS_MS else RuntimeTuning.PASS_MS
+        val lastPassIntervalMs = minOf(lastPassDurationMs * RuntimeTuning.PASS_REST, RuntimeTuning.MOST_PASS_MS)
+        val intervalMs = maxOf(minIntervalMs, lastPassIntervalMs)
+        if (clock.steadyMs - lastPassStartedAtMs < intervalMs) return false
+        lastPassStartedAtMs = clock.steadyMs
         return true
     }
 
-    /** A pass of placement has taken [ms]. */
+    /** Records that a placement pass took [ms]. */
     fun passed(ms: Long) {
-        passTook = ms
+        lastPassDurationMs = ms
     }
 }
--- a/src/main/kotlin/ledgearch/runtime/TokenBucket.kt
+++ b/src/main/kotlin/ledgearch/runtime/TokenBucket.kt
@@ -1,30 +1,30 @@
 package ledgearch.runtime
 
 /**
- * Permits that refill steadily, at [perSecond], with bursts of one second's worth. It is full at first, and knows the
- * time only from [refill].
+ * A token bucket that refills at [perSecond] permits per second and holds one second's worth, the largest burst. It is
+ * full at first, and its time advances only with [refill].
  */
 internal class TokenBucket(
-    /** Permits; a change holds from the next [refill] on. */
+    /** Permits per second; a change takes effect at the next [refill]. */
     var perSecond: Double,
 ) {
     private var permits = perSecond
 
-    /** ms on the steady clock; [NEVER] before the first refill. */
-    private var refilledAt = NEVER
+    /** Steady-clock ms of the last refill; [NEVER] before the first. */
+    private var refilledAtMs = NEVER
 
-    /** Adds the permits since the last refill; [nowMs] is on the steady clock. */
+    /** Adds the permits accrued since the last refill; [nowMs] is on the steady clock. */
     fun refill(nowMs: Long) {
-        if (refilledAt != NEVER) {
-            permits = minOf(perSecond, permits + (nowMs - refilledAt) * perSecond / MS_PER_SECOND)
+        if (refilledAtMs != NEVER) {
+            permits = minOf(perSecond, permits + (nowMs - refilledAtMs) * perSecond / MS_PER_SECOND)
         }
-        refilledAt = nowMs
+        refilledAtMs = nowMs
     }
 
-    /** Whether [count] permits may be taken now; for more than a second's worth a full bucket is enough. */
+    /** Returns whether [count] permits can be taken now. For more than a second's worth, a full bucket is enough. */
     fun has(count: Int): Boolean = permits >= minOf(count.toDouble(), perSecond)
 
-    /** Takes [count] permits, even if there are fewer: what is missing is paid by later refills. */
+    /** Takes [count] permits even if fewer are available; later refills make up for the deficit. */
     fun take(count: Int) {
         permits -= count
     }
--- a/src/main/kotlin/ledgearch/runtime/Transport.kt
+++ b/src/main/kotlin/ledgearch/runtime/Transport.kt
@@ -2,11 +2,11 @@
 
 import ledgearch.http.Reply
 
-/** How the owner reaches others: every effect is a call whose reply comes back as a command, run by the owner. */
+/** Sends the calls of the owner thread to other processes. Each reply comes back as a command that the owner runs. */
 internal interface Transport {
     /**
-     * Calls [address] (HOST:PORT) and returns at once; never throws. [target] is the path with its query. [done] gets
-     * the reply, or [Reply.NONE] when none came within [timeoutMs]; the owner runs it, once.
+     * Starts a call to [address] (HOST:PORT) and returns at once; never throws. [target] is the path with its query.
+     * The owner runs [done] exactly once, with the reply, or with [Reply.NONE] if none came within [timeoutMs].
      */
     fun call(
         address: String,
--- a/src/test/kotlin/ledgearch/runtime/LruMapTest.kt
+++ b/src/test/kotlin/ledgearch/runtime/LruMapTest.kt
@@ -3,10 +3,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** The bounded map that caches final states. */
+/** Tests the bounded map that caches final job states. */
 internal class LruMapTest {
     @Test
-    fun `the least recently used entry goes first`() {
+    fun `evicts the least recently used entry`() {
         val map = LruMap<String, Int>(most = 2)
         map["a"] = 1
         map["b"] = 2
@@ -16,7 +16,7 @@
     }
 
     @Test
-    fun `a map for nothing remembers nothing`() {
+    fun `a map without capacity stores no entry`() {
         val map = LruMap<String, Int>(most = 0)
         map["a"] = 1
         assertEquals(null, map["a"])
