--- a/src/main/kotlin/ledgearch/http/ConnectionPool.kt
+++ b/src/main/kotlin/ledgearch/http/ConnectionPool.kt
@@ -6,40 +6,43 @@
 import java.nio.channels.AsynchronousChannelGroup
 import java.nio.channels.AsynchronousSocketChannel
 
-/** A connection to another, used for one exchange at a time. */
+/** An outgoing connection, used for one exchange at a time. */
 internal class PooledConnection(
     val channel: AsynchronousSocketChannel,
 ) {
     val reader = MessageReader(HttpTuning.MAX_RESPONSE)
 
-    /** Its last exchange went through to the end, and the other side keeps it open. */
+    /** Whether the last exchange completed and the server keeps the connection open. */
     var isReusable = false
 
-    /** ms of [SteadyTime]. When it was last put back. */
+    /** Time of the last return to the pool, in ms of [SteadyTime]. */
     var idleSince = 0L
 }
 
 /**
- * Kept-alive connections to others, by address. At most [maxOpen] are open as long as unused ones can be closed
- * instead: hundreds of workers are called now and then, and without a bound their unused connections would use up the
- * sockets allowed. Used from one thread only.
+ * Pools keep-alive connections by address. When more than [maxOpen] are open, idle ones are closed. Without this bound,
+ * the idle connections to hundreds of rarely called workers would use up the process's sockets. Used from one thread
+ * only.
  */
 internal class ConnectionPool(
     private val group: AsynchronousChannelGroup,
     private val maxOpen: Int,
 ) {
-    /** The addresses that have unused connections, the one used longest ago first. */
+    /** Idle connections by address, the least recently used address first. */
     private val idle = LinkedHashMap<String, ArrayDeque<PooledConnection>>()
     private var idleCount = 0
 
-    /** Connections that are open or being opened. */
+    /** Number of connections that are open or being opened. */
     var open = 0
         private set
 
-    /** The unused connection to [address] that was used last, or a new one; throws [IOException] when there is none. */
-    suspend fun take(address: String): PooledConnection = takeIdle(address) ?: open(address)
+    /**
+     * Returns the most recently used idle connection to [address], or opens a new one. Throws [IOException] when the
+     * connection fails.
+     */
+    suspend fun acquire(address: String): PooledConnection = takeIdle(address) ?: open(address)
 
-    /** Ends the use of [connection] to [address]: it is kept for the next call, or closed. */
+    /** Returns [connection] to the pool if it is reusable; otherwise closes it. */
     fun release(
         address: String,
         connection: PooledConnection,
@@ -47,13 +50,13 @@
         if (connection.isReusable) putBack(address, connection) else close(connection.channel)
     }
 
-    /** Closes connections that nobody used for [HttpTuning.POOLED_IDLE_MS]. */
+    /** Closes connections that were idle for [HttpTuning.POOLED_IDLE_MS]. */
     fun closeIdle() {
         val nowMs = SteadyTime.nowMs()
         val queues = idle.values.iterator()
         while (queues.hasNext()) {
             val queue = queues.next()
-            while (queue.isNotEmpty() && isTooOld(queue.first(), nowMs)) closeOldest(queue)
+            while (queue.isNotEmpty() && isExpired(queue.first(), nowMs)) closeLeastRecentlyUsed(queue)
             if (queue.isEmpty()) queues.remove()
         }
     }
@@ -64,13 +67,13 @@
         while (queue.isNotEmpty()) {
             val connection = queue.removeLast()
             idleCount--
-            if (!isTooOld(connection, nowMs)) return connection.also { it.isReusable = false }
+            if (!isExpired(connection, nowMs)) return connection.also { it.isReusable = false }
             close(connection.channel)
         }
         return null
     }
 
-    private fun isTooOld(
+    private fun isExpired(
         connection: PooledConnection,
         nowMs: Long,
     ): Boolean = nowMs - connection.idleSince > HttpTuning.POOLED_IDLE_MS
@@ -80,23 +83,23 @@
         connection: PooledConnection,
     ) {
         connection.idleSince = SteadyTime.nowMs()
-        // Taken out and put in again, so that this address becomes the one used last.
+        // Removed and inserted again, so that this address becomes the most recently used one.
         val queue = idle.remove(address) ?: ArrayDeque()
         queue.addLast(connection)
         idle[address] = queue
         idleCount++
-        makeRoom()
+        closeExcessIdle()
     }
 
-    private fun makeRoom() {
+    private fun closeExcessIdle() {
         while (open > maxOpen && idleCount > 0) {
             val (address, queue) = idle.entries.first()
-            if (queue.isNotEmpty()) closeOldest(queue)
+            if (queue.isNotEmpty()) closeLeastRecentlyUsed(queue)
             if (queue.isEmpty()) idle.remove(address)
         }
     }
 
-    private fun closeOldest(queue: ArrayDeque<PooledConnection>) {
+    private fun closeLeastRecentlyUsed(queue: ArrayDeque<PooledConnection>) {
         idleCount--
         close(queue.removeFirst().channel)
     }
@@ -109,13 +112,13 @@
     private suspend fun open(address: String): PooledConnection {
         val channel = AsynchronousSocketChannel.open(group)
         open++
-        makeRoom()
+        closeExcessIdle()
         var opened: PooledConnection? = null
         try {
             withTimeoutOrNull(HttpTuning.CONNECT_MS) {
                 channel.connectTo(parseAddress(address))
                 true
-            } ?: throw IOException("no connection")
+            } ?: throw IOException("no connection to $address within ${HttpTuning.CONNECT_MS} ms")
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
             opened = PooledConnection(channel)
             return opened
--- a/src/main/kotlin/ledgearch/http/Connections.kt
+++ b/src/main/kotlin/ledgearch/http/Connections.kt
@@ -1,59 +1,59 @@
 package ledgearch.http
 
-/** A caller's connection, open until [Connections] closes its [socket]. */
+/** A client's connection, open until [Connections] closes its [socket]. */
 internal class Connection(
     val socket: AutoCloseable,
 ) {
-    /** The sender of its last request is to stay connected, as workers are. */
+    /** Whether the client is to stay connected, as workers are; decided by its last request. */
     var isKept = false
 
-    /** ms. When it began to wait for a request. */
-    var unusedSince = 0L
+    /** Time in ms since which the connection has been waiting for a request. */
+    var idleSinceMs = 0L
 
-    /** It counts among the open ones. */
+    /** Whether the connection counts as open. */
     var isOpen = false
 
-    /** ms. By then the caller must have sent something, or all of its request. */
-    var deadline = Long.MAX_VALUE
+    /** Time in ms by which the client must have sent its first byte, or all of its request. */
+    var deadlineMs = Long.MAX_VALUE
 }
 
 /**
- * The connections open at one time, at most [most]. With that many, one that is not in use makes room: sockets run out
- * as hundreds of workers come at once, while users and the dead still hold theirs. A kept connection makes room only
- * when it was unused for more than [staleMs]. Used from one thread only; times are ms of [SteadyTime].
+ * Tracks the open connections of a server, at most [maxOpen]. When that many are open, an idle one is closed to make
+ * room: hundreds of workers may connect at once while users and dead clients still hold their sockets. A kept
+ * connection is closed only after more than [staleMs] idle ms. Used from one thread only; times are ms of [SteadyTime].
  */
 internal class Connections(
-    private val most: Int,
+    private val maxOpen: Int,
     private val staleMs: Long,
 ) {
-    /** Those that wait for a request, the one unused longest first. */
-    private val unused = LinkedHashSet<Connection>()
-    private val unusedKept = LinkedHashSet<Connection>()
+    /** Connections that wait for a request and are not kept, longest idle first. */
+    private val idle = LinkedHashSet<Connection>()
+    private val idleKept = LinkedHashSet<Connection>()
     private val all = LinkedHashSet<Connection>()
 
-    /** Connections open now. */
-    val open: Int get() = all.size
+    /** Number of open connections. */
+    val openCount: Int get() = all.size
 
-    /** Counts [connection] from now on. */
-    fun opened(connection: Connection) {
+    /** Adds [connection] to the open ones. */
+    fun add(connection: Connection) {
         connection.isOpen = true
         all.add(connection)
     }
 
-    /** [connection] waits for a request. */
-    fun unused(
+    /** Marks [connection] as idle: it waits for a request. */
+    fun markIdle(
         connection: Connection,
         nowMs: Long,
     ) {
-        connection.unusedSince = nowMs
+        connection.idleSinceMs = nowMs
         if (!connection.isOpen) return
-        if (connection.isKept) unusedKept.add(connection) else unused.add(connection)
+        if (connection.isKept) idleKept.add(connection) else idle.add(connection)
     }
 
-    /** A request on [connection] has begun. */
-    fun used(connection: Connection) {
-        unused.remove(connection)
-        unusedKept.remove(connection)
+    /** Marks [connection] as busy: a request has begun. */
+    fun markBusy(connection: Connection) {
+        idle.remove(connection)
+        idleKept.remove(connection)
     }
 
     /** Closes [connection] unless it is closed already. */
@@ -61,24 +61,21 @@
         if (!connection.isOpen) return
         connection.isOpen = false
         all.remove(connection)
-        used(connection)
+        markBusy(connection)
         connection.socket.closeQuietly()
     }
 
-    /** Closes those whose callers are late. One look now and then costs less than a timer for each read. */
-    fun closeLate(nowMs: Long) = all.filter { it.deadline < nowMs }.forEach(::close)
+    /** Closes the connections whose deadline has passed. One periodic check costs less than a timer per read. */
+    fun closeExpired(nowMs: Long) = all.filter { it.deadlineMs < nowMs }.forEach(::close)
 
-    /** Whether one more may be opened, if need be in place of one that is not in use. */
+    /** Returns whether one more connection may be opened, after closing an idle one if necessary. */
     fun makeRoom(nowMs: Long): Boolean {
-        if (open < most) return true
-        val replaced = unused.firstOrNull() ?: staleKept(nowMs) ?: return false
+        if (openCount < maxOpen) return true
+        val replaced = idle.firstOrNull() ?: staleIdleKept(nowMs) ?: return false
         close(replaced)
         return true
     }
 
-    private fun staleKept(nowMs: Long): Connection? =
-        unusedKept.firstOrNull()?.takeIf {
-            nowMs - it.unusedSince >
-                staleMs
-        }
+    private fun staleIdleKept(nowMs: Long): Connection? =
+        idleKept.firstOrNull()?.takeIf { nowMs - it.idleSinceMs > staleMs }
 }
--- a/src/main/kotlin/ledgearch/http/EventLoop.kt
+++ b/src/main/kotlin/ledgearch/http/EventLoop.kt
@@ -16,11 +16,11 @@
 import kotlin.coroutines.CoroutineContext
 
 /**
- * One thread for sockets, coroutines and timers. The thread that finds a socket ready also carries on the coroutine
- * that waits for it: with a thread pool behind the channel group each message would be handed from thread to thread
- * several times, which costs more than handling it.
+ * A single thread for sockets, coroutines and timers. The thread that finds a socket ready also resumes the coroutine
+ * that waits for it: with a thread pool behind the channel group, each message would pass between threads several
+ * times, which costs more than handling it.
  *
- * Timers fire at the step of [HttpTuning.TIMER_STEP_MS] that is nearest; a clock thread wakes the loop for them.
+ * Timers have a resolution of [HttpTuning.TIMER_STEP_MS]; a clock thread wakes the loop at that interval.
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 internal class EventLoop(
@@ -31,30 +31,33 @@
     @Volatile
     private var thread: Thread? = null
 
-    /** The channels of this loop belong to this group. */
+    /** Channel group of all channels that this loop serves. */
     val group: AsynchronousChannelGroup =
         AsynchronousChannelGroup.withFixedThreadPool(1) { task -> Thread(task, name).also { thread = it } }
 
-    /** The groups of OpenJDK carry out tasks on their own thread; the published type does not say so. */
+    /**
+     * Executor for tasks on the loop's thread. OpenJDK's channel groups implement it, though their public type does not
+     * declare it.
+     */
     private val tasks = checkNotNull(group as? Executor) { "this Java runtime's channel groups take no tasks" }
 
-    /** What coroutines have to do next; used by the loop's thread only. */
+    /** Coroutine continuations that are ready to run; accessed from the loop's thread only. */
     private val ready = ArrayDeque<Runnable>()
     private var isRunningReady = false
 
-    /** The next one due first; used by the loop's thread only. */
+    /** Pending timers, earliest first; accessed from the loop's thread only. */
     private val timers = PriorityQueue<Timer>()
 
-    /** A wake-up for timers is under way. */
-    private val isWoken = AtomicBoolean()
+    /** Whether a wake-up for timers is pending. */
+    private val isWakeUpPending = AtomicBoolean()
 
-    /** Count of coroutines that sockets have resumed. */
+    /** Number of coroutine resumptions caused by sockets. */
     private var socketEvents = 0L
 
     /**
-     * Work that waits until no socket has anything more, or for [HttpTuning.SOCKETS_MS] of looking at the sockets: it
-     * then sees together what has come. A look accepts one connection at most, so without this work that takes long
-     * would let hundreds of callers wait to be accepted.
+     * Dispatches work once no socket has events left, but at the latest after polling the sockets for
+     * [HttpTuning.SOCKETS_MS], so that the work gets all messages that have arrived as one batch. One poll accepts at
+     * most one connection; without repeated polls, long work would delay the accepting of hundreds of clients.
      */
     val afterSockets: CoroutineDispatcher =
         object : CoroutineDispatcher() {
@@ -62,36 +65,42 @@
                 context: CoroutineContext,
                 block: Runnable,
             ) {
-                val until = nowMs() + HttpTuning.SOCKETS_MS
-                execute { afterSockets(block, until) }
+                val untilMs = nowMs() + HttpTuning.SOCKETS_MS
+                execute { afterSockets(block, untilMs) }
             }
         }
 
-    /** Tasks and sockets that are found ready by one look come in any order, so this look's may be yet to come. */
+    /**
+     * Queues a task that runs [block] if no socket event came in between or [untilMs] has passed, and otherwise tries
+     * again. One poll returns tasks and sockets in any order, so socket events of the current poll may still follow
+     * this task.
+     */
     private fun afterSockets(
         block: Runnable,
-        until: Long,
+        untilMs: Long,
     ) {
         val eventsBefore = socketEvents
-        execute { if (socketEvents == eventsBefore || nowMs() >= until) block.run() else afterSockets(block, until) }
+        execute {
+            if (socketEvents == eventsBefore || nowMs() >= untilMs) block.run() else afterSockets(block, untilMs)
+        }
     }
 
-    /** Runs [action] at [dueAt] (ms of this loop's clock), unless it is disposed of before; then null. */
+    /** A timer that runs [action] at [dueAtMs] (ms of this loop's clock); [action] is null after disposal. */
     private class Timer(
-        val dueAt: Long,
+        val dueAtMs: Long,
         var action: Runnable?,
     ) : Comparable<Timer>,
         DisposableHandle {
-        override fun compareTo(other: Timer) = dueAt.compareTo(other.dueAt)
+        override fun compareTo(other: Timer) = dueAtMs.compareTo(other.dueAtMs)
 
-        /** It stays in the queue until it is due, but holds nothing. */
+        /** Releases the action; the timer stays in the queue until it is due. */
         override fun dispose() {
             action = null
         }
     }
 
     init {
-        Thread(::wakeForever, "$name-clock").apply { isDaemon = true }.start()
+        Thread(::runClock, "$name-clock").apply { isDaemon = true }.start()
     }
 
     override fun dispatch(
@@ -107,13 +116,13 @@
             runReady()
         }
 
-    /** A socket has resumed a coroutine. */
-    private fun socketReady() {
+    /** Counts a coroutine resumption by a socket and runs what is ready. */
+    private fun onSocketEvent() {
         socketEvents++
         runReady()
     }
 
-    /** Carries on all coroutines that can go on. */
+    /** Runs all coroutines that are ready. */
     private fun runReady() {
         if (isRunningReady) return
         isRunningReady = true
@@ -150,28 +159,31 @@
         return timer
     }
 
-    /** The clock thread: one wake-up at a time, so that they do not pile up in a loop that is behind. */
-    private fun wakeForever() {
+    /**
+     * Runs on the clock thread. At most one wake-up is pending at a time, so that they do not accumulate in a lagging
+     * loop.
+     */
+    private fun runClock() {
         while (!group.isShutdown) {
             Thread.sleep(HttpTuning.TIMER_STEP_MS)
-            if (isWoken.compareAndSet(false, true)) wake()
+            if (isWakeUpPending.compareAndSet(false, true)) requestWakeUp()
         }
     }
 
-    private fun wake() {
+    private fun requestWakeUp() {
         try {
             tasks.execute(::fireTimers)
         } catch (_: RejectedExecutionException) {
-            // The group was shut down meanwhile.
+            // The group has been shut down.
         }
     }
 
     private fun fireTimers() {
-        isWoken.set(false)
-        val until = nowMs() + HttpTuning.TIMER_STEP_MS / 2
+        isWakeUpPending.set(false)
+        val untilMs = nowMs() + HttpTuning.TIMER_STEP_MS / 2
         while (true) {
             val next = timers.peek() ?: break
-            if (next.dueAt > until) break
+            if (next.dueAtMs > untilMs) break
             timers.poll()
             next.action?.run()
         }
@@ -181,9 +193,9 @@
     private fun nowMs() = nanos() / SteadyTime.NANOS_PER_MS
 
     companion object {
-        /** A socket has resumed [continuation]: the loop that it runs on, if it runs on one, carries it on. */
-        fun carryOn(continuation: Continuation<*>) {
-            (continuation.context[ContinuationInterceptor] as? EventLoop)?.socketReady()
+        /** Runs the ready coroutines of the event loop of [continuation], if it has one, after a socket resumed it. */
+        fun runResumed(continuation: Continuation<*>) {
+            (continuation.context[ContinuationInterceptor] as? EventLoop)?.onSocketEvent()
         }
     }
 }
--- a/src/main/kotlin/ledgearch/http/HeadParser.kt
+++ b/src/main/kotlin/ledgearch/http/HeadParser.kt
@@ -1,41 +1,41 @@
 package ledgearch.http
 
-/** The head of a message: its first line and the few header fields that matter here. */
+/** Head of a message: its first line and the header fields that are evaluated. */
 internal class Head(
     val startLine: String,
-    /** Bytes of the body; 0 where no length is told. */
+    /** Length of the body in bytes; 0 if the head gives none. */
     val contentLength: Int,
-    /** The body comes in chunks; then [contentLength] has no meaning. */
+    /** Whether the body is chunked; [contentLength] has no meaning then. */
     val chunked: Boolean,
-    /** The sender closes the connection after this message. */
-    val close: Boolean,
+    /** Whether the sender closes the connection after this message. */
+    val closesConnection: Boolean,
 )
 
-/** Reads the head of a message. Header fields that don't matter here are passed over without a copy. */
+/** Parses the head of a message. Header fields that are not evaluated are skipped without a copy. */
 internal object HeadParser {
-    /** The head in [text], which ends before the empty line. Throws [BadMessage] when it breaks the format. */
+    /** Parses [text], a head without its final empty line. Throws [BadMessage] if it is malformed. */
     fun parse(text: String): Head {
         val startLine = text.substringBefore(LINE_END)
-        val fields = Fields(close = startLine.endsWith("HTTP/1.0"))
+        val fields = Fields(closes = startLine.endsWith("HTTP/1.0"))
         var lineStart = startLine.length + LINE_END.length
         while (lineStart < text.length) {
             val lineEnd = text.indexOf(LINE_END, lineStart).let { if (it < 0) text.length else it }
             val colon = text.indexOf(':', lineStart)
-            if (colon <= lineStart || colon >= lineEnd) throw badMessage("bad header line")
+            if (colon <= lineStart || colon >= lineEnd) throw badMessage("header line without a field name and colon")
             fields.read(text, lineStart, colon, lineEnd)
             lineStart = lineEnd + LINE_END.length
         }
         return fields.head(startLine)
     }
 
-    /** The header fields that matter here, as far as they are read. */
+    /** Values of the evaluated header fields read so far. */
     private class Fields(
-        private var close: Boolean,
+        private var closes: Boolean,
     ) {
         private var length: Int? = null
         private var chunked = false
 
-        /** The field named by [text] from [from] to [colon]; its value ends before [lineEnd]. */
+        /** Reads the field whose name is in [text] from [from] to [colon] and whose value ends before [lineEnd]. */
         fun read(
             text: String,
             from: Int,
@@ -47,7 +47,7 @@
             } else if (isNamed(text, from, colon, TRANSFER_ENCODING)) {
                 readEncoding(text.substring(colon + 1, lineEnd).trim())
             } else if (isNamed(text, from, colon, CONNECTION)) {
-                if (text.substring(colon + 1, lineEnd).trim().equals("close", ignoreCase = true)) close = true
+                if (text.substring(colon + 1, lineEnd).trim().equals("close", ignoreCase = true)) closes = true
             }
         }
 
@@ -59,23 +59,32 @@
         ): Boolean = colon - from == name.length && text.regionMatches(from, name, 0, name.length, ignoreCase = true)
 
         private fun readLength(value: String) {
-            if (value.isEmpty() || !value.all { it in '0'..'9' }) throw badMessage("bad content length")
-            val announced = value.toIntOrNull() ?: throw BadMessage(HttpStatus.PAYLOAD_TOO_LARGE, "body too large")
-            if (length != null && length != announced) throw badMessage("two content lengths")
-            length = announced
+            if (value.isEmpty() || !value.all { it in '0'..'9' }) {
+                throw badMessage("Content-Length is not a decimal number")
+            }
+            val parsedLength =
+                value.toIntOrNull()
+                    ?: throw BadMessage(
+                        HttpStatus.PAYLOAD_TOO_LARGE,
+                        "Content-Length exceeds the limit of ${Int.MAX_VALUE} bytes",
+                    )
+            if (length != null && length != parsedLength) {
+                throw badMessage("Content-Length is given twice with different values: $length and $parsedLength")
+            }
+            length = parsedLength
         }
 
         private fun readEncoding(value: String) {
             if (!value.equals("chunked", ignoreCase = true)) {
-                throw BadMessage(HttpStatus.NOT_IMPLEMENTED, "unknown transfer encoding")
+                throw BadMessage(HttpStatus.NOT_IMPLEMENTED, "Transfer-Encoding other than chunked is not supported")
             }
             chunked = true
         }
 
         fun head(startLine: String): Head {
-            // Two ways to find the end of a message, and they may differ: where it ends must not be a guess.
-            if (chunked && length != null) throw badMessage("both a content length and chunks")
-            return Head(startLine, length ?: 0, chunked, close)
+            // The two give different ends of the message where they disagree, so a message with both is ambiguous.
+            if (chunked && length != null) throw badMessage("both Content-Length and Transfer-Encoding are given")
+            return Head(startLine, length ?: 0, chunked, closes)
         }
     }
 
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -7,7 +7,7 @@
 import java.nio.ByteBuffer
 import java.nio.channels.AsynchronousChannelGroup
 
-/** Calls to others over kept-alive connections, a small pool for each address. Used from one thread only. */
+/** Sends requests over keep-alive connections, with a small pool per address. Used from one thread only. */
 internal class HttpClient(
     group: AsynchronousChannelGroup,
     maxOpen: Int = Int.MAX_VALUE,
@@ -15,14 +15,14 @@
     private val log = LoggerFactory.getLogger("ledgearch.http")
     private val pool = ConnectionPool(group, maxOpen)
 
-    /** Connections that are open or being opened. */
+    /** Number of connections that are open or being opened. */
     val open: Int get() = pool.open
 
     /**
-     * One exchange, within [timeoutMs]. Never repeated here: only the caller knows whether a repeat is safe. Whatever
-     * fails gives [Reply.NONE]: whoever waits for the reply must get one.
+     * Sends one request and returns the reply, within [timeoutMs]. It never retries, since only the caller can tell
+     * whether a retry is safe. Every failure gives [Reply.NONE], so that each call ends with a reply.
      */
-    @Suppress("TooGenericExceptionCaught") // The last barrier of a call, see above.
+    @Suppress("TooGenericExceptionCaught") // Every failure gives a reply, see above.
     suspend fun call(
         address: String,
         method: String,
@@ -33,7 +33,7 @@
         var connection: PooledConnection? = null
         try {
             return withTimeoutOrNull(timeoutMs) {
-                val taken = pool.take(address)
+                val taken = pool.acquire(address)
                 connection = taken
                 send(taken, address, method, target, body)
                 receive(taken)
@@ -45,7 +45,7 @@
         } catch (_: BadMessage) {
             return Reply.NONE
         } catch (e: RuntimeException) {
-            // An address that is none, or can't be resolved now.
+            // The address is malformed or can't be resolved at present.
             log.warn("call failed: {}; address={}", e.toString(), address)
             return Reply.NONE
         } finally {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Closes connections that nobody used for a while. */
+    /** Closes connections that have been idle for [HttpTuning.POOLED_IDLE_MS]. */
     fun closeIdle() = pool.closeIdle()
 
     private suspend fun send(
@@ -70,7 +70,7 @@
         connection.channel.writeAll(message.flip(), HttpTuning.WRITE_MS)
     }
 
-    /** The head of a request; [bodyBytes] null: without a body. */
+    /** Returns the head of a request; without a body if [bodyBytes] is null. */
     private fun head(
         address: String,
         method: String,
@@ -102,12 +102,12 @@
             val body = if (head != null) reader.body() else null
             if (head != null && body != null) {
                 val reply = Reply(status(head.startLine), body)
-                connection.isReusable = !head.close && reader.isEmpty
+                connection.isReusable = !head.closesConnection && reader.isEmpty
                 return reply
             }
             buffer.clear()
             val count = connection.channel.readSome(buffer)
-            if (count < 0) throw IOException("closed")
+            if (count < 0) throw IOException("connection closed before the end of the response")
             reader.append(buffer.array(), count)
         }
     }
@@ -116,5 +116,5 @@
         startLine
             .split(' ')
             .getOrNull(1)
-            ?.toIntOrNull() ?: throw BadMessage(HttpStatus.BAD_REQUEST, "bad status line")
+            ?.toIntOrNull() ?: throw BadMessage(HttpStatus.BAD_REQUEST, "status line without a numeric status")
 }
--- a/src/main/kotlin/ledgearch/http/HttpServer.kt
+++ b/src/main/kotlin/ledgearch/http/HttpServer.kt
@@ -14,9 +14,10 @@
 import java.nio.channels.AsynchronousSocketChannel
 
 /**
- * Serves HTTP/1.1 on one address: one coroutine a connection, at most [maxConnections] of them. With that many open,
- * the one unused longest is closed for the next; those whose last request [isKept] only once unused for [staleMs].
- * Where none can be closed no further one is accepted, so the kernel's small queue holds callers back.
+ * Serves HTTP/1.1 on one address with one coroutine per connection and at most [maxConnections] connections. When that
+ * many are open, the longest idle one is closed for a new one; a connection whose last request satisfies [isKept] is
+ * closed only after [staleMs] idle ms. If none can be closed, no connection is accepted, so that clients wait in the
+ * kernel's short accept queue.
  */
 internal class HttpServer(
     private val scope: CoroutineScope,
@@ -29,20 +30,22 @@
     private val log = LoggerFactory.getLogger("ledgearch.http")
     private val connections = Connections(maxConnections, staleMs)
 
-    /** Connections open now. */
-    val open get() = connections.open
+    /** Number of open connections. */
+    val open get() = connections.openCount
 
-    /** Binds at once (throws [IOException] when the address is taken), then accepts until cancelled. */
+    /**
+     * Binds to [address] at once, which throws [IOException] if it is in use, then accepts connections until cancelled.
+     */
     fun start(address: String): Job {
         val server = listenOn(address, group)
-        scope.launch { closeLateForever() }
+        scope.launch { closeExpiredForever() }
         return scope.launch { acceptForever(server) }
     }
 
-    private suspend fun closeLateForever() {
+    private suspend fun closeExpiredForever() {
         while (true) {
             delay(HttpTuning.LATE_CALLERS_MS)
-            connections.closeLate(SteadyTime.nowMs())
+            connections.closeExpired(SteadyTime.nowMs())
         }
     }
 
@@ -54,7 +57,7 @@
             }
             val channel = server.acceptPatiently(log)
             val connection = Connection(channel)
-            connections.opened(connection)
+            connections.add(connection)
             scope.launch { serveAndClose(channel, connection) }
         }
     }
@@ -68,7 +71,8 @@
         } catch (e: CancellationException) {
             throw e
         } catch (_: IOException) {
-            // The caller went away or was too slow, or its place was needed; it will come back by itself.
+            // The client disconnected or was too slow, or its connection was closed to make room. The client retries by
+            // itself.
         } finally {
             connections.close(connection)
         }
@@ -85,7 +89,7 @@
                 try {
                     requests.next() ?: return
                 } catch (e: BadMessage) {
-                    log.debug("bad request: {}", e.message)
+                    log.debug("malformed request: {}", e.message)
                     send(channel, Response(e.status, """{"error":"${e.message}"}"""), keepAlive = false)
                     return
                 }
--- a/src/main/kotlin/ledgearch/http/HttpStatus.kt
+++ b/src/main/kotlin/ledgearch/http/HttpStatus.kt
@@ -1,6 +1,6 @@
 package ledgearch.http
 
-/** The HTTP status codes that are sent or understood here. */
+/** HTTP status codes that are sent or evaluated. */
 internal object HttpStatus {
     const val OK = 200
     const val CREATED = 201
@@ -15,7 +15,7 @@
     const val NOT_IMPLEMENTED = 501
     const val UNAVAILABLE = 503
 
-    /** The words after [status] in a response; callers may ignore them, so rare codes have none of their own. */
+    /** Returns the reason phrase for [status]. Clients may ignore it, so rare codes share a generic phrase. */
     fun reason(status: Int): String =
         when (status) {
             OK -> "OK"
--- a/src/main/kotlin/ledgearch/http/HttpTuning.kt
+++ b/src/main/kotlin/ledgearch/http/HttpTuning.kt
@@ -1,61 +1,70 @@
 package ledgearch.http
 
-/** Sockets and HTTP: constants with their unit and the reason for their value. */
+/** Limits and time-outs of sockets and HTTP. */
 internal object HttpTuning {
-    /** Bytes. The protocol's bound on a request body. */
+    /** Limit of the protocol for a request body. */
     const val MAX_BODY = 64 * 1024
 
-    /** Bytes. A whole page of keys is 512 KiB and a watch answer has no bound; beyond this the answer is dropped. */
+    /** A full page of keys has 512 KiB, and the answer to a watch has no bound; a larger response is dropped. */
     const val MAX_RESPONSE = 16 * 1024 * 1024
 
-    /** Bytes. All header lines of a message together; the protocol needs a few hundred. */
+    /** All header lines of a message together; the protocol needs a few hundred bytes. */
     const val MAX_HEAD = 8 * 1024
 
-    /** Bytes. First buffer of a connection: nearly every message fits, and a thousand idle users stay cheap. */
+    /** Initial buffer of a connection. Nearly every message fits, and a thousand idle users need little memory. */
     const val READ_BUFFER = 2 * 1024
 
-    /** Times [READ_BUFFER]. A buffer that grew beyond this is replaced by a small one once its message is read. */
+    /** A buffer larger than this multiple of [READ_BUFFER] is replaced by an initial one once its message is read. */
     const val KEPT_BUFFERS = 4
 
-    /** Bytes. The line before a chunk: its size and extensions that nobody here sends. */
+    /** Line before a chunk: its size and any extensions, which no known peer sends. */
     const val MAX_CHUNK_LINE = 64
 
-    /** Characters. First size of a request's head: nearly every one fits. */
+    /** Initial capacity in characters; nearly every request head fits. */
     const val REQUEST_HEAD = 160
 
-    /** Characters. First size of a response's head: nearly every one fits. */
+    /** Initial capacity in characters; nearly every response head fits. */
     const val RESPONSE_HEAD = 128
 
-    /** Connections. Waiting to be accepted; small, so that a full node refuses and callers go on to the next. */
+    /**
+     * Connections waiting to be accepted. Few, so that an overloaded node refuses clients and they try the next one.
+     */
     const val ACCEPT_BACKLOG = 128
 
-    /** ms. Until a caller is accepted again after one could not be: a twentieth of the shortest wait of users. */
+    /** Pause after a failed accept: a twentieth of the shortest wait that users ask for. */
     const val ACCEPT_RETRY_MS = 50L
 
-    /** ms. A connection with no request in progress; users poll about every 5 s, so this closes only forgotten ones. */
+    /**
+     * Time-out of a connection without a request in progress. Users poll about every 5 s, so only abandoned ones
+     * expire.
+     */
     const val IDLE_MS = 60_000L
 
-    /** ms. From the first byte of a request to its last: longer than any lost packet's resend, bounds slow senders. */
+    /**
+     * From the first to the last byte of a request: longer than the retransmission of a lost packet, a bound on slow
+     * clients.
+     */
     const val SLOW_REQUEST_MS = 10_000L
 
-    /** ms. Between two looks for callers that are past their time: small beside [SLOW_REQUEST_MS]. */
+    /** Small in comparison to [SLOW_REQUEST_MS]. */
     const val LATE_CALLERS_MS = 1_000L
 
-    /** ms. How long one write may stall before the connection is given up. */
+    /** How long one write may stall before the connection is closed. */
     const val WRITE_MS = 10_000L
 
-    /** ms. Opening a connection to anything: several resends of a lost packet. */
+    /** Allows several retransmissions of a lost packet. */
     const val CONNECT_MS = 1_500L
 
-    /** ms. Kept-alive connections to others are closed after this: nothing here is called more rarely. */
+    /** Idle time after which an outgoing connection is closed; every peer is normally called more often. */
     const val POOLED_IDLE_MS = 20_000L
 
-    /** ms. Between two looks for timers that are due: no time-out or pause here needs more precision. */
+    /** No time-out or pause needs a finer resolution. */
     const val TIMER_STEP_MS = 50L
 
     /**
-     * ms. So long looks at the sockets go before the owner's turn while each finds something. By looks alone, a node
-     * short of processor time would take a fraction of a second for them, and count as behind.
+     * How long sockets are polled before the owner's batch runs, as long as each poll finds events. Bounded by time and
+     * not by a number of polls: a node short of processor time would need a fraction of a second for them and count as
+     * lagging.
      */
     const val SOCKETS_MS = 50L
 }
--- a/src/main/kotlin/ledgearch/http/MessageReader.kt
+++ b/src/main/kotlin/ledgearch/http/MessageReader.kt
@@ -3,67 +3,72 @@
 import java.io.ByteArrayOutputStream
 
 /**
- * An incremental HTTP/1.1 reader over one growing buffer. Bytes are appended as they come, in any splits;
- * [head] and [body] return null until enough is there. The buffer never exceeds head and body limits, [maxBody] bytes
- * for the body. All throw [BadMessage] for what breaks the format or a limit.
+ * An incremental HTTP/1.1 reader with one growing buffer. Bytes are appended in pieces of any size; [head] and [body]
+ * return null until enough bytes have arrived. The buffer is limited by the head limit and by [maxBody] bytes for the
+ * body. All functions throw [BadMessage] if a message is malformed or exceeds a limit.
  */
 internal class MessageReader(
     private val maxBody: Int,
 ) {
     private var bytes = ByteArray(HttpTuning.READ_BUFFER)
-    private var end = 0
+    private var endIndex = 0
 
-    /** The end of the head is not before this. */
-    private var scanned = 0
+    /** Position before which the head does not end. */
+    private var scannedUpTo = 0
     private var bodyStart = NONE
     private var head: Head? = null
 
-    /** The content of the chunks read so far, and where the line of the next one begins. */
+    /** Content of the chunks read so far. */
     private val chunks = ByteArrayOutputStream()
     private var chunkStart = NONE
 
-    /** Nothing of a next message is here. */
-    val isEmpty: Boolean get() = end == 0
+    /** Whether no byte of a next message has arrived. */
+    val isEmpty: Boolean get() = endIndex == 0
 
-    /** Adds the first [length] bytes of [source]. */
+    /** Appends the first [length] bytes of [source]. */
     fun append(
         source: ByteArray,
         length: Int,
     ) {
-        if (end + length > bytes.size) {
-            bytes = bytes.copyOf(maxOf(bytes.size * 2, end + length))
+        if (endIndex + length > bytes.size) {
+            bytes = bytes.copyOf(maxOf(bytes.size * 2, endIndex + length))
         }
-        source.copyInto(bytes, end, 0, length)
-        end += length
+        source.copyInto(bytes, endIndex, 0, length)
+        endIndex += length
     }
 
-    /** The head of the message once all of it is here. */
+    /** Returns the head of the message, or null until it is complete. */
     fun head(): Head? {
         head?.let { return it }
-        while (scanned + BLANK_LINE <= end) {
-            if (isBlankLine(scanned)) {
-                bodyStart = scanned + BLANK_LINE
-                return HeadParser.parse(String(bytes, 0, scanned, Charsets.ISO_8859_1)).also { head = it }
+        while (scannedUpTo + BLANK_LINE_BYTES <= endIndex) {
+            if (isBlankLine(scannedUpTo)) {
+                bodyStart = scannedUpTo + BLANK_LINE_BYTES
+                return HeadParser.parse(String(bytes, 0, scannedUpTo, Charsets.ISO_8859_1)).also { head = it }
+            }
+            scannedUpTo++
+            if (scannedUpTo > HttpTuning.MAX_HEAD) {
+                throw BadMessage(
+                    HttpStatus.HEADER_TOO_LARGE,
+                    "header exceeds the limit of ${HttpTuning.MAX_HEAD} bytes",
+                )
             }
-            scanned++
-            if (scanned > HttpTuning.MAX_HEAD) throw BadMessage(HttpStatus.HEADER_TOO_LARGE, "header too large")
         }
         return null
     }
 
-    /** The body once all of it is here; consumes the message. */
+    /** Returns the body and removes the message from the buffer, or returns null until the message is complete. */
     fun body(): String? {
         val head = head() ?: return null
         if (head.chunked) return chunkedBody()
         if (head.contentLength > maxBody) throw bodyTooLarge()
         val bodyEnd = bodyStart + head.contentLength
-        if (end < bodyEnd) return null
+        if (endIndex < bodyEnd) return null
         val text = String(bytes, bodyStart, head.contentLength, Charsets.UTF_8)
         consume(bodyEnd)
         return text
     }
 
-    private fun isBlankLine(at: Int): Boolean = isLineEnd(at) && isLineEnd(at + LINE_END)
+    private fun isBlankLine(at: Int): Boolean = isLineEnd(at) && isLineEnd(at + LINE_END_BYTES)
 
     private fun isLineEnd(at: Int): Boolean = bytes[at] == CR && bytes[at + 1] == LF
 
@@ -73,63 +78,67 @@
             val lineEnd = findLineEnd(chunkStart) ?: return null
             val size = chunkSize(lineEnd)
             if (chunks.size() + size > maxBody) throw bodyTooLarge()
-            val contentStart = lineEnd + LINE_END
+            val contentStart = lineEnd + LINE_END_BYTES
             val contentEnd = contentStart + size
-            val next = contentEnd + LINE_END
-            if (end < next) return null
-            if (!isLineEnd(contentEnd)) throw badMessage("bad chunk end")
+            val nextChunkStart = contentEnd + LINE_END_BYTES
+            if (endIndex < nextChunkStart) return null
+            if (!isLineEnd(contentEnd)) throw badMessage("chunk does not end with a line end")
             if (size == 0) {
-                consume(next)
-                // Decoded as a whole: a character may begin in one chunk and end in the next.
+                consume(nextChunkStart)
+                // Decoded as a whole, because a character may begin in one chunk and end in the next.
                 return chunks.toString(Charsets.UTF_8).also { chunks.reset() }
             }
             chunks.write(bytes, contentStart, size)
-            chunkStart = next
+            chunkStart = nextChunkStart
         }
     }
 
-    /** The size told by the line from [chunkStart] to [lineEnd]. */
+    /** Returns the chunk size in the line from [chunkStart] to [lineEnd]. */
     private fun chunkSize(lineEnd: Int): Int {
         val digits =
             String(bytes, chunkStart, lineEnd - chunkStart, Charsets.ISO_8859_1)
                 .substringBefore(';')
                 .trim()
-        if (digits.isEmpty() || !digits.all { it in HEX_DIGITS }) throw badMessage("bad chunk size")
-        return digits.toIntOrNull(HEX) ?: throw bodyTooLarge()
+        if (digits.isEmpty() || !digits.all { it in HEX_DIGITS }) {
+            throw badMessage("chunk size is not a hexadecimal number")
+        }
+        return digits.toIntOrNull(HEX_RADIX) ?: throw bodyTooLarge()
     }
 
     private fun findLineEnd(from: Int): Int? {
-        for (at in from until end - 1) if (isLineEnd(at)) return at
-        if (end - from > HttpTuning.MAX_CHUNK_LINE) throw badMessage("bad chunk size")
+        for (at in from until endIndex - 1) if (isLineEnd(at)) return at
+        if (endIndex - from > HttpTuning.MAX_CHUNK_LINE) {
+            throw badMessage("chunk size line exceeds the limit of ${HttpTuning.MAX_CHUNK_LINE} bytes")
+        }
         return null
     }
 
-    private fun consume(upTo: Int) {
-        bytes.copyInto(bytes, 0, upTo, end)
-        end -= upTo
-        scanned = 0
+    private fun consume(upToIndex: Int) {
+        bytes.copyInto(bytes, 0, upToIndex, endIndex)
+        endIndex -= upToIndex
+        scannedUpTo = 0
         bodyStart = NONE
         chunkStart = NONE
         head = null
         val isLarge = bytes.size > HttpTuning.READ_BUFFER * HttpTuning.KEPT_BUFFERS
-        if (end == 0 && isLarge) bytes = ByteArray(HttpTuning.READ_BUFFER)
+        if (endIndex == 0 && isLarge) bytes = ByteArray(HttpTuning.READ_BUFFER)
     }
 
     private fun badMessage(problem: String) = BadMessage(HttpStatus.BAD_REQUEST, problem)
 
-    private fun bodyTooLarge() = BadMessage(HttpStatus.PAYLOAD_TOO_LARGE, "body too large")
+    private fun bodyTooLarge() = BadMessage(HttpStatus.PAYLOAD_TOO_LARGE, "body exceeds the limit of $maxBody bytes")
 
     private companion object {
         const val NONE = -1
         const val CR = '\r'.code.toByte()
         const val LF = '\n'.code.toByte()
 
-        /** Bytes. The end of a line: carriage return and line feed. */
-        const val LINE_END = 2
+        /** Length in bytes of a line end: carriage return and line feed. */
+        const val LINE_END_BYTES = 2
 
-        /** Bytes. The end of the last header line and the empty line after it. */
-        const val BLANK_LINE = 2 * LINE_END
-        const val HEX = 16
+        /** Length in bytes of the end of the last header line and the empty line after it. */
+        const val BLANK_LINE_BYTES = 2 * LINE_END_BYTES
+        const val HEX_RADIX = 16
         const val HEX_DIGITS = "0123456789abcdefABCDEF"
     }
 }
--- a/src/main/kotlin/ledgearch/http/Messages.kt
+++ b/src/main/kotlin/ledgearch/http/Messages.kt
@@ -1,35 +1,38 @@
 package ledgearch.http
 
-/** A request that came in; [target] is the path with its query. */
+/** An incoming request; [target] is the path with its query. */
 internal data class Request(
     val method: String,
     val target: String,
     val body: String,
     val keepAlive: Boolean,
 ) {
-    /** [target] without its query. */
+    /** Path of [target], without the query. */
     val path: String get() = target.substringBefore('?')
 }
 
-/** The response to a request; [retryAfterS]: when the caller is to come back (seconds), if it is told. */
+/** The response to a request; [retryAfterS] is the time in seconds after which the client is to retry, if given. */
 internal data class Response(
     val status: Int,
     val body: String = "",
     val retryAfterS: Int? = null,
 )
 
-/** What came back for a call to another; [status] 0 means that nothing did. */
+/** The reply to an outgoing call; [status] 0 means that there was none. */
 internal data class Reply(
     val status: Int,
     val body: String,
 ) {
     companion object {
-        /** Nothing came back: no connection, no response in time, or one that breaks the format. */
+        /** No reply: the connection failed, the response was late or it was malformed. */
         val NONE = Reply(0, "")
     }
 }
 
-/** A message that breaks the format; [status] is what a server answers. Without a stack trace: callers can cause it. */
+/**
+ * Thrown for a malformed message; [status] is the status to answer with. It has no stack trace, since clients can cause
+ * it at will.
+ */
 internal class BadMessage(
     val status: Int,
     message: String,
--- a/src/main/kotlin/ledgearch/http/Nio.kt
+++ b/src/main/kotlin/ledgearch/http/Nio.kt
@@ -16,14 +16,14 @@
 import kotlin.coroutines.resume
 import kotlin.coroutines.resumeWithException
 
-/** Resumes the coroutine that waits for an operation of NIO.2; one instance serves all operations of a kind. */
+/** Resumes the coroutine that waits for an NIO.2 operation; one instance serves all operations of a kind. */
 private class ResumeHandler<T> : CompletionHandler<T, CancellableContinuation<T>> {
     override fun completed(
         result: T,
         continuation: CancellableContinuation<T>,
     ) {
         continuation.resume(result)
-        EventLoop.carryOn(continuation)
+        EventLoop.runResumed(continuation)
     }
 
     override fun failed(
@@ -31,20 +31,20 @@
         continuation: CancellableContinuation<T>,
     ) {
         continuation.resumeWithException(cause)
-        EventLoop.carryOn(continuation)
+        EventLoop.runResumed(continuation)
     }
 }
 
-private val resumeWithCount = ResumeHandler<Int>()
-private val resumeWithChannel = ResumeHandler<AsynchronousSocketChannel>()
-private val resumeConnected = ResumeHandler<Void?>()
+private val byteCountHandler = ResumeHandler<Int>()
+private val acceptHandler = ResumeHandler<AsynchronousSocketChannel>()
+private val connectHandler = ResumeHandler<Void?>()
 
 private suspend fun AsynchronousServerSocketChannel.acceptNext(): AsynchronousSocketChannel =
     suspendCancellableCoroutine {
-        accept(it, resumeWithChannel)
+        accept(it, acceptHandler)
     }
 
-/** Listens on [address] (HOST:PORT) at once; throws [IOException] when it is taken. */
+/** Opens a socket that listens on [address] (HOST:PORT); throws [IOException] if the address is in use. */
 internal fun listenOn(
     address: String,
     group: AsynchronousChannelGroup,
@@ -55,7 +55,8 @@
     }
 
 /**
- * The next connection, however long it takes: a failure, as when sockets run out, is logged to [log] and waited out.
+ * Waits for the next connection and returns it. A failure, such as a lack of free sockets, is logged to [log] and the
+ * accept is retried after a pause.
  */
 internal suspend fun AsynchronousServerSocketChannel.acceptPatiently(log: Logger): AsynchronousSocketChannel {
     while (true) {
@@ -68,18 +69,20 @@
     }
 }
 
-/** Connects; throws [IOException] when that fails. A cancelled wait closes the channel, as for all calls below. */
+/**
+ * Connects to [address]; throws [IOException] on failure. Cancellation closes the channel, as in all functions below.
+ */
 internal suspend fun AsynchronousSocketChannel.connectTo(address: InetSocketAddress) {
     suspendCancellableCoroutine<Void?> {
         it.invokeOnCancellation { closeQuietly() }
-        connect(address, it, resumeConnected)
+        connect(address, it, connectHandler)
     }
 }
 
 /**
- * Reads what is there, at least a byte, into [buffer]; returns the count of bytes, or -1 at the end. Throws
- * [IOException] after [timeoutMs]; 0: never. Each time-out costs a timer: where many connections wait, one look bounds
- * them all.
+ * Reads at least one byte into [buffer]; returns the number of bytes, or -1 at the end of the stream. Throws
+ * [IOException] after [timeoutMs]; 0 means no time-out. Each time-out costs a timer, so where many connections wait,
+ * one periodic check should bound them all.
  */
 internal suspend fun AsynchronousSocketChannel.readSome(
     buffer: ByteBuffer,
@@ -87,10 +90,10 @@
 ): Int =
     suspendCancellableCoroutine {
         it.invokeOnCancellation { closeQuietly() }
-        read(buffer, timeoutMs, TimeUnit.MILLISECONDS, it, resumeWithCount)
+        read(buffer, timeoutMs, TimeUnit.MILLISECONDS, it, byteCountHandler)
     }
 
-/** Writes all of [buffer]; throws [IOException] when one write stalls for [timeoutMs]. */
+/** Writes all of [buffer]; throws [IOException] if one write stalls for [timeoutMs]. */
 internal suspend fun AsynchronousSocketChannel.writeAll(
     buffer: ByteBuffer,
     timeoutMs: Long,
@@ -98,20 +101,23 @@
     while (buffer.hasRemaining()) {
         suspendCancellableCoroutine<Int> {
             it.invokeOnCancellation { closeQuietly() }
-            write(buffer, timeoutMs, TimeUnit.MILLISECONDS, it, resumeWithCount)
+            write(buffer, timeoutMs, TimeUnit.MILLISECONDS, it, byteCountHandler)
         }
     }
 }
 
-/** Closes; a failure of that is of no use to anybody. */
+/** Closes the resource and ignores a failure. */
 internal fun AutoCloseable.closeQuietly() {
     try {
         close()
     } catch (_: IOException) {
-        // Nothing more can be done for it.
+        // The resource is not used any more.
     }
 }
 
-/** The address HOST:PORT; throws [IllegalArgumentException] when it is none. Resolves names, which may take a while. */
+/**
+ * Parses an address of the form HOST:PORT; throws [IllegalArgumentException] if it is malformed. Resolves host names,
+ * which may take a while.
+ */
 internal fun parseAddress(text: String): InetSocketAddress =
     InetSocketAddress(text.substringBeforeLast(':'), text.substringAfterLast(':').toInt())
--- a/src/main/kotlin/ledgearch/http/RequestReader.kt
+++ b/src/main/kotlin/ledgearch/http/RequestReader.kt
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer
 import java.nio.channels.AsynchronousSocketChannel
 
-/** Reads the requests of one caller, and keeps [connections] told of when its [connection] is in use. */
+/** Reads the requests of one client and marks its [connection] as idle or busy in [connections]. */
 internal class RequestReader(
     private val channel: AsynchronousSocketChannel,
     private val connection: Connection,
@@ -12,27 +12,30 @@
     private val reader = MessageReader(HttpTuning.MAX_BODY)
     private val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER)
 
-    /** The next request, or null once the caller has closed the connection. Throws [BadMessage] for a broken one. */
+    /**
+     * Returns the next request, or null once the client has closed the connection. Throws [BadMessage] for a malformed
+     * request.
+     */
     suspend fun next(): Request? {
-        var hasBegun = !reader.isEmpty
+        var hasStarted = !reader.isEmpty
         val startMs = SteadyTime.nowMs()
-        connection.deadline = startMs + if (hasBegun) HttpTuning.SLOW_REQUEST_MS else HttpTuning.IDLE_MS
-        if (!hasBegun) connections.unused(connection, startMs)
+        connection.deadlineMs = startMs + if (hasStarted) HttpTuning.SLOW_REQUEST_MS else HttpTuning.IDLE_MS
+        if (!hasStarted) connections.markIdle(connection, startMs)
         while (true) {
             val head = reader.head()
             val body = if (head != null) reader.body() else null
             if (head != null && body != null) {
                 val request = request(head, body)
-                connection.deadline = Long.MAX_VALUE
+                connection.deadlineMs = Long.MAX_VALUE
                 return request
             }
             buffer.clear()
             val count = channel.readSome(buffer)
             if (count < 0) return null
-            if (!hasBegun) {
-                hasBegun = true
-                connections.used(connection)
-                connection.deadline = SteadyTime.nowMs() + HttpTuning.SLOW_REQUEST_MS
+            if (!hasStarted) {
+                hasStarted = true
+                connections.markBusy(connection)
+                connection.deadlineMs = SteadyTime.nowMs() + HttpTuning.SLOW_REQUEST_MS
             }
             reader.append(buffer.array(), count)
         }
@@ -43,13 +46,14 @@
         body: String,
     ): Request {
         val parts = head.startLine.split(' ')
-        if (parts.size != REQUEST_LINE_PARTS) throw badRequestLine()
+        if (parts.size != REQUEST_LINE_PARTS) throw invalidRequestLine()
         val (method, target, version) = parts
-        if (!version.startsWith("HTTP/1.") || !target.startsWith("/")) throw badRequestLine()
-        return Request(method, target, body, !head.close)
+        if (!version.startsWith("HTTP/1.") || !target.startsWith("/")) throw invalidRequestLine()
+        return Request(method, target, body, !head.closesConnection)
     }
 
-    private fun badRequestLine() = BadMessage(HttpStatus.BAD_REQUEST, "bad request line")
+    private fun invalidRequestLine() =
+        BadMessage(HttpStatus.BAD_REQUEST, "request line is not METHOD TARGET VERSION with HTTP/1.x")
 
     private companion object {
         /** Method, target and version. */
--- a/src/main/kotlin/ledgearch/http/SteadyTime.kt
+++ b/src/main/kotlin/ledgearch/http/SteadyTime.kt
@@ -1,9 +1,9 @@
 package ledgearch.http
 
-/** The clock that connections are timed by: it never jumps, and its zero has no meaning. */
+/** Steady clock for the time-outs of connections: it never jumps, and its origin has no meaning. */
 internal object SteadyTime {
     const val NANOS_PER_MS = 1_000_000L
 
-    /** ms. */
+    /** Returns the current time in ms. */
     fun nowMs(): Long = System.nanoTime() / NANOS_PER_MS
 }
--- a/src/test/kotlin/ledgearch/http/EventLoopTest.kt
+++ b/src/test/kotlin/ledgearch/http/EventLoopTest.kt
@@ -19,17 +19,17 @@
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicLong
 
-/** Sockets, timers and the owner's turns share one thread: none of them keeps the others out. */
+/** Tests that sockets, timers and the owner's batches share one thread and none of them starves the others. */
 internal class EventLoopTest {
     private val loop = EventLoop("test-loop")
 
     @AfterEach
-    fun end() {
+    fun shutDown() {
         loop.group.shutdownNow()
     }
 
     @Test
-    fun `timers fire in the order in which they are due, and a cancelled one does not`() {
+    fun `timers fire in the order of their due times, and cancelled ones do not fire`() {
         val fired = ArrayList<String>()
         runBlocking(loop) {
             val later = launch { delay(200).also { fired.add("later") } }
@@ -41,60 +41,62 @@
     }
 
     @Test
-    fun `a call that takes too long is given up, and what follows goes on`() =
+    fun `a call that exceeds its time-out is cancelled, and later calls work`() =
         runBlocking(loop) {
             assertNull(withTimeoutOrNull(100) { delay(60_000) })
             assertEquals("done", withTimeoutOrNull(60_000) { delay(50).let { "done" } })
         }
 
     @Test
-    fun `coroutines launched elsewhere run on the loop's thread`() {
+    fun `coroutines launched from other threads run on the loop's thread`() {
         val name = runBlocking { withContext(loop) { delay(1).let { Thread.currentThread().name } } }
         assertTrue(name.startsWith("test-loop"), name)
     }
 
-    /** The clock stands still: how long the machine takes to accept the callers is no matter here. */
+    /** The clock stands still, so the time that the machine takes to accept the clients does not matter. */
     @Test
-    fun `callers who wait are accepted and read before the next turn of the owner`() {
-        assertEquals(CALLERS, servedBeforeTurn { 0L })
+    fun `waiting clients are accepted and read before the next batch of the owner`() {
+        assertEquals(CLIENTS, servedBeforeBatch { 0L })
     }
 
-    /** With each reading of the clock, more time passes than the sockets may take before a turn. */
+    /** Each reading of the clock advances it beyond the time for which sockets may delay the owner's batch. */
     @Test
-    fun `callers do not keep the owner's turn waiting for longer than they may`() {
+    fun `clients do not delay the owner's batch beyond the limit`() {
         val readings = AtomicLong()
-        val served = servedBeforeTurn { readings.incrementAndGet() * (HttpTuning.SOCKETS_MS + 1) * NANOS_PER_MS }
-        assertTrue(served < CALLERS, "$served callers were served first")
+        val served = servedBeforeBatch { readings.incrementAndGet() * (HttpTuning.SOCKETS_MS + 1) * NANOS_PER_MS }
+        assertTrue(served < CLIENTS, "$served clients were served first")
     }
 
-    /** How many of [CALLERS] that wait are served before a turn of the owner, on a loop with this clock. */
-    private fun servedBeforeTurn(nanos: () -> Long): Int {
-        val clocked = EventLoop("test-clocked", nanos)
+    /**
+     * Returns how many of [CLIENTS] waiting clients are served before a batch of the owner, on a loop with this clock.
+     */
+    private fun servedBeforeBatch(nanos: () -> Long): Int {
+        val loopWithClock = EventLoop("test-loop-with-clock", nanos)
         val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
         var served = 0
         val server =
-            HttpServer(CoroutineScope(clocked + SupervisorJob()), clocked.group, 100) {
+            HttpServer(CoroutineScope(loopWithClock + SupervisorJob()), loopWithClock.group, 100) {
                 Response(200, "{}").also { served++ }
             }
         server.start("127.0.0.1:$port")
-        val turn = CompletableFuture<Int>()
-        val callers =
-            runBlocking(clocked) {
-                // The loop is busy meanwhile, so all callers wait in the kernel's queue.
-                val waiting = List(CALLERS) { Socket(InetAddress.getLoopbackAddress(), port) }
+        val batch = CompletableFuture<Int>()
+        val clients =
+            runBlocking(loopWithClock) {
+                // The loop is busy meanwhile, so all clients wait in the kernel's queue.
+                val waiting = List(CLIENTS) { Socket(InetAddress.getLoopbackAddress(), port) }
                 waiting.forEach { it.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".toByteArray()) }
-                CoroutineScope(clocked).launch(clocked.afterSockets) { turn.complete(served) }
+                CoroutineScope(loopWithClock).launch(loopWithClock.afterSockets) { batch.complete(served) }
                 waiting
             }
-        val result = turn.get(LIMIT_S, TimeUnit.SECONDS)
-        callers.forEach { it.close() }
-        clocked.group.shutdownNow()
+        val result = batch.get(BATCH_TIMEOUT_S, TimeUnit.SECONDS)
+        clients.forEach { it.close() }
+        loopWithClock.group.shutdownNow()
         return result
     }
 
     private companion object {
-        const val CALLERS = 12
+        const val CLIENTS = 12
         const val NANOS_PER_MS = 1_000_000L
-        const val LIMIT_S = 20L
+        const val BATCH_TIMEOUT_S = 20L
     }
 }
--- a/src/test/kotlin/ledgearch/http/MessageReaderTest.kt
+++ b/src/test/kotlin/ledgearch/http/MessageReaderTest.kt
@@ -9,24 +9,25 @@
 import kotlin.random.Random
 
 /**
- * The parser against `messages.txt`: each line holds what must come of a message, a bar, and the message, with `\r` and
- * `\n` written out and `*N` after a character for N of it. Every message is read whole and cut in two at every place.
+ * Tests the parser with `messages.txt`. Each line holds the expected result, a bar and the message, with `\r` and `\n`
+ * written out and `*N` after a character for N repetitions. Every message is read whole and cut in two at every
+ * position.
  */
 internal class MessageReaderTest {
     @TestFactory
-    fun `messages are read, awaited or refused however they are cut`(): List<DynamicTest> {
+    fun `messages are read, awaited or refused at every cut`(): List<DynamicTest> {
         val lines = testCases("messages.txt")
         return lines.map { line ->
-            val (wanted, message) = line.split(" | ", limit = 2)
-            DynamicTest.dynamicTest(line.take(NAME)) {
+            val (expected, message) = line.split(" | ", limit = 2)
+            DynamicTest.dynamicTest(line.take(MAX_NAME_CHARS)) {
                 val bytes = unescape(message).toByteArray()
-                val cuts = if (bytes.size > LONG) listOf(1, LONG, bytes.size) else (1..bytes.size).toList()
-                for (cut in cuts) assertEquals(wanted, read(bytes, cut), "cut at $cut")
+                val cuts = if (bytes.size > LONG_BYTES) listOf(1, LONG_BYTES, bytes.size) else (1..bytes.size).toList()
+                for (cutAt in cuts) assertEquals(expected, read(bytes, cutAt), "cut at $cutAt")
             }
         }
     }
 
-    /** Whatever comes, the reader either takes it or says which status it deserves. */
+    /** The reader accepts any input or refuses it with a status. */
     @Test
     fun `random pieces of messages are read or refused with a status`() {
         val random = Random(1)
@@ -52,14 +53,14 @@
 
     private fun read(
         bytes: ByteArray,
-        cut: Int,
+        cutAt: Int,
     ): String {
         val reader = MessageReader(HttpTuning.MAX_BODY)
         val bodies = ArrayList<String>()
         try {
             for (part in listOf(
-                bytes.copyOfRange(0, minOf(cut, bytes.size)),
-                bytes.copyOfRange(minOf(cut, bytes.size), bytes.size),
+                bytes.copyOfRange(0, minOf(cutAt, bytes.size)),
+                bytes.copyOfRange(minOf(cutAt, bytes.size), bytes.size),
             )) {
                 reader.append(part, part.size)
                 while (true) bodies.add(reader.body() ?: break)
@@ -71,7 +72,7 @@
             "more"
         } else {
             "ok " +
-                bodies.joinToString("+") { if (it.length > NAME) "${it.length}" else it }
+                bodies.joinToString("+") { if (it.length > MAX_NAME_CHARS) "${it.length}" else it }
         }
     }
 
@@ -83,8 +84,8 @@
             .replace("\\n", "\n")
 
     private companion object {
-        const val NAME = 60
-        const val LONG = 2_000
+        const val MAX_NAME_CHARS = 60
+        const val LONG_BYTES = 2_000
         const val ROUNDS = 2_000
     }
 }
--- a/src/test/kotlin/ledgearch/runtime/StallCompensationTest.kt
+++ b/src/test/kotlin/ledgearch/runtime/StallCompensationTest.kt
@@ -35,7 +35,7 @@
     }
 
     @Test
-    fun `a late tick marks the node as lagging untilMs it has caught up`() {
+    fun `a late tick marks the node as lagging until it has caught up`() {
         handleTick(1_000)
         handleTick(1_000 + RuntimeTuning.TICK_MS + RuntimeTuning.BEHIND_MS + 1)
         assertTrue(stalls.isLagging)
