--- a/src/main/kotlin/ledgearch/http/Connections.kt
+++ b/src/main/kotlin/ledgearch/http/Connections.kt
@@ -77,5 +77,8 @@
     }
 
     private fun staleIdleKept(nowMs: Long): Connection? =
-        idleKept.firstOrNull()?.takeIf { nowMs - it.idleSinceMs > staleMs }
+        idleKept.firstOrNull()?.takeIf {
+            nowMs - it.idleSinceMs >
+                staleMs
+        }
 }
