--- a/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
@@ -33,7 +33,7 @@
         pending.remove(machine)
     }
 
-    /** Removes all trace of [machine], which has left the cluster. */
+    /** Removes [machine], which has left the cluster. */
     fun remove(machine: Machine) {
         pending.remove(machine)
         unreachable.remove(machine)
