--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -10,7 +10,7 @@
 import ledgearch.runtime.Clock
 import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.Metrics
-import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.RunTimeEstimates
 import ledgearch.wire.ExitCause
 import ledgearch.wire.JobState
 import ledgearch.wire.TaskReport
@@ -30,7 +30,7 @@
 internal class TaskStatusHandler(
     private val jobStore: JobStore,
     machines: Map<String, Machine>,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val recordWriter: RecordWriter,
     private val metrics: Metrics,
     private val clock: Clock,
@@ -166,7 +166,7 @@
         failures.recordSuccess(attempt.machine, job)
         if (job.isService) return
         if (isRunTimeKnown(attempt, job)) {
-            estimates.ran(job, (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND)
+            estimates.recordRunTime(job, (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND)
         }
         job.finish(attempt.index)
         if (!job.closed) recordWriter.writeFinishedTasks(job)
--- a/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
@@ -3,9 +3,9 @@
 import ledgearch.model.Machine
 import ledgearch.model.TeamQuotas
 import ledgearch.recovery.ZoneRecovery
-import ledgearch.scheduling.Estimates
 import ledgearch.scheduling.Reliability
 import ledgearch.scheduling.ReplicaMover
+import ledgearch.scheduling.RunTimeEstimates
 
 /** What the autoscaler sees of the leader's machines and plans, and whom it tells of machines that are gone. */
 internal interface Cluster {
@@ -16,7 +16,7 @@
     val teams: TeamQuotas
 
     /** Run times, and what running tasks free by them. */
-    val estimates: Estimates
+    val estimates: RunTimeEstimates
 
     /** The room to keep free ahead of demand. */
     val headroom: Headroom
--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -5,7 +5,7 @@
 import ledgearch.jobs.JobStore
 import ledgearch.model.Machine
 import ledgearch.runtime.Clock
-import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.RunTimeEstimates
 import ledgearch.standby.FailoverHints
 import org.slf4j.LoggerFactory
 
@@ -17,7 +17,7 @@
     private val jobStore: JobStore,
     private val election: Election,
     private val clock: Clock,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val autoscaler: Autoscaler,
     private val placement: PlacementLoop,
 ) : RecordLoaderListener {
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -27,13 +27,13 @@
 import ledgearch.runtime.StallCompensation
 import ledgearch.runtime.Transport
 import ledgearch.scheduling.Deadlines
-import ledgearch.scheduling.Estimates
 import ledgearch.scheduling.NoRecovery
 import ledgearch.scheduling.Placer
 import ledgearch.scheduling.Preemption
 import ledgearch.scheduling.Ranking
 import ledgearch.scheduling.Reliability
 import ledgearch.scheduling.ReplicaMover
+import ledgearch.scheduling.RunTimeEstimates
 import ledgearch.standby.FailoverHints
 import ledgearch.store.StoreClient
 import ledgearch.wire.Heartbeat
@@ -59,7 +59,7 @@
     private val registry = MachineRegistry()
     override val machines: Map<String, Machine> get() = registry.machines
     override val teams = TeamQuotas(settings.deployment.teams)
-    override val estimates = Estimates()
+    override val estimates = RunTimeEstimates()
     override val headroom = Headroom(settings, clock)
 
     /** Null unless the operators have switched it on. */
--- a/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
+++ b/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
@@ -5,14 +5,14 @@
 import ledgearch.model.TaskAttempt
 import ledgearch.runtime.Clock
 import ledgearch.runtime.MS_PER_SECOND
-import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.RunTimeEstimates
 import ledgearch.wire.Heartbeat
 import org.slf4j.LoggerFactory
 
 /** The cloud's notices that it takes a spot machine soon. */
 internal class PreemptionNotices(
     private val attempts: AttemptControl,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val clock: Clock,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
@@ -54,7 +54,7 @@
     ): Boolean {
         val job = attempt.job ?: return true
         if (job.isService || job.spec.checkpointIntervalS != 0.0) return false
-        return estimates.seconds(job) - secondsRun(attempt) <= secondsLeft
+        return estimates.runTimeS(job) - secondsRun(attempt) <= secondsLeft
     }
 
     private fun secondsRun(attempt: TaskAttempt) =
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -13,7 +13,7 @@
  */
 internal class Deadlines(
     objectives: List<Objective>,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val clock: Clock,
     private val dependentsOf: (Job) -> Collection<Job>,
 ) {
@@ -60,7 +60,7 @@
     private fun latestStartsS(
         job: Job,
         depth: Int,
-    ): List<Double> = latestEndsS(job, depth).map { it - estimates.seconds(job) }
+    ): List<Double> = latestEndsS(job, depth).map { it - estimates.runTimeS(job) }
 
     private fun ownDeadlinesS(job: Job): List<Double> {
         val deadlineS = job.spec.deadlineS ?: return emptyList()
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -19,7 +19,7 @@
     private val preemption: Preemption,
     reliability: Reliability,
     private val recovery: RecoveryPolicy,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val metrics: Metrics,
     startTask: (Job, Int, Machine) -> Unit,
 ) {
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -13,7 +13,7 @@
  */
 internal class Ranking(
     objectives: List<Objective>,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val clock: Clock,
     private val deadlines: Deadlines,
 ) {
@@ -86,7 +86,7 @@
         } else {
             countMissed(
                 job,
-                waitedS(job) + estimates.seconds(job),
+                waitedS(job) + estimates.runTimeS(job),
             )
         }
 
@@ -96,7 +96,7 @@
         ranS: Double,
     ): Int {
         if (job.isService) return 0
-        val endS = waitedS(job) + estimates.seconds(job)
+        val endS = waitedS(job) + estimates.runTimeS(job)
         return countMissed(job, endS) - countMissed(job, endS - ranS)
     }
 
@@ -135,7 +135,7 @@
     private fun costCpuS(job: Job): Double {
         val waitedS = waitedS(job)
         if (job.isService) return -waitedS
-        val workCpuS = job.pendingCount * job.spec.vcpus * estimates.seconds(job)
+        val workCpuS = job.pendingCount * job.spec.vcpus * estimates.runTimeS(job)
         return workCpuS - waitedS * job.spec.vcpus * job.spec.taskCount * SchedulingTuning.WAITING_CREDIT_SHARE
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/Reliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Reliability.kt
@@ -9,7 +9,7 @@
  * because of it.
  */
 internal class Reliability(
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val ranking: Ranking,
 ) {
     /** Observed spot machine hours, and the losses counted in them; both start with the prior. */
@@ -113,7 +113,7 @@
 
     private fun isAtRiskOnSpot(job: Job): Boolean = expectedLosses(job) > SchedulingTuning.MAX_EXPECTED_LOSSES
 
-    private fun expectedLosses(job: Job): Double = expectedLossesPerTask(estimates.seconds(job)) * unfinishedTasks(job)
+    private fun expectedLosses(job: Job): Double = expectedLossesPerTask(estimates.runTimeS(job)) * unfinishedTasks(job)
 
     private fun expectedLossesPerTask(runS: Double): Double = losses / machineHours * runS / SECONDS_PER_HOUR
 
@@ -127,7 +127,7 @@
     private fun unfinishedCpus(job: Job): Double = job.spec.vcpus * unfinishedTasks(job)
 
     private fun onDemandGain(job: Job): Double {
-        val runS = estimates.seconds(job)
+        val runS = estimates.runTimeS(job)
         val factors =
             if (job.runTime.tasks > 0) {
                 SchedulingTuning.OBSERVED_RUN_TIME_FACTORS
--- a/src/main/kotlin/ledgearch/scheduling/Estimates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
@@ -11,8 +11,8 @@
  * the observed run times of the job come first. Until there are any, the owner's estimate is used, corrected by the
  * mean error observed for the job's class.
  */
-internal class Estimates {
-    private class MeanError {
+internal class RunTimeEstimates {
+    private class RunningMeanError {
         /** Mean logarithm of run time over estimate: errors are factors, so their logarithms are averaged. */
         var logRatio = 0.0
 
@@ -20,16 +20,16 @@
         var weight = 0.0
     }
 
-    /** A copy of the mean error of one class: the logarithm of run time over estimate, and the jobs in the mean. */
-    internal data class Learnt(
+    /** The mean logarithm of run time over estimate for one class, and the number of jobs in the mean. */
+    internal data class MeanError(
         val logRatio: Double,
         val weight: Double,
     )
 
-    private val meanErrors = HashMap<String, MeanError>()
+    private val runningMeanErrors = HashMap<String, RunningMeanError>()
 
     /** Records that a task of [job] has run for [seconds], from its start to its end. */
-    fun ran(
+    fun recordRunTime(
         job: Job,
         seconds: Double,
     ) {
@@ -37,33 +37,33 @@
         if (job.spec.estimatedRunS <= 0 || seconds <= 0) return
         // Every job has the same weight, however many tasks it has.
         val taskWeight = 1.0 / job.spec.taskCount
-        val mean = meanErrors.getOrPut(job.spec.jobClass) { MeanError() }
+        val mean = runningMeanErrors.getOrPut(job.spec.jobClass) { RunningMeanError() }
         mean.weight = minOf(mean.weight + taskWeight, SchedulingTuning.ESTIMATE_JOBS)
         val deviation = ln(seconds / job.spec.estimatedRunS) - mean.logRatio
         mean.logRatio += deviation * minOf(1.0, taskWeight / mean.weight)
     }
 
     /** Returns the mean errors observed so far, by class. */
-    fun learnt(): Map<String, Learnt> = meanErrors.mapValues { (_, mean) -> mean.copy() }
+    fun meanErrors(): Map<String, MeanError> = runningMeanErrors.mapValues { (_, mean) -> mean.toMeanError() }
 
-    private fun MeanError.copy() = Learnt(logRatio, weight)
+    private fun RunningMeanError.toMeanError() = MeanError(logRatio, weight)
 
     /** Takes over the mean error of a class from another leader, unless the own one has at least the same [weight]. */
-    fun learn(
+    fun restoreMeanError(
         jobClass: String,
         logRatio: Double,
         weight: Double,
     ) {
-        val mean = meanErrors.getOrPut(jobClass) { MeanError() }
+        val mean = runningMeanErrors.getOrPut(jobClass) { RunningMeanError() }
         if (mean.weight >= weight) return
         mean.logRatio = logRatio
         mean.weight = weight
     }
 
     /** Returns the estimated run time of a task of [job] in seconds. */
-    fun seconds(job: Job): Double {
+    fun runTimeS(job: Job): Double {
         if (job.runTime.tasks > 0) return job.runTime.mean
-        val mean = meanErrors[job.spec.jobClass] ?: return job.spec.estimatedRunS
+        val mean = runningMeanErrors[job.spec.jobClass] ?: return job.spec.estimatedRunS
         // The prior, that owners are right on average, has the weight of one job.
         return job.spec.estimatedRunS * exp(mean.logRatio * mean.weight / (mean.weight + 1.0))
     }
@@ -93,6 +93,6 @@
             0.0
         } else {
             job.spec.vcpus /
-                maxOf(seconds(job), 1.0)
+                maxOf(runTimeS(job), 1.0)
         }
 }
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -12,7 +12,7 @@
 import ledgearch.peers.ServiceTime
 import ledgearch.peers.StreamRecord
 import ledgearch.runtime.Clock
-import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.RunTimeEstimates
 import ledgearch.scheduling.SchedulingTuning
 import kotlin.math.abs
 
@@ -56,7 +56,7 @@
     /** The new leader has read all records. */
     fun applyAll(
         knownMachines: Map<String, Machine>,
-        estimates: Estimates,
+        estimates: RunTimeEstimates,
         jobStore: JobStore,
         autoscaler: Autoscaler,
         clock: Clock,
@@ -77,12 +77,12 @@
     }
 
     private fun useRunTime(
-        estimates: Estimates,
+        estimates: RunTimeEstimates,
         hint: ClassRunTime,
     ) {
         val isPlausible = abs(hint.logRatio) <= StandbyTuning.RUN_TIME_HINT_MAX
         if (isPlausible && hint.weight in 0.0..SchedulingTuning.ESTIMATE_JOBS) {
-            estimates.learn(hint.jobClass, hint.logRatio, hint.weight)
+            estimates.restoreMeanError(hint.jobClass, hint.logRatio, hint.weight)
         }
     }
 
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -11,7 +11,7 @@
 import ledgearch.peers.RentedMachine
 import ledgearch.peers.ServiceTime
 import ledgearch.peers.StreamRecord
-import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.RunTimeEstimates
 
 /**
  * Reads the leader's state as stream records. What would exceed [maxBytes] is left out, machines coming first: the
@@ -19,7 +19,7 @@
  */
 internal class LeaderSnapshot(
     private val machines: Map<String, Machine>,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val jobStore: JobStore,
     private val autoscaler: Autoscaler,
     private val maxBytes: Long,
@@ -36,8 +36,8 @@
         for (machine in machines.values) {
             if (machine.incarnation != 0L) add(records, snapshotOf(machine))
         }
-        for ((jobClass, learnt) in estimates.learnt()) {
-            add(records, ClassRunTime(jobClass, learnt.logRatio, learnt.weight))
+        for ((jobClass, meanError) in estimates.meanErrors()) {
+            add(records, ClassRunTime(jobClass, meanError.logRatio, meanError.weight))
         }
         for (job in jobStore.jobs.values) {
             if (job.lastStartAt != 0L) add(records, ServiceTime(job.id, job.lastStartAt))
--- a/src/test/kotlin/ledgearch/scheduling/ReliabilityTest.kt
+++ b/src/test/kotlin/ledgearch/scheduling/ReliabilityTest.kt
@@ -19,7 +19,7 @@
  */
 internal class ReliabilityTest {
     private val clock = Clock()
-    private val estimates = Estimates()
+    private val estimates = RunTimeEstimates()
     private val objectives = listOf(Objective("deadline", "c"))
     private val deadlines = Deadlines(objectives, estimates, clock) { emptyList() }
     private val reliability = Reliability(estimates, Ranking(objectives, estimates, clock, deadlines))
