--- a/src/main/kotlin/ledgearch/agents/MachineReleaser.kt
+++ b/src/main/kotlin/ledgearch/agents/MachineReleaser.kt
@@ -4,18 +4,18 @@
 import ledgearch.model.Machine
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
-import ledgearch.scheduling.Reliability
+import ledgearch.scheduling.SpotReliability
 
 /** Releases failed machines: counts the loss and returns the machine to the cloud. */
 internal class MachineReleaser(
     private val autoscaler: Autoscaler,
-    private val reliability: Reliability,
+    private val reliability: SpotReliability,
     private val recovery: ZoneRecovery?,
     private val clock: Clock,
 ) {
     /** Releases [machine]; its attempts count as gone once the cloud has confirmed the release. */
     fun release(machine: Machine) {
-        reliability.lost(machine, clock.steadyMs)
+        reliability.recordLoss(machine, clock.steadyMs)
         recovery?.machineFailed(machine)
         autoscaler.release(machine)
     }
--- a/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
@@ -3,9 +3,9 @@
 import ledgearch.model.Machine
 import ledgearch.model.TeamQuotas
 import ledgearch.recovery.ZoneRecovery
-import ledgearch.scheduling.Reliability
 import ledgearch.scheduling.ReplicaMover
 import ledgearch.scheduling.RunTimeEstimates
+import ledgearch.scheduling.SpotReliability
 
 /** What the autoscaler sees of the leader's machines and plans, and whom it tells of machines that are gone. */
 internal interface Cluster {
@@ -22,7 +22,7 @@
     val headroom: Headroom
 
     /** Which jobs belong on on-demand machines. */
-    val reliability: Reliability
+    val reliability: SpotReliability
 
     /** Moves replicas off machines that are to be emptied. */
     val replicas: ReplicaMover
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -38,7 +38,7 @@
     private fun onDemandCpus(
         cluster: Cluster,
         job: Job,
-    ): Double = if (cluster.reliability.wantsOnDemand(job)) job.attempts.size * job.spec.vcpus else 0.0
+    ): Double = if (cluster.reliability.shouldRunOnDemand(job)) job.attempts.size * job.spec.vcpus else 0.0
 
     /** Takes note of what waits. */
     fun observeDemands(
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -31,9 +31,9 @@
 import ledgearch.scheduling.Placer
 import ledgearch.scheduling.Preemption
 import ledgearch.scheduling.Ranking
-import ledgearch.scheduling.Reliability
 import ledgearch.scheduling.ReplicaMover
 import ledgearch.scheduling.RunTimeEstimates
+import ledgearch.scheduling.SpotReliability
 import ledgearch.standby.FailoverHints
 import ledgearch.store.StoreClient
 import ledgearch.wire.Heartbeat
@@ -70,7 +70,7 @@
     private val deadlines =
         Deadlines(settings.deployment.objectives, estimates, clock, jobStore.dependencies::dependentsOf)
     private val ranking = Ranking(settings.deployment.objectives, estimates, clock, deadlines)
-    override val reliability = Reliability(estimates, ranking)
+    override val reliability = SpotReliability(estimates, ranking)
     private val placer =
         Placer(
             machines,
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -8,7 +8,7 @@
 import ledgearch.runtime.Metrics
 import ledgearch.runtime.StallCompensation
 import ledgearch.scheduling.Placer
-import ledgearch.scheduling.Reliability
+import ledgearch.scheduling.SpotReliability
 
 /** Decides when a placement pass runs, and keeps what a pass is based on up to date: guarantees and spot risk. */
 internal class PlacementLoop(
@@ -16,7 +16,7 @@
     private val registry: MachineRegistry,
     private val placer: Placer,
     private val teams: TeamQuotas,
-    private val reliability: Reliability,
+    private val reliability: SpotReliability,
     private val headroom: Headroom,
     private val autoscaler: Autoscaler,
     private val clock: Clock,
@@ -42,7 +42,7 @@
     fun updateReliability() {
         if (clock.steadyMs - reliabilityUpdatedAt <= ControlTuning.COUNT_MS) return
         reliabilityUpdatedAt = clock.steadyMs
-        reliability.count(registry.machines.values, clock.steadyMs)
+        reliability.addMachineHours(registry.machines.values, clock.steadyMs)
         chooseSheltered()
     }
 
--- a/src/main/kotlin/ledgearch/scheduling/CandidateRating.kt
+++ b/src/main/kotlin/ledgearch/scheduling/CandidateRating.kt
@@ -6,7 +6,7 @@
 /** Rates machines for the next task of [job]; a new instance is created whenever tasks of the job are to be started. */
 internal class CandidateRating(
     private val job: Job,
-    reliability: Reliability,
+    reliability: SpotReliability,
     ranking: Ranking,
     private val latencySensitiveImages: Set<String>,
 ) {
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -17,7 +17,7 @@
     private val clock: Clock,
     private val ranking: Ranking,
     private val preemption: Preemption,
-    reliability: Reliability,
+    reliability: SpotReliability,
     private val recovery: RecoveryPolicy,
     private val estimates: RunTimeEstimates,
     private val metrics: Metrics,
--- a/src/main/kotlin/ledgearch/scheduling/Reliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
@@ -8,7 +8,7 @@
  * Estimates the loss rate of spot machines from observation, and chooses the jobs that should run on on-demand machines
  * because of it.
  */
-internal class Reliability(
+internal class SpotReliability(
     private val estimates: RunTimeEstimates,
     private val ranking: Ranking,
 ) {
@@ -33,7 +33,7 @@
     private val gainingJobs = HashSet<Job>()
 
     /** Adds the hours of the spot machines among all [machines] from the last call to [nowMs] (steady). */
-    fun count(
+    fun addMachineHours(
         machines: Collection<Machine>,
         nowMs: Long,
     ) {
@@ -47,7 +47,7 @@
      * at once, with a zone or in a burst of spot preemptions, are one event, and counting them all would raise the rate
      * so far that all work would avoid spot machines for the rest of the day.
      */
-    fun lost(
+    fun recordLoss(
         machine: Machine,
         nowMs: Long,
     ) {
@@ -93,7 +93,7 @@
     /**
      * Returns whether [job] must or should run on on-demand machines, so that keeping them in service is worthwhile.
      */
-    fun wantsOnDemand(job: Job): Boolean = !job.spec.allowsSpot || job in gainingJobs
+    fun shouldRunOnDemand(job: Job): Boolean = !job.spec.allowsSpot || job in gainingJobs
 
     private class GainingJob(
         val job: Job,
--- a/src/test/kotlin/ledgearch/scheduling/ReliabilityTest.kt
+++ b/src/test/kotlin/ledgearch/scheduling/SpotReliabilityTest.kt
@@ -17,12 +17,12 @@
 /**
  * Guards against a burst of lost spot machines being taken for a high loss rate, which would keep all work off them.
  */
-internal class ReliabilityTest {
+internal class SpotReliabilityTest {
     private val clock = Clock()
     private val estimates = RunTimeEstimates()
     private val objectives = listOf(Objective("deadline", "c"))
     private val deadlines = Deadlines(objectives, estimates, clock) { emptyList() }
-    private val reliability = Reliability(estimates, Ranking(objectives, estimates, clock, deadlines))
+    private val reliability = SpotReliability(estimates, Ranking(objectives, estimates, clock, deadlines))
     private val teams = TeamQuotas(emptyList())
     private val spotMachines =
         List(300) { Machine("host-$it", "h:1", MachineType("r", 8.0, memoryGb = 16.0), "a", true, 0, teams) }
@@ -51,7 +51,7 @@
 
     private fun shouldRunOnDemand(): Boolean {
         reliability.chooseOnDemandJobs(listOf(job), emptyList(), 0.0)
-        return reliability.wantsOnDemand(job)
+        return reliability.shouldRunOnDemand(job)
     }
 
     private fun observe(
@@ -59,8 +59,8 @@
         lossesAt: (Int) -> Int,
     ) {
         for (second in 0..seconds) {
-            repeat(lossesAt(second)) { reliability.lost(spotMachines[it], second * 1000L) }
-            reliability.count(spotMachines, second * 1000L)
+            repeat(lossesAt(second)) { reliability.recordLoss(spotMachines[it], second * 1000L) }
+            reliability.addMachineHours(spotMachines, second * 1000L)
         }
     }
 
