--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -256,18 +256,18 @@
     private inner class AgentReplies : AgentReplyListener {
         override fun isRegistered(machine: Machine) = machineRegistry.contains(machine)
 
-        override fun replyReceived(
+        override fun onReply(
             machine: Machine,
             status: Heartbeat,
         ) = heartbeatHandler.handleReply(machine, status)
 
-        override fun agentStateLost(machine: Machine) = heartbeatHandler.handleStateLoss(machine)
+        override fun onAgentStateLost(machine: Machine) = heartbeatHandler.handleStateLoss(machine)
     }
 
     private inner class TaskEvents : TaskStatusListener {
-        override fun placementChanged() = placementLoop.requestPass()
+        override fun onPlacementChanged() = placementLoop.requestPass()
 
-        override fun attemptLost(attempt: TaskAttempt) {
+        override fun onAttemptLost(attempt: TaskAttempt) {
             recovery?.lost(attempt)
         }
     }
