--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -70,8 +70,8 @@
         val inService = cluster.machines.values.filter { it.inService }
         for (machine in cluster.machines.values.toList()) {
             val movesReplicas =
-                machine.quarantined && machine.confirmed && cluster.replicas.canMove(machine, inService)
-            if (movesReplicas) cluster.replicas.move(machine)
+                machine.quarantined && machine.confirmed && cluster.replicas.canMoveReplicas(machine, inService)
+            if (movesReplicas) cluster.replicas.moveReplicas(machine)
             if (isEmptyAndLeaving(machine)) {
                 log.info("machine released: it is empty and not needed; machine={}", machine.name)
                 releases.add(machine)
@@ -115,7 +115,7 @@
             machine.name,
         )
         // Replicas of several machines would move to the same room, and some wait for their image elsewhere.
-        return !cluster.replicas.move(machine)
+        return !cluster.replicas.moveReplicas(machine)
     }
 
     /** Among those of the same price the least used. Null if each of [inService] is needed or can't be emptied. */
@@ -133,6 +133,6 @@
             .filter { it.spot || onDemandCapacity - it.machineType.vcpus >= onDemandLoad.cpus }
             .filter { it.spot || (onDemandByZone[it.zone] ?: 0) > 1 }
             .sortedWith(compareBy({ -MachinePool.pricePerCpu(it.machineType, it.spot) }, { it.usedCpus }))
-            .firstOrNull { cluster.replicas.canMove(it, inService) }
+            .firstOrNull { cluster.replicas.canMoveReplicas(it, inService) }
     }
 }
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -111,7 +111,7 @@
         if (!term.isActive) return
         job.closed = true
         cancelledJobs.remove(job)
-        placer.forget(job)
+        placer.removeFromQueues(job)
         attemptControl.stopAll(job)
         placementLoop.invalidateGuarantees()
         placementLoop.requestPass()
@@ -121,7 +121,7 @@
     fun closeCancelled() {
         for (job in cancelledJobs) {
             if (job.closing) continue
-            placer.forget(job)
+            placer.removeFromQueues(job)
             attemptControl.stopAll(job)
             if (isFullyStopped(job)) recordWriter.close(job, JobState.CANCELLED)
         }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -84,7 +84,7 @@
             metrics,
             attemptControl::start,
         )
-    override val replicas = ReplicaMover(clock, placer::usable) { attemptControl.stop(it) }
+    override val replicas = ReplicaMover(clock, placer::isUsable) { attemptControl.stop(it) }
     private val placementLoop =
         PlacementLoop(
             jobStore,
@@ -242,7 +242,7 @@
         taskStatusHandler.removeAll(machine)
         machineRegistry.remove(machine)
         dispatcher.remove(machine)
-        placer.machinesChanged(machine)
+        placer.updateMachines(machine)
         recordWriter.removeMachine(machine)
         placementLoop.requestPass()
     }
--- a/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
+++ b/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
@@ -21,7 +21,7 @@
         dispatcher.markReachable(machine)
         machineRegistry.markConfirmed(machine)
         if (!machine.durable) recordWriter.putMachine(machine)
-        placer.machinesChanged()
+        placer.updateMachines()
         machine.lastAnsweredAt = clock.steadyMs
         // The agent may have reached this leader only now, so the heartbeat timeout starts here.
         machine.lastHeartbeatAt = clock.steadyMs
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -58,7 +58,7 @@
             updateOnDemandJobs()
         }
         teams.countUnfound(jobStore.jobs.values)
-        stalls.passed(metrics.timed { placer.pass(jobStore.jobs.values) })
+        stalls.passed(metrics.timed { placer.runPass(jobStore.jobs.values) })
     }
 
     private fun updateOnDemandJobs() =
--- a/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
+++ b/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
@@ -54,7 +54,7 @@
     ): Boolean {
         val job = attempt.job ?: return true
         if (job.isService || job.spec.checkpointIntervalS != 0.0) return false
-        return estimates.runTimeS(job) - runTimeS(attempt) <= secondsLeft
+        return estimates.expectedRunTimeS(job) - runTimeS(attempt) <= secondsLeft
     }
 
     private fun runTimeS(attempt: TaskAttempt) =
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -60,7 +60,7 @@
     private fun latestStartsS(
         job: Job,
         depth: Int,
-    ): List<Double> = latestEndsS(job, depth).map { it - estimates.runTimeS(job) }
+    ): List<Double> = latestEndsS(job, depth).map { it - estimates.expectedRunTimeS(job) }
 
     private fun ownDeadlinesS(job: Job): List<Double> {
         val deadlineS = job.spec.deadlineS ?: return emptyList()
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -36,10 +36,10 @@
     private val reservations = StarvedJobReservations(clock)
 
     /** Removes all tasks of [job], which is over, from the queues. */
-    fun forget(job: Job) = queues.unbindAll(job)
+    fun removeFromQueues(job: Job) = queues.unbindAll(job)
 
     /** Called when machines have joined, changed or left; tasks bound to the queue of [removed] wait unbound again. */
-    fun machinesChanged(removed: Machine? = null) = queues.updateMachines(removed)
+    fun updateMachines(removed: Machine? = null) = queues.updateMachines(removed)
 
     /** Clears all state that is kept only while this node leads. */
     fun clear() {
@@ -49,16 +49,16 @@
     }
 
     /** Returns whether new tasks may be started on [machine] now. */
-    fun usable(machine: Machine): Boolean = machine.isUsable(clock)
+    fun isUsable(machine: Machine): Boolean = machine.isUsable(clock)
 
     /**
      * Starts the pending tasks of [jobs], preempts other tasks for them or binds them to queues, as far as possible.
      */
-    fun pass(jobs: Collection<Job>) {
+    fun runPass(jobs: Collection<Job>) {
         val startable = jobs.filter { it.startable(clock.steadyMs) }
         recovery.look(startable)
         if (startable.isEmpty()) return
-        val allUsable = machines.values.filter { usable(it) }
+        val allUsable = machines.values.filter { isUsable(it) }
         starter.beginPass()
         addLatencySensitiveImages(startable)
         val usable = excluding(serveStarved(startable, allUsable), allUsable)
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -86,7 +86,7 @@
         } else {
             countMissed(
                 job,
-                waitedS(job) + estimates.runTimeS(job),
+                waitedS(job) + estimates.expectedRunTimeS(job),
             )
         }
 
@@ -96,7 +96,7 @@
         ranS: Double,
     ): Int {
         if (job.isService) return 0
-        val endS = waitedS(job) + estimates.runTimeS(job)
+        val endS = waitedS(job) + estimates.expectedRunTimeS(job)
         return countMissed(job, endS) - countMissed(job, endS - ranS)
     }
 
@@ -135,7 +135,7 @@
     private fun costCpuS(job: Job): Double {
         val waitedS = waitedS(job)
         if (job.isService) return -waitedS
-        val workCpuS = job.pendingCount * job.spec.vcpus * estimates.runTimeS(job)
+        val workCpuS = job.pendingCount * job.spec.vcpus * estimates.expectedRunTimeS(job)
         return workCpuS - waitedS * job.spec.vcpus * job.spec.taskCount * SchedulingTuning.WAITING_CREDIT_SHARE
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
@@ -29,7 +29,7 @@
      * images (in the same zone if the job spreads over zones or keeps to one), so that a move takes each replica down
      * for no longer than a start takes.
      */
-    fun canMove(
+    fun canMoveReplicas(
         machine: Machine,
         machines: List<Machine>,
     ): Boolean {
@@ -65,7 +65,7 @@
     }
 
     /** Stops the replicas on [machine] so that they start elsewhere; returns whether there were any. */
-    fun move(machine: Machine): Boolean {
+    fun moveReplicas(machine: Machine): Boolean {
         val replicas = machine.attempts.values.filter { it.continues && it.job?.isService == true }
         for (replica in replicas) {
             stopAttempt(replica)
--- a/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
@@ -61,7 +61,7 @@
     }
 
     /** Returns the estimated run time of a task of [job] in seconds. */
-    fun runTimeS(job: Job): Double {
+    fun expectedRunTimeS(job: Job): Double {
         if (job.runTime.tasks > 0) return job.runTime.mean
         val mean = runningMeanErrors[job.spec.jobClass] ?: return job.spec.estimatedRunS
         // The prior, that owners are right on average, has the weight of one job.
@@ -93,6 +93,6 @@
             0.0
         } else {
             job.spec.vcpus /
-                maxOf(runTimeS(job), 1.0)
+                maxOf(expectedRunTimeS(job), 1.0)
         }
 }
--- a/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
@@ -113,7 +113,8 @@
 
     private fun isAtRiskOnSpot(job: Job): Boolean = expectedLosses(job) > SchedulingTuning.MAX_EXPECTED_LOSSES
 
-    private fun expectedLosses(job: Job): Double = expectedLossesPerTask(estimates.runTimeS(job)) * unfinishedTasks(job)
+    private fun expectedLosses(job: Job): Double =
+        expectedLossesPerTask(estimates.expectedRunTimeS(job)) * unfinishedTasks(job)
 
     private fun expectedLossesPerTask(runS: Double): Double = losses / machineHours * runS / SECONDS_PER_HOUR
 
@@ -127,7 +128,7 @@
     private fun unfinishedCpus(job: Job): Double = job.spec.vcpus * unfinishedTasks(job)
 
     private fun onDemandGain(job: Job): Double {
-        val runS = estimates.runTimeS(job)
+        val runS = estimates.expectedRunTimeS(job)
         val factors =
             if (job.runTime.tasks > 0) {
                 SchedulingTuning.OBSERVED_RUN_TIME_FACTORS
