--- a/src/main/kotlin/ledgearch/autoscaling/Demand.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Demand.kt
@@ -65,7 +65,7 @@
                     .filter { it.startable(clock.steadyMs) }
                     .sortedWith(compareBy({ it.priority }, { it.readyAt }))
             val recovery = cluster.recovery ?: return waiting
-            return recovery.arrange(listOf(waiting)).single()
+            return recovery.reorder(listOf(waiting)).single()
         }
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -85,7 +85,7 @@
     ): Double {
         val need = expectedNeed(bootS) { true }
         if (need.cpus == 0.0) return 0.0
-        val freed = freedPerSecond * need.startWithinS * SchedulingTuning.FREED_SHARE_COUNTED
+        val freed = freedPerSecond * need.startWithinS * SchedulingTuning.RELIABLE_FREED_SHARE
         return (need.cpus - freed).coerceAtLeast(0.0)
     }
 
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
@@ -42,7 +42,7 @@
 
     /** What frees by itself may serve the job. One that has starved beside all that frees is not served by it. */
     private fun mayWaitForFreed(job: Job): Boolean =
-        !job.isService && job.spec.vcpus > 0 && job.unservedMs(clock.wallMs) <= SchedulingTuning.STARVED_MS
+        !job.isService && job.spec.vcpus > 0 && job.unservedMs(clock.wallMs) <= SchedulingTuning.STARVATION_MS
 
     /** How many of [tasks] tasks are served by what running tasks free in time; that is taken. */
     private fun takeFreed(
@@ -62,7 +62,7 @@
         // Where only expensive machines are left to provision, all that frees before one could be up is counted on.
         val onlyExpensive = pools.isExpensive(demand.job, pools.cheapest(cluster, demand, planned))
         val withinS = if (onlyExpensive) bootS else cluster.headroom.startWithinS(demand.job, bootS)
-        val counted = if (onlyExpensive) 1.0 else SchedulingTuning.FREED_SHARE_COUNTED
+        val counted = if (onlyExpensive) 1.0 else SchedulingTuning.RELIABLE_FREED_SHARE
         val freedThere = demand.onlyZone?.let { freedPerSecondByZone[it] ?: 0.0 } ?: freedPerSecond
         return freedThere * withinS * counted
     }
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -132,10 +132,10 @@
 
     // --- Placement --------------------------------------------------------------------------------------------
 
-    override fun arrange(levels: List<List<Job>>) =
+    override fun reorder(levels: List<List<Job>>) =
         if (displaced.isEmpty) levels else order.arrange(levels, displaced::isWaiting)
 
-    override fun look(waiting: Collection<Job>) {
+    override fun updateWaiting(waiting: Collection<Job>) {
         if (isActive) waitingTimes.update(waiting, clock.steadyMs) else waitingTimes.clear()
     }
 
@@ -169,7 +169,7 @@
         group: Int,
     ) = firstUnprovenGroup < group && waitedMs(job) < RecoveryTuning.WAIT_FOR_EARLIER_GROUP_MS
 
-    override fun isSpecial(job: Job) = isActive && (isPaced(job) || mayUseHeldBack(job))
+    override fun hasOwnLimits(job: Job) = isActive && (isPaced(job) || mayUseHeldBack(job))
 
     /** Displaced work of the first group is never paced, and no other once it has waited for long. */
     private fun isPaced(job: Job): Boolean {
@@ -192,7 +192,7 @@
         return open.isNotEmpty() && open.none { it.admittedShare >= 1.0 } && open.any { !it.isSuppressed }
     }
 
-    override fun started(
+    override fun onTaskStarted(
         job: Job,
         index: Int,
     ) {
@@ -202,7 +202,7 @@
         displaced.started(job, index)
     }
 
-    override fun protects(
+    override fun protectsFromPreemption(
         victim: Job,
         job: Job,
     ): Boolean {
@@ -213,7 +213,8 @@
         return victimGroup < group
     }
 
-    override fun yieldsFor(job: Job): Double = (displaced.groupOf(job) ?: 0) * RecoveryTuning.STOP_DISCOUNT_PER_GROUP
+    override fun preemptionDiscountCpuS(job: Job): Double =
+        (displaced.groupOf(job) ?: 0) * RecoveryTuning.STOP_DISCOUNT_PER_GROUP
 
     // --- Report -----------------------------------------------------------------------------------------------
 
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -56,7 +56,7 @@
      */
     fun runPass(jobs: Collection<Job>) {
         val startable = jobs.filter { it.startable(clock.steadyMs) }
-        recovery.look(startable)
+        recovery.updateWaiting(startable)
         if (startable.isEmpty()) return
         val allUsable = machines.values.filter { isUsable(it) }
         starter.beginPass()
@@ -91,7 +91,7 @@
                 .toSortedMap()
                 .values
                 .map(ranking::sortByRank)
-        for (ordered in recovery.arrange(levels)) {
+        for (ordered in recovery.reorder(levels)) {
             for (job in ordered) {
                 if (ranking.isLatencySensitive(job)) {
                     starter.startOn(job, usable.filter { it.imageDistance(job.spec.image) == Machine.IMAGE_PRESENT })
--- a/src/main/kotlin/ledgearch/scheduling/Preemption.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Preemption.kt
@@ -33,7 +33,7 @@
         freedCpusPerSecond: Double,
     ) {
         var expectedCpus =
-            freedCpusPerSecond * SchedulingTuning.MAX_PREEMPTION_DELAY_S * SchedulingTuning.FREED_SHARE_COUNTED
+            freedCpusPerSecond * SchedulingTuning.MAX_PREEMPTION_DELAY_S * SchedulingTuning.RELIABLE_FREED_SHARE
         val claimants =
             waiting.filter { job ->
                 val wantedCpus = job.pendingCount * job.spec.vcpus
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
@@ -25,7 +25,7 @@
             lostWorkCpuS(attempt, job) +
                 missedObjectives * SchedulingTuning.MISSED_OBJECTIVE_COST_CPU_S +
                 priorityCostCpuS(job) -
-                recovery.yieldsFor(job)
+                recovery.preemptionDiscountCpuS(job)
         return PreemptionVictim(attempt, job, missedObjectives, costCpuS)
     }
 
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
@@ -27,7 +27,7 @@
         claimsGuarantee: Boolean,
         victim: Job,
     ): Boolean {
-        if (recovery.protects(victim, job)) return false
+        if (recovery.protectsFromPreemption(victim, job)) return false
         if (victim.priority > job.priority) return true
         return claimsGuarantee && victim.priority == job.priority && isSurplusOfOtherTeam(job, victim)
     }
@@ -48,7 +48,7 @@
     ): Boolean =
         victim.spec.team == job.spec.team &&
             victim.priority > job.priority &&
-            !recovery.protects(victim, job) &&
+            !recovery.protectsFromPreemption(victim, job) &&
             victim.spec.vcpus >= job.spec.vcpus &&
             victim.spec.accelerators >= job.spec.accelerators
 }
--- a/src/main/kotlin/ledgearch/scheduling/RecoveryPolicy.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RecoveryPolicy.kt
@@ -12,10 +12,10 @@
     val isActive: Boolean
 
     /** Called at the start of each placement pass with all jobs that wait for room. */
-    fun look(waiting: Collection<Job>)
+    fun updateWaiting(waiting: Collection<Job>)
 
     /** Returns the jobs of [levels], one list per priority in serving order, in the order in which they are served. */
-    fun arrange(levels: List<List<Job>>): List<List<Job>>
+    fun reorder(levels: List<List<Job>>): List<List<Job>>
 
     /** Returns whether the recovery permits new tasks of [job] on [machine] now. */
     fun admits(
@@ -30,10 +30,10 @@
      * Returns whether the recovery limits [job] more or less than other jobs, so that a failed search for room for it
      * does not apply to them, nor theirs to it.
      */
-    fun isSpecial(job: Job): Boolean
+    fun hasOwnLimits(job: Job): Boolean
 
     /** Called when the task [index] of [job] was started. */
-    fun started(
+    fun onTaskStarted(
         job: Job,
         index: Int,
     )
@@ -41,7 +41,7 @@
     /**
      * Returns whether [victim] may not be preempted for [job]: both are displaced, and [victim] is to recover first.
      */
-    fun protects(
+    fun protectsFromPreemption(
         victim: Job,
         job: Job,
     ): Boolean
@@ -50,16 +50,16 @@
      * Returns the processor seconds subtracted from the cost of preempting a task of [job], so that displaced work of
      * later recovery groups is preempted first.
      */
-    fun yieldsFor(job: Job): Double
+    fun preemptionDiscountCpuS(job: Job): Double
 }
 
 /** The policy when zone recovery is switched off: placement does not depend on the loss of zones. */
 internal object NoRecovery : RecoveryPolicy {
     override val isActive = false
 
-    override fun look(waiting: Collection<Job>) = Unit
+    override fun updateWaiting(waiting: Collection<Job>) = Unit
 
-    override fun arrange(levels: List<List<Job>>) = levels
+    override fun reorder(levels: List<List<Job>>) = levels
 
     override fun admits(
         machine: Machine,
@@ -68,17 +68,17 @@
 
     override fun mayStart(job: Job) = true
 
-    override fun isSpecial(job: Job) = false
+    override fun hasOwnLimits(job: Job) = false
 
-    override fun started(
+    override fun onTaskStarted(
         job: Job,
         index: Int,
     ) = Unit
 
-    override fun protects(
+    override fun protectsFromPreemption(
         victim: Job,
         job: Job,
     ) = false
 
-    override fun yieldsFor(job: Job) = 0.0
+    override fun preemptionDiscountCpuS(job: Job) = 0.0
 }
--- a/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
@@ -38,7 +38,7 @@
         // Every job has the same weight, however many tasks it has.
         val taskWeight = 1.0 / job.spec.taskCount
         val mean = runningMeanErrors.getOrPut(job.spec.jobClass) { RunningMeanError() }
-        mean.weight = minOf(mean.weight + taskWeight, SchedulingTuning.ESTIMATE_JOBS)
+        mean.weight = minOf(mean.weight + taskWeight, SchedulingTuning.MAX_MEAN_ERROR_JOBS)
         val deviation = ln(seconds / job.spec.estimatedRunS) - mean.logRatio
         mean.logRatio += deviation * minOf(1.0, taskWeight / mean.weight)
     }
--- a/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
@@ -6,7 +6,7 @@
     const val MAX_BUDDIES = 10
 
     /** A job for which nothing was started for this long is served first: half of the longest wait users accept. */
-    const val STARVED_MS = 120_000L
+    const val STARVATION_MS = 120_000L
 
     /** A starved job starts at most the pending tasks divided by this number before other jobs are served. */
     const val STARVED_JOB_PARTS = 4
@@ -77,7 +77,7 @@
     const val MAX_DEADLINE_CHAIN_JOBS = 50
 
     /** Maximum weight of the mean error of a class; from then on the influence of older jobs decays. */
-    const val ESTIMATE_JOBS = 20.0
+    const val MAX_MEAN_ERROR_JOBS = 20.0
 
     /** A replica is moved only after it has run this long: a start that is soon undone does not count. */
     const val MIN_REPLICA_RUN_MS = 60_000L
@@ -85,5 +85,5 @@
     /**
      * Share of the processors expected to be freed by running tasks that is relied on: their end times are uncertain.
      */
-    const val FREED_SHARE_COUNTED = 0.4
+    const val RELIABLE_FREED_SHARE = 0.4
 }
--- a/src/main/kotlin/ledgearch/scheduling/TaskStarter.kt
+++ b/src/main/kotlin/ledgearch/scheduling/TaskStarter.kt
@@ -25,10 +25,10 @@
         usable: List<Machine>,
         keepPending: Int = 0,
     ) {
-        val isSpecial = recovery.isSpecial(job)
-        if (!isSpecial && unplaceable.covers(job)) return
+        val hasOwnLimits = recovery.hasOwnLimits(job)
+        if (!hasOwnLimits && unplaceable.covers(job)) return
         val hasRoomLeft = startOn(job, usable, keepPending)
-        if (!hasRoomLeft && !isSpecial) unplaceable.add(job)
+        if (!hasRoomLeft && !hasOwnLimits) unplaceable.add(job)
     }
 
     /**
@@ -50,7 +50,7 @@
                 candidates.startOnBest(zoneSpread) { machine ->
                     queues.unbindStarted(job, machine)
                     startTask(job, index, machine)
-                    recovery.started(job, index)
+                    recovery.onTaskStarted(job, index)
                     zoneSpread.add(machine.zone)
                 }
             if (!isStarted) break
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -81,7 +81,7 @@
         hint: ClassRunTime,
     ) {
         val isPlausible = abs(hint.logRatio) <= StandbyTuning.RUN_TIME_HINT_MAX
-        if (isPlausible && hint.weight in 0.0..SchedulingTuning.ESTIMATE_JOBS) {
+        if (isPlausible && hint.weight in 0.0..SchedulingTuning.MAX_MEAN_ERROR_JOBS) {
             estimates.restoreMeanError(hint.jobClass, hint.logRatio, hint.weight)
         }
     }
