--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -162,7 +162,7 @@
         }
         job.finish(attempt.index)
         if (!job.closed) recordWriter.writeFinishedTasks(job)
-        if (job.complete) recordWriter.close(job, JobState.DONE)
+        if (job.complete) recordWriter.closeJob(job, JobState.DONE)
     }
 
     /** The attempt was seen from start to end, and no checkpoint of an earlier attempt made it shorter. */
--- a/src/main/kotlin/ledgearch/api/Cancellations.kt
+++ b/src/main/kotlin/ledgearch/api/Cancellations.kt
@@ -43,7 +43,7 @@
         respond: Respond,
     ) {
         if (!Validation.isJobId(id)) return respond(answers.unknownJob())
-        jobStore.final(id)?.let { return respond(answers.over(id, it)) }
+        jobStore.finalRecord(id)?.let { return respond(answers.over(id, it)) }
         val cancellation = Cancellation(clock.steadyMs, respond)
         if (jobStore.jobs.containsKey(id)) return awaitEnd(id, cancellation)
         // It may have been accepted at another node a moment ago; only an end is an answer to a cancellation.
@@ -56,7 +56,7 @@
     fun closed(id: String) {
         markAgainAt.remove(id)
         val cancellations = waiting.remove(id) ?: return
-        val answer = jobStore.final(id)?.let { answers.over(id, it) } ?: answers.tryAgain()
+        val answer = jobStore.finalRecord(id)?.let { answers.over(id, it) } ?: answers.tryAgain()
         cancellations.forEach { it.respond(answer) }
     }
 
@@ -92,7 +92,7 @@
         cancellation: Cancellation,
         open: KeyValue,
     ) {
-        jobStore.final(id)?.let { return cancellation.respond(answers.over(id, it)) }
+        jobStore.finalRecord(id)?.let { return cancellation.respond(answers.over(id, it)) }
         val record = decodeRecord(JobRecord.serializer(), open.value) ?: return cancellation.respond(answers.tryAgain())
         awaitEnd(id, cancellation)
         if (!record.cancelRequested) mark(record, open.modRevision)
@@ -135,7 +135,7 @@
         result: TransactionResult,
     ) {
         // Once it is written, the watch brings the mark.
-        markAgainAt[id] = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+        markAgainAt[id] = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
         when (result) {
             // The user's next request tries again.
             TransactionResult.Refused, TransactionResult.TooLarge -> {
--- a/src/main/kotlin/ledgearch/api/DependencyAdmission.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyAdmission.kt
@@ -33,7 +33,7 @@
             unfinished.any { isCancelled(it, submission) } -> Admission.CANCELLED
 
             // A dependency of theirs that is still to be read may have been cancelled long ago.
-            !unfinished.all(jobStore.dependencies::isKnown) -> Admission.UNDECIDED
+            !unfinished.all(jobStore.dependencies::isOpenWithDependencies) -> Admission.UNDECIDED
 
             else -> Admission.OPEN
         }
@@ -53,5 +53,5 @@
     private fun finalOf(
         id: String,
         submission: Submission,
-    ): FinalRecord? = submission.endedDependencies[id] ?: jobStore.final(id)
+    ): FinalRecord? = submission.endedDependencies[id] ?: jobStore.finalRecord(id)
 }
--- a/src/main/kotlin/ledgearch/api/DependencyCheck.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyCheck.kt
@@ -1,6 +1,6 @@
 package ledgearch.api
 
-import ledgearch.jobs.JobReading
+import ledgearch.jobs.JobReadResult
 import ledgearch.jobs.JobStore
 import ledgearch.records.FinalRecord
 
@@ -47,7 +47,7 @@
         for ((index, id) in ids.withIndex()) {
             val job = jobStore.jobs[id]
             if (job?.isService == true) return done(DependencyCheckResult.IsService(id))
-            if (job != null || jobStore.final(id) != null) continue
+            if (job != null || jobStore.finalRecord(id) != null) continue
             return read(id, done) { final ->
                 if (final != null) ended[id] = final
                 check(ids.drop(index + 1), ended, done)
@@ -63,10 +63,10 @@
         accepted: (FinalRecord?) -> Unit,
     ) = jobStore.records.read(id) { reading ->
         when (reading) {
-            is JobReading.Open -> accepted(null)
-            is JobReading.Over -> accepted(reading.record)
-            JobReading.Absent -> done(DependencyCheckResult.NeverAccepted(id))
-            JobReading.Unknown -> done(DependencyCheckResult.Unknown)
+            is JobReadResult.Open -> accepted(null)
+            is JobReadResult.Ended -> accepted(reading.record)
+            JobReadResult.Absent -> done(DependencyCheckResult.NeverAccepted(id))
+            JobReadResult.Unknown -> done(DependencyCheckResult.Unknown)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/api/DependencyKnowledge.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyKnowledge.kt
@@ -14,7 +14,7 @@
     private val freshMs: Long,
 ) {
     /** The job store was complete so recently that what it has of a chain is within the time for a cancellation. */
-    val isFresh: Boolean get() = clock.steadyMs - jobStore.completeAt < freshMs
+    val isFresh: Boolean get() = clock.steadyMs - jobStore.completeAsOfMs < freshMs
 
     /**
      * Whether [job] may be reported as open. A job with unfinished dependencies may be cancelled through them without a
@@ -22,6 +22,6 @@
      */
     fun mayReportOpen(job: Job): Boolean {
         if (!job.waitsForOthers) return true
-        return !job.dependencyCancelled && isFresh && jobStore.dependencies.areDependenciesKnown(job)
+        return !job.dependencyCancelled && isFresh && jobStore.dependencies.areDependenciesOpen(job)
     }
 }
--- a/src/main/kotlin/ledgearch/api/JobLookup.kt
+++ b/src/main/kotlin/ledgearch/api/JobLookup.kt
@@ -1,6 +1,6 @@
 package ledgearch.api
 
-import ledgearch.jobs.JobReading
+import ledgearch.jobs.JobReadResult
 import ledgearch.jobs.JobStore
 import ledgearch.model.Job
 import ledgearch.records.JobRecord
@@ -46,25 +46,25 @@
     ) {
         if (isFull) return respond(answers.tryAgain())
         val done =
-            counted<JobReading> { reading ->
+            counted<JobReadResult> { reading ->
                 when (reading) {
-                    is JobReading.Open -> open(reading.stored)
-                    is JobReading.Over -> respond(answers.over(id, reading.record))
-                    JobReading.Absent -> unknown()
-                    JobReading.Unknown -> respond(answers.tryAgain())
+                    is JobReadResult.Open -> open(reading.stored)
+                    is JobReadResult.Ended -> respond(answers.over(id, reading.record))
+                    JobReadResult.Absent -> unknown()
+                    JobReadResult.Unknown -> respond(answers.tryAgain())
                 }
             }
         jobStore.records.read(id, done)
     }
 
     /** Reads whether the job [id] is over, so that this node's job store remembers it. */
-    fun refreshFinal(id: String) = jobStore.records.readFinal(id, counted { })
+    fun refreshFinal(id: String) = jobStore.records.readFinalRecord(id, counted { })
 
     /** The answer for a job whose open record was read as [open]; it may have ended since. */
     private fun openAnswer(
         id: String,
         open: KeyValue,
-    ) = jobStore.final(id)?.let { answers.over(id, it) }
+    ) = jobStore.finalRecord(id)?.let { answers.over(id, it) }
         ?: jobStore.jobs[id]?.let(::storedAnswer)
         ?: unstoredAnswer(id, open)
 
--- a/src/main/kotlin/ledgearch/api/Polls.kt
+++ b/src/main/kotlin/ledgearch/api/Polls.kt
@@ -32,7 +32,7 @@
         respond: Respond,
     ) {
         if (!Validation.isJobId(id)) return respond(answers.unknownJob())
-        jobStore.final(id)?.let { return respond(answers.over(id, it)) }
+        jobStore.finalRecord(id)?.let { return respond(answers.over(id, it)) }
         if (waiting.size >= ApiTuning.REQUEST_BACKLOG) return respond(answers.tryAgain())
         waiting.addLast(Poll(id, clock.steadyMs, respond))
     }
@@ -62,7 +62,7 @@
         while (waiting.isNotEmpty() && batch.hasRoom) {
             val poll = waiting.removeFirst()
             val job = jobStore.jobs[poll.id]
-            val final = jobStore.final(poll.id)
+            val final = jobStore.finalRecord(poll.id)
             when {
                 final != null -> poll.respond(answers.over(poll.id, final))
 
@@ -87,7 +87,7 @@
             }
 
             is TransactionResult.Conflict -> {
-                batch.polls.asReversed().forEach { conflicted(it, result.failed) }
+                batch.polls.asReversed().forEach { conflicted(it, result.failedKeys) }
             }
 
             TransactionResult.Refused, TransactionResult.TooLarge, TransactionResult.LeaseExpired -> {
@@ -95,7 +95,7 @@
             }
 
             TransactionResult.Unknown -> {
-                retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+                retryAt = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
                 batch.polls.asReversed().forEach(waiting::addFirst)
             }
         }
@@ -103,7 +103,7 @@
 
     /** [poll]'s job was open at the revision known here, or unknown to the state service, as it was compared. */
     private fun confirmed(poll: Poll) {
-        val final = jobStore.final(poll.id)
+        val final = jobStore.finalRecord(poll.id)
         val job = jobStore.jobs[poll.id]
         when {
             final != null -> poll.respond(answers.over(poll.id, final))
--- a/src/main/kotlin/ledgearch/api/SubmissionBatch.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionBatch.kt
@@ -40,7 +40,7 @@
     ): Boolean {
         val change = if (isCancelled) cancelledChange(submission.id) else openChange(submission.record)
         val size = plannedSizeOf(change)
-        val isFull = changes.size >= maxChanges || plannedBytes + size > StoreTuning.TRANSACTION_BYTES
+        val isFull = changes.size >= maxChanges || plannedBytes + size > StoreTuning.MAX_TRANSACTION_BYTES
         if (isFull && submissions.isNotEmpty()) return false
         plannedBytes += size
         submissions.add(submission)
--- a/src/main/kotlin/ledgearch/api/SubmissionQueue.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionQueue.kt
@@ -62,7 +62,7 @@
         endedDependencies: Map<String, FinalRecord> = emptyMap(),
     ) {
         val id = record.spec.id
-        if (jobStore.final(id) != null || jobStore.jobs.containsKey(id)) return polls.add(id, respond)
+        if (jobStore.finalRecord(id) != null || jobStore.jobs.containsKey(id)) return polls.add(id, respond)
         if (join(id, respond)) return
         val submission = Submission(record, clock.steadyMs, endedDependencies)
         submission.join(respond)
@@ -136,7 +136,7 @@
             }
 
             is TransactionResult.Conflict -> {
-                batch.submissions.forEach { conflicted(it, result.failed) }
+                batch.submissions.forEach { conflicted(it, result.failedKeys) }
             }
 
             // Not executed: the users are turned away at once, with the time to come back.
@@ -146,7 +146,7 @@
 
             // A repeat is harmless: if the first was committed, its condition fails and the job is found.
             TransactionResult.Unknown -> {
-                retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+                retryAt = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
             }
         }
     }
@@ -162,10 +162,10 @@
             waiting.remove(submission.id, submission)
             val isUnderLeadership = condition != null && leadership.isLeader
             if (submission in batch.cancelled) {
-                jobStore.rememberFinal(submission.id, FinalRecord(JobState.CANCELLED))
+                jobStore.addFinalRecord(submission.id, FinalRecord(JobState.CANCELLED))
                 accepted(submission, JobState.CANCELLED)
             } else {
-                if (isUnderLeadership) jobStore.acceptUnderLeadership(submission.record, revision)
+                if (isUnderLeadership) jobStore.openAcceptedJob(submission.record, revision)
                 accepted(submission, JobState.PENDING)
             }
         }
--- a/src/main/kotlin/ledgearch/api/Submissions.kt
+++ b/src/main/kotlin/ledgearch/api/Submissions.kt
@@ -43,7 +43,7 @@
                 return respond(errorResponse(HttpStatus.BAD_REQUEST, malformed.message.orEmpty()))
             }
         val id = submitted.id
-        jobStore.final(id)?.let { return respond(answers.over(id, it)) }
+        jobStore.finalRecord(id)?.let { return respond(answers.over(id, it)) }
         if (jobStore.jobs.containsKey(id)) return polls.add(id, respond)
         val spec =
             try {
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -19,11 +19,11 @@
     random: Random,
     instance: Long,
     nanos: () -> Long,
-    finalsKept: Long = ControlTuning.FINAL_CACHE,
+    maxFinalRecords: Long = ControlTuning.FINAL_CACHE,
     private val stepFailed: (RuntimeException) -> Unit = ::logFailure,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
-    private val components = ControllerComponents(settings, transport, mesh, random, instance, nanos, finalsKept)
+    private val components = ControllerComponents(settings, transport, mesh, random, instance, nanos, maxFinalRecords)
     private val clock = components.clock
     private val metrics = components.metrics
     private val state = components.state
@@ -65,7 +65,7 @@
         guarded { leader.drive() }
         guarded { components.progress.drive() }
         if (standby != null) guarded { metrics.spend("standby") { standby.drive(election.isLeader && leader.ready) } }
-        guarded { metrics.spend("state") { state.pump() } }
+        guarded { metrics.spend("state") { state.sendAllowed() } }
         logLoad()
     }
 
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -35,7 +35,7 @@
     private val random: Random,
     instance: Long,
     nanos: () -> Long,
-    finalsKept: Long,
+    maxFinalRecords: Long,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
     private val addresses = settings.members.associate { it.node to it.addr }
@@ -52,7 +52,7 @@
         StoreClient(settings.outside.state, settings.deployment.state, settings.members.size + 1, metered, clock)
 
     /** This node's view of the watched records. */
-    val jobStore = JobStore(state, clock, JobStoreEvents(), DependencyEvents(), finalsKept)
+    val jobStore = JobStore(state, clock, JobStoreEvents(), DependencyEvents(), maxFinalRecords)
 
     /** Whether this node leads, and by which token. */
     val election: Election =
@@ -90,7 +90,7 @@
         )
 
     init {
-        recordWriter.onClosed = { job, record -> jobStore.rememberFinal(job.id, record) }
+        recordWriter.onJobClosed = { job, record -> jobStore.addFinalRecord(job.id, record) }
     }
 
     /** The mesh address of the leader, as far as the job store knows one. */
@@ -113,7 +113,7 @@
     }
 
     private inner class JobStoreEvents : JobStoreListener {
-        override fun leadershipChanged() {
+        override fun onLeadershipChanged() {
             election.leadershipChanged()
             standby?.leadershipChanged(jobStore.leadership, jobStore.leadershipRevision)
             mesh.follow(leaderAddress)
@@ -121,24 +121,24 @@
             log.info("leader changed; node={} token={}", node, jobStore.leadershipRevision)
         }
 
-        override fun jobOpened(job: Job) = leader.jobs.opened(job)
+        override fun onJobOpened(job: Job) = leader.jobs.opened(job)
 
-        override fun jobChanged(job: Job) = leader.jobs.changed(job)
+        override fun onJobChanged(job: Job) = leader.jobs.changed(job)
 
-        override fun jobClosed(job: Job) {
+        override fun onJobClosed(job: Job) {
             leader.jobs.closed(job)
             userApi.closed(job.id)
         }
 
-        override fun machineTypesChanged() = leader.changed()
+        override fun onMachineTypesChanged() = leader.changed()
     }
 
     private inner class DependencyEvents : DependencyListener {
-        override fun released(job: Job) = leader.jobs.released(job)
+        override fun onDependenciesDone(job: Job) = leader.jobs.released(job)
 
-        override fun dependencyCancelled(job: Job) = leader.jobs.dependencyCancelled(job)
+        override fun onDependencyCancelled(job: Job) = leader.jobs.dependencyCancelled(job)
 
-        override fun priorityChanged(
+        override fun onPriorityChanged(
             job: Job,
             priority: Priority,
         ) = leader.jobs.priorityChanged(job, priority)
--- a/src/main/kotlin/ledgearch/control/HealthCheck.kt
+++ b/src/main/kotlin/ledgearch/control/HealthCheck.kt
@@ -25,7 +25,7 @@
      */
     fun isHealthy(): Boolean {
         if (!jobStore.isLoaded || jobStore.machineTypes.isEmpty()) return false
-        return clock.steadyMs - state.lastAnswerAt < ControlTuning.STATE_SILENT_MS ||
+        return clock.steadyMs - state.lastReplyAtMs < ControlTuning.STATE_SILENT_MS ||
             clock.steadyMs - leaderUnservedAt < ControlTuning.OUTAGE_VALID_MS
     }
 }
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -117,7 +117,7 @@
             if (job.closing) continue
             placer.forget(job)
             attempts.stopAll(job)
-            if (nothingIsLeft(job)) recordWriter.close(job, JobState.CANCELLED)
+            if (nothingIsLeft(job)) recordWriter.closeJob(job, JobState.CANCELLED)
         }
     }
 
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -158,7 +158,7 @@
         jobs.begin()
         loader.begin()
         recovery?.begin()
-        state.setBudgetShare(leader = true)
+        state.setBudgetShare(isLeader = true)
     }
 
     /** This node no longer leads: all that belongs to the term is forgotten. */
@@ -177,7 +177,7 @@
         recovery?.end()
         for (job in jobStore.jobs.values) job.forgetLeaderState()
         autoscaler.end()
-        state.setBudgetShare(leader = false)
+        state.setBudgetShare(isLeader = false)
     }
 
     /**
--- a/src/main/kotlin/ledgearch/control/ProgressExchange.kt
+++ b/src/main/kotlin/ledgearch/control/ProgressExchange.kt
@@ -38,7 +38,7 @@
                 if (!isPeerNew && current == job.lastProgress) null else current.also { job.lastProgress = it }
             }
         // Empty frames too: they show that this node lives.
-        val served = clock.steadyMs - state.lastAnswerAt < ControlTuning.LEADER_UNSERVED_MS
+        val served = clock.steadyMs - state.lastReplyAtMs < ControlTuning.LEADER_UNSERVED_MS
         mesh.publish(LeaderStatus(progress, served, leader.recovery?.statuses().orEmpty()))
     }
 
--- a/src/main/kotlin/ledgearch/control/RecordLoader.kt
+++ b/src/main/kotlin/ledgearch/control/RecordLoader.kt
@@ -4,7 +4,7 @@
 import ledgearch.model.Machine
 import ledgearch.model.TeamQuotas
 import ledgearch.persistence.RecordWriter
-import ledgearch.records.FinishedRecord
+import ledgearch.records.FinishedTasksRecord
 import ledgearch.records.Keys
 import ledgearch.records.decodeRecord
 import ledgearch.runtime.Clock
@@ -83,7 +83,7 @@
             reading = false
             when (result) {
                 is ReadResult.Found -> pageRead(page, result.value.pairs, result.value.hasNext, listener)
-                else -> retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+                else -> retryAt = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
             }
         }
     }
@@ -106,7 +106,7 @@
         listener: RecordLoaderListener,
     ) {
         val name = pair.key.removePrefix(prefix)
-        recordWriter.keyRead(pair.key, pair.modRevision)
+        recordWriter.setKeyRevision(pair.key, pair.modRevision)
         if (prefix == Keys.MACHINES) restoreMachines(name, pair, listener) else restoreFinishedTasks(name, pair)
     }
 
@@ -115,7 +115,7 @@
         pair: KeyValue,
         listener: RecordLoaderListener,
     ) {
-        val machines = recordWriter.restore(name, pair, teams, clock.steadyMs)
+        val machines = recordWriter.restoreMachines(name, pair, teams, clock.steadyMs)
         if (machines == null) {
             log.error(
                 "machine record unreadable: older jobs wait until it is removed and the term ends; key={}",
@@ -132,9 +132,9 @@
         pair: KeyValue,
     ) {
         val job = jobStore.jobs[name.substringBefore('/')]
-        val record = decodeRecord(FinishedRecord.serializer(), pair.value)
+        val record = decodeRecord(FinishedTasksRecord.serializer(), pair.value)
         if (job == null) {
-            recordWriter.remove(pair.key)
+            recordWriter.removeKey(pair.key)
         } else if (record != null) {
             job.restoreFinished(record.ranges, name.substringAfter('/').toIntOrNull() ?: 0)
         }
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -92,7 +92,7 @@
     val steppedDownRecently: Boolean
         get() {
             val stepDown = jobStore.lastStepDown ?: return false
-            return clock.wallMs - stepDown.at < ElectionTuning.RECENT_STEP_DOWN_MS
+            return clock.wallMs - stepDown.steppedDownAtMs < ElectionTuning.RECENT_STEP_DOWN_MS
         }
 
     /** Does what is due: keeps the lease alive and confirms or claims the leadership. */
--- a/src/main/kotlin/ledgearch/election/HeldLeadership.kt
+++ b/src/main/kotlin/ledgearch/election/HeldLeadership.kt
@@ -35,7 +35,7 @@
     val isLeader: Boolean get() = token != 0L
 
     /** The leadership was confirmed so lately that the leader lease can't have run out since. */
-    val hasValidLease: Boolean get() = isLeader && clock.steadyMs - confirmedAt < StoreTuning.LEADER_LEASE_MS
+    val hasValidLease: Boolean get() = isLeader && clock.steadyMs - confirmedAt < StoreTuning.LEADER_LEASE_TTL_MS
 
     /** The comparison that lets a transaction through only while this node is the leader under [token]. */
     val condition: Condition get() = Condition(Keys.leadership(0), token)
--- a/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
@@ -80,7 +80,7 @@
         revision: Long,
     ): Boolean {
         val isOwn = record?.node == node && record.instance == instance
-        if (!isOwn || record.renews != held.token) return false
+        if (!isOwn || record.renewedToken != held.token) return false
         held.replaceToken(revision)
         return true
     }
--- a/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
@@ -47,7 +47,7 @@
             // Free, or left by an earlier process instance of this node, or by a claim whose answer was lost.
             claim(jobStore.leadershipRevision)
         } else if (isOwnRecord) {
-            claimAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+            claimAt = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
             writes.release(jobStore.leadershipRevision, recordsStepDown = false)
         }
     }
@@ -86,7 +86,7 @@
                 TransactionResult.Unknown,
                 -> {
                     val spreadMs = random.nextLong(ElectionTuning.ELECTION_SPREAD_MS)
-                    claimAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS + spreadMs
+                    claimAt = clock.steadyMs + StoreTuning.RETRY_DELAY_MS + spreadMs
                 }
             }
         }
--- a/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
@@ -23,7 +23,7 @@
     fun drive() {
         if (!isDue()) return
         requestOpen = true
-        nextTryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+        nextTryAt = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
         val sentUnder = held.token
         val sentAt = clock.steadyMs
         state.transact(listOf(held.condition), emptyList(), RequestClass.CRITICAL) { result ->
--- a/src/main/kotlin/ledgearch/election/NodeLease.kt
+++ b/src/main/kotlin/ledgearch/election/NodeLease.kt
@@ -68,6 +68,6 @@
     }
 
     private fun retrySoon() {
-        nextRequestAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+        nextRequestAt = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
     }
 }
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -7,64 +7,63 @@
 import ledgearch.wire.JobState
 import ledgearch.wire.Priority
 
-/** Told when the state of a job's dependencies has changed. */
+/** Receives changes to the state of jobs' dependencies. */
 internal interface DependencyListener {
-    /** Every job that [job] depends on is done: its tasks may start. */
-    fun released(job: Job)
+    /** Called when every job that [job] depends on is done, so that its tasks may start. */
+    fun onDependenciesDone(job: Job)
 
-    /** A job that [job] depends on, directly or through others, was cancelled: no task of [job] ever starts. */
-    fun dependencyCancelled(job: Job)
+    /** Called when a direct or indirect dependency of [job] was cancelled, so that none of its tasks may ever start. */
+    fun onDependencyCancelled(job: Job)
 
-    /** The priority of [job] has to become [priority], that of the most urgent job that depends on it. */
-    fun priorityChanged(
+    /** Called when [job] must take [priority], as the most urgent of its own priority and those of its dependents. */
+    fun onPriorityChanged(
         job: Job,
         priority: Priority,
     )
 }
 
 /**
- * Which open jobs depend on which others, on every node.
+ * Tracks on every node which open jobs depend on which others.
  *
- * Whether a job may start is derived from the final records of the jobs that it depends on and is not stored anywhere.
- * Final records are permanent, so a release and a cancellation are permanent too, and every node and every later leader
- * derives the same. That a job is absent from the open jobs or from a cache proves nothing: then its final record is
- * read.
+ * Whether a job may start is not stored but derived from the final records of the jobs that it depends on. Final
+ * records are permanent, so every node and every later leader derives the same result. The absence of a job from the
+ * open jobs or from a cache proves nothing: its final record is read.
  *
- * A final record may be learnt by a direct read, ahead of the watch. A leader that was deposed without knowing it may
- * therefore release a job late; that is safe since the new leader treats such a job as any other accepted before its
- * leadership term: it starts none of its tasks before every recorded machine has confirmed the new token.
+ * A final record may be read directly, ahead of the watch. A leader that has been replaced without having detected it
+ * may therefore release a job late. That is safe: the new leader treats the job as any other accepted before its term
+ * and starts none of its tasks before every recorded machine has confirmed the new token.
  */
 internal class JobDependencies(
     private val records: JobRecordReader,
     private val clock: Clock,
     private val openJobs: Map<String, Job>,
-    private val finalOf: (String) -> FinalRecord?,
+    private val finalRecordOf: (String) -> FinalRecord?,
     private val listener: DependencyListener,
 ) {
-    /** For each job that is not known to be over, the open jobs that name it. */
+    /** For each job id that is not known to be done, the open jobs that name it as a dependency. */
     private val dependents = HashMap<String, LinkedHashSet<Job>>()
 
-    /** Steady ms at which the final record of a job that is not among the open ones is read again. */
-    private val readAgainAt = HashMap<String, Long>()
+    /** For each dependency that is not open, the steady-clock time at which its final record is read again. */
+    private val nextReadAtMs = HashMap<String, Long>()
 
-    /** Reads of final records under way. */
-    private var openReads = 0
-    private var driveAt = Long.MIN_VALUE
+    /** The number of reads of final records that are pending. */
+    private var pendingReads = 0
+    private var nextDriveAtMs = Long.MIN_VALUE
 
-    /** [job] was accepted and is open on this node from now on. */
-    fun opened(job: Job) {
+    /** Adds [job], which is open on this node from now on. */
+    fun addJob(job: Job) {
         for (id in job.spec.dependsOn.orEmpty()) {
-            if (finalOf(id)?.state == JobState.DONE) continue
+            if (finalRecordOf(id)?.state == JobState.DONE) continue
             job.unfinishedDependencies.add(id)
             dependents.getOrPut(id) { LinkedHashSet() }.add(job)
         }
         if (job.unfinishedDependencies.any(::isCancelled)) cancel(job)
-        // Where a node learns of jobs out of order, jobs that depend on this one may be open already.
-        updatePriority(job.unfinishedDependencies + job.id)
+        // If this node learns of jobs out of order, jobs that depend on this one may be open already.
+        updatePriorities(job.unfinishedDependencies + job.id)
     }
 
-    /** The job [id] is over, by its final record [record]. */
-    fun ended(
+    /** Updates the dependents of the job [id], which has ended with [record]. */
+    fun applyFinalRecord(
         id: String,
         record: FinalRecord,
     ) {
@@ -72,12 +71,12 @@
         when (record.state) {
             JobState.DONE -> {
                 dependents.remove(id)
-                readAgainAt.remove(id)
-                waiting.forEach { dependencyDone(it, id) }
+                nextReadAtMs.remove(id)
+                waiting.forEach { removeDependency(it, id) }
             }
 
             JobState.CANCELLED -> {
-                readAgainAt.remove(id)
+                nextReadAtMs.remove(id)
                 waiting.toList().forEach(::cancel)
             }
 
@@ -87,35 +86,32 @@
         }
     }
 
-    /** [job] is not open any more. */
-    fun closed(job: Job) {
+    /** Removes [job], which is no longer open. */
+    fun removeJob(job: Job) {
         for (id in job.unfinishedDependencies) {
             val waiting = dependents[id] ?: continue
             waiting.remove(job)
             if (waiting.isEmpty()) {
                 dependents.remove(id)
-                readAgainAt.remove(id)
+                nextReadAtMs.remove(id)
             }
         }
-        updatePriority(job.unfinishedDependencies)
+        updatePriorities(job.unfinishedDependencies)
     }
 
-    /** Reads the final records of dependencies that are neither open nor known to be over, a few at a time. */
+    /** Reads the final records of dependencies that are neither open nor known to have ended, a few at a time. */
     fun drive() {
-        if (dependents.isEmpty() || clock.steadyMs < driveAt) return
-        driveAt = clock.steadyMs + RuntimeTuning.TICK_MS
+        if (dependents.isEmpty() || clock.steadyMs < nextDriveAtMs) return
+        nextDriveAtMs = clock.steadyMs + RuntimeTuning.TICK_MS
         for (id in dependents.keys) {
-            if (openReads >= JobsTuning.MAX_DEPENDENCY_READS) return
-            val isDue = clock.steadyMs >= (readAgainAt[id] ?: Long.MIN_VALUE)
-            if (isDue && id !in openJobs && finalOf(id) == null) readFinal(id)
+            if (pendingReads >= JobsTuning.MAX_CONCURRENT_DEPENDENCY_READS) return
+            val isDue = clock.steadyMs >= (nextReadAtMs[id] ?: Long.MIN_VALUE)
+            if (isDue && id !in openJobs && finalRecordOf(id) == null) readFinalRecord(id)
         }
     }
 
-    /**
-     * Each job that [job] waits for, directly or through others, is known to be open: none of them is over without
-     * this node knowing.
-     */
-    fun areDependenciesKnown(job: Job): Boolean {
+    /** Returns whether every unfinished dependency of [job], direct or indirect, is known to this node as open. */
+    fun areDependenciesOpen(job: Job): Boolean {
         val toVisit = ArrayDeque(job.unfinishedDependencies)
         val visited = HashSet<String>()
         while (toVisit.isNotEmpty()) {
@@ -127,54 +123,54 @@
         return true
     }
 
-    /** The job [id] is open here, and so is each that it waits for. */
-    fun isKnown(id: String): Boolean = openJobs[id]?.let(::areDependenciesKnown) ?: false
+    /** Returns whether the job [id] and all its unfinished dependencies are known to this node as open. */
+    fun isOpenWithDependencies(id: String): Boolean = openJobs[id]?.let(::areDependenciesOpen) ?: false
 
-    /** The open jobs that name [job] as a dependency. */
+    /** Returns the open jobs that name [job] as a dependency. */
     fun dependentsOf(job: Job): Collection<Job> = dependents[job.id].orEmpty()
 
     private fun isCancelled(id: String) =
-        finalOf(id)?.state == JobState.CANCELLED || openJobs[id]?.dependencyCancelled == true
+        finalRecordOf(id)?.state == JobState.CANCELLED || openJobs[id]?.dependencyCancelled == true
 
-    /** The job [id], which [job] depends on, is done. */
-    private fun dependencyDone(
+    /** Removes the dependency [id], which is done, from [job]. */
+    private fun removeDependency(
         job: Job,
         id: String,
     ) {
         job.unfinishedDependencies.remove(id)
         if (job.waitsForOthers) return
         job.readyAt = clock.wallMs
-        listener.released(job)
+        listener.onDependenciesDone(job)
     }
 
-    /** Cancels [first] and every job that depends on it, directly or through others. */
+    /** Marks [first] and every job that depends on it, directly or indirectly, as having a cancelled dependency. */
     private fun cancel(first: Job) {
         val toCancel = ArrayDeque(listOf(first))
         while (toCancel.isNotEmpty()) {
             val job = toCancel.removeFirst()
             if (job.dependencyCancelled) continue
             job.dependencyCancelled = true
-            listener.dependencyCancelled(job)
+            listener.onDependencyCancelled(job)
             dependents[job.id]?.let(toCancel::addAll)
         }
     }
 
-    private fun readFinal(id: String) {
-        openReads++
-        readAgainAt[id] = clock.steadyMs + JobsTuning.DEPENDENCY_READ_INTERVAL_MS
-        records.readFinal(id) { openReads-- }
+    private fun readFinalRecord(id: String) {
+        pendingReads++
+        nextReadAtMs[id] = clock.steadyMs + JobsTuning.DEPENDENCY_READ_INTERVAL_MS
+        records.readFinalRecord(id) { pendingReads-- }
     }
 
-    /** Derives the priority of the open jobs among [ids] again and, where it changes, of all that they depend on. */
-    private fun updatePriority(ids: Collection<String>) {
+    /** Updates the priorities of the open jobs in [ids] and, where one changes, those of its dependencies. */
+    private fun updatePriorities(ids: Collection<String>) {
         val toVisit = ArrayDeque(ids)
         while (toVisit.isNotEmpty()) {
             val id = toVisit.removeFirst()
             val job = openJobs[id] ?: continue
-            val ofDependents = dependents[id]?.minOfOrNull { it.priority } ?: job.ownPriority
-            val priority = minOf(job.ownPriority, ofDependents)
+            val highestOfDependents = dependents[id]?.minOfOrNull { it.priority } ?: job.ownPriority
+            val priority = minOf(job.ownPriority, highestOfDependents)
             if (priority == job.priority) continue
-            listener.priorityChanged(job, priority)
+            listener.onPriorityChanged(job, priority)
             toVisit.addAll(job.unfinishedDependencies)
         }
     }
--- a/src/main/kotlin/ledgearch/jobs/JobRecordReader.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobRecordReader.kt
@@ -8,65 +8,65 @@
 import ledgearch.store.StoreClient
 import ledgearch.wire.KeyValue
 
-/** What a read of one job's records has found. */
-internal sealed interface JobReading {
-    /** The job was open; [stored] is its open record as it was stored. */
+/** The result of reading the records of one job. */
+internal sealed interface JobReadResult {
+    /** The job was open; [stored] is its open record. */
     class Open(
         val stored: KeyValue,
-    ) : JobReading
+    ) : JobReadResult
 
-    /** The job is over, for ever. */
-    class Over(
+    /** The job has ended; this is permanent. */
+    class Ended(
         val record: FinalRecord,
-    ) : JobReading
+    ) : JobReadResult
 
     /** None of the records that were read exists. */
-    data object Absent : JobReading
+    data object Absent : JobReadResult
 
-    /** The state service gave no conclusive answer, or a record that can't be read. */
-    data object Unknown : JobReading
+    /** The state service gave no conclusive reply, or the record can't be decoded. */
+    data object Unknown : JobReadResult
 }
 
 /**
- * Reads the records of one job from the state service and remembers a final one.
+ * Reads the records of single jobs from the state service and reports final records to [onFinalRecord].
  *
- * A job moves from its open record to its final one in one transaction. The open record is therefore read first: where
- * it and then the final record are absent, the job had not been accepted when the first was read.
+ * One transaction replaces a job's open record by its final one. The open record is therefore read first: if it and
+ * then the final record are absent, the job had not been accepted when the first one was read.
  */
 internal class JobRecordReader(
-    private val state: StoreClient,
-    private val rememberFinal: (String, FinalRecord) -> Unit,
+    private val storeClient: StoreClient,
+    private val onFinalRecord: (String, FinalRecord) -> Unit,
 ) {
-    /** Reads the open record of the job [id] and, where that is absent, the final one. */
+    /** Reads the open record of the job [id] and, if it is absent, the final one. */
     fun read(
         id: String,
-        done: (JobReading) -> Unit,
-    ) = state.get(Keys.job(id), RequestClass.ORDINARY) { result ->
+        done: (JobReadResult) -> Unit,
+    ) = storeClient.get(Keys.job(id), RequestClass.ORDINARY) { result ->
         when (result) {
-            is ReadResult.Found -> done(JobReading.Open(result.value))
-            ReadResult.Absent -> readFinal(id, done)
-            ReadResult.Failed -> done(JobReading.Unknown)
+            is ReadResult.Found -> done(JobReadResult.Open(result.value))
+            ReadResult.Absent -> readFinalRecord(id, done)
+            ReadResult.Failed -> done(JobReadResult.Unknown)
         }
     }
 
-    /** Reads only the final record: that it is absent doesn't tell whether the job was accepted. */
-    fun readFinal(
+    /** Reads only the final record of the job [id]. Its absence does not show whether the job was accepted. */
+    fun readFinalRecord(
         id: String,
-        done: (JobReading) -> Unit,
-    ) = state.get(Keys.final(id), RequestClass.ORDINARY) { result ->
+        done: (JobReadResult) -> Unit,
+    ) = storeClient.get(Keys.final(id), RequestClass.ORDINARY) { result ->
         when (result) {
-            is ReadResult.Found -> done(remember(id, result.value))
-            ReadResult.Absent -> done(JobReading.Absent)
-            ReadResult.Failed -> done(JobReading.Unknown)
+            is ReadResult.Found -> done(handleFinalRecord(id, result.value))
+            ReadResult.Absent -> done(JobReadResult.Absent)
+            ReadResult.Failed -> done(JobReadResult.Unknown)
         }
     }
 
-    private fun remember(
+    private fun handleFinalRecord(
         id: String,
         stored: KeyValue,
-    ): JobReading {
-        val record = decodeRecord(FinalRecord.serializer(), stored.value) ?: return JobReading.Unknown
-        rememberFinal(id, record)
-        return JobReading.Over(record)
+    ): JobReadResult {
+        val record = decodeRecord(FinalRecord.serializer(), stored.value) ?: return JobReadResult.Unknown
+        onFinalRecord(id, record)
+        return JobReadResult.Ended(record)
     }
 }
--- a/src/main/kotlin/ledgearch/jobs/JobStore.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobStore.kt
@@ -15,149 +15,148 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Every node's replicated view of the watched keys: open jobs, the leadership record, machine types. It is filled by
- * one listing and then kept by a watch, so changes are applied in the order of their revisions. The view may be old:
- * what is told to users is confirmed first, and what the leader does is fenced by its token.
+ * The replicated view that every node has of the watched keys: open jobs, the leadership record and machine types. One
+ * listing fills it and a watch then updates it, so changes are applied in the order of their revisions. The view may be
+ * stale: replies to users are confirmed first, and the leader's actions are fenced by its token.
  */
 internal class JobStore(
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val clock: Clock,
     listener: JobStoreListener,
     dependencyListener: DependencyListener,
-    finalsKept: Long,
+    maxFinalRecords: Long,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.jobs")
-    private val openJobs = OpenJobs(state, clock, listener, dependencyListener, finalsKept)
+    private val openJobs = OpenJobs(storeClient, clock, listener, dependencyListener, maxFinalRecords)
     private val replicatedLeadership = ReplicatedLeadership(clock, listener)
     private val catalog = ReplicatedCatalog(listener)
-    private val events = WatchEventApplier(openJobs, replicatedLeadership, catalog)
-    private val listings = ListingReader(state, clock)
-    private var requestOpen = false
-    private var retryAt = Long.MIN_VALUE
+    private val eventApplier = WatchEventApplier(openJobs, replicatedLeadership, catalog)
+    private val listingReader = ListingReader(storeClient, clock)
+    private var isRequestPending = false
+    private var retryAtMs = Long.MIN_VALUE
 
-    /** The open jobs by id, in the order in which they became known. Read only for others. */
+    /** The open jobs by id, in the order in which this node learned of them. Other classes must not modify it. */
     val jobs: LinkedHashMap<String, Job> = openJobs.byId
 
-    /** Reads single jobs past the watch. */
+    /** Reads the records of single jobs directly, independent of the watch. */
     val records: JobRecordReader get() = openJobs.records
 
-    /** Which open jobs depend on which others. */
+    /** The dependencies between the open jobs. */
     val dependencies: JobDependencies get() = openJobs.dependencies
 
     /** The machine types by name; empty until a catalog is known. */
     val machineTypes: Map<String, MachineType> get() = catalog.machineTypes
 
-    /** The leadership record; null when there is none, or none that can be read. */
+    /** The leadership record; null if there is none or it can't be decoded. */
     val leadership: LeadershipRecord? get() = replicatedLeadership.record
 
-    /** The revision of the leadership record, which is the leader's fencing token; 0 when it does not exist. */
+    /** The revision of the leadership record, which is the leader's fencing token; 0 if there is no record. */
     val leadershipRevision: Long get() = replicatedLeadership.revision
 
-    /** The last time that a leader stepped down because it heard next to no machine; null when none is recorded. */
+    /** The record of the last leader that stepped down for lack of heartbeats; null if there is none. */
     val lastStepDown: StepDownRecord? get() = replicatedLeadership.lastStepDown
 
-    /** All changes up to this revision are in the view. */
+    /** The revision up to which the view contains all changes. */
     var revision = 0L
         private set
 
-    /** The view was filled by a listing; false until then, and again when the watch fell behind. */
+    /** True if a listing has filled the view and the watch has not fallen behind since. */
     var isLoaded = false
         private set
 
-    /** Every change made before this steady ms is in the view. */
-    var completeAt = Long.MIN_VALUE / 2
+    /** The steady-clock time up to which the view contains all changes. */
+    var completeAsOfMs = Long.MIN_VALUE / 2
         private set
 
-    /** The final record of the job [id], null when this node does not remember one. */
-    fun final(id: String): FinalRecord? = openJobs.final(id)
+    /** Returns the final record of the job [id]; null if it is not cached on this node. */
+    fun finalRecord(id: String): FinalRecord? = openJobs.finalRecord(id)
 
-    /** The job [id] is over, by its final record [record]. */
-    fun rememberFinal(
+    /** Records that the job [id] has ended with [record]. */
+    fun addFinalRecord(
         id: String,
         record: FinalRecord,
-    ) = openJobs.rememberFinal(id, record)
+    ) = openJobs.addFinalRecord(id, record)
 
     /** Replaces the machine types. */
     fun setMachineTypes(newTypes: List<MachineType>) = catalog.set(newTypes)
 
-    /** The nodes other than [node] that were leaders within the last [withinMs], or are. */
+    /** Returns the nodes except [excludedNode] that are leader or were within the last [withinMs]. */
     fun recentLeaders(
-        node: String,
+        excludedNode: String,
         withinMs: Long,
-    ): Set<String> = replicatedLeadership.recentLeaders(node, withinMs)
+    ): Set<String> = replicatedLeadership.recentLeaders(excludedNode, withinMs)
 
     /**
-     * Opens a job that this node made durable in a transaction that also compared its own leadership. No other way
-     * leads past the watch: a leader that learnt of a job out of order could start what a newer leader starts too.
+     * Opens a job that this node made durable in a transaction that also compared its own leadership. Jobs reach the
+     * view in no other way than this or the watch: a leader that learned of a job out of order could start tasks that a
+     * newer leader starts too.
      */
-    fun acceptUnderLeadership(
+    fun openAcceptedJob(
         record: JobRecord,
         modRevision: Long,
     ) {
-        if (!isPast(record.spec.id, modRevision)) openJobs.put(record, modRevision)
+        if (!hasEnded(record.spec.id, modRevision)) openJobs.put(record, modRevision)
     }
 
-    /**
-     * The view is past this record and has no such job: it is over, whether or not its final state is remembered.
-     */
-    private fun isPast(
+    /** Returns whether the view contains all changes up to [modRevision] but not the job [id], which has thus ended. */
+    private fun hasEnded(
         id: String,
         modRevision: Long,
     ) = modRevision <= revision && id !in jobs
 
-    /** Lists or watches on whenever neither is under way. */
+    /** Starts the listing or the next watch unless one is pending. */
     fun drive() {
         dependencies.drive()
-        if (requestOpen || clock.steadyMs < retryAt) return
-        requestOpen = true
-        if (isLoaded) watch() else listings.read(::listed)
+        if (isRequestPending || clock.steadyMs < retryAtMs) return
+        isRequestPending = true
+        if (isLoaded) watch() else listingReader.read(::onListed)
     }
 
-    private fun listed(result: ReadResult<Listing>) {
-        requestEnded()
-        if (result is ReadResult.Found) install(result.value)
+    private fun onListed(result: ReadResult<Listing>) {
+        onRequestEnded()
+        if (result is ReadResult.Found) applyListing(result.value)
     }
 
-    private fun install(listing: Listing) {
+    private fun applyListing(listing: Listing) {
         closeUnlisted(listing)
         replicatedLeadership.setLastStepDown(listing.lastStepDown?.value)
         replicatedLeadership.set(listing.leadership?.value, listing.leadership?.modRevision ?: 0)
         catalog.setStored(listing.catalog?.value)
         for (stored in listing.jobs) {
             val id = stored.key.removePrefix(Keys.JOBS)
-            if (!isPast(id, stored.modRevision)) openJobs.putStored(stored.key, stored.value, stored.modRevision)
+            if (!hasEnded(id, stored.modRevision)) openJobs.putStored(stored.key, stored.value, stored.modRevision)
         }
         revision = listing.firstRevision
-        completeAt = listing.askedAt
+        completeAsOfMs = listing.startedAtMs
         isLoaded = true
-        retryAt = Long.MIN_VALUE
+        retryAtMs = Long.MIN_VALUE
         log.info("read {} open jobs; revision={}", jobs.size, revision)
         drive()
     }
 
-    /** Jobs that are open here and not listed are over, or were accepted after the listing began. */
+    /** Closes the open jobs that are not listed, except those accepted after the listing began. */
     private fun closeUnlisted(listing: Listing) {
         val listedIds = listing.jobs.mapTo(HashSet()) { it.key.removePrefix(Keys.JOBS) }
-        val gone = jobs.values.filter { it.id !in listedIds && it.modRevision <= listing.firstRevision }
-        for (job in gone) openJobs.close(job.id)
+        val endedJobs = jobs.values.filter { it.id !in listedIds && it.modRevision <= listing.firstRevision }
+        for (job in endedJobs) openJobs.close(job.id)
     }
 
     private fun watch() {
-        val askedAt = clock.steadyMs
-        state.watch(Keys.WATCHED, revision) { result ->
-            requestEnded()
+        val sentAtMs = clock.steadyMs
+        storeClient.watch(Keys.WATCHED, revision) { result ->
+            onRequestEnded()
             when (result) {
                 is ReadResult.Found -> {
                     apply(result.value)
-                    completeAt = askedAt
-                    retryAt = Long.MIN_VALUE
+                    completeAsOfMs = sentAtMs
+                    retryAtMs = Long.MIN_VALUE
                     drive()
                 }
 
                 ReadResult.Absent -> {
-                    log.warn("the watch fell behind; reading all keys again")
+                    log.warn("the watch fell behind; listing all watched keys again")
                     isLoaded = false
-                    retryAt = Long.MIN_VALUE
+                    retryAtMs = Long.MIN_VALUE
                     drive()
                 }
 
@@ -170,18 +169,18 @@
 
     private fun apply(reply: WatchReply) {
         for (event in reply.events) {
-            events.apply(event)
+            eventApplier.apply(event)
             if (event.modRevision > revision) revision = event.modRevision
         }
         if (reply.revision > revision) revision = reply.revision
     }
 
     /**
-     * A listing or watch is over. Until what it returned is in the view it counts as failed, so that an exception on
-     * the way does not leave this node with an old view for ever.
+     * Called when a listing or watch has ended, before its result is applied. Schedules a retry, so that an exception
+     * while the result is applied does not end the replication.
      */
-    private fun requestEnded() {
-        requestOpen = false
-        retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+    private fun onRequestEnded() {
+        isRequestPending = false
+        retryAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
     }
 }
--- a/src/main/kotlin/ledgearch/jobs/JobStoreListener.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobStoreListener.kt
@@ -2,20 +2,20 @@
 
 import ledgearch.model.Job
 
-/** Told what changed in the watched part of the state service. */
+/** Receives changes to the watched keys of the state service. */
 internal interface JobStoreListener {
-    /** Another leadership record was written, or it was removed. */
-    fun leadershipChanged()
+    /** Called when the leadership record was replaced or removed. */
+    fun onLeadershipChanged()
 
-    /** [job] was accepted. */
-    fun jobOpened(job: Job)
+    /** Called when [job] was accepted. */
+    fun onJobOpened(job: Job)
 
-    /** The open record of [job] was changed: its cancellation was requested. */
-    fun jobChanged(job: Job)
+    /** Called when the open record of [job] was changed because its cancellation was requested. */
+    fun onJobChanged(job: Job)
 
-    /** [job] is over, or its open record is gone. */
-    fun jobClosed(job: Job)
+    /** Called when [job] has ended or its open record was removed. */
+    fun onJobClosed(job: Job)
 
-    /** The machine types were replaced. */
-    fun machineTypesChanged()
+    /** Called when the machine types were replaced. */
+    fun onMachineTypesChanged()
 }
--- a/src/main/kotlin/ledgearch/jobs/JobsTuning.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobsTuning.kt
@@ -1,13 +1,10 @@
 package ledgearch.jobs
 
-/** The replicated job store: constants with their unit and the reason for their value. */
+/** Limits and intervals of reads for the replicated job store. */
 internal object JobsTuning {
-    /** Reads. Of final records of dependencies, open at one time: a new leader's other reads go on beside them. */
-    const val MAX_DEPENDENCY_READS = 6
+    /** Leaves capacity for the other reads of a new leader. */
+    const val MAX_CONCURRENT_DEPENDENCY_READS = 6
 
-    /**
-     * ms. Until the final record of a dependency that was not found is read again: its open record is about to be
-     * replicated here.
-     */
+    /** A dependency without a final record usually has an open one that the watch is about to deliver. */
     const val DEPENDENCY_READ_INTERVAL_MS = 1_000L
 }
--- a/src/main/kotlin/ledgearch/jobs/Listing.kt
+++ b/src/main/kotlin/ledgearch/jobs/Listing.kt
@@ -8,31 +8,31 @@
 import ledgearch.wire.KeyPage
 import ledgearch.wire.KeyValue
 
-/** The watched keys as one listing has read them, page by page. */
+/** The watched keys as read page by page. */
 internal class Listing(
-    /** Steady ms at which the first page was asked for. */
-    val askedAt: Long,
+    /** The steady-clock time at which the first page was requested. */
+    val startedAtMs: Long,
 ) {
     /** The records of open jobs. */
     val jobs = ArrayList<KeyValue>()
 
-    /** The leadership record; null when there is none. */
+    /** The leadership record; null if there is none. */
     var leadership: KeyValue? = null
         private set
 
-    /** The step-down record; null when there is none. */
+    /** The step-down record; null if there is none. */
     var lastStepDown: KeyValue? = null
         private set
 
-    /** The catalog; null when there is none. */
+    /** The catalog; null if there is none. */
     var catalog: KeyValue? = null
         private set
 
-    /** The revision of the first page: later changes may be in the listing or not, and a watch has to start here. */
+    /** The revision of the first page. A watch has to start from it, as the listing may lack some later changes. */
     var firstRevision = NO_REVISION
         private set
 
-    /** Adds what [page] holds. */
+    /** Adds the records on [page]. */
     fun add(page: KeyPage) {
         if (firstRevision < 0) firstRevision = page.revision
         for (pair in page.pairs) {
@@ -46,26 +46,26 @@
     }
 
     private companion object {
-        /** No page was added yet. */
+        /** The initial value of [firstRevision], before the first page. */
         const val NO_REVISION = -1L
     }
 }
 
-/** Reads a [Listing] of the watched keys. */
+/** Reads listings of the watched keys. */
 internal class ListingReader(
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val clock: Clock,
 ) {
-    /** Reads all pages; [done] gets the listing, or [ReadResult.Failed] as soon as one page can't be read. */
+    /** Reads all pages and passes the listing to [done], or [ReadResult.Failed] as soon as one page can't be read. */
     fun read(done: (ReadResult<Listing>) -> Unit) = readPage(Listing(clock.steadyMs), 0, null, done)
 
     private fun readPage(
         listing: Listing,
         prefixIndex: Int,
-        since: String?,
+        afterKey: String?,
         done: (ReadResult<Listing>) -> Unit,
     ) {
-        state.list(PREFIXES[prefixIndex], since, RequestClass.CRITICAL) { result ->
+        storeClient.list(PREFIXES[prefixIndex], afterKey, RequestClass.CRITICAL) { result ->
             if (result !is ReadResult.Found) {
                 done(ReadResult.Failed)
                 return@list
@@ -82,8 +82,8 @@
 
     private companion object {
         /**
-         * Read one after the other. The leadership record is read last: jobs read while it still stood were accepted
-         * under it.
+         * The prefixes in the order of reading. The leadership record is read last, so that no listed job was accepted
+         * under a newer one.
          */
         val PREFIXES = listOf(Keys.CATALOG, Keys.JOBS, Keys.LEADERSHIP)
     }
--- a/src/main/kotlin/ledgearch/jobs/OpenJobs.kt
+++ b/src/main/kotlin/ledgearch/jobs/OpenJobs.kt
@@ -10,49 +10,46 @@
 import ledgearch.runtime.LruMap
 import ledgearch.store.StoreClient
 
-/**
- * The open jobs that this node knows, and the final records that it remembers. [finalsKept]: how many of those, the
- * most recently used ones.
- */
+/** The open jobs known to this node, and a cache of the [maxFinalRecords] most recently used final records. */
 internal class OpenJobs(
-    state: StoreClient,
+    storeClient: StoreClient,
     clock: Clock,
     private val listener: JobStoreListener,
     dependencyListener: DependencyListener,
-    finalsKept: Long,
+    maxFinalRecords: Long,
 ) {
-    /** By job id, in the order in which they became known. */
+    /** The open jobs by id, in the order in which this node learned of them. */
     val byId = LinkedHashMap<String, Job>()
-    private val finals = LruMap<String, FinalRecord>(finalsKept)
+    private val finalRecords = LruMap<String, FinalRecord>(maxFinalRecords)
 
-    /** Reads single jobs past the watch. */
-    val records = JobRecordReader(state, ::rememberFinal)
+    /** Reads the records of single jobs directly, independent of the watch. */
+    val records = JobRecordReader(storeClient, ::addFinalRecord)
 
-    /** Which open jobs depend on which others. */
-    val dependencies = JobDependencies(records, clock, byId, ::final, dependencyListener)
+    /** The dependencies between the open jobs. */
+    val dependencies = JobDependencies(records, clock, byId, ::finalRecord, dependencyListener)
 
-    /** The final record of the job [id], null when this node does not remember one. */
-    fun final(id: String): FinalRecord? = finals[id]
+    /** Returns the final record of the job [id]; null if it is not cached. */
+    fun finalRecord(id: String): FinalRecord? = finalRecords[id]
 
-    /** The job [id] is over, by its final record [record]. */
-    fun rememberFinal(
+    /** Caches [record], the final record of the job [id], and closes the job. */
+    fun addFinalRecord(
         id: String,
         record: FinalRecord,
     ) {
-        finals[id] = record
+        finalRecords[id] = record
         close(id)
-        dependencies.ended(id, record)
+        dependencies.applyFinalRecord(id, record)
     }
 
-    /** The job [id] is not open any more. */
+    /** Removes the job [id] from the open jobs. */
     fun close(id: String) {
         val job = byId.remove(id) ?: return
-        dependencies.closed(job)
-        listener.jobClosed(job)
+        dependencies.removeJob(job)
+        listener.onJobClosed(job)
     }
 
-    /** The job [id] has no open record any more, by a removal at [revision]. */
-    fun removed(
+    /** Closes the job [id], whose open record was removed at [revision], unless the known record is newer. */
+    fun remove(
         id: String,
         revision: Long,
     ) {
@@ -60,7 +57,7 @@
         if (job != null && revision > job.modRevision) close(id)
     }
 
-    /** The open record in [value] was stored under [key] at [revision]; one that doesn't belong there is left out. */
+    /** Adds the open record that was stored under [key] at [revision], unless it belongs to another key. */
     fun putStored(
         key: String,
         value: JsonElement?,
@@ -71,24 +68,24 @@
         put(record, revision)
     }
 
-    /** A job has the open record [record] since [revision]; what is known here and as new stays as it is. */
+    /** Opens the job of [record], stored at [revision], or updates it if [revision] is newer than the known one. */
     fun put(
         record: JobRecord,
         revision: Long,
     ) {
         val known = byId[record.spec.id]
         if (known == null) {
-            if (final(record.spec.id) == null) open(Job(record, revision))
+            if (finalRecord(record.spec.id) == null) open(Job(record, revision))
         } else if (revision > known.modRevision) {
             known.modRevision = revision
             known.record = record
-            listener.jobChanged(known)
+            listener.onJobChanged(known)
         }
     }
 
     private fun open(job: Job) {
         byId[job.id] = job
-        dependencies.opened(job)
-        listener.jobOpened(job)
+        dependencies.addJob(job)
+        listener.onJobOpened(job)
     }
 }
--- a/src/main/kotlin/ledgearch/jobs/ReplicatedCatalog.kt
+++ b/src/main/kotlin/ledgearch/jobs/ReplicatedCatalog.kt
@@ -9,17 +9,17 @@
 internal class ReplicatedCatalog(
     private val listener: JobStoreListener,
 ) {
-    /** By name; empty until a catalog is known. */
+    /** The machine types by name; empty until a catalog is known. */
     var machineTypes: Map<String, MachineType> = emptyMap()
         private set
 
     /** Replaces the machine types. */
     fun set(newTypes: List<MachineType>) {
         machineTypes = newTypes.associateBy { it.name }
-        listener.machineTypesChanged()
+        listener.onMachineTypesChanged()
     }
 
-    /** Replaces the machine types by those of the stored record [value], if there is one that can be read. */
+    /** Replaces the machine types by those of the stored record [value], if it exists and can be decoded. */
     fun setStored(value: JsonElement?) {
         if (value == null) return
         val record = decodeRecord(CatalogRecord.serializer(), value) ?: return
--- a/src/main/kotlin/ledgearch/jobs/ReplicatedLeadership.kt
+++ b/src/main/kotlin/ledgearch/jobs/ReplicatedLeadership.kt
@@ -6,49 +6,49 @@
 import ledgearch.records.decodeRecord
 import ledgearch.runtime.Clock
 
-/** This node's view of the leadership record, of the leaders before and of the last step-down. */
+/** This node's view of the leadership record, the former leaders and the last step-down. */
 internal class ReplicatedLeadership(
     private val clock: Clock,
     private val listener: JobStoreListener,
 ) {
-    /** The leadership record; null when there is none, or none that can be read. */
+    /** The leadership record; null if there is none or it can't be decoded. */
     var record: LeadershipRecord? = null
         private set
 
-    /** The revision of the leadership record, which is the leader's fencing token; 0 when it does not exist. */
+    /** The revision of the leadership record, which is the leader's fencing token; 0 if there is no record. */
     var revision = 0L
         private set
 
-    /** The last time that a leader stepped down because it heard next to no machine; null when none is recorded. */
+    /** The record of the last leader that stepped down for lack of heartbeats; null if there is none. */
     var lastStepDown: StepDownRecord? = null
         private set
 
-    /** By node, the steady ms until which it was leader, for those that this node has known as leaders before. */
-    private val leaderUntil = HashMap<String, Long>()
+    /** For each node seen as leader, the steady-clock time at which this node saw its record replaced or removed. */
+    private val leaderUntilMs = HashMap<String, Long>()
 
-    /** The leadership record is [value], written at [newRevision]; null and 0: there is none. */
+    /** Sets the leadership record to [value], written at [newRevision]; null and 0 if there is none. */
     fun set(
         value: JsonElement?,
         newRevision: Long,
     ) {
         if (newRevision == revision) return
-        record?.let { leaderUntil[it.node] = clock.steadyMs }
+        record?.let { leaderUntilMs[it.node] = clock.steadyMs }
         record = value?.let { decodeRecord(LeadershipRecord.serializer(), it) }
         revision = newRevision
-        listener.leadershipChanged()
+        listener.onLeadershipChanged()
     }
 
-    /** The step-down record is [value]. */
+    /** Sets the step-down record to [value]. */
     fun setLastStepDown(value: JsonElement?) {
         lastStepDown = decodeRecord(StepDownRecord.serializer(), value)
     }
 
-    /** The nodes other than [node] that were leaders within the last [withinMs], or are. */
+    /** Returns the nodes except [excludedNode] that are leader or were within the last [withinMs]. */
     fun recentLeaders(
-        node: String,
+        excludedNode: String,
         withinMs: Long,
     ): Set<String> {
-        val formerLeaders = leaderUntil.filterValues { clock.steadyMs - it < withinMs }.keys
-        return (formerLeaders + setOfNotNull(record?.node)) - node
+        val formerLeaders = leaderUntilMs.filterValues { clock.steadyMs - it < withinMs }.keys
+        return (formerLeaders + setOfNotNull(record?.node)) - excludedNode
     }
 }
--- a/src/main/kotlin/ledgearch/jobs/WatchEventApplier.kt
+++ b/src/main/kotlin/ledgearch/jobs/WatchEventApplier.kt
@@ -11,7 +11,7 @@
     private val leadership: ReplicatedLeadership,
     private val catalog: ReplicatedCatalog,
 ) {
-    /** Applies [event]; called in the order of the events' revisions. */
+    /** Applies [event]. Events must be passed in the order of their revisions. */
     fun apply(event: WatchEvent) {
         val putKey = event.put
         val removedKey = event.remove
@@ -40,7 +40,7 @@
         event: WatchEvent,
     ) {
         val record = decodeRecord(FinalRecord.serializer(), event.value) ?: return
-        openJobs.rememberFinal(id, record)
+        openJobs.addFinalRecord(id, record)
     }
 
     private fun applyRemoval(
@@ -48,12 +48,12 @@
         event: WatchEvent,
     ) {
         when {
-            key.startsWith(Keys.JOBS) -> openJobs.removed(key.removePrefix(Keys.JOBS), event.modRevision)
+            key.startsWith(Keys.JOBS) -> openJobs.remove(key.removePrefix(Keys.JOBS), event.modRevision)
             isNewLeadership(key, event) -> leadership.set(null, 0)
         }
     }
 
-    /** A listing may have read a later leadership record than the event tells of. */
+    /** Returns whether [event] is newer than the known leadership record, since a listing may have read a newer one. */
     private fun isNewLeadership(
         key: String,
         event: WatchEvent,
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -44,7 +44,7 @@
     var dependencyCancelled = false
 
     /** Wall ms from which its waiting counts: its submission, or the end of the last job that it depends on. */
-    var readyAt = record.submittedAt
+    var readyAt = record.submittedAtMs
 
     /** It has to wait for other jobs, or was cancelled with one of them. */
     val waitsForOthers: Boolean get() = dependencyCancelled || unfinishedDependencies.isNotEmpty()
--- a/src/main/kotlin/ledgearch/persistence/Batch.kt
+++ b/src/main/kotlin/ledgearch/persistence/Batch.kt
@@ -27,5 +27,5 @@
     }
 
     private fun isFullFor(entry: BatchEntry) =
-        oversizedEntries.isIsolating || bytes + entry.bytes > StoreTuning.TRANSACTION_BYTES
+        oversizedEntries.isIsolating || bytes + entry.bytes > StoreTuning.MAX_TRANSACTION_BYTES
 }
--- a/src/main/kotlin/ledgearch/persistence/KeyRevisions.kt
+++ b/src/main/kotlin/ledgearch/persistence/KeyRevisions.kt
@@ -14,7 +14,7 @@
  * means that an earlier attempt took effect, and the key is read again.
  */
 internal class KeyRevisions(
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
 ) {
     private val revisions = HashMap<String, Long>()
 
@@ -50,7 +50,7 @@
         var pendingReads = keys.size
         if (pendingReads == 0) return done()
         for (key in keys) {
-            state.get(key, RequestClass.ORDINARY) { result ->
+            storeClient.get(key, RequestClass.ORDINARY) { result ->
                 when (result) {
                     is ReadResult.Found -> set(key, result.value.modRevision)
                     ReadResult.Absent -> set(key, 0)
--- a/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
@@ -11,11 +11,11 @@
     maxValueBytes: Int,
 ) {
     /** The largest planned size of a record. */
-    val maxRecordBytes = (maxValueBytes * PersistenceTuning.MAX_VALUE_FILL_RATIO).toInt()
+    val plannedBytes = (maxValueBytes * PersistenceTuning.MAX_VALUE_FILL_RATIO).toInt()
 
     /** Returns whether the record of [machines] is larger than planned. */
     fun isTooLarge(machines: Collection<Machine>): Boolean =
-        encodedBytes(MachineRecordCodec.encode(machines)) > maxRecordBytes
+        encodedBytes(MachineRecordCodec.encode(machines)) > plannedBytes
 
     /**
      * Divides [machines] in order into as few records as possible. Each record still fits when all of its machines are
@@ -33,7 +33,7 @@
             if (isFull || neededBytes > remainingBytes) {
                 partitions.add(ArrayList())
                 machineTypes.clear()
-                remainingBytes = maxRecordBytes - EMPTY_RECORD_BYTES - entryBytes - typeBytes(machine.machineType)
+                remainingBytes = plannedBytes - EMPTY_RECORD_BYTES - entryBytes - typeBytes(machine.machineType)
             } else {
                 remainingBytes -= neededBytes
             }
--- a/src/main/kotlin/ledgearch/persistence/OversizedEntries.kt
+++ b/src/main/kotlin/ledgearch/persistence/OversizedEntries.kt
@@ -13,7 +13,7 @@
     private val log = LoggerFactory.getLogger("ledgearch.persistence")
 
     /** For each entry key, the steady-clock time until which the entry is deferred. */
-    private val deferredUntil = HashMap<String, Long>()
+    private val deferredUntilMs = HashMap<String, Long>()
 
     /** The number of batches that still hold a single entry each, after a batch of as many entries was rejected. */
     private var remainingSingleEntryBatches = 0
@@ -22,7 +22,7 @@
     val isIsolating: Boolean get() = remainingSingleEntryBatches > 0
 
     /** Returns whether the entry [key] must not be sent yet. */
-    fun isDeferred(key: String): Boolean = clock.steadyMs < (deferredUntil[key] ?: Long.MIN_VALUE)
+    fun isDeferred(key: String): Boolean = clock.steadyMs < (deferredUntilMs[key] ?: Long.MIN_VALUE)
 
     /** Called when a batch has been answered, with any result. */
     fun onBatchAnswered() {
@@ -37,12 +37,12 @@
         }
         val key = entries.first().key
         log.error("the state service rejected a record as too large, it is written again later; key={}", key)
-        deferredUntil[key] = clock.steadyMs + PersistenceTuning.OVERSIZED_ENTRY_RETRY_DELAY_MS
+        deferredUntilMs[key] = clock.steadyMs + PersistenceTuning.OVERSIZED_ENTRY_RETRY_DELAY_MS
     }
 
     /** Discards all state when a leadership term has ended. */
     fun clear() {
-        deferredUntil.clear()
+        deferredUntilMs.clear()
         remainingSingleEntryBatches = 0
     }
 }
--- a/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
@@ -3,7 +3,7 @@
 import ledgearch.jobs.JobStore
 import ledgearch.model.Job
 import ledgearch.records.Chunks
-import ledgearch.records.FinishedRecord
+import ledgearch.records.FinishedTasksRecord
 import ledgearch.records.Keys
 import ledgearch.records.Ranges
 import ledgearch.records.encodeRecord
@@ -74,10 +74,10 @@
         chunk: Int,
         tasks: BitSet,
     ): Change {
-        val record = FinishedRecord(Ranges.encode(tasks))
+        val record = FinishedTasksRecord(Ranges.encode(tasks))
         return Change(
             put = Keys.finished(job.id, chunk),
-            value = encodeRecord(FinishedRecord.serializer(), record),
+            value = encodeRecord(FinishedTasksRecord.serializer(), record),
         )
     }
 
--- a/src/main/kotlin/ledgearch/persistence/PendingJobClosings.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingJobClosings.kt
@@ -70,7 +70,7 @@
     override fun addTo(batch: Batch): Boolean {
         for (closing in closings.values) {
             val job = closing.job
-            // The revision is compared so that a cancellation requested in the meantime is seen before the job is closed.
+            // The revision is compared so that a cancellation requested meanwhile is seen before the job is closed.
             if (!isOpen(job) || outdatedRevisions[job.id] == job.modRevision) continue
             if (!batch.add(createEntry(closing))) return false
         }
--- a/src/main/kotlin/ledgearch/persistence/PersistenceTuning.kt
+++ b/src/main/kotlin/ledgearch/persistence/PersistenceTuning.kt
@@ -5,7 +5,7 @@
     /** The part of the value limit that machine records fill, as the service may count spaces or escapes. */
     const val MAX_VALUE_FILL_RATIO = 0.8
 
-    /** The cloud provides up to 50 machines at once, and a machine that leaves causes its whole record to be rewritten. */
+    /** The cloud provides up to 50 machines at once, and a machine that leaves causes a rewrite of its whole record. */
     const val MAX_MACHINES_PER_RECORD = 40
 
     /** Per job. Finished tasks that are not durable yet are still on their machines' lists. */
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -21,11 +21,11 @@
 /**
  * Writes the leader's decisions to the state service in batches, one transaction at a time. Each transaction compares
  * the leadership record: one that is applied after another leadership record was written changes nothing. Each also
- * compares every key that it changes, so that a late one under the same token overwrites no newer value ([KeyRevisions];
- * for a job that is closed, the revision of its open record).
+ * compares the revisions of the keys that it changes ([KeyRevisions]; for a job that is closed, that of its open
+ * record), so that a late one under the same token overwrites no newer value.
  */
 internal class RecordWriter(
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val election: Election,
     jobStore: JobStore,
     private val clock: Clock,
@@ -33,13 +33,13 @@
 ) {
     /** Incremented at the end of every leadership term, so that results of transactions of that term are ignored. */
     private var term = 0
-    private var keyRevisions = KeyRevisions(state)
+    private var keyRevisions = KeyRevisions(storeClient)
 
     /** True while a transaction, or the reads that follow a conflict, are pending. */
     private var isWritePending = false
-    private var retryAt = Long.MIN_VALUE
+    private var retryAtMs = Long.MIN_VALUE
     private val oversizedEntries = OversizedEntries(clock)
-    private val machines = MachineRecords(maxValueBytes, state.maxChanges)
+    private val machines = MachineRecords(maxValueBytes, storeClient.maxChanges)
     private val closings = PendingJobClosings(jobStore, ClosingEvents())
     private val removals = PendingKeyRemovals()
     private val finishedTasks = PendingFinishedTaskWrites(maxValueBytes, jobStore, removals, clock)
@@ -49,12 +49,12 @@
     private val pendingWrites: List<PendingWrites> = listOf(machines, closings, finishedTasks, removals, catalogWrite)
 
     /** Called when this leader has written the final record of a job. */
-    var onClosed: (Job, FinalRecord) -> Unit = { _, _ -> }
+    var onJobClosed: (Job, FinalRecord) -> Unit = { _, _ -> }
 
     /** Drops all pending writes when a leadership term has ended. */
     fun clear() {
         term++
-        keyRevisions = KeyRevisions(state)
+        keyRevisions = KeyRevisions(storeClient)
         isWritePending = false
         machines.clear()
         closings.clear()
@@ -71,7 +71,7 @@
     fun removeMachine(machine: Machine) = machines.remove(machine)
 
     /** Returns the machines of the record [stored] under [name], read by a new leader; null if it can't be decoded. */
-    fun restore(
+    fun restoreMachines(
         name: String,
         stored: KeyValue,
         teams: TeamQuotas,
@@ -79,16 +79,16 @@
     ): List<Machine>? = machines.restore(name, stored, teams, nowMs)
 
     /** Removes [key]. */
-    fun remove(key: String) = removals.add(key)
+    fun removeKey(key: String) = removals.add(key)
 
     /** Records that a new leader has read [key] at [modRevision]. */
-    fun keyRead(
+    fun setKeyRevision(
         key: String,
         modRevision: Long,
     ) = keyRevisions.set(key, modRevision)
 
     /** Writes the final record of [job] with [state], unless the job is already being closed. */
-    fun close(
+    fun closeJob(
         job: Job,
         state: JobState,
     ) = closings.add(job, state)
@@ -104,13 +104,13 @@
 
     /** Writes the next batch if there are pending writes and no other transaction is pending. */
     fun drive() {
-        if (isWritePending || !election.isLeader || clock.steadyMs < retryAt) return
+        if (isWritePending || !election.isLeader || clock.steadyMs < retryAtMs) return
         val entries = collectEntries()
         if (entries.isNotEmpty()) write(entries)
     }
 
     private fun collectEntries(): List<BatchEntry> {
-        val batch = Batch(state.maxChanges, oversizedEntries)
+        val batch = Batch(storeClient.maxChanges, oversizedEntries)
         for (writes in pendingWrites) {
             if (!writes.addTo(batch)) break
         }
@@ -119,22 +119,22 @@
 
     private fun write(entries: List<BatchEntry>) {
         isWritePending = true
-        val sentAt = clock.steadyMs
+        val sentAtMs = clock.steadyMs
         val sentToken = election.token
         val sentInTerm = term
         val conditions = createConditions(entries)
-        state.transact(conditions, entries.flatMap { it.changes }, RequestClass.ORDINARY) { result ->
+        storeClient.transact(conditions, entries.flatMap { it.changes }, RequestClass.ORDINARY) { result ->
             if (term != sentInTerm) return@transact
             isWritePending = false
             oversizedEntries.onBatchAnswered()
             when (result) {
                 is TransactionResult.Committed -> {
-                    election.leadershipConfirmed(sentAt, sentToken)
+                    election.leadershipConfirmed(sentAtMs, sentToken)
                     onCommitted(entries, result.revision)
                 }
 
                 is TransactionResult.Conflict -> {
-                    onConflict(result.failed.toSet(), conditions, sentToken)
+                    onConflict(result.failedKeys.toSet(), conditions, sentToken)
                 }
 
                 TransactionResult.TooLarge -> {
@@ -145,7 +145,7 @@
                 TransactionResult.Refused,
                 TransactionResult.Unknown,
                 -> {
-                    retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+                    retryAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
                 }
             }
         }
@@ -186,8 +186,8 @@
     ) {
         val isLeadershipInDoubt = Keys.leadership(0) in failedKeys
         val delayMs =
-            if (failedKeys.isEmpty() || isLeadershipInDoubt) StoreTuning.RETRY_PAUSE_MS else RuntimeTuning.TICK_MS
-        retryAt = clock.steadyMs + delayMs
+            if (failedKeys.isEmpty() || isLeadershipInDoubt) StoreTuning.RETRY_DELAY_MS else RuntimeTuning.TICK_MS
+        retryAtMs = clock.steadyMs + delayMs
         if (isLeadershipInDoubt) election.leadershipDoubted(sentToken)
         val conflictTerm = term
         val keysToRead = ArrayList<String>()
@@ -210,6 +210,6 @@
         override fun onFinalRecordWritten(
             job: Job,
             record: FinalRecord,
-        ) = onClosed(job, record)
+        ) = onJobClosed(job, record)
     }
 }
--- a/src/main/kotlin/ledgearch/records/JobRecords.kt
+++ b/src/main/kotlin/ledgearch/records/JobRecords.kt
@@ -10,7 +10,7 @@
 internal data class JobRecord(
     val spec: JobSpec,
     /** Wall-clock time. */
-    @SerialName("at") val submittedAt: Long,
+    @SerialName("at") val submittedAtMs: Long,
     @SerialName("cancel") val cancelRequested: Boolean = false,
 )
 
@@ -23,6 +23,6 @@
 
 /** The finished tasks in one chunk ([Chunks]) of an open job, encoded by [Ranges]: `0-3,7`. */
 @Serializable
-internal data class FinishedRecord(
+internal data class FinishedTasksRecord(
     @SerialName("r") val ranges: String,
 )
--- a/src/main/kotlin/ledgearch/records/LeadershipRecords.kt
+++ b/src/main/kotlin/ledgearch/records/LeadershipRecords.kt
@@ -9,7 +9,7 @@
     val node: String,
     @SerialName("life") val instance: Long,
     /** The token that this record renews; 0 in a claim and in records of earlier versions. */
-    @SerialName("over") val renews: Long = 0,
+    @SerialName("over") val renewedToken: Long = 0,
 )
 
 /** The record of a leader, [node], that stepped down because it received heartbeats from almost no machine. */
@@ -17,5 +17,5 @@
 internal data class StepDownRecord(
     val node: String,
     /** Wall-clock time. */
-    val at: Long,
+    @SerialName("at") val steppedDownAtMs: Long,
 )
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -65,7 +65,7 @@
 
     private fun ownDeadlines(job: Job): List<Double> {
         val deadlineS = job.spec.deadlineS ?: return emptyList()
-        val submittedAtS = job.record.submittedAt / MS_PER_SECOND
+        val submittedAtS = job.record.submittedAtMs / MS_PER_SECOND
         return (deadlineMultiples[job.spec.jobClass] ?: listOf(1.0)).map { submittedAtS + deadlineS * it }
     }
 }
--- a/src/main/kotlin/ledgearch/standby/PreviousTerm.kt
+++ b/src/main/kotlin/ledgearch/standby/PreviousTerm.kt
@@ -27,7 +27,7 @@
         modRevision: Long,
     ): Boolean {
         if (leadership == null || leadership.node == self) return false
-        val isRenewal = leadership.node == node && leadership.instance == instance && leadership.renews != 0L
+        val isRenewal = leadership.node == node && leadership.instance == instance && leadership.renewedToken != 0L
         if (!isRenewal) revisionBefore = lastRevision
         node = leadership.node
         instance = leadership.instance
--- a/src/main/kotlin/ledgearch/store/LeaseResults.kt
+++ b/src/main/kotlin/ledgearch/store/LeaseResults.kt
@@ -1,24 +1,24 @@
 package ledgearch.store
 
-/** What became of a request to open a lease. */
+/** The result of a request to open a lease. */
 internal sealed interface OpenLeaseResult {
     /** The lease [leaseId] is open. */
     data class Opened(
         val leaseId: Long,
     ) : OpenLeaseResult
 
-    /** No usable answer. A lease that was opened all the same runs out unused. */
+    /** No usable reply. If the lease was opened nevertheless, it expires unused. */
     data object Failed : OpenLeaseResult
 }
 
-/** What became of a request to keep a lease alive. */
+/** The result of a request to keep a lease alive. */
 internal enum class KeepAliveResult {
-    /** The lease lives on. */
+    /** The lease was renewed. */
     KEPT_ALIVE,
 
-    /** The lease is gone, with all keys attached to it. */
+    /** The lease has expired, and all keys attached to it were removed. */
     EXPIRED,
 
-    /** No usable answer: the lease may have been kept alive or not. */
+    /** No usable reply: the lease may or may not have been renewed. */
     UNKNOWN,
 }
--- a/src/main/kotlin/ledgearch/store/ReadResult.kt
+++ b/src/main/kotlin/ledgearch/store/ReadResult.kt
@@ -1,15 +1,15 @@
 package ledgearch.store
 
-/** What a read of the state service returned. */
+/** The result of reading from the state service. */
 internal sealed interface ReadResult<out T> {
-    /** What was asked for exists: [value]. */
+    /** The read returned [value]. */
     data class Found<T>(
         val value: T,
     ) : ReadResult<T>
 
-    /** The key does not exist; for a watch: its start is too old for the service. */
+    /** The key does not exist, or the start revision of a watch is too old for the service. */
     data object Absent : ReadResult<Nothing>
 
-    /** No usable answer: it tells nothing about what is stored. */
+    /** No usable reply, so nothing is known about the stored data. */
     data object Failed : ReadResult<Nothing>
 }
--- a/src/main/kotlin/ledgearch/store/RequestBudget.kt
+++ b/src/main/kotlin/ledgearch/store/RequestBudget.kt
@@ -6,71 +6,71 @@
 import org.slf4j.LoggerFactory
 
 /**
- * This node's share of the state service's limits on requests and changes a second. The leader writes most and has the
- * larger share.
+ * This node's share of the state service's limits on requests and changes per second. The leader has a larger share,
+ * since it writes most.
  */
 internal class RequestBudget(
     private val limits: StateLimits,
-    private val nodes: Int,
+    private val nodeCount: Int,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.store")
     private val requests = TokenBucket(limits.rps)
     private val changes = TokenBucket(limits.writeRps)
     private var isLeader = false
 
-    /** The service seems to keep to the lower rates of the settings by now. */
-    private var isLowered = false
+    /** True if the announced lower rate limits appear to be in force. */
+    private var usesLowerLimits = false
 
     init {
-        share(leader = false)
+        setShare(isLeader = false)
     }
 
     /** Sets the rates to the share of the leader or of another node. */
-    fun share(leader: Boolean) {
-        isLeader = leader
+    fun setShare(isLeader: Boolean) {
+        this.isLeader = isLeader
         val share = shareOfThisNode()
-        val requestRate = if (isLowered) limits.lowerRps else limits.rps
-        val changeRate = if (isLowered) limits.lowerWriteRps else limits.writeRps
+        val requestRate = if (usesLowerLimits) limits.lowerRps else limits.rps
+        val changeRate = if (usesLowerLimits) limits.lowerWriteRps else limits.writeRps
         requests.perSecond = requestRate * RuntimeTuning.BUDGET_USED * share
         changes.perSecond = changeRate * RuntimeTuning.BUDGET_USED * share
     }
 
     private fun shareOfThisNode(): Double =
         when {
-            nodes <= 1 -> 1.0
-            isLeader -> StoreTuning.LEADER_SHARE
-            else -> (1 - StoreTuning.LEADER_SHARE) / (nodes - 1)
+            nodeCount <= 1 -> 1.0
+            isLeader -> StoreTuning.LEADER_BUDGET_SHARE
+            else -> (1 - StoreTuning.LEADER_BUDGET_SHARE) / (nodeCount - 1)
         }
 
-    /** Adds what the time up to steady ms [nowMs] has brought. */
+    /** Adds the tokens for the time up to [nowMs]. */
     fun refill(nowMs: Long) {
         requests.refill(nowMs)
         changes.refill(nowMs)
     }
 
-    /** One request with [changeCount] changes may be sent now. */
+    /** Returns whether one request with [changeCount] changes may be sent now. */
     fun allows(changeCount: Int): Boolean = requests.has(1) && changes.has(changeCount)
 
-    /** One request with [changeCount] changes is sent. */
+    /** Takes the tokens for one request with [changeCount] changes. */
     fun spend(changeCount: Int) {
         requests.take(1)
         changes.take(changeCount)
     }
 
     /**
-     * A request with [changeCount] changes exceeded the service's rate limits. The limits are lowered without notice,
-     * so this is the sign of it where a lower one can be the reason; the lower rates then hold as long as the process
-     * lives. Lowered in error, they only cost time.
+     * Called when a request with [changeCount] changes exceeded the service's rate limits. The limits are lowered
+     * without notice, so if a lower one is announced that may have been exceeded, all lower rates are used until the
+     * process ends. If they are not in force yet, this only costs throughput.
      */
-    fun exceeded(changeCount: Int) {
-        val changesMayBeWhy = changeCount > 0 && limits.lowerWriteRps < limits.writeRps
-        val requestsMayBeWhy = limits.lowerRps < limits.rps
-        if (isLowered || !(changesMayBeWhy || requestsMayBeWhy)) return
-        isLowered = true
+    fun onRateLimitExceeded(changeCount: Int) {
+        val mayBeLowerChangeLimit = changeCount > 0 && limits.lowerWriteRps < limits.writeRps
+        val mayBeLowerRequestLimit = limits.lowerRps < limits.rps
+        if (usesLowerLimits || !(mayBeLowerChangeLimit || mayBeLowerRequestLimit)) return
+        usesLowerLimits = true
         log.info(
-            "the state service's limits seem to be lowered; {} changes a second are planned for",
+            "rate limit of the state service exceeded; using the announced lower limit of {} changes per second",
             limits.lowerWriteRps,
         )
-        share(isLeader)
+        setShare(isLeader)
     }
 }
--- a/src/main/kotlin/ledgearch/store/RequestQueue.kt
+++ b/src/main/kotlin/ledgearch/store/RequestQueue.kt
@@ -5,8 +5,8 @@
 import ledgearch.runtime.Transport
 
 /**
- * Requests that wait until this node's budget allows them, critical ones first. A request that has waited too long is
- * refused, and so is an ordinary one while the service refuses this node.
+ * Queues requests until this node's budget allows them, critical ones first. Requests that have waited too long are
+ * refused, and so are ordinary ones while the service refuses this node.
  */
 internal class RequestQueue(
     private val address: String,
@@ -14,84 +14,84 @@
     private val transport: Transport,
     private val clock: Clock,
 ) {
-    private class Waiting(
+    private class QueuedRequest(
         val request: StoreRequest,
-        /** Steady ms. */
-        val since: Long,
+        /** Steady-clock time. */
+        val queuedAtMs: Long,
         val done: (Reply) -> Unit,
     )
 
-    private val queues = RequestClass.entries.associateWith { ArrayDeque<Waiting>() }
+    private val queues = RequestClass.entries.associateWith { ArrayDeque<QueuedRequest>() }
 
-    /** Steady ms until which ordinary requests wait, since the service's rate limits were exceeded. */
-    private var pausedUntil = Long.MIN_VALUE
+    /** The steady-clock time until which ordinary requests wait because a rate limit was exceeded. */
+    private var pausedUntilMs = Long.MIN_VALUE
 
-    /** Steady ms until which ordinary requests are refused, if [isRefused]. */
-    private var refusedUntil = Long.MIN_VALUE
+    /** The steady-clock time until which ordinary requests are refused if [isRefused] is set. */
+    private var refusedUntilMs = Long.MIN_VALUE
 
-    /** Steady ms at which the service last answered anything but a refusal. */
-    var lastAnswerAt = Long.MIN_VALUE / 2
+    /** The steady-clock time of the service's last reply that was neither a refusal nor a rate limit error. */
+    var lastReplyAtMs = Long.MIN_VALUE / 2
         private set
 
-    /** The service's last word was that it refuses this node. */
+    /** True if the service has refused this node and has not served it since. */
     var isRefused = false
         private set
 
-    /** Adds [request]; [done] gets the service's answer, or the refusal that stands in for it. */
+    /** Queues [request]; [done] is called with the service's reply or with the refusal by this queue. */
     fun add(
         requestClass: RequestClass,
         request: StoreRequest,
         done: (Reply) -> Unit,
     ) {
-        queues.getValue(requestClass).addLast(Waiting(request, clock.steadyMs, done))
+        queues.getValue(requestClass).addLast(QueuedRequest(request, clock.steadyMs, done))
     }
 
-    /** Sends what the budget allows. */
-    fun pump() {
+    /** Sends as many requests as the budget allows. */
+    fun sendAllowed() {
         budget.refill(clock.steadyMs)
         for ((requestClass, queue) in queues) {
             while (queue.isNotEmpty()) {
-                if (!advance(requestClass, queue)) return
+                if (!sendOrRefuseFirst(requestClass, queue)) return
             }
         }
     }
 
-    /** Refuses or sends the first request of [queue]; false when it has to wait, and all requests after it too. */
-    private fun advance(
+    /** Sends or refuses the first request in [queue]; returns false if it and all later requests have to wait. */
+    private fun sendOrRefuseFirst(
         requestClass: RequestClass,
-        queue: ArrayDeque<Waiting>,
+        queue: ArrayDeque<QueuedRequest>,
     ): Boolean {
         val first = queue.first()
         val isOrdinary = requestClass != RequestClass.CRITICAL
-        if (clock.steadyMs - first.since > StoreTuning.REQUEST_TIMEOUT_MS) {
+        if (clock.steadyMs - first.queuedAtMs > StoreTuning.REQUEST_TIMEOUT_MS) {
             queue.removeFirst()
             first.done(Reply(StoreStatus.TOO_MANY_REQUESTS, ""))
             return true
         }
-        // The service has just refused: whoever waits on this is told at once, and the budget is left to the critical
-        // requests that find out when the refusals end.
-        if (isOrdinary && isRefused && clock.steadyMs < refusedUntil) {
+        // While the service refuses this node, ordinary requests fail at once. The budget is left to the critical
+        // requests, which detect the end of the refusals.
+        if (isOrdinary && isRefused && clock.steadyMs < refusedUntilMs) {
             queue.removeFirst()
             first.done(Reply(StoreStatus.UNAVAILABLE, ""))
             return true
         }
-        if (isOrdinary && clock.steadyMs < pausedUntil) return false
+        if (isOrdinary && clock.steadyMs < pausedUntilMs) return false
         if (!budget.allows(first.request.changeCount)) return false
         queue.removeFirst()
         send(first)
         return true
     }
 
-    private fun send(waiting: Waiting) {
-        val request = waiting.request
+    private fun send(queued: QueuedRequest) {
+        val request = queued.request
         budget.spend(request.changeCount)
         transport.call(address, request.method, request.target, request.body, request.timeoutMs) { reply ->
-            answered(request, reply)
-            waiting.done(reply)
+            onReply(request, reply)
+            queued.done(reply)
         }
     }
 
-    private fun answered(
+    private fun onReply(
         request: StoreRequest,
         reply: Reply,
     ) {
@@ -102,18 +102,18 @@
             StoreStatus.CONFLICT,
             StoreStatus.GONE,
             -> {
-                lastAnswerAt = clock.steadyMs
+                lastReplyAtMs = clock.steadyMs
                 isRefused = false
             }
 
             StoreStatus.UNAVAILABLE -> {
                 isRefused = true
-                refusedUntil = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+                refusedUntilMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
             }
 
             StoreStatus.TOO_MANY_REQUESTS -> {
-                pausedUntil = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
-                budget.exceeded(request.changeCount)
+                pausedUntilMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
+                budget.onRateLimitExceeded(request.changeCount)
             }
         }
     }
--- a/src/main/kotlin/ledgearch/store/StoreClient.kt
+++ b/src/main/kotlin/ledgearch/store/StoreClient.kt
@@ -11,36 +11,37 @@
 import org.slf4j.LoggerFactory
 
 /**
- * This node's client of the state service. Requests stay within the node's share of the service's limits: they wait in
- * a queue until [pump] sends them, and each callback is called once, with the answer or a refusal.
+ * This node's client of the state service, the cluster's replicated key-value store. Requests stay within the node's
+ * share of the service's limits: they are queued until [sendAllowed] sends them. Each callback is called exactly once,
+ * with the service's reply or a refusal by this node.
  */
 internal class StoreClient(
     address: String,
     private val limits: StateLimits,
-    nodes: Int,
+    nodeCount: Int,
     transport: Transport,
     clock: Clock,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.store")
-    private val budget = RequestBudget(limits, nodes)
+    private val budget = RequestBudget(limits, nodeCount)
     private val queue = RequestQueue(address, budget, transport, clock)
 
-    /** Steady ms at which the service last answered anything but a refusal. */
-    val lastAnswerAt: Long get() = queue.lastAnswerAt
+    /** The steady-clock time of the service's last reply that was neither a refusal nor a rate limit error. */
+    val lastReplyAtMs: Long get() = queue.lastReplyAtMs
 
-    /** The service's last word was that it refuses this node. */
+    /** True if the service has refused this node and has not served it since. */
     val isRefused: Boolean get() = queue.isRefused
 
-    /** Changes. A transaction of so many is within the service's limit at any time. */
+    /** The largest number of changes per transaction that stays within the service's limit at any time. */
     val maxChanges: Int get() = limits.safeTxnOps
 
-    /** Conditions. This client puts no more into one transaction. */
-    val maxConditions: Int get() = limits.safeTxnOps * StoreTuning.CONDITIONS_PER_CHANGE
+    /** The largest number of conditions that this client puts into one transaction. */
+    val maxConditions: Int get() = limits.safeTxnOps * StoreTuning.MAX_CONDITIONS_PER_CHANGE
 
-    /** Sets the budget to the share of the leader or of another node. */
-    fun setBudgetShare(leader: Boolean) = budget.share(leader)
+    /** Sets the request budget to the share of the leader or of another node. */
+    fun setBudgetShare(isLeader: Boolean) = budget.setShare(isLeader)
 
-    /** Makes all of [changes] if all of [conditions] hold, and none of them otherwise. */
+    /** Makes all [changes] if all [conditions] hold, and none otherwise. */
     fun transact(
         conditions: List<Condition>,
         changes: List<Change>,
@@ -49,7 +50,7 @@
     ) = queue.add(requestClass, StoreRequest.transaction(conditions, changes)) { reply ->
         if (reply.status != StoreStatus.OK) {
             log.debug(
-                "a transaction of {} changes was answered with status {}: {}",
+                "transaction of {} changes failed with status {}: {}",
                 changes.size,
                 reply.status,
                 reply.body,
@@ -63,30 +64,30 @@
         key: String,
         requestClass: RequestClass,
         done: (ReadResult<KeyValue>) -> Unit,
-    ) = queue.add(requestClass, StoreRequest.key(key)) { reply ->
+    ) = queue.add(requestClass, StoreRequest.get(key)) { reply ->
         done(StoreReplies.read(reply, KeyValue.serializer()))
     }
 
-    /** Reads a page of the keys under [prefix] in order, from the first one after [since] (null: from the start). */
+    /** Reads a page of the keys under [prefix] in key order, beginning after [afterKey] or, if null, at the first. */
     fun list(
         prefix: String,
-        since: String?,
+        afterKey: String?,
         requestClass: RequestClass,
         done: (ReadResult<KeyPage>) -> Unit,
-    ) = queue.add(requestClass, StoreRequest.page(prefix, since)) { reply ->
+    ) = queue.add(requestClass, StoreRequest.list(prefix, afterKey)) { reply ->
         val page = StoreReplies.read(reply, KeyPage.serializer())
-        done(if (endsNowhere(page)) ReadResult.Failed else page)
+        done(if (lacksNextKey(page)) ReadResult.Failed else page)
     }
 
-    /** An empty page that is not the last leaves no key to go on from, and what comes after it is not absent. */
-    private fun endsNowhere(page: ReadResult<KeyPage>) =
+    /** Returns whether [page] is empty but not the last one, so that the following keys can't be requested. */
+    private fun lacksNextKey(page: ReadResult<KeyPage>) =
         page is ReadResult.Found && page.value.hasNext && page.value.pairs.isEmpty()
 
-    /** Opens a lease that lives for [StoreTuning.LEADER_LEASE_MS] unless it is kept alive. */
+    /** Opens a lease that expires after [StoreTuning.LEADER_LEASE_TTL_MS] unless it is kept alive. */
     fun openLease(done: (OpenLeaseResult) -> Unit) =
         queue.add(RequestClass.CRITICAL, StoreRequest.openLease()) { reply -> done(StoreReplies.openLease(reply)) }
 
-    /** Keeps the lease [leaseId] alive. */
+    /** Renews the lease [leaseId]. */
     fun keepAlive(
         leaseId: Long,
         done: (KeepAliveResult) -> Unit,
@@ -95,17 +96,17 @@
     }
 
     /**
-     * Waits for changes after the revision [since] of the keys under [prefix]; [done] gets [ReadResult.Absent] when
-     * [since] is too old for the service.
+     * Waits for changes of the keys under [prefix] after [revision]; [done] gets [ReadResult.Absent] if [revision] is
+     * too old for the service.
      */
     fun watch(
         prefix: String,
-        since: Long,
+        revision: Long,
         done: (ReadResult<WatchReply>) -> Unit,
-    ) = queue.add(RequestClass.CRITICAL, StoreRequest.watch(prefix, since)) { reply ->
+    ) = queue.add(RequestClass.CRITICAL, StoreRequest.watch(prefix, revision)) { reply ->
         done(StoreReplies.read(reply, WatchReply.serializer()))
     }
 
-    /** Sends what the budget allows; called after every batch of commands and on every tick. */
-    fun pump() = queue.pump()
+    /** Sends as many queued requests as the budget allows; called after every batch of commands and on every tick. */
+    fun sendAllowed() = queue.sendAllowed()
 }
--- a/src/main/kotlin/ledgearch/store/StoreReplies.kt
+++ b/src/main/kotlin/ledgearch/store/StoreReplies.kt
@@ -7,12 +7,12 @@
 import ledgearch.wire.TransactionReply
 import ledgearch.wire.WireJson
 
-/** Decodes the state service's answers. An answer that can't be parsed counts as none. */
+/** Decodes the replies of the state service. A reply that can't be parsed is treated as no usable reply. */
 internal object StoreReplies {
-    /** In the body of the answer to a transaction that puts a key with a lease that is gone. */
+    /** Text in the reply to a transaction that puts a key with an expired lease. */
     private const val NO_SUCH_LEASE = "no such lease"
 
-    /** The answer to a transaction. */
+    /** Decodes the reply to a transaction. */
     fun transaction(reply: Reply): TransactionResult =
         when (reply.status) {
             StoreStatus.OK -> {
@@ -31,7 +31,7 @@
                 if (NO_SUCH_LEASE in reply.body) TransactionResult.LeaseExpired else TransactionResult.TooLarge
             }
 
-            StoreStatus.NO_ANSWER -> {
+            StoreStatus.NO_REPLY -> {
                 TransactionResult.Unknown
             }
 
@@ -40,7 +40,7 @@
             }
         }
 
-    /** The answer to a read or a watch, as [serializer] decodes it. */
+    /** Decodes the reply to a read or a watch with [serializer]. */
     fun <T : Any> read(
         reply: Reply,
         serializer: DeserializationStrategy<T>,
@@ -51,7 +51,7 @@
             else -> ReadResult.Failed
         }
 
-    /** The answer to a request to open a lease. */
+    /** Decodes the reply to a request to open a lease. */
     fun openLease(reply: Reply): OpenLeaseResult {
         if (reply.status != StoreStatus.OK) return OpenLeaseResult.Failed
         return parse(reply, LeaseReply.serializer())
@@ -59,7 +59,7 @@
             ?: OpenLeaseResult.Failed
     }
 
-    /** The answer to a request to keep a lease alive. */
+    /** Decodes the reply to a request to keep a lease alive. */
     fun keepAlive(reply: Reply): KeepAliveResult =
         when (reply.status) {
             StoreStatus.OK -> KeepAliveResult.KEPT_ALIVE
--- a/src/main/kotlin/ledgearch/store/StoreRequest.kt
+++ b/src/main/kotlin/ledgearch/store/StoreRequest.kt
@@ -7,8 +7,8 @@
 import ledgearch.wire.WireJson
 
 /**
- * One call to the state service as it goes on the wire. [changeCount] counts against the limit on changes a second;
- * [timeoutMs] is how long the answer is waited for.
+ * An HTTP request to the state service. [timeoutMs] is the time to wait for the reply, and [changeCount] the number of
+ * changes that count against the limit on changes per second.
  */
 internal class StoreRequest private constructor(
     val method: String,
@@ -21,7 +21,7 @@
         private const val GET = "GET"
         private const val POST = "POST"
 
-        /** Makes [changes] if all [conditions] hold. */
+        /** Creates a request to make [changes] if all [conditions] hold. */
         fun transaction(
             conditions: List<Condition>,
             changes: List<Change>,
@@ -32,36 +32,36 @@
             return StoreRequest(POST, "/txn", body, timeoutMs, changes.size)
         }
 
-        /** Reads one key. */
-        fun key(key: String) = StoreRequest(GET, "/keys/$key", null, StoreTuning.REQUEST_TIMEOUT_MS)
+        /** Creates a request to read [key]. */
+        fun get(key: String) = StoreRequest(GET, "/keys/$key", null, StoreTuning.REQUEST_TIMEOUT_MS)
 
-        /** Reads a page of the keys under [prefix], from the first one after [since] (null: from the start). */
-        fun page(
+        /** Creates a request for a page of the keys under [prefix] after [afterKey] or, if null, from the first. */
+        fun list(
             prefix: String,
-            since: String?,
+            afterKey: String?,
         ): StoreRequest {
-            val after = if (since == null) "" else "&since=$since"
-            val target = "/keys?under=$prefix$after&limit=${StoreTuning.PAGE_KEYS}"
+            val since = if (afterKey == null) "" else "&since=$afterKey"
+            val target = "/keys?under=$prefix$since&limit=${StoreTuning.KEYS_PER_PAGE}"
             return StoreRequest(GET, target, null, StoreTuning.PAGE_TIMEOUT_MS)
         }
 
-        /** Opens a lease. */
+        /** Creates a request to open a lease. */
         fun openLease(): StoreRequest {
-            val body = WireJson.encodeToString(LeaseRequest.serializer(), LeaseRequest(StoreTuning.LEADER_LEASE_MS))
+            val body = WireJson.encodeToString(LeaseRequest.serializer(), LeaseRequest(StoreTuning.LEADER_LEASE_TTL_MS))
             return StoreRequest(POST, "/leases", body, StoreTuning.REQUEST_TIMEOUT_MS)
         }
 
-        /** Keeps the lease [leaseId] alive. */
+        /** Creates a request to renew the lease [leaseId]. */
         fun keepAlive(leaseId: Long) =
             StoreRequest(POST, "/leases/$leaseId/touch", "{}", StoreTuning.REQUEST_TIMEOUT_MS)
 
-        /** Waits for changes after the revision [since] of the keys under [prefix]. */
+        /** Creates a request to wait for changes of the keys under [prefix] after [revision]. */
         fun watch(
             prefix: String,
-            since: Long,
+            revision: Long,
         ): StoreRequest {
-            val target = "/changes?under=$prefix&since=$since&blockMs=${StoreTuning.WATCH_BLOCK_MS}"
-            return StoreRequest(GET, target, null, StoreTuning.WATCH_BLOCK_MS + StoreTuning.WATCH_GRACE_MS)
+            val target = "/changes?under=$prefix&since=$revision&blockMs=${StoreTuning.WATCH_BLOCK_MS}"
+            return StoreRequest(GET, target, null, StoreTuning.WATCH_BLOCK_MS + StoreTuning.WATCH_REPLY_GRACE_MS)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/store/StoreStatus.kt
+++ b/src/main/kotlin/ledgearch/store/StoreStatus.kt
@@ -2,15 +2,15 @@
 
 import ledgearch.http.HttpStatus
 
-/** The status codes that the state service answers with, and what they mean there. */
+/** The status codes of the state service's replies, with their meaning. */
 internal object StoreStatus {
-    /** There is no answer: the request was executed, or not, or is yet to be. */
-    const val NO_ANSWER = 0
+    /** No reply: the request may have been executed, may still be, or may never be. */
+    const val NO_REPLY = 0
 
-    /** Done. */
+    /** The request was executed. */
     const val OK = HttpStatus.OK
 
-    /** Never to be done as it is: too large, or a lease that is gone. */
+    /** The request can never succeed unchanged: it is too large, or names an expired lease. */
     const val BAD_REQUEST = HttpStatus.BAD_REQUEST
 
     /** The key or the lease does not exist. */
@@ -19,7 +19,7 @@
     /** A condition of the transaction does not hold. */
     const val CONFLICT = 409
 
-    /** The watch's start is too old. */
+    /** The start revision of the watch is too old. */
     const val GONE = 410
 
     /** The request exceeds the rate limits. */
--- a/src/main/kotlin/ledgearch/store/StoreTuning.kt
+++ b/src/main/kotlin/ledgearch/store/StoreTuning.kt
@@ -1,46 +1,40 @@
 package ledgearch.store
 
-/** Requests to the state service: constants with their unit and the reason for their value. */
+/** Timeouts, limits and delays of requests to the state service. */
 internal object StoreTuning {
-    /** ms. A request to the state service; it usually takes under 10 and now and then a few hundred. */
+    /** Requests usually take less than 10 ms and occasionally a few hundred. */
     const val REQUEST_TIMEOUT_MS = 1_500L
 
-    /** ms. A transaction that only compares may be sent again at will, and a user waits 2 s for what hangs on it. */
+    /** For transactions without changes. They can be repeated safely, and users wait 2 s for replies that need one. */
     const val COMPARE_TIMEOUT_MS = 600L
 
-    /** ms. A writing transaction is sent again after this; its conditions make the repeat harmless. */
+    /** For transactions with changes. Their conditions make it safe to send them again. */
     const val TRANSACTION_TIMEOUT_MS = 900L
 
-    /** ms. A page of keys or an answered watch may be large. */
+    /** A page of keys may be large. */
     const val PAGE_TIMEOUT_MS = 6_000L
 
-    /**
-     * ms. How long one watch waits for changes. Short, since a watch whose answer is lost is blind until it is given
-     * up.
-     */
+    /** Short, since a watch whose reply is lost delivers nothing until it times out. */
     const val WATCH_BLOCK_MS = 2_000L
 
-    /** ms. Beyond its time, how long the answer of a watch is waited for. */
-    const val WATCH_GRACE_MS = 1_000L
+    /** Time allowed for the reply of a watch beyond [WATCH_BLOCK_MS]. */
+    const val WATCH_REPLY_GRACE_MS = 1_000L
 
-    /** Keys a page. Well under the service's 1,000 so that one answer is parsed in a fraction of a second. */
-    const val PAGE_KEYS = 200
+    /** Well below the service's limit of 1,000, so that a page is parsed in a fraction of a second. */
+    const val KEYS_PER_PAGE = 200
 
-    /** Of the nodes' budget, the share of the leader; the others split the rest. */
-    const val LEADER_SHARE = 0.5
+    /** The leader's share of the request budget of all nodes. The other nodes split the rest equally. */
+    const val LEADER_BUDGET_SHARE = 0.5
 
-    /** Conditions for each change that a transaction may have: the service takes four times as many. */
-    const val CONDITIONS_PER_CHANGE = 4
+    /** The service accepts four times as many conditions as changes in a transaction. */
+    const val MAX_CONDITIONS_PER_CHANGE = 4
 
-    /** Bytes. Planned size of one transaction: the service takes 64 KiB. */
-    const val TRANSACTION_BYTES = 48 * 1024
+    /** The service accepts 64 KiB. */
+    const val MAX_TRANSACTION_BYTES = 48 * 1024
 
-    /** ms. Pause after a refused or unanswered state request. */
-    const val RETRY_PAUSE_MS = 250L
+    /** Delay after a refused or unanswered request. */
+    const val RETRY_DELAY_MS = 250L
 
-    /**
-     * ms. Life of the lease that the leadership record is attached to: a node short of processor time must still renew
-     * in time.
-     */
-    const val LEADER_LEASE_MS = 6_000L
+    /** Long enough for a node short of processor time to renew the lease of its leadership record in time. */
+    const val LEADER_LEASE_TTL_MS = 6_000L
 }
--- a/src/main/kotlin/ledgearch/store/TransactionResult.kt
+++ b/src/main/kotlin/ledgearch/store/TransactionResult.kt
@@ -1,26 +1,26 @@
 package ledgearch.store
 
-/** What became of a transaction. */
+/** The result of a transaction. */
 internal sealed interface TransactionResult {
-    /** All its changes were made, at [revision]. */
+    /** All changes were made at [revision]. */
     data class Committed(
         val revision: Long,
     ) : TransactionResult
 
-    /** The conditions on the keys in [failed] did not hold: nothing was changed. */
+    /** Nothing was changed because the conditions on [failedKeys] did not hold. */
     data class Conflict(
-        val failed: List<String>,
+        val failedKeys: List<String>,
     ) : TransactionResult
 
-    /** Surely not executed, and nothing to be gained by asking again at once: an outage, or no budget left. */
+    /** Not executed, usually because of an outage or an exhausted budget, so an immediate retry is pointless. */
     data object Refused : TransactionResult
 
-    /** Surely not executed, and never to be as it is: a value or the transaction is larger than the service takes. */
+    /** Not executed, and a retry would fail too: a value or the transaction exceeds the service's limit. */
     data object TooLarge : TransactionResult
 
-    /** Surely not executed: the lease of a put is gone. */
+    /** Not executed because the lease of a put has expired. */
     data object LeaseExpired : TransactionResult
 
-    /** No answer: executed, or not, or yet to be. */
+    /** No usable reply: the transaction may have been executed, may still be, or may never be. */
     data object Unknown : TransactionResult
 }
--- a/src/test/kotlin/ledgearch/records/ChunksTest.kt
+++ b/src/test/kotlin/ledgearch/records/ChunksTest.kt
@@ -24,7 +24,7 @@
                         }
                     assertTrue(
                         largestBytes <= limitBytes,
-                        "record of $largestBytes bytes exceeds $limitBytes bytes with ${chunks.tasksPerChunk} tasks per chunk",
+                        "record of $largestBytes bytes, limit $limitBytes, ${chunks.tasksPerChunk} tasks per chunk",
                     )
                 }
             }
@@ -53,8 +53,8 @@
     private fun recordBytes(tasks: BitSet) =
         WireJson
             .encodeToString(
-                FinishedRecord.serializer(),
-                FinishedRecord(Ranges.encode(tasks)),
+                FinishedTasksRecord.serializer(),
+                FinishedTasksRecord(Ranges.encode(tasks)),
             ).encodeToByteArray()
             .size
 
--- a/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
@@ -75,7 +75,11 @@
             example("final-done", FinalRecord(JobState.DONE, 12), ProductionFinalRecord.serializer()),
             example("final-withdrawn", FinalRecord(JobState.CANCELLED), ProductionFinalRecord.serializer()),
             example("grant-claim", LeadershipRecord("stall-0", 7), ProductionGrantRecord.serializer()),
-            example("grant-renewal", LeadershipRecord("stall-0", 7, renews = 41), ProductionGrantRecord.serializer()),
+            example(
+                "grant-renewal",
+                LeadershipRecord("stall-0", 7, renewedToken = 41),
+                ProductionGrantRecord.serializer(),
+            ),
             example("silence", StepDownRecord("stall-0", AT_MS), ProductionSilenceRecord.serializer()),
             example(
                 "machines",
@@ -83,7 +87,7 @@
                 ProductionMachinesRecord.serializer(),
             ),
             example("single-machine", SINGLE_MACHINE, ProductionSingleMachineRecord.serializer()),
-            example("finished", FinishedRecord("0-3,7"), ProductionFinishedRecord.serializer()),
+            example("finished", FinishedTasksRecord("0-3,7"), ProductionFinishedRecord.serializer()),
             example(
                 "catalog",
                 CatalogRecord(listOf(FULL_MACHINE_TYPE, MINIMAL_MACHINE_TYPE)),
--- a/src/test/kotlin/ledgearch/scheduling/ReliabilityTest.kt
+++ b/src/test/kotlin/ledgearch/scheduling/ReliabilityTest.kt
@@ -42,7 +42,7 @@
                     estimatedRunS = 20.0,
                     deadlineS = 30.0,
                 ),
-                submittedAt = 0,
+                submittedAtMs = 0,
             ),
             1,
         )
--- a/src/test/kotlin/ledgearch/standby/PreviousTermTest.kt
+++ b/src/test/kotlin/ledgearch/standby/PreviousTermTest.kt
@@ -12,7 +12,7 @@
         val replaced = PreviousTerm("n1")
         replaced.changed(LeadershipRecord("n2", instance = 1), 10)
         assertTrue(replaced.changed(LeadershipRecord("n3", instance = 1), 20))
-        assertFalse(replaced.changed(LeadershipRecord("n3", instance = 1, renews = 20), 30))
+        assertFalse(replaced.changed(LeadershipRecord("n3", instance = 1, renewedToken = 20), 30))
         assertFalse(replaced.changed(null, 0))
         assertFalse(replaced.changed(LeadershipRecord("n1", instance = 1), 40))
         assertFalse(replaced.mayBe(10))
