--- a/src/main/kotlin/ledgearch/jobs/JobStore.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobStore.kt
@@ -24,10 +24,10 @@
     private val clock: Clock,
     listener: JobStoreListener,
     dependencyListener: DependencyListener,
-    maxFinalRecords: Long,
+    finalRecordCacheSize: Long,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.jobs")
-    private val openJobs = OpenJobs(storeClient, clock, listener, dependencyListener, maxFinalRecords)
+    private val openJobs = OpenJobs(storeClient, clock, listener, dependencyListener, finalRecordCacheSize)
     private val replicatedLeadership = ReplicatedLeadership(clock, listener)
     private val catalog = ReplicatedCatalog(listener)
     private val eventApplier = WatchEventApplier(openJobs, replicatedLeadership, catalog)
--- a/src/main/kotlin/ledgearch/jobs/OpenJobs.kt
+++ b/src/main/kotlin/ledgearch/jobs/OpenJobs.kt
@@ -10,17 +10,17 @@
 import ledgearch.runtime.LruMap
 import ledgearch.store.StoreClient
 
-/** The open jobs known to this node, and a cache of the [maxFinalRecords] most recently used final records. */
+/** The open jobs known to this node, and a cache of the [finalRecordCacheSize] most recently used final records. */
 internal class OpenJobs(
     storeClient: StoreClient,
     clock: Clock,
     private val listener: JobStoreListener,
     dependencyListener: DependencyListener,
-    maxFinalRecords: Long,
+    finalRecordCacheSize: Long,
 ) {
     /** The open jobs by id, in the order in which this node learned of them. */
     val byId = LinkedHashMap<String, Job>()
-    private val finalRecords = LruMap<String, FinalRecord>(maxFinalRecords)
+    private val finalRecords = LruMap<String, FinalRecord>(finalRecordCacheSize)
 
     /** Reads the records of single jobs directly, independent of the watch. */
     val records = JobRecordReader(storeClient, ::addFinalRecord)
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -129,7 +129,7 @@
             oversizedEntries.onBatchAnswered()
             when (result) {
                 is TransactionResult.Committed -> {
-                    election.leadershipConfirmed(sentAtMs, sentToken)
+                    election.recordConfirmation(sentAtMs, sentToken)
                     onCommitted(entries, result.revision)
                 }
 
@@ -188,7 +188,7 @@
         val delayMs =
             if (failedKeys.isEmpty() || isLeadershipInDoubt) StoreTuning.RETRY_DELAY_MS else RuntimeTuning.TICK_MS
         retryAtMs = clock.steadyMs + delayMs
-        if (isLeadershipInDoubt) election.leadershipDoubted(sentToken)
+        if (isLeadershipInDoubt) election.verifyLeadership(sentToken)
         val conflictTerm = term
         val keysToRead = ArrayList<String>()
         for (condition in conditions) {
--- a/src/main/kotlin/ledgearch/store/RequestBudget.kt
+++ b/src/main/kotlin/ledgearch/store/RequestBudget.kt
@@ -22,12 +22,12 @@
     private var usesLowerLimits = false
 
     init {
-        setShare(isLeader = false)
+        setShare(forLeader = false)
     }
 
     /** Sets the rates to the share of the leader or of another node. */
-    fun setShare(isLeader: Boolean) {
-        this.isLeader = isLeader
+    fun setShare(forLeader: Boolean) {
+        isLeader = forLeader
         val share = shareOfThisNode()
         val requestRate = if (usesLowerLimits) limits.lowerRps else limits.rps
         val changeRate = if (usesLowerLimits) limits.lowerWriteRps else limits.writeRps
