--- a/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
+++ b/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
@@ -8,12 +8,12 @@
 /** Receives expired leases of agents. */
 internal interface LeaseExpiryListener {
     /** Called when the lease of the agent of [machine] has expired, so that it has ended its tasks and incarnation. */
-    fun leaseExpired(machine: Machine)
+    fun onLeaseExpired(machine: Machine)
 }
 
 /** Proves that an agent's lease has expired, without information from the cloud. */
 internal class LeaseExpiry(
-    /** Time after the last valid reply to its heartbeats at which an agent ends its tasks. */
+    /** Time after the last valid reply to its heartbeats after which an agent ends its tasks. */
     private val leaseMs: Long,
     private val election: Election,
     private val clock: Clock,
@@ -32,6 +32,6 @@
                 AgentTuning.LEASE_EXPIRY_MARGIN_MS
         if (clock.steadyMs <= leaseEndsAtMs || election.confirmedAtMs <= leaseEndsAtMs) return
         log.info("agent lease expired; machine={}", machine.name)
-        listener.leaseExpired(machine)
+        listener.onLeaseExpired(machine)
     }
 }
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -10,7 +10,7 @@
 import ledgearch.runtime.Clock
 import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.Metrics
-import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.RunTimeEstimates
 import ledgearch.wire.ExitCause
 import ledgearch.wire.JobState
 import ledgearch.wire.TaskReport
@@ -20,17 +20,17 @@
 /** Receives changes that follow from the agents' lists of tasks. */
 internal interface TaskStatusListener {
     /** Called when a change may allow pending tasks to start. */
-    fun placementChanged()
+    fun onPlacementChanged()
 
     /** Called when [attempt] was lost with its machine or its agent's incarnation instead of exiting. */
-    fun attemptLost(attempt: TaskAttempt)
+    fun onAttemptLost(attempt: TaskAttempt)
 }
 
 /** Applies the agents' lists of tasks to the leader's attempts. */
 internal class TaskStatusHandler(
     private val jobStore: JobStore,
     machines: Map<String, Machine>,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val recordWriter: RecordWriter,
     private val metrics: Metrics,
     private val clock: Clock,
@@ -129,7 +129,7 @@
         val job = attempt.job ?: return
         machine.touchImage(job.spec.image, job.spec.imageGb)
         // Latency-sensitive tasks are placed on machines that have their image.
-        if (machine.fetched.add(job.spec.image)) listener.placementChanged()
+        if (machine.fetched.add(job.spec.image)) listener.onPlacementChanged()
     }
 
     private fun markExited(
@@ -139,7 +139,7 @@
         val machine = attempt.machine
         attempt.state = AttemptState.EXITED
         attempt.cause = cause
-        listener.placementChanged()
+        listener.onPlacementChanged()
         metrics.count("task.exited.${cause?.text}")
         log.debug(
             "attempt exited; task={} attempt={} machine={} cause={}",
@@ -166,7 +166,7 @@
         failures.recordSuccess(attempt.machine, job)
         if (job.isService) return
         if (isRunTimeKnown(attempt, job)) {
-            estimates.ran(job, (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND)
+            estimates.recordRunTime(job, (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND)
         }
         job.finish(attempt.index)
         if (!job.closed) recordWriter.writeFinishedTasks(job)
@@ -196,11 +196,11 @@
                 attempt.number,
                 attempt.machine.name,
             )
-            if (attempt.stop == StopMode.NONE) listener.attemptLost(attempt)
+            if (attempt.stop == StopMode.NONE) listener.onAttemptLost(attempt)
         }
         attempt.machine.detach(attempt)
         attempt.job?.free(attempt)
-        listener.placementChanged()
+        listener.onPlacementChanged()
     }
 
     private companion object {
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -135,5 +135,5 @@
     }
 
     /** Called when the agent's lease has expired: the agent has then ended its tasks and its incarnation by itself. */
-    override fun leaseExpired(machine: Machine) = beginIncarnation(machine, machine.incarnation + 1)
+    override fun onLeaseExpired(machine: Machine) = beginIncarnation(machine, machine.incarnation + 1)
 }
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -137,7 +137,7 @@
 
     private inner class JobStoreEvents : JobStoreListener {
         override fun onLeadershipChanged() {
-            election.leadershipChanged()
+            election.onLeadershipChanged()
             standby?.leadershipChanged(jobStore.leadership, jobStore.leadershipRevision)
             mesh.follow(leaderMeshAddress)
             val node = jobStore.leadership?.node ?: "none"
@@ -168,14 +168,14 @@
     }
 
     private inner class ElectionEvents : ElectionListener {
-        override fun elected(
+        override fun onElected(
             token: Long,
             isNewTerm: Boolean,
         ) {
             if (isNewTerm) leader.begin(token, standby?.begin(token))
         }
 
-        override fun leadershipLost() {
+        override fun onLeadershipLost() {
             leader.end()
             standby?.end()
         }
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -17,9 +17,9 @@
     private val clock: Clock,
     private val ranking: Ranking,
     private val preemption: Preemption,
-    reliability: Reliability,
+    reliability: SpotReliability,
     private val recovery: RecoveryPolicy,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val metrics: Metrics,
     startTask: (Job, Int, Machine) -> Unit,
 ) {
