--- a/src/main/kotlin/ledgearch/api/DependencyCheck.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyCheck.kt
@@ -61,7 +61,7 @@
         id: String,
         done: (DependencyCheckResult) -> Unit,
         accepted: (FinalRecord?) -> Unit,
-    ) = jobStore.records.read(id) { reading ->
+    ) = jobStore.recordReader.read(id) { reading ->
         when (reading) {
             is JobReadResult.Open -> accepted(null)
             is JobReadResult.Ended -> accepted(reading.record)
--- a/src/main/kotlin/ledgearch/api/JobLookup.kt
+++ b/src/main/kotlin/ledgearch/api/JobLookup.kt
@@ -54,11 +54,11 @@
                     JobReadResult.Unknown -> respond(answers.tryAgain())
                 }
             }
-        jobStore.records.read(id, done)
+        jobStore.recordReader.read(id, done)
     }
 
     /** Reads whether the job [id] is over, so that this node's job store remembers it. */
-    fun refreshFinal(id: String) = jobStore.records.readFinalRecord(id, counted { })
+    fun refreshFinal(id: String) = jobStore.recordReader.readFinalRecord(id, counted { })
 
     /** The answer for a job whose open record was read as [open]; it may have ended since. */
     private fun openAnswer(
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -34,7 +34,7 @@
  * and starts none of its tasks before every recorded machine has confirmed the new token.
  */
 internal class JobDependencies(
-    private val records: JobRecordReader,
+    private val recordReader: JobRecordReader,
     private val clock: Clock,
     private val openJobs: Map<String, Job>,
     private val finalRecordOf: (String) -> FinalRecord?,
@@ -158,7 +158,7 @@
     private fun readFinalRecord(id: String) {
         pendingReads++
         nextReadAtMs[id] = clock.steadyMs + JobsTuning.DEPENDENCY_READ_INTERVAL_MS
-        records.readFinalRecord(id) { pendingReads-- }
+        recordReader.readFinalRecord(id) { pendingReads-- }
     }
 
     /** Updates the priorities of the open jobs in [ids] and, where one changes, those of its dependencies. */
--- a/src/main/kotlin/ledgearch/jobs/JobStore.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobStore.kt
@@ -39,7 +39,7 @@
     val jobs: LinkedHashMap<String, Job> = openJobs.byId
 
     /** Reads the records of single jobs directly, independent of the watch. */
-    val records: JobRecordReader get() = openJobs.records
+    val recordReader: JobRecordReader get() = openJobs.recordReader
 
     /** The dependencies between the open jobs. */
     val dependencies: JobDependencies get() = openJobs.dependencies
@@ -104,7 +104,7 @@
         modRevision: Long,
     ) = modRevision <= revision && id !in jobs
 
-    /** Starts the listing or the next watch unless one is pending. */
+    /** Reads due final records of dependencies and starts the listing or the next watch unless one is pending. */
     fun drive() {
         dependencies.drive()
         if (isRequestPending || clock.steadyMs < retryAtMs) return
--- a/src/main/kotlin/ledgearch/jobs/OpenJobs.kt
+++ b/src/main/kotlin/ledgearch/jobs/OpenJobs.kt
@@ -23,15 +23,15 @@
     private val finalRecords = LruMap<String, FinalRecord>(finalRecordCacheSize)
 
     /** Reads the records of single jobs directly, independent of the watch. */
-    val records = JobRecordReader(storeClient, ::addFinalRecord)
+    val recordReader = JobRecordReader(storeClient, ::addFinalRecord)
 
     /** The dependencies between the open jobs. */
-    val dependencies = JobDependencies(records, clock, byId, ::finalRecord, dependencyListener)
+    val dependencies = JobDependencies(recordReader, clock, byId, ::finalRecord, dependencyListener)
 
     /** Returns the final record of the job [id]; null if it is not cached. */
     fun finalRecord(id: String): FinalRecord? = finalRecords[id]
 
-    /** Caches [record], the final record of the job [id], and closes the job. */
+    /** Caches [record], the final record of the job [id], closes the job and updates its dependents. */
     fun addFinalRecord(
         id: String,
         record: FinalRecord,
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -1,9 +1,9 @@
 package ledgearch.model
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
-import ledgearch.records.Chunks
+import ledgearch.records.TaskChunks
 import ledgearch.records.JobRecord
-import ledgearch.records.Ranges
+import ledgearch.records.TaskRanges
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
 import ledgearch.wire.MachineType
@@ -70,7 +70,7 @@
 
     // --- Durable record --------------------------------------------------------------------------------------------
 
-    /** Numbers of the chunks ([Chunks]) that have ever been written and must be removed when the job closes. */
+    /** Numbers of the chunks ([TaskChunks]) that have ever been written and must be removed when the job closes. */
     val writtenChunks = BitSet()
 
     /** Steady-clock ms at which finished tasks were last written. */
@@ -159,7 +159,7 @@
         ranges: String,
         chunk: Int,
     ) {
-        Ranges.decode(ranges, finished, spec.taskCount)
+        TaskRanges.decode(ranges, finished, spec.taskCount)
         takenTasks.or(finished)
         takenCount = takenTasks.cardinality()
         finishedCount = finished.cardinality()
--- a/src/main/kotlin/ledgearch/persistence/KeyRevisions.kt
+++ b/src/main/kotlin/ledgearch/persistence/KeyRevisions.kt
@@ -27,7 +27,7 @@
     }
 
     /** Returns the conditions under which [changes] may be made: their keys still have the revisions held here. */
-    fun conditions(changes: List<Change>): List<Condition> =
+    fun conditionsFor(changes: List<Change>): List<Condition> =
         changes.map { change ->
             val key = keyOf(change)
             Condition(key, revisions[key] ?: 0)
--- a/src/main/kotlin/ledgearch/persistence/MachineRecordCodec.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecordCodec.kt
@@ -16,7 +16,7 @@
     private const val SINGLE_MACHINE_FIELD = "endpoint"
 
     /** Returns the entry of [machine] in a record that has its machine type at [machineTypeIndex]. */
-    fun entry(
+    fun createEntry(
         machine: Machine,
         machineTypeIndex: Int,
         quarantined: Boolean,
@@ -25,7 +25,7 @@
     /** Returns one record of all [machines]. */
     fun encode(machines: Collection<Machine>): JsonElement {
         val machineTypes = machines.map { it.machineType }.distinct()
-        val entries = machines.map { entry(it, machineTypes.indexOf(it.machineType), it.quarantined) }
+        val entries = machines.map { createEntry(it, machineTypes.indexOf(it.machineType), it.quarantined) }
         return encodeRecord(MachinesRecord.serializer(), MachinesRecord(0, machineTypes, entries))
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** Returns the machine of [entry] in [record], inherited from an earlier leader and known since [nowMs]. */
-    fun machine(
+    fun createMachine(
         record: MachinesRecord,
         entry: MachineEntry,
         teams: TeamQuotas,
--- a/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
@@ -44,7 +44,7 @@
     }
 
     private fun entryBytes(machine: Machine): Int {
-        val entry = MachineRecordCodec.entry(machine, LONGEST_TYPE_INDEX, quarantined = true)
+        val entry = MachineRecordCodec.createEntry(machine, LONGEST_TYPE_INDEX, quarantined = true)
         return encodedBytes(encodeRecord(MachineEntry.serializer(), entry)) + COMMA_BYTES
     }
 
--- a/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
@@ -71,7 +71,7 @@
         group.hasUnwrittenChanges = false
         groups[name] = group
         return record.machines.map { entry ->
-            MachineRecordCodec.machine(record, entry, teams, nowMs).also { addToGroup(it, group) }
+            MachineRecordCodec.createMachine(record, entry, teams, nowMs).also { addToGroup(it, group) }
         }
     }
 
--- a/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
@@ -2,10 +2,10 @@
 
 import ledgearch.jobs.JobStore
 import ledgearch.model.Job
-import ledgearch.records.Chunks
+import ledgearch.records.TaskChunks
 import ledgearch.records.FinishedTasksRecord
 import ledgearch.records.Keys
-import ledgearch.records.Ranges
+import ledgearch.records.TaskRanges
 import ledgearch.records.encodeRecord
 import ledgearch.records.within
 import ledgearch.runtime.Clock
@@ -22,7 +22,7 @@
     private val removals: PendingKeyRemovals,
     private val clock: Clock,
 ) : PendingWrites {
-    private val chunks = Chunks(maxValueBytes)
+    private val chunks = TaskChunks(maxValueBytes)
     private val jobs = LinkedHashMap<String, Job>()
 
     /** Queues the finished tasks of [job] for writing. */
@@ -74,7 +74,7 @@
         chunk: Int,
         tasks: BitSet,
     ): Change {
-        val record = FinishedTasksRecord(Ranges.encode(tasks))
+        val record = FinishedTasksRecord(TaskRanges.encode(tasks))
         return Change(
             put = Keys.finished(job.id, chunk),
             value = encodeRecord(FinishedTasksRecord.serializer(), record),
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -157,7 +157,7 @@
         for (entry in entries) {
             val job = entry.closedJob
             if (job == null) {
-                conditions.addAll(keyRevisions.conditions(entry.changes))
+                conditions.addAll(keyRevisions.conditionsFor(entry.changes))
             } else {
                 conditions.add(Condition(Keys.job(job.id), job.modRevision))
             }
--- a/src/main/kotlin/ledgearch/records/JobRecords.kt
+++ b/src/main/kotlin/ledgearch/records/JobRecords.kt
@@ -21,7 +21,7 @@
     @SerialName("n") val taskCount: Int = 0,
 )
 
-/** The finished tasks in one chunk ([Chunks]) of an open job, encoded by [Ranges]: `0-3,7`. */
+/** The finished tasks in one chunk ([TaskChunks]) of an open job, encoded by [TaskRanges]: `0-3,7`. */
 @Serializable
 internal data class FinishedTasksRecord(
     @SerialName("r") val ranges: String,
--- a/src/main/kotlin/ledgearch/records/Chunks.kt
+++ b/src/main/kotlin/ledgearch/records/TaskChunks.kt
@@ -12,7 +12,7 @@
  * has its own numbers above those, so that no record overwrites one of a different set of tasks. A task may therefore
  * be in two records. That is harmless: a finished task stays finished, and both records are removed with the job.
  */
-internal class Chunks(
+internal class TaskChunks(
     maxValueBytes: Int,
 ) {
     private val halvingCount: Int =
--- a/src/main/kotlin/ledgearch/records/Ranges.kt
+++ b/src/main/kotlin/ledgearch/records/TaskRanges.kt
@@ -3,7 +3,7 @@
 import java.util.BitSet
 
 /** Encodes sets of task indices as text, for example `0-3,7`. */
-internal object Ranges {
+internal object TaskRanges {
     /** Returns [tasks] as ranges in ascending order. */
     fun encode(tasks: BitSet): String {
         val text = StringBuilder()
--- a/src/main/kotlin/ledgearch/store/StoreClient.kt
+++ b/src/main/kotlin/ledgearch/store/StoreClient.kt
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * This node's client of the state service, the cluster's replicated key-value store. Requests stay within the node's
+ * This node's client of the state service, the platform's key-value store. Requests stay within the node's
  * share of the service's limits: they are queued until [sendAllowed] sends them. Each callback is called exactly once,
  * with the service's reply or a refusal by this node.
  */
--- a/src/test/kotlin/ledgearch/records/ChunksTest.kt
+++ b/src/test/kotlin/ledgearch/records/TaskChunksTest.kt
@@ -7,7 +7,7 @@
 import java.util.BitSet
 
 /** Checks how the finished tasks of a job are divided into records, for several limits on the size of values. */
-internal class ChunksTest {
+internal class TaskChunksTest {
     private val valueLimitsBytes = listOf(256, 512, 1024, 1536, 2048, 8192, 16384)
 
     @Test
@@ -15,7 +15,7 @@
         for (limitBytes in valueLimitsBytes) {
             for (period in 2..5) {
                 for (offset in 0 until period) {
-                    val chunks = Chunks(limitBytes)
+                    val chunks = TaskChunks(limitBytes)
                     val finished = BitSet()
                     for (task in 0 until MAX_TASKS) if ((task + offset) % period != 0) finished.set(task)
                     val largestBytes =
@@ -34,17 +34,17 @@
     @Test
     fun `every task is in the chunk that it is assigned to`() {
         for (limitBytes in valueLimitsBytes) {
-            val chunks = Chunks(limitBytes)
+            val chunks = TaskChunks(limitBytes)
             for (task in 0 until MAX_TASKS) assertTrue(task in chunks.tasksOf(chunks.chunkOf(task)))
         }
     }
 
     @Test
     fun `chunks of earlier versions keep their numbers, and no two sizes share a number`() {
-        val maxSizeChunks = Chunks(8192)
+        val maxSizeChunks = TaskChunks(8192)
         for (task in 0 until MAX_TASKS) assertEquals(task / 500, maxSizeChunks.chunkOf(task))
         val chunkNumbers =
-            valueLimitsBytes.map(::Chunks).distinctBy { it.tasksPerChunk }.map { chunks ->
+            valueLimitsBytes.map(::TaskChunks).distinctBy { it.tasksPerChunk }.map { chunks ->
                 (0 until MAX_TASKS).mapTo(HashSet(), chunks::chunkOf)
             }
         assertEquals(chunkNumbers.sumOf { it.size }, chunkNumbers.flatten().toSet().size)
@@ -54,7 +54,7 @@
         WireJson
             .encodeToString(
                 FinishedTasksRecord.serializer(),
-                FinishedTasksRecord(Ranges.encode(tasks)),
+                FinishedTasksRecord(TaskRanges.encode(tasks)),
             ).encodeToByteArray()
             .size
 
