--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -125,8 +125,8 @@
 
     private fun handleBatch(batch: List<OwnerCommand>) {
         val began = System.nanoTime()
-        controller.run(began / SteadyTime.NANOS_PER_MS, System.currentTimeMillis(), batch)
-        controller.worked((System.nanoTime() - began) / NANOS_PER_MICROSECOND, queue.waiting)
+        controller.runBatch(began / SteadyTime.NANOS_PER_MS, System.currentTimeMillis(), batch)
+        controller.recordBatch((System.nanoTime() - began) / NANOS_PER_MICROSECOND, queue.waiting)
     }
 
     private companion object {
--- a/src/main/kotlin/ledgearch/cli/OwnerMeshEvents.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerMeshEvents.kt
@@ -9,9 +9,9 @@
 internal class OwnerMeshEvents(
     private val queue: OwnerQueue,
 ) : MeshEvents {
-    override suspend fun statusReceived(status: LeaderStatus) = queue.put(OwnerCommand.LeaderStatusReceived(status))
+    override suspend fun statusReceived(status: LeaderStatus) = queue.put(OwnerCommand.ApplyLeaderStatus(status))
 
-    override suspend fun standby(event: StandbyEvent) = queue.put(OwnerCommand.Standby(event))
+    override suspend fun standby(event: StandbyEvent) = queue.put(OwnerCommand.HandleStandbyEvent(event))
 
-    override suspend fun refused(address: String) = queue.put(OwnerCommand.PeerRefused(address))
+    override suspend fun refused(address: String) = queue.put(OwnerCommand.HandlePeerRefusal(address))
 }
--- a/src/main/kotlin/ledgearch/cli/OwnerRequests.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerRequests.kt
@@ -13,7 +13,7 @@
     /** The owner's response to [request]; suspends until it is given. */
     suspend fun respond(request: Request): Response {
         val response = PendingResponse()
-        val command = OwnerCommand.Serve(request, response::complete)
+        val command = OwnerCommand.ServeRequest(request, response::complete)
         if (request.path in FIRST) {
             queue.put(command)
         } else if (!queue.offer(command)) {
--- a/src/main/kotlin/ledgearch/cli/SocketTransport.kt
+++ b/src/main/kotlin/ledgearch/cli/SocketTransport.kt
@@ -23,7 +23,7 @@
     ) {
         scope.launch {
             val reply = client.call(address, method, target, body, timeoutMs)
-            queue.put(OwnerCommand.Answered(reply, done))
+            queue.put(OwnerCommand.HandleReply(reply, done))
         }
     }
 }
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -47,7 +47,7 @@
         if (status.incarnation < machine.incarnation) return
         if (status.incarnation > machine.incarnation) beginIncarnation(machine, status.incarnation)
         // First message of an incarnation. The agent's lease began with the incarnation, before this message and
-        // without an answer from this node.
+        // without a reply from this node.
         if (machine.sequence == 0L) machine.lastAnsweredAt = clock.steadyMs
         val isCurrent = countsAsCurrent(machine, status, source)
         if (source == StatusSource.HEARTBEAT) updateHeartbeatTimes(machine, status, isCurrent)
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Returns whether [status] counts as current. Until the machine has confirmed the token, a heartbeat
-     * with a lower token may be a duplicate from an earlier leader's term.
+     * Returns whether [status] counts as current. Until the machine has confirmed the token, a heartbeat with a lower
+     * token may be a duplicate from an earlier leader's term.
      */
     private fun countsAsCurrent(
         machine: Machine,
--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -18,7 +18,7 @@
     const val PUBLISH_INTERVAL_MS = 1_000L
 
     /** Finished jobs whose final record stays in memory; older ones are read from the state service on request. */
-    const val FINAL_RECORD_CACHE_SIZE = 20_000L
+    const val MAX_FINAL_RECORDS = 20_000L
 
     /** Low bits of an attempt number that count within a term; the fencing token above them makes it unique. */
     const val ATTEMPT_COUNTER_BITS = 28
@@ -29,8 +29,8 @@
      */
     const val MAX_ATTEMPTS_PER_TERM = 1L shl (ATTEMPT_COUNTER_BITS - 1)
 
-    /** An agent drops an answer 4 s after it sent the heartbeat; the rest covers clock drift and queueing. */
-    const val HEARTBEAT_ANSWER_TIMEOUT_MS = 4_500L
+    /** An agent drops a reply 4 s after it sent the heartbeat; the rest covers clock drift and queueing. */
+    const val HEARTBEAT_REPLY_TIMEOUT_MS = 4_500L
 
     /** Interval at which the hours of spot machines are counted. */
     const val RELIABILITY_UPDATE_INTERVAL_MS = 1_000L
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -19,12 +19,12 @@
     random: Random,
     instanceId: Long,
     nanoTime: () -> Long,
-    finalRecordCacheSize: Long = ControlTuning.FINAL_RECORD_CACHE_SIZE,
-    private val stepFailed: (RuntimeException) -> Unit = ::logFailure,
+    maxFinalRecords: Long = ControlTuning.MAX_FINAL_RECORDS,
+    private val onStepFailed: (RuntimeException) -> Unit = ::logFailure,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
     private val components =
-        ControllerComponents(settings, transport, mesh, random, instanceId, nanoTime, finalRecordCacheSize)
+        ControllerComponents(settings, transport, mesh, random, instanceId, nanoTime, maxFinalRecords)
     private val clock = components.clock
     private val metrics = components.metrics
     private val storeClient = components.storeClient
@@ -32,7 +32,7 @@
     private val election = components.election
     private val stalls = components.stalls
     private val leader = components.leader
-    private var nextLoadLogAt = 0L
+    private var nextLoadLogAtMs = 0L
 
     /** The warm standby; null unless it is enabled in the operator settings. */
     val standby: WarmStandby? = components.standby
@@ -50,7 +50,7 @@
      * Runs one batch at [steadyMs] on the steady clock and [wallMs] on the wall clock: executes all [commands] in
      * order, then drives every component once.
      */
-    fun run(
+    fun runBatch(
         steadyMs: Long,
         wallMs: Long,
         commands: List<OwnerCommand>,
@@ -76,12 +76,32 @@
 
     private fun execute(command: OwnerCommand) {
         when (command) {
-            is OwnerCommand.Serve -> components.router.handle(command.request, command.respond)
-            is OwnerCommand.Answered -> metrics.spend("answers") { command.done(command.reply) }
-            is OwnerCommand.LeaderStatusReceived -> components.leaderStatusExchange.apply(command.status)
-            is OwnerCommand.Standby -> standby?.handle(command.event, components.leaderMeshAddress)
-            is OwnerCommand.PeerRefused -> components.nodeAtMeshAddress(command.address)?.let { election.challenge(it) }
-            is OwnerCommand.Tick -> stalls.ticked(command.queuedAt)
+            is OwnerCommand.ServeRequest -> {
+                components.router.handle(command.request, command.respond)
+            }
+
+            is OwnerCommand.HandleReply -> {
+                metrics.spend("answers") { command.onReply(command.reply) }
+            }
+
+            is OwnerCommand.ApplyLeaderStatus -> {
+                components.leaderStatusExchange.apply(command.status)
+            }
+
+            is OwnerCommand.HandleStandbyEvent -> {
+                standby?.handle(command.event, components.leaderMeshAddress)
+            }
+
+            is OwnerCommand.HandlePeerRefusal -> {
+                components
+                    .nodeAtMeshAddress(
+                        command.address,
+                    )?.let { election.challenge(it) }
+            }
+
+            is OwnerCommand.Tick -> {
+                stalls.ticked(command.queuedAtMs)
+            }
         }
     }
 
@@ -95,27 +115,27 @@
         try {
             step()
         } catch (e: RuntimeException) {
-            stepFailed(e)
+            onStepFailed(e)
         }
     }
 
     /** Logs what the owner's time was spent on, at most once per [ControlTuning.LOAD_LOG_INTERVAL_MS]. */
     private fun logTimeSpent() {
-        if (!log.isDebugEnabled || clock.steadyMs < nextLoadLogAt) return
-        nextLoadLogAt = clock.steadyMs + ControlTuning.LOAD_LOG_INTERVAL_MS
+        if (!log.isDebugEnabled || clock.steadyMs < nextLoadLogAtMs) return
+        nextLoadLogAtMs = clock.steadyMs + ControlTuning.LOAD_LOG_INTERVAL_MS
         log.debug("time spent by the owner since the process began; ms={}", metrics.spentMs())
     }
 
-    /** Records that the last batch took [micros] microseconds and left [waiting] commands in the queue. */
-    fun worked(
-        micros: Long,
-        waiting: Int,
-    ) = metrics.worked(micros, waiting)
+    /** Records that the last batch took [durationUs] and left [queueLength] commands in the queue. */
+    fun recordBatch(
+        durationUs: Long,
+        queueLength: Int,
+    ) = metrics.worked(durationUs, queueLength)
 
     /** Returns whether the counts kept of machines, teams and jobs equal a recount; true unless this node leads. */
-    fun countsHold(): Boolean = !election.isLeader || leader.countsHold()
+    fun hasConsistentCounts(): Boolean = !election.isLeader || leader.hasConsistentCounts()
 }
 
-/** Logs [e]. The sender of the failed command gets no answer and has to retry. */
+/** Logs [e]. The sender of the failed command gets no reply and has to retry. */
 private fun logFailure(e: RuntimeException) =
     LoggerFactory.getLogger("ledgearch.control").error("a step of the owner failed; the remaining steps still run", e)
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -35,7 +35,7 @@
     private val random: Random,
     instanceId: Long,
     nanoTime: () -> Long,
-    finalRecordCacheSize: Long,
+    maxFinalRecords: Long,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
     private val meshAddressByNode = settings.members.associate { it.node to it.addr }
@@ -58,7 +58,7 @@
         )
 
     /** This node's replicated view of the watched records. */
-    val jobStore = JobStore(storeClient, clock, JobStoreEvents(), DependencyEvents(), finalRecordCacheSize)
+    val jobStore = JobStore(storeClient, clock, JobStoreEvents(), DependencyEvents(), maxFinalRecords)
 
     /** This node's part in the leader election, with its fencing token. */
     val election: Election =
@@ -144,12 +144,12 @@
             log.info("leader changed; node={} token={}", node, jobStore.leadershipRevision)
         }
 
-        override fun jobOpened(job: Job) = leader.jobLifecycle.opened(job)
+        override fun jobOpened(job: Job) = leader.jobLifecycle.onOpened(job)
 
-        override fun jobChanged(job: Job) = leader.jobLifecycle.changed(job)
+        override fun jobChanged(job: Job) = leader.jobLifecycle.onChanged(job)
 
         override fun jobClosed(job: Job) {
-            leader.jobLifecycle.closed(job)
+            leader.jobLifecycle.onClosed(job)
             userApi.closed(job.id)
         }
 
@@ -157,14 +157,14 @@
     }
 
     private inner class DependencyEvents : DependencyListener {
-        override fun released(job: Job) = leader.jobLifecycle.released(job)
+        override fun released(job: Job) = leader.jobLifecycle.onDependenciesDone(job)
 
-        override fun dependencyCancelled(job: Job) = leader.jobLifecycle.dependencyCancelled(job)
+        override fun dependencyCancelled(job: Job) = leader.jobLifecycle.onDependencyCancelled(job)
 
         override fun priorityChanged(
             job: Job,
             priority: Priority,
-        ) = leader.jobLifecycle.priorityChanged(job, priority)
+        ) = leader.jobLifecycle.setPriority(job, priority)
     }
 
     private inner class ElectionEvents : ElectionListener {
--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -48,12 +48,12 @@
         recordLoader.drive(this)
     }
 
-    override fun machineRestored(machine: Machine) {
+    override fun onMachineLoaded(machine: Machine) {
         machineRegistry.add(machine)
         hints?.applyTo(machine, clock)
     }
 
-    override fun allRecordsLoaded() {
+    override fun onAllRecordsLoaded() {
         applyHints()
         isReady = true
         placementLoop.requestPass()
--- a/src/main/kotlin/ledgearch/control/HealthCheck.kt
+++ b/src/main/kotlin/ledgearch/control/HealthCheck.kt
@@ -10,22 +10,22 @@
     private val storeClient: StoreClient,
     private val clock: Clock,
 ) {
-    /** Steady time in ms at which the leader last reported that the state service does not answer it. */
-    private var leaderOutageReportedAt = Long.MIN_VALUE / 2
+    /** Steady time at which the leader last reported an outage of the state service. */
+    private var leaderOutageReportedAtMs = Long.MIN_VALUE / 2
 
     /** Records that the leader reports an outage of the state service. */
     fun recordLeaderOutage() {
-        leaderOutageReportedAt = clock.steadyMs
+        leaderOutageReportedAtMs = clock.steadyMs
     }
 
     /**
-     * Returns whether this node is healthy. It is not while the state service answers other nodes but not this one, as
-     * those serve users better. In a general outage it stays healthy: otherwise all nodes would leave the load balancer
-     * and be slow to return. It then still answers from final results and tells other users when to retry.
+     * Returns whether this node is healthy. It is not while the state service replies to other nodes but not to this
+     * one, as those serve users better. In a general outage it stays healthy: otherwise all nodes would leave the load
+     * balancer and be slow to return. It then still returns final results and tells other users when to retry.
      */
     fun isHealthy(): Boolean {
         if (!jobStore.isLoaded || jobStore.machineTypes.isEmpty()) return false
         return clock.steadyMs - storeClient.lastAnswerAt < ControlTuning.MAX_STATE_SILENCE_MS ||
-            clock.steadyMs - leaderOutageReportedAt < ControlTuning.OUTAGE_REPORT_VALID_MS
+            clock.steadyMs - leaderOutageReportedAtMs < ControlTuning.OUTAGE_REPORT_VALID_MS
     }
 }
--- a/src/main/kotlin/ledgearch/control/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatEndpoint.kt
@@ -11,15 +11,15 @@
 import ledgearch.wire.Redirect
 import ledgearch.wire.WireJson
 
-/** Answers heartbeats over HTTP: with commands on the leader, and with a redirect to the leader on every other node. */
+/** Handles heartbeats over HTTP: the leader replies with commands, every other node with a redirect to the leader. */
 internal class HeartbeatEndpoint(
     private val node: String,
     private val election: Election,
     private val jobStore: JobStore,
     private val leader: Leader,
 ) {
-    /** Returns the answer to the heartbeat in [request]. */
-    fun answer(request: Request): Response {
+    /** Returns the response to the heartbeat in [request]. */
+    fun handle(request: Request): Response {
         if (!election.isLeader) return redirect()
         val heartbeat =
             parse(request.body) ?: return errorResponse(HttpStatus.BAD_REQUEST, "the body is not a valid heartbeat")
--- a/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
@@ -10,7 +10,7 @@
 import ledgearch.wire.TaskCommand
 import org.slf4j.LoggerFactory
 
-/** The answer to a heartbeat: commands for the agent, or that this node is not the leader. */
+/** The reply to a heartbeat: commands for the agent, or that this node is not the leader. */
 @JvmInline
 internal value class HeartbeatResult private constructor(
     private val commandsIfLeader: List<TaskCommand>?,
@@ -33,7 +33,7 @@
     }
 }
 
-/** Receives all messages of agents, rejects fenced and duplicate ones, and answers heartbeats with commands. */
+/** Receives all messages of agents, rejects fenced and duplicate ones, and replies to heartbeats with commands. */
 internal class HeartbeatHandler(
     private val machineRegistry: MachineRegistry,
     private val recordLoader: RecordLoader,
@@ -52,9 +52,9 @@
         if (isFenced(heartbeat)) return HeartbeatResult.NOT_LEADER
         if (!recordLoader.areMachinesLoaded) return HeartbeatResult.NO_COMMANDS
         val machine = machineRegistry.machines[heartbeat.machine] ?: machineAdmission.admit(heartbeat)
-        // No agent accepts an answer to a late duplicate, so it renews no lease, and the duplicate's content is old.
+        // No agent accepts a reply to a late duplicate, so it renews no lease, and the duplicate's content is old.
         if (machine == null || isLateDuplicate(machine, heartbeat)) return HeartbeatResult.NO_COMMANDS
-        // Every other answer may renew the agent's lease. This includes a machine being released: until the release
+        // Every other reply may renew the agent's lease. This includes a machine being released: until the release
         // is done its tasks may run there and must be stopped like any others.
         machine.lastAnsweredAt = clock.steadyMs
         statusHandler.apply(machine, heartbeat, StatusSource.HEARTBEAT)
@@ -62,7 +62,10 @@
         return HeartbeatResult.of(collectCommands(machine, heartbeat))
     }
 
-    /** Returns the pending commands of [machine], which its agent executes or drops before its next heartbeat. */
+    /**
+     * Returns the pending commands of [machine] and records on its starts that the reply to [heartbeat] carries them.
+     * The agent executes or drops the commands before its next heartbeat.
+     */
     private fun collectCommands(
         machine: Machine,
         heartbeat: Heartbeat,
@@ -83,14 +86,14 @@
         return true
     }
 
-    /** Returns whether the agent no longer waits for the answer: it accepts one only to its last heartbeat, for 4 s. */
+    /** Returns whether the agent no longer accepts a reply: it does so only to its last heartbeat, for 4 s. */
     private fun isLateDuplicate(
         machine: Machine,
         heartbeat: Heartbeat,
     ): Boolean {
         if (heartbeat.incarnation != machine.incarnation) return heartbeat.incarnation < machine.incarnation
         if (heartbeat.sequence != machine.heartbeatSequence) return heartbeat.sequence < machine.heartbeatSequence
-        return clock.steadyMs - machine.heartbeatFirstSeenAt > ControlTuning.HEARTBEAT_ANSWER_TIMEOUT_MS
+        return clock.steadyMs - machine.heartbeatFirstSeenAt > ControlTuning.HEARTBEAT_REPLY_TIMEOUT_MS
     }
 
     /** Applies the [status] with which the agent of [machine] replied to a direct command. */
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -40,7 +40,7 @@
     fun end() = cancelledJobs.clear()
 
     /** Called when [job] was added to the job store. */
-    fun opened(job: Job) {
+    fun onOpened(job: Job) {
         if (!job.waitsForOthers) headroom.opened(job)
         logOpened(job)
         if (!term.isActive) return
@@ -67,7 +67,7 @@
     }
 
     /** Called when every job that [job] depends on is done. */
-    fun released(job: Job) {
+    fun onDependenciesDone(job: Job) {
         headroom.opened(job)
         if (!term.isActive) return
         log.debug("job released: all its dependencies are done; job={}", job.id)
@@ -76,12 +76,12 @@
     }
 
     /** Called when a job that [job] depends on was cancelled. */
-    fun dependencyCancelled(job: Job) {
+    fun onDependencyCancelled(job: Job) {
         if (term.isActive) cancelledJobs.add(job)
     }
 
     /** Sets the effective priority of [job] to [priority]. */
-    fun priorityChanged(
+    fun setPriority(
         job: Job,
         priority: Priority,
     ) {
@@ -100,14 +100,14 @@
     }
 
     /** Called when the record of [job] has changed. */
-    fun changed(job: Job) {
+    fun onChanged(job: Job) {
         if (!term.isActive) return
         if (job.record.cancelRequested) cancelledJobs.add(job)
         placementLoop.requestPass()
     }
 
     /** Called when the final record of [job] is durable. */
-    fun closed(job: Job) {
+    fun onClosed(job: Job) {
         if (!term.isActive) return
         job.closed = true
         cancelledJobs.remove(job)
@@ -134,7 +134,7 @@
     private fun isFullyStopped(job: Job) = job.dependencyCancelled || (job.accountedFor && job.attempts.isEmpty())
 
     /** Returns whether the counts of running attempts equal a recount. */
-    fun countsHold(): Boolean =
+    fun hasConsistentCounts(): Boolean =
         jobStore.jobs.values.all { job ->
             !term.isActive || job.runningCount == job.attempts.values.count { it.state == AttemptState.RUNNING }
         }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -230,7 +230,7 @@
         metrics.spend("records") { recordWriter.drive() }
     }
 
-    /** Applies [heartbeat] and returns the answer to it. */
+    /** Applies [heartbeat] and returns the reply to it. */
     fun handle(heartbeat: Heartbeat): HeartbeatResult = heartbeatHandler.handle(heartbeat)
 
     override val anyZoneUnsettled get() = !partitionedZones.isEmpty || recovery?.anyUnsettled == true
@@ -250,8 +250,9 @@
     override fun changed() = placementLoop.requestPass()
 
     /** Returns whether the counts that are updated with each attempt equal a recount. */
-    fun countsHold() =
-        machines.values.all { it.countsHold() } && teams.countsHold(machines.values) && jobLifecycle.countsHold()
+    fun hasConsistentCounts() =
+        machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
+            jobLifecycle.hasConsistentCounts()
 
     private inner class AgentReplies : AgentReplyListener {
         override fun isRegistered(machine: Machine) = machineRegistry.contains(machine)
--- a/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -10,7 +10,7 @@
 
 /**
  * Publishes the leader's status to the other controllers and applies it there: the progress of jobs, which they get
- * only from here, the zones that are not up, and whether the state service answers the leader.
+ * only from here, the zones that are not up, and whether the state service replies to the leader.
  */
 internal class LeaderStatusExchange(
     private val mesh: Mesh,
@@ -21,17 +21,17 @@
     private val healthCheck: HealthCheck,
     private val clock: Clock,
 ) {
-    private var nextPublishAt = 0L
+    private var nextPublishAtMs = 0L
 
     /** Value of [Mesh.joined] at the last publication. */
-    private var joinedAtLastPublish = 0
+    private var joinedCountAtLastPublish = 0
 
     /** On the leader, publishes once per interval the changed progress, or all of it when a peer has joined. */
     fun drive() {
-        if (!election.isLeader || clock.steadyMs < nextPublishAt) return
-        nextPublishAt = clock.steadyMs + ControlTuning.PUBLISH_INTERVAL_MS
-        val hasNewPeer = mesh.joined != joinedAtLastPublish
-        joinedAtLastPublish = mesh.joined
+        if (!election.isLeader || clock.steadyMs < nextPublishAtMs) return
+        nextPublishAtMs = clock.steadyMs + ControlTuning.PUBLISH_INTERVAL_MS
+        val hasNewPeer = mesh.joined != joinedCountAtLastPublish
+        joinedCountAtLastPublish = mesh.joined
         val progress =
             jobStore.jobs.values.mapNotNull { job ->
                 val current = JobProgress(job.id, job.finishedCount, job.runningCount)
--- a/src/main/kotlin/ledgearch/control/OwnerCommand.kt
+++ b/src/main/kotlin/ledgearch/control/OwnerCommand.kt
@@ -9,34 +9,34 @@
 /** A command for the owner; the commands of a batch are executed in order. */
 internal sealed interface OwnerCommand {
     /** Serves an HTTP [request]; [respond] is called exactly once, in this batch or a later one. */
-    class Serve(
+    class ServeRequest(
         val request: Request,
         val respond: (Response) -> Unit,
     ) : OwnerCommand
 
     /** Applies the [status] that the leader published to this node. */
-    class LeaderStatusReceived(
+    class ApplyLeaderStatus(
         val status: LeaderStatus,
     ) : OwnerCommand
 
     /** Handles an [event] of the decision stream between the leader and a standby. */
-    class Standby(
+    class HandleStandbyEvent(
         val event: StandbyEvent,
     ) : OwnerCommand
 
     /** Handles that the controller at the mesh [address] ended its connection and now refuses new ones. */
-    class PeerRefused(
+    class HandlePeerRefusal(
         val address: String,
     ) : OwnerCommand
 
-    /** Triggers the work that is due by time; [queuedAt] is the steady time in ms at which the tick was queued. */
+    /** Triggers the work that is due by time; [queuedAtMs] is the steady time at which the tick was queued. */
     class Tick(
-        val queuedAt: Long,
+        val queuedAtMs: Long,
     ) : OwnerCommand
 
-    /** Passes the [reply] to a call of the transport to its callback [done]. */
-    class Answered(
+    /** Passes the [reply] to a call of the transport to its callback [onReply]. */
+    class HandleReply(
         val reply: Reply,
-        val done: (Reply) -> Unit,
+        val onReply: (Reply) -> Unit,
     ) : OwnerCommand
 }
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -25,8 +25,8 @@
 ) {
     private var isPassRequested = true
     private var areGuaranteesOutdated = true
-    private var lastPassAt = Long.MIN_VALUE / 2
-    private var reliabilityUpdatedAt = 0L
+    private var lastPassAtMs = Long.MIN_VALUE / 2
+    private var reliabilityUpdatedAtMs = 0L
 
     /** Requests a pass before the idle interval is over; called after a change that may let pending tasks start. */
     fun requestPass() {
@@ -40,17 +40,17 @@
 
     /** Counts, once per interval, the hours of spot machines, from which their loss rate is estimated. */
     fun updateReliability() {
-        if (clock.steadyMs - reliabilityUpdatedAt <= ControlTuning.RELIABILITY_UPDATE_INTERVAL_MS) return
-        reliabilityUpdatedAt = clock.steadyMs
+        if (clock.steadyMs - reliabilityUpdatedAtMs <= ControlTuning.RELIABILITY_UPDATE_INTERVAL_MS) return
+        reliabilityUpdatedAtMs = clock.steadyMs
         reliability.count(machineRegistry.machines.values, clock.steadyMs)
         updateOnDemandJobs()
     }
 
     /** Runs a pass if one was requested or the idle interval is over, and the pacing of passes allows it. */
     fun drive() {
-        if (!isPassRequested && clock.steadyMs - lastPassAt < ControlTuning.IDLE_PASS_INTERVAL_MS) return
+        if (!isPassRequested && clock.steadyMs - lastPassAtMs < ControlTuning.IDLE_PASS_INTERVAL_MS) return
         if (!stalls.mayPass()) return
-        lastPassAt = clock.steadyMs
+        lastPassAtMs = clock.steadyMs
         isPassRequested = false
         if (areGuaranteesOutdated) {
             areGuaranteesOutdated = false
--- a/src/main/kotlin/ledgearch/control/RecordLoader.kt
+++ b/src/main/kotlin/ledgearch/control/RecordLoader.kt
@@ -18,10 +18,10 @@
 /** Receives what a new leader loads. */
 internal interface RecordLoaderListener {
     /** Called for each machine of a machine record in the state service. */
-    fun machineRestored(machine: Machine)
+    fun onMachineLoaded(machine: Machine)
 
     /** Called when all records are loaded. */
-    fun allRecordsLoaded()
+    fun onAllRecordsLoaded()
 }
 
 /** Loads what a new leader needs before it acts: the machine records, then the finished tasks of open jobs. */
@@ -41,7 +41,7 @@
     private val log = LoggerFactory.getLogger("ledgearch.control")
     private val pendingPages = ArrayDeque<PendingPage>()
     private var isReading = false
-    private var retryAt = Long.MIN_VALUE
+    private var retryAtMs = Long.MIN_VALUE
 
     /** Counts the terms, so that replies to requests of an earlier term are ignored. */
     private var termCount = 0
@@ -72,10 +72,10 @@
         hasUnreadableRecord = false
     }
 
-    /** Requests the next page, or calls [RecordLoaderListener.allRecordsLoaded] when none is left. */
+    /** Requests the next page, or calls [RecordLoaderListener.onAllRecordsLoaded] when none is left. */
     fun drive(listener: RecordLoaderListener) {
-        if (isReading || clock.steadyMs < retryAt) return
-        val page = pendingPages.firstOrNull() ?: return listener.allRecordsLoaded()
+        if (isReading || clock.steadyMs < retryAtMs) return
+        val page = pendingPages.firstOrNull() ?: return listener.onAllRecordsLoaded()
         isReading = true
         val requestTermCount = termCount
         storeClient.list(page.prefix, page.after, RequestClass.CRITICAL) { result ->
@@ -83,7 +83,7 @@
             isReading = false
             when (result) {
                 is ReadResult.Found -> applyPage(page, result.value.pairs, result.value.hasNext, listener)
-                else -> retryAt = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+                else -> retryAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
             }
         }
     }
@@ -123,7 +123,7 @@
             )
             hasUnreadableRecord = true
         } else {
-            machines.forEach(listener::machineRestored)
+            machines.forEach(listener::onMachineLoaded)
         }
     }
 
--- a/src/main/kotlin/ledgearch/control/RequestRouter.kt
+++ b/src/main/kotlin/ledgearch/control/RequestRouter.kt
@@ -49,7 +49,7 @@
     ) {
         if (request.method == "POST") {
             val respondMeasured = recordingLatency("heartbeat", respond)
-            respondMeasured(heartbeatEndpoint.answer(request))
+            respondMeasured(heartbeatEndpoint.handle(request))
         } else {
             respond(errorResponse(HttpStatus.METHOD_NOT_ALLOWED, "method not allowed, use POST"))
         }
@@ -62,9 +62,9 @@
         requestKind: String,
         respond: Respond,
     ): Respond {
-        val startedAt = clock.steadyMs
+        val startedAtMs = clock.steadyMs
         return {
-            metrics.answered(requestKind, it.status, startedAt)
+            metrics.answered(requestKind, it.status, startedAtMs)
             respond(it)
         }
     }
--- a/src/test/kotlin/ledgearch/cli/OwnerQueueTest.kt
+++ b/src/test/kotlin/ledgearch/cli/OwnerQueueTest.kt
@@ -12,12 +12,12 @@
 internal class OwnerQueueTest {
     private val queue = OwnerQueue()
 
-    private fun request(path: String) = OwnerCommand.Serve(Request("GET", path, "", true)) { }
+    private fun request(path: String) = OwnerCommand.ServeRequest(Request("GET", path, "", true)) { }
 
     private fun batch(): List<String> =
         ArrayList<OwnerCommand>()
             .also { runBlocking { queue.take(it) } }
-            .map { (it as? OwnerCommand.Serve)?.request?.path ?: "other" }
+            .map { (it as? OwnerCommand.ServeRequest)?.request?.path ?: "other" }
 
     @Test
     fun `heartbeats overtake users, who still get their part`() {
--- a/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
+++ b/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
@@ -33,7 +33,7 @@
             Random(1),
             1,
             { 0L },
-            stepFailed = { failures.add(it) },
+            onStepFailed = { failures.add(it) },
         )
 
     private fun settings() =
@@ -77,17 +77,20 @@
         override fun publish(status: LeaderStatus) = Unit
     }
 
-    private val failingCommand = OwnerCommand.Answered(Reply.NONE) { throw IllegalStateException("the callback fails") }
+    private val failingCommand =
+        OwnerCommand.HandleReply(
+            Reply.NONE,
+        ) { throw IllegalStateException("the callback fails") }
 
-    private fun runBatch(vararg commands: OwnerCommand) = controller.run(1_000, 1_000, commands.toList())
+    private fun runBatch(vararg commands: OwnerCommand) = controller.runBatch(1_000, 1_000, commands.toList())
 
     @Test
     fun `the commands after a failing one are executed`() {
         val statuses = ArrayList<Int>()
         runBatch(
             failingCommand,
-            OwnerCommand.Serve(Request("GET", "/up", "", true)) { statuses.add(it.status) },
-            OwnerCommand.Answered(Reply(200, "{}")) { statuses.add(it.status) },
+            OwnerCommand.ServeRequest(Request("GET", "/up", "", true)) { statuses.add(it.status) },
+            OwnerCommand.HandleReply(Reply(200, "{}")) { statuses.add(it.status) },
         )
         assertEquals(listOf(503, 200), statuses)
         assertEquals(1, failures.size)
@@ -101,6 +104,10 @@
 
     @Test
     fun `an error is not caught like an exception of a command`() {
-        assertThrows<StackOverflowError> { runBatch(OwnerCommand.Answered(Reply.NONE) { throw StackOverflowError() }) }
+        assertThrows<StackOverflowError> {
+            runBatch(
+                OwnerCommand.HandleReply(Reply.NONE) { throw StackOverflowError() },
+            )
+        }
     }
 }
--- a/src/test/kotlin/ledgearch/control/HeartbeatCostTest.kt
+++ b/src/test/kotlin/ledgearch/control/HeartbeatCostTest.kt
@@ -56,7 +56,7 @@
     private fun heartbeatCommand(
         body: String,
         onAnswer: () -> Unit,
-    ) = OwnerCommand.Serve(Request("POST", "/checkin", body, true)) {
+    ) = OwnerCommand.ServeRequest(Request("POST", "/checkin", body, true)) {
         assertEquals(HTTP_OK, it.status)
         onAnswer()
     }
--- a/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
@@ -37,7 +37,7 @@
         if (!isAlive() || followed != address) return
         val peer = peerAt(address)
         if ((!peer.isListening || peer.isRefusing) && !simulation.network.isUnreachable(node.name, peer.name)) {
-            node.run(OwnerCommand.PeerRefused(address))
+            node.run(OwnerCommand.HandlePeerRefusal(address))
         }
         simulation.clock.after(CHECK_MS) { checkPeer(address) }
     }
@@ -60,7 +60,7 @@
         val peer = peerAt(address)
         if (peer.hasStandby && peer.up && !simulation.network.isUnreachable(node.name, peer.name)) {
             val instance = peer.instance
-            peer.run(OwnerCommand.Standby(StandbyEvent.FollowerJoined(opened)))
+            peer.run(OwnerCommand.HandleStandbyEvent(StandbyEvent.FollowerJoined(opened)))
             watchEnd(address, opened, instance)
         } else {
             simulation.clock.after(CHECK_MS) { sayHello(address, opened) }
@@ -75,7 +75,11 @@
     ) {
         if (!isAlive() || connection != opened) {
             val peer = peerAt(address)
-            if (peer.instance == instance && peer.up) peer.run(OwnerCommand.Standby(StandbyEvent.FollowerLeft(opened)))
+            if (peer.instance == instance &&
+                peer.up
+            ) {
+                peer.run(OwnerCommand.HandleStandbyEvent(StandbyEvent.FollowerLeft(opened)))
+            }
             return
         }
         if (peerAt(address).instance != instance) return connect(address)
@@ -94,7 +98,7 @@
         val address = followed
         if (!isAlive() || connection != this.connection || address == null) return
         try {
-            node.run(OwnerCommand.Standby(StandbyEvent.FrameReceived(address, StreamCodec.decode(body))))
+            node.run(OwnerCommand.HandleStandbyEvent(StandbyEvent.FrameReceived(address, StreamCodec.decode(body))))
         } catch (_: MalformedFrame) {
             simulation.streams.malformedClosed++
             reconnect()
@@ -112,7 +116,7 @@
             simulation.network.deliver(
                 node.name,
                 other.name,
-            ) { if (other.up) other.run(OwnerCommand.LeaderStatusReceived(status)) }
+            ) { if (other.up) other.run(OwnerCommand.ApplyLeaderStatus(status)) }
         }
     }
 
--- a/src/test/kotlin/ledgearch/simulation/SimulatedNode.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedNode.kt
@@ -61,7 +61,7 @@
                 { clock.now },
                 options.finalStatesKept,
                 // Here no exception is ever expected: the scenario fails.
-                stepFailed = { throw it },
+                onStepFailed = { throw it },
             )
         tick(startedInstance)
     }
@@ -75,13 +75,13 @@
     private fun tick(tickingInstance: Int) {
         if (tickingInstance != instance) return
         run(OwnerCommand.Tick(clock.now))
-        if (controller?.countsHold() == false) simulation.reportViolation("$name counts other than a recount")
+        if (controller?.hasConsistentCounts() == false) simulation.reportViolation("$name counts other than a recount")
         standby?.let { simulation.replicaInvariant.check(name, it) }
         clock.after(TICK_MS) { tick(tickingInstance) }
     }
 
     private fun runOnController(commands: List<OwnerCommand>) {
-        controller?.run(clock.now, WALL_CLOCK_START_MS + clock.now, commands)
+        controller?.runBatch(clock.now, WALL_CLOCK_START_MS + clock.now, commands)
     }
 
     fun run(command: OwnerCommand) = queue.run(command)
@@ -117,7 +117,7 @@
     ) {
         if (!up) return answer(Reply.NONE)
         val request = Request(method, target, body.orEmpty(), true)
-        run(OwnerCommand.Serve(request) { response: Response -> answer(Reply(response.status, response.body)) })
+        run(OwnerCommand.ServeRequest(request) { response: Response -> answer(Reply(response.status, response.body)) })
     }
 
     private fun settings() =
@@ -168,7 +168,7 @@
             fun finish(reply: Reply) {
                 if (isAnswered || callingInstance != instance) return
                 isAnswered = true
-                run(OwnerCommand.Answered(reply, done))
+                run(OwnerCommand.HandleReply(reply, done))
             }
             clock.after(timeoutMs) { finish(Reply.NONE) }
             simulation.network.send(Message(name, address.substringBefore(':'), method, target, body)) { finish(it) }
--- a/src/test/kotlin/ledgearch/simulation/SimulationOptions.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulationOptions.kt
@@ -19,7 +19,7 @@
     val limits: StateLimits = StateLimits(200.0, 60.0, 8.0, 16),
     val leaseMs: Long = 14_000L,
     /** So many final states a controller remembers. */
-    val finalStatesKept: Long = ControlTuning.FINAL_RECORD_CACHE_SIZE,
+    val finalStatesKept: Long = ControlTuning.MAX_FINAL_RECORDS,
     /** The limits that the settings of controllers announce, until a scenario announces others. */
     val nextLimits: NextStateLimits? = null,
     /** Controllers with warm standby. */
--- a/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
@@ -83,7 +83,7 @@
             limits = stateLimits(),
             leaseMs = options["lease-ms"]?.toLong() ?: LEASE_MS,
             // final-states-kept COUNT: so many final states a controller remembers.
-            finalStatesKept = options["final-states-kept"]?.toLong() ?: ControlTuning.FINAL_RECORD_CACHE_SIZE,
+            finalStatesKept = options["final-states-kept"]?.toLong() ?: ControlTuning.MAX_FINAL_RECORDS,
             // announced-limits LIMITS: what the settings announce, as `value-kb=2 txn-ops=5 write-rps=18 rps=100`.
             nextLimits = options["announced-limits"]?.let { ScenarioLimits.next(it.split(' ')) },
             // standby NODES: those have warm standby, as `n1 n2`.
