--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -18,7 +18,7 @@
     const val PUBLISH_INTERVAL_MS = 1_000L
 
     /** Finished jobs whose final record stays in memory; older ones are read from the state service on request. */
-    const val MAX_FINAL_RECORDS = 20_000L
+    const val FINAL_RECORD_CACHE_SIZE = 20_000L
 
     /** Low bits of an attempt number that count within a term; the fencing token above them makes it unique. */
     const val ATTEMPT_COUNTER_BITS = 28
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -19,12 +19,12 @@
     random: Random,
     instanceId: Long,
     nanoTime: () -> Long,
-    maxFinalRecords: Long = ControlTuning.MAX_FINAL_RECORDS,
+    finalRecordCacheSize: Long = ControlTuning.FINAL_RECORD_CACHE_SIZE,
     private val onStepFailed: (RuntimeException) -> Unit = ::logFailure,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
     private val components =
-        ControllerComponents(settings, transport, mesh, random, instanceId, nanoTime, maxFinalRecords)
+        ControllerComponents(settings, transport, mesh, random, instanceId, nanoTime, finalRecordCacheSize)
     private val clock = components.clock
     private val metrics = components.metrics
     private val storeClient = components.storeClient
@@ -76,32 +76,12 @@
 
     private fun execute(command: OwnerCommand) {
         when (command) {
-            is OwnerCommand.ServeRequest -> {
-                components.router.handle(command.request, command.respond)
-            }
-
-            is OwnerCommand.HandleReply -> {
-                metrics.spend("answers") { command.onReply(command.reply) }
-            }
-
-            is OwnerCommand.ApplyLeaderStatus -> {
-                components.leaderStatusExchange.apply(command.status)
-            }
-
-            is OwnerCommand.HandleStandbyEvent -> {
-                standby?.handle(command.event, components.leaderMeshAddress)
-            }
-
-            is OwnerCommand.HandlePeerRefusal -> {
-                components
-                    .nodeAtMeshAddress(
-                        command.address,
-                    )?.let { election.challenge(it) }
-            }
-
-            is OwnerCommand.Tick -> {
-                stalls.ticked(command.queuedAtMs)
-            }
+            is OwnerCommand.ServeRequest -> components.router.handle(command.request, command.respond)
+            is OwnerCommand.HandleReply -> metrics.spend("answers") { command.onReply(command.reply) }
+            is OwnerCommand.ApplyLeaderStatus -> components.leaderStatusExchange.apply(command.status)
+            is OwnerCommand.HandleStandbyEvent -> standby?.handle(command.event, components.leaderMeshAddress)
+            is OwnerCommand.HandlePeerRefusal -> components.nodeAt(command.address)?.let { election.challenge(it) }
+            is OwnerCommand.Tick -> stalls.ticked(command.queuedAtMs)
         }
     }
 
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -35,7 +35,7 @@
     private val random: Random,
     instanceId: Long,
     nanoTime: () -> Long,
-    maxFinalRecords: Long,
+    finalRecordCacheSize: Long,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
     private val meshAddressByNode = settings.members.associate { it.node to it.addr }
@@ -58,7 +58,7 @@
         )
 
     /** This node's replicated view of the watched records. */
-    val jobStore = JobStore(storeClient, clock, JobStoreEvents(), DependencyEvents(), maxFinalRecords)
+    val jobStore = JobStore(storeClient, clock, JobStoreEvents(), DependencyEvents(), finalRecordCacheSize)
 
     /** This node's part in the leader election, with its fencing token. */
     val election: Election =
@@ -116,7 +116,7 @@
     val leaderMeshAddress: String? get() = jobStore.leadership?.node?.let { meshAddressByNode[it] }
 
     /** Returns the name of the node at the mesh [address], or null when there is none. */
-    fun nodeAtMeshAddress(address: String): String? = meshAddressByNode.entries.firstOrNull { it.value == address }?.key
+    fun nodeAt(address: String): String? = meshAddressByNode.entries.firstOrNull { it.value == address }?.key
 
     private fun createWarmStandby(): WarmStandby? {
         if (!settings.operator.standby.enabled) return null
@@ -137,7 +137,7 @@
 
     private inner class JobStoreEvents : JobStoreListener {
         override fun leadershipChanged() {
-            election.leadershipChanged()
+            election.onLeadershipChanged()
             standby?.leadershipChanged(jobStore.leadership, jobStore.leadershipRevision)
             mesh.follow(leaderMeshAddress)
             val node = jobStore.leadership?.node ?: "none"
@@ -168,14 +168,14 @@
     }
 
     private inner class ElectionEvents : ElectionListener {
-        override fun elected(
+        override fun onElected(
             token: Long,
             isNewTerm: Boolean,
         ) {
             if (isNewTerm) leader.begin(token, standby?.begin(token))
         }
 
-        override fun leadershipLost() {
+        override fun onLeadershipLost() {
             leader.end()
             standby?.end()
         }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -27,13 +27,13 @@
 import ledgearch.runtime.StallCompensation
 import ledgearch.runtime.Transport
 import ledgearch.scheduling.Deadlines
-import ledgearch.scheduling.Estimates
 import ledgearch.scheduling.NoRecovery
 import ledgearch.scheduling.Placer
 import ledgearch.scheduling.Preemption
 import ledgearch.scheduling.Ranking
-import ledgearch.scheduling.Reliability
 import ledgearch.scheduling.ReplicaMover
+import ledgearch.scheduling.RunTimeEstimates
+import ledgearch.scheduling.SpotReliability
 import ledgearch.standby.FailoverHints
 import ledgearch.store.StoreClient
 import ledgearch.wire.Heartbeat
@@ -59,7 +59,7 @@
     private val machineRegistry = MachineRegistry()
     override val machines: Map<String, Machine> get() = machineRegistry.machines
     override val teams = TeamQuotas(settings.deployment.teams)
-    override val estimates = Estimates()
+    override val estimates = RunTimeEstimates()
     override val headroom = Headroom(settings, clock)
 
     /** The zone recovery; null unless it is enabled in the operator settings. */
@@ -70,7 +70,7 @@
     private val deadlines =
         Deadlines(settings.deployment.objectives, estimates, clock, jobStore.dependencies::dependentsOf)
     private val ranking = Ranking(settings.deployment.objectives, estimates, clock, deadlines)
-    override val reliability = Reliability(estimates, ranking)
+    override val reliability = SpotReliability(estimates, ranking)
     private val placer =
         Placer(
             machines,
@@ -257,18 +257,18 @@
     private inner class AgentReplies : AgentReplyListener {
         override fun isRegistered(machine: Machine) = machineRegistry.contains(machine)
 
-        override fun replyReceived(
+        override fun onReply(
             machine: Machine,
             status: Heartbeat,
         ) = heartbeatHandler.handleReply(machine, status)
 
-        override fun agentStateLost(machine: Machine) = heartbeatHandler.handleStateLoss(machine)
+        override fun onAgentStateLost(machine: Machine) = heartbeatHandler.handleStateLoss(machine)
     }
 
     private inner class TaskEvents : TaskStatusListener {
-        override fun placementChanged() = placementLoop.requestPass()
+        override fun onPlacementChanged() = placementLoop.requestPass()
 
-        override fun attemptLost(attempt: TaskAttempt) {
+        override fun onAttemptLost(attempt: TaskAttempt) {
             recovery?.lost(attempt)
         }
     }
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -8,7 +8,7 @@
 import ledgearch.runtime.Metrics
 import ledgearch.runtime.StallCompensation
 import ledgearch.scheduling.Placer
-import ledgearch.scheduling.Reliability
+import ledgearch.scheduling.SpotReliability
 
 /** Decides when a placement pass runs, and updates the passes' input: team guarantees and spot reliability. */
 internal class PlacementLoop(
@@ -16,7 +16,7 @@
     private val machineRegistry: MachineRegistry,
     private val placer: Placer,
     private val teams: TeamQuotas,
-    private val reliability: Reliability,
+    private val reliability: SpotReliability,
     private val headroom: Headroom,
     private val autoscaler: Autoscaler,
     private val clock: Clock,
@@ -42,7 +42,7 @@
     fun updateReliability() {
         if (clock.steadyMs - reliabilityUpdatedAtMs <= ControlTuning.RELIABILITY_UPDATE_INTERVAL_MS) return
         reliabilityUpdatedAtMs = clock.steadyMs
-        reliability.count(machineRegistry.machines.values, clock.steadyMs)
+        reliability.addMachineHours(machineRegistry.machines.values, clock.steadyMs)
         updateOnDemandJobs()
     }
 
