--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -70,7 +70,7 @@
         ) {
             runIsolated { metrics.spend("standby") { standby.drive(election.isLeader && leader.isReady) } }
         }
-        runIsolated { metrics.spend("state") { storeClient.pump() } }
+        runIsolated { metrics.spend("state") { storeClient.sendAllowed() } }
         logTimeSpent()
     }
 
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -109,7 +109,7 @@
         )
 
     init {
-        recordWriter.onClosed = { job, record -> jobStore.rememberFinal(job.id, record) }
+        recordWriter.onJobClosed = { job, record -> jobStore.addFinalRecord(job.id, record) }
     }
 
     /** The mesh address of the leader, or null when no leader is known. */
@@ -136,7 +136,7 @@
     }
 
     private inner class JobStoreEvents : JobStoreListener {
-        override fun leadershipChanged() {
+        override fun onLeadershipChanged() {
             election.onLeadershipChanged()
             standby?.leadershipChanged(jobStore.leadership, jobStore.leadershipRevision)
             mesh.follow(leaderMeshAddress)
@@ -144,24 +144,24 @@
             log.info("leader changed; node={} token={}", node, jobStore.leadershipRevision)
         }
 
-        override fun jobOpened(job: Job) = leader.jobLifecycle.onOpened(job)
+        override fun onJobOpened(job: Job) = leader.jobLifecycle.onOpened(job)
 
-        override fun jobChanged(job: Job) = leader.jobLifecycle.onChanged(job)
+        override fun onJobChanged(job: Job) = leader.jobLifecycle.onChanged(job)
 
-        override fun jobClosed(job: Job) {
+        override fun onJobClosed(job: Job) {
             leader.jobLifecycle.onClosed(job)
             userApi.closed(job.id)
         }
 
-        override fun machineTypesChanged() = leader.changed()
+        override fun onMachineTypesChanged() = leader.changed()
     }
 
     private inner class DependencyEvents : DependencyListener {
-        override fun released(job: Job) = leader.jobLifecycle.onDependenciesDone(job)
+        override fun onDependenciesDone(job: Job) = leader.jobLifecycle.onDependenciesDone(job)
 
-        override fun dependencyCancelled(job: Job) = leader.jobLifecycle.onDependencyCancelled(job)
+        override fun onDependencyCancelled(job: Job) = leader.jobLifecycle.onDependencyCancelled(job)
 
-        override fun priorityChanged(
+        override fun onPriorityChanged(
             job: Job,
             priority: Priority,
         ) = leader.jobLifecycle.setPriority(job, priority)
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -123,7 +123,7 @@
             if (job.closing) continue
             placer.forget(job)
             attemptControl.stopAll(job)
-            if (isFullyStopped(job)) recordWriter.close(job, JobState.CANCELLED)
+            if (isFullyStopped(job)) recordWriter.closeJob(job, JobState.CANCELLED)
         }
     }
 
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -187,7 +187,7 @@
         jobLifecycle.begin()
         recordLoader.begin()
         recovery?.begin()
-        storeClient.setBudgetShare(leader = true)
+        storeClient.setBudgetShare(isLeader = true)
     }
 
     /** Ends the term and clears its state. */
@@ -206,7 +206,7 @@
         recovery?.end()
         for (job in jobStore.jobs.values) job.forgetLeaderState()
         autoscaler.end()
-        storeClient.setBudgetShare(leader = false)
+        storeClient.setBudgetShare(isLeader = false)
     }
 
     /**
--- a/src/main/kotlin/ledgearch/election/HeldLeadership.kt
+++ b/src/main/kotlin/ledgearch/election/HeldLeadership.kt
@@ -35,7 +35,7 @@
     val isLeader: Boolean get() = token != 0L
 
     /** Whether the leadership was confirmed so recently that the leader lease can't have expired since. */
-    val hasValidLease: Boolean get() = isLeader && clock.steadyMs - confirmedAtMs < StoreTuning.LEADER_LEASE_MS
+    val hasValidLease: Boolean get() = isLeader && clock.steadyMs - confirmedAtMs < StoreTuning.LEADER_LEASE_TTL_MS
 
     /** Condition under which a transaction commits only while this node is the leader under [token]. */
     val condition: Condition get() = Condition(Keys.leadership(0), token)
--- a/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
@@ -47,7 +47,7 @@
             // An own record was left by an earlier process instance or by a claim whose reply was lost.
             claim(jobStore.leadershipRevision)
         } else if (isOwnRecord) {
-            nextClaimAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+            nextClaimAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
             writer.release(jobStore.leadershipRevision, recordsStepDown = false)
         }
     }
@@ -86,7 +86,7 @@
                 TransactionResult.Unknown,
                 -> {
                     val delayMs = random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
-                    nextClaimAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS + delayMs
+                    nextClaimAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS + delayMs
                 }
             }
         }
--- a/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
@@ -23,7 +23,7 @@
     fun drive() {
         if (!isDue()) return
         isRequestInFlight = true
-        nextTryAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+        nextTryAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
         val sentToken = held.token
         val sentAtMs = clock.steadyMs
         storeClient.transact(listOf(held.condition), emptyList(), RequestClass.CRITICAL) { result ->
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -48,7 +48,7 @@
     var dependencyCancelled = false
 
     /** Wall-clock ms from which the waiting time counts: the submission, or the end of the last dependency. */
-    var readyAt = record.submittedAt
+    var readyAt = record.submittedAtMs
 
     /** Whether the job waits for dependencies, or one of them was cancelled. */
     val waitsForOthers: Boolean get() = dependencyCancelled || unfinishedDependencies.isNotEmpty()
