--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -116,7 +116,7 @@
     val leaderMeshAddress: String? get() = jobStore.leadership?.node?.let { meshAddressByNode[it] }
 
     /** Returns the name of the node at the mesh [address], or null when there is none. */
-    fun nodeAtMeshAddress(address: String): String? = meshAddressByNode.entries.firstOrNull { it.value == address }?.key
+    fun nodeAt(address: String): String? = meshAddressByNode.entries.firstOrNull { it.value == address }?.key
 
     private fun createWarmStandby(): WarmStandby? {
         if (!settings.operator.standby.enabled) return null
@@ -144,12 +144,12 @@
             log.info("leader changed; node={} token={}", node, jobStore.leadershipRevision)
         }
 
-        override fun onJobOpened(job: Job) = leader.jobLifecycle.opened(job)
+        override fun onJobOpened(job: Job) = leader.jobLifecycle.onOpened(job)
 
-        override fun onJobChanged(job: Job) = leader.jobLifecycle.changed(job)
+        override fun onJobChanged(job: Job) = leader.jobLifecycle.onChanged(job)
 
         override fun onJobClosed(job: Job) {
-            leader.jobLifecycle.closed(job)
+            leader.jobLifecycle.onClosed(job)
             userApi.closed(job.id)
         }
 
@@ -157,14 +157,14 @@
     }
 
     private inner class DependencyEvents : DependencyListener {
-        override fun onDependenciesDone(job: Job) = leader.jobLifecycle.released(job)
+        override fun onDependenciesDone(job: Job) = leader.jobLifecycle.onDependenciesDone(job)
 
-        override fun onDependencyCancelled(job: Job) = leader.jobLifecycle.dependencyCancelled(job)
+        override fun onDependencyCancelled(job: Job) = leader.jobLifecycle.onDependencyCancelled(job)
 
         override fun onPriorityChanged(
             job: Job,
             priority: Priority,
-        ) = leader.jobLifecycle.priorityChanged(job, priority)
+        ) = leader.jobLifecycle.setPriority(job, priority)
     }
 
     private inner class ElectionEvents : ElectionListener {
