--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -1,8 +1,8 @@
 package ledgearch.model
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap
-import ledgearch.records.TaskChunks
 import ledgearch.records.JobRecord
+import ledgearch.records.TaskChunks
 import ledgearch.records.TaskRanges
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
--- a/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
@@ -2,9 +2,9 @@
 
 import ledgearch.jobs.JobStore
 import ledgearch.model.Job
-import ledgearch.records.TaskChunks
 import ledgearch.records.FinishedTasksRecord
 import ledgearch.records.Keys
+import ledgearch.records.TaskChunks
 import ledgearch.records.TaskRanges
 import ledgearch.records.encodeRecord
 import ledgearch.records.within
