--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -170,7 +170,7 @@
         }
         job.finish(attempt.index)
         if (!job.closed) recordWriter.writeFinishedTasks(job)
-        if (job.complete) recordWriter.close(job, JobState.DONE)
+        if (job.complete) recordWriter.closeJob(job, JobState.DONE)
     }
 
     /** Returns whether this leader saw [attempt] from its start, and no checkpoint of an earlier one shortened it. */
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -187,7 +187,7 @@
         jobLifecycle.begin()
         recordLoader.begin()
         recovery?.begin()
-        storeClient.setBudgetShare(leader = true)
+        storeClient.setBudgetShare(isLeader = true)
     }
 
     /** Ends the term and clears its state. */
@@ -206,7 +206,7 @@
         recovery?.end()
         for (job in jobStore.jobs.values) job.forgetLeaderState()
         autoscaler.end()
-        storeClient.setBudgetShare(leader = false)
+        storeClient.setBudgetShare(isLeader = false)
     }
 
     /**
@@ -230,7 +230,7 @@
         metrics.spend("records") { recordWriter.drive() }
     }
 
-    /** Applies [heartbeat] and returns the answer to it. */
+    /** Applies [heartbeat] and returns the reply to it. */
     fun handle(heartbeat: Heartbeat): HeartbeatResult = heartbeatHandler.handle(heartbeat)
 
     override val anyZoneUnsettled get() = !partitionedZones.isEmpty || recovery?.anyUnsettled == true
@@ -250,8 +250,9 @@
     override fun changed() = placementLoop.requestPass()
 
     /** Returns whether the counts that are updated with each attempt equal a recount. */
-    fun countsHold() =
-        machines.values.all { it.countsHold() } && teams.countsHold(machines.values) && jobLifecycle.countsHold()
+    fun hasConsistentCounts() =
+        machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
+            jobLifecycle.hasConsistentCounts()
 
     private inner class AgentReplies : AgentReplyListener {
         override fun isRegistered(machine: Machine) = machineRegistry.contains(machine)
--- a/src/main/kotlin/ledgearch/election/NodeLease.kt
+++ b/src/main/kotlin/ledgearch/election/NodeLease.kt
@@ -68,6 +68,6 @@
     }
 
     private fun scheduleRetry() {
-        nextRequestAtMs = clock.steadyMs + StoreTuning.RETRY_PAUSE_MS
+        nextRequestAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
     }
 }
--- a/src/test/kotlin/ledgearch/scheduling/SpotReliabilityTest.kt
+++ b/src/test/kotlin/ledgearch/scheduling/SpotReliabilityTest.kt
@@ -44,7 +44,7 @@
                     estimatedRunS = 20.0,
                     deadlineS = 30.0,
                 ),
-                submittedAt = 0,
+                submittedAtMs = 0,
             ),
             1,
         )
