--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -5,7 +5,7 @@
 import ledgearch.jobs.JobStore
 import ledgearch.model.Machine
 import ledgearch.runtime.Clock
-import ledgearch.scheduling.Estimates
+import ledgearch.scheduling.RunTimeEstimates
 import ledgearch.standby.FailoverHints
 import org.slf4j.LoggerFactory
 
@@ -17,7 +17,7 @@
     private val jobStore: JobStore,
     private val election: Election,
     private val clock: Clock,
-    private val estimates: Estimates,
+    private val estimates: RunTimeEstimates,
     private val autoscaler: Autoscaler,
     private val placementLoop: PlacementLoop,
 ) : RecordLoaderListener {
@@ -48,12 +48,12 @@
         recordLoader.drive(this)
     }
 
-    override fun machineRestored(machine: Machine) {
+    override fun onMachineLoaded(machine: Machine) {
         machineRegistry.add(machine)
         hints?.applyTo(machine, clock)
     }
 
-    override fun allRecordsLoaded() {
+    override fun onAllRecordsLoaded() {
         applyHints()
         isReady = true
         placementLoop.requestPass()
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -27,13 +27,13 @@
 import ledgearch.runtime.StallCompensation
 import ledgearch.runtime.Transport
 import ledgearch.scheduling.Deadlines
-import ledgearch.scheduling.Estimates
 import ledgearch.scheduling.NoRecovery
 import ledgearch.scheduling.Placer
 import ledgearch.scheduling.Preemption
 import ledgearch.scheduling.Ranking
-import ledgearch.scheduling.Reliability
 import ledgearch.scheduling.ReplicaMover
+import ledgearch.scheduling.RunTimeEstimates
+import ledgearch.scheduling.SpotReliability
 import ledgearch.standby.FailoverHints
 import ledgearch.store.StoreClient
 import ledgearch.wire.Heartbeat
@@ -59,7 +59,7 @@
     private val machineRegistry = MachineRegistry()
     override val machines: Map<String, Machine> get() = machineRegistry.machines
     override val teams = TeamQuotas(settings.deployment.teams)
-    override val estimates = Estimates()
+    override val estimates = RunTimeEstimates()
     override val headroom = Headroom(settings, clock)
 
     /** The zone recovery; null unless it is enabled in the operator settings. */
@@ -70,7 +70,7 @@
     private val deadlines =
         Deadlines(settings.deployment.objectives, estimates, clock, jobStore.dependencies::dependentsOf)
     private val ranking = Ranking(settings.deployment.objectives, estimates, clock, deadlines)
-    override val reliability = Reliability(estimates, ranking)
+    override val reliability = SpotReliability(estimates, ranking)
     private val placer =
         Placer(
             machines,
@@ -84,7 +84,7 @@
             metrics,
             attemptControl::start,
         )
-    override val replicas = ReplicaMover(clock, placer::usable) { attemptControl.stop(it) }
+    override val replicas = ReplicaMover(clock, placer::isUsable) { attemptControl.stop(it) }
     private val placementLoop =
         PlacementLoop(
             jobStore,
@@ -187,7 +187,7 @@
         jobLifecycle.begin()
         recordLoader.begin()
         recovery?.begin()
-        storeClient.setBudgetShare(leader = true)
+        storeClient.setBudgetShare(isLeader = true)
     }
 
     /** Ends the term and clears its state. */
@@ -206,7 +206,7 @@
         recovery?.end()
         for (job in jobStore.jobs.values) job.forgetLeaderState()
         autoscaler.end()
-        storeClient.setBudgetShare(leader = false)
+        storeClient.setBudgetShare(isLeader = false)
     }
 
     /**
@@ -230,7 +230,7 @@
         metrics.spend("records") { recordWriter.drive() }
     }
 
-    /** Applies [heartbeat] and returns the answer to it. */
+    /** Applies [heartbeat] and returns the reply to it. */
     fun handle(heartbeat: Heartbeat): HeartbeatResult = heartbeatHandler.handle(heartbeat)
 
     override val anyZoneUnsettled get() = !partitionedZones.isEmpty || recovery?.anyUnsettled == true
@@ -242,7 +242,7 @@
         taskStatusHandler.removeAll(machine)
         machineRegistry.remove(machine)
         dispatcher.remove(machine)
-        placer.machinesChanged(machine)
+        placer.updateMachines(machine)
         recordWriter.removeMachine(machine)
         placementLoop.requestPass()
     }
@@ -250,8 +250,9 @@
     override fun changed() = placementLoop.requestPass()
 
     /** Returns whether the counts that are updated with each attempt equal a recount. */
-    fun countsHold() =
-        machines.values.all { it.countsHold() } && teams.countsHold(machines.values) && jobLifecycle.countsHold()
+    fun hasConsistentCounts() =
+        machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
+            jobLifecycle.hasConsistentCounts()
 
     private inner class AgentReplies : AgentReplyListener {
         override fun isRegistered(machine: Machine) = machineRegistry.contains(machine)
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -8,7 +8,7 @@
 import ledgearch.runtime.Metrics
 import ledgearch.runtime.StallCompensation
 import ledgearch.scheduling.Placer
-import ledgearch.scheduling.Reliability
+import ledgearch.scheduling.SpotReliability
 
 /** Decides when a placement pass runs, and updates the passes' input: team guarantees and spot reliability. */
 internal class PlacementLoop(
@@ -16,7 +16,7 @@
     private val machineRegistry: MachineRegistry,
     private val placer: Placer,
     private val teams: TeamQuotas,
-    private val reliability: Reliability,
+    private val reliability: SpotReliability,
     private val headroom: Headroom,
     private val autoscaler: Autoscaler,
     private val clock: Clock,
@@ -25,8 +25,8 @@
 ) {
     private var isPassRequested = true
     private var areGuaranteesOutdated = true
-    private var lastPassAt = Long.MIN_VALUE / 2
-    private var reliabilityUpdatedAt = 0L
+    private var lastPassAtMs = Long.MIN_VALUE / 2
+    private var reliabilityUpdatedAtMs = 0L
 
     /** Requests a pass before the idle interval is over; called after a change that may let pending tasks start. */
     fun requestPass() {
@@ -40,17 +40,17 @@
 
     /** Counts, once per interval, the hours of spot machines, from which their loss rate is estimated. */
     fun updateReliability() {
-        if (clock.steadyMs - reliabilityUpdatedAt <= ControlTuning.RELIABILITY_UPDATE_INTERVAL_MS) return
-        reliabilityUpdatedAt = clock.steadyMs
-        reliability.count(machineRegistry.machines.values, clock.steadyMs)
+        if (clock.steadyMs - reliabilityUpdatedAtMs <= ControlTuning.RELIABILITY_UPDATE_INTERVAL_MS) return
+        reliabilityUpdatedAtMs = clock.steadyMs
+        reliability.addMachineHours(machineRegistry.machines.values, clock.steadyMs)
         updateOnDemandJobs()
     }
 
     /** Runs a pass if one was requested or the idle interval is over, and the pacing of passes allows it. */
     fun drive() {
-        if (!isPassRequested && clock.steadyMs - lastPassAt < ControlTuning.IDLE_PASS_INTERVAL_MS) return
+        if (!isPassRequested && clock.steadyMs - lastPassAtMs < ControlTuning.IDLE_PASS_INTERVAL_MS) return
         if (!stalls.mayPass()) return
-        lastPassAt = clock.steadyMs
+        lastPassAtMs = clock.steadyMs
         isPassRequested = false
         if (areGuaranteesOutdated) {
             areGuaranteesOutdated = false
@@ -58,7 +58,7 @@
             updateOnDemandJobs()
         }
         teams.countUnfound(jobStore.jobs.values)
-        stalls.passed(metrics.timed { placer.pass(jobStore.jobs.values) })
+        stalls.passed(metrics.timed { placer.runPass(jobStore.jobs.values) })
     }
 
     private fun updateOnDemandJobs() =
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -94,7 +94,7 @@
     val hasRecentStepDown: Boolean
         get() {
             val stepDown = jobStore.lastStepDown ?: return false
-            return clock.wallMs - stepDown.at < ElectionTuning.RECENT_STEP_DOWN_WINDOW_MS
+            return clock.wallMs - stepDown.steppedDownAtMs < ElectionTuning.RECENT_STEP_DOWN_WINDOW_MS
         }
 
     /** Keeps the lease alive, and confirms or claims the leadership when that is due. */
