--- a/src/main/kotlin/ledgearch/scheduling/CandidateRating.kt
+++ b/src/main/kotlin/ledgearch/scheduling/CandidateRating.kt
@@ -11,7 +11,8 @@
     private val latencySensitiveImages: Set<String>,
 ) {
     /**
-     * Machines in service cost the same when idle; filling spot ones first lets on-demand ones drain and be returned.
+     * Whether spot machines rank first: using machines in service costs nothing extra, and on-demand ones can then
+     * drain and be returned.
      */
     private val prefersSpot = reliability.placesOnSpotFirst(job)
     private val isLatencySensitive = ranking.isLatencySensitive(job)
@@ -48,9 +49,6 @@
         if (machine.fetched.isEmpty()) {
             0
         } else {
-            latencySensitiveImages.count {
-                it in
-                    machine.fetched
-            }
+            latencySensitiveImages.count { it in machine.fetched }
         }
 }
--- a/src/main/kotlin/ledgearch/scheduling/Candidates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Candidates.kt
@@ -23,8 +23,8 @@
         val index: Int,
     ) {
         /**
-         * For latency-sensitive jobs and services the distance of the image (see [CandidateRating]); for other jobs the
-         * number of images of latency-sensitive jobs on the machine.
+         * For latency-sensitive jobs and services, how far the image is from being present; for other jobs, the number
+         * of images of latency-sensitive jobs on the machine.
          */
         var imageRank = 0
 
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -8,7 +8,7 @@
 /**
  * Computes by when jobs have to end so that their own deadlines and those of the jobs that depend on them are met. The
  * end of a job leaves time for the run times on the longest path to the deadline (the critical path). Results are
- * cached while the clock stands still, that is for one placement pass. [dependentsOf] returns the open jobs that
+ * cached while the clock does not advance, that is for one placement pass. [dependentsOf] returns the open jobs that
  * directly depend on a job.
  */
 internal class Deadlines(
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -7,9 +7,9 @@
 import ledgearch.runtime.Metrics
 
 /**
- * Places the pending tasks of jobs, more urgent priorities first: on a machine with room if there is one; otherwise
- * room is made by preemption if that is allowed ([Preemption]), and the tasks are bound to the queues of machines
- * ([QueueBinder]) or wait unbound. [startTask] starts the task with a given index on a machine.
+ * Places the pending tasks of jobs, more urgent priorities first. A task starts on a machine with room. Where there is
+ * none, room is made by preemption if that is allowed ([Preemption]), and the task is bound to the queue of a machine
+ * ([QueueBinder]) or waits unbound. [startTask] starts the task with a given index on a machine.
  */
 internal class Placer(
     private val machines: Map<String, Machine>,
@@ -38,7 +38,9 @@
     /** Removes all tasks of [job], which is over, from the queues. */
     fun removeFromQueues(job: Job) = queues.unbindAll(job)
 
-    /** Called when machines have joined, changed or left; tasks bound to the queue of [removed] wait unbound again. */
+    /**
+     * Updates the queues after machines joined, changed or left; tasks bound to that of [removed] wait unbound again.
+     */
     fun updateMachines(removed: Machine? = null) = queues.updateMachines(removed)
 
     /** Clears all state that is kept only while this node leads. */
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionPass.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionPass.kt
@@ -42,7 +42,7 @@
     /** Processors of the tasks that this pass has assigned, by team. */
     private val assignedCpus = HashMap<String, Double>()
 
-    /** Sizes for which this pass found no room; they hold for all jobs of the same level. */
+    /** Sizes for which this pass found no room; they apply to all jobs of the same level. */
     private val unplaceable = HashMap<PreemptionLevel, UnplaceableSizes>()
     private val allZones = candidates.mapTo(HashSet()) { it.machine.zone }
 
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
@@ -10,7 +10,8 @@
     private val recovery: RecoveryPolicy,
 ) {
     /**
-     * Returns whether [job] may claim its team's guaranteed share by now and [tasks] more of its tasks are within it.
+     * Returns whether [job] has waited long enough to claim its team's guaranteed share and [tasks] more of its tasks
+     * are within it.
      */
     fun mayClaimGuarantee(
         job: Job,
@@ -32,7 +33,7 @@
         return claimsGuarantee && victim.priority == job.priority && isSurplusOfOtherTeam(job, victim)
     }
 
-    /** Returns whether [victim] runs beyond the guaranteed share of a team other than that of [job]. */
+    /** Returns whether tasks of [victim], which is not a service, are surplus of a team other than that of [job]. */
     private fun isSurplusOfOtherTeam(
         job: Job,
         victim: Job,
--- a/src/main/kotlin/ledgearch/scheduling/QueueBinder.kt
+++ b/src/main/kotlin/ledgearch/scheduling/QueueBinder.kt
@@ -39,7 +39,9 @@
         boundQueues.remove(job)?.forEach { it.unbind(job) }
     }
 
-    /** Called when machines have joined, changed or left; tasks bound to the queue of [removed] wait unbound again. */
+    /**
+     * Updates the queues after machines joined, changed or left; tasks bound to that of [removed] wait unbound again.
+     */
     fun updateMachines(removed: Machine?) {
         preferredLists = null
         if (removed == null) return
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -8,8 +8,8 @@
 
 /**
  * Determines the order in which jobs are served. The paper serves equal tasks in order of arrival; here tasks differ,
- * so within a priority jobs in their team's guaranteed share come first, then those that can still meet more of their
- * service-level objectives, then those with less expected work, with waiting time counted in a job's favour.
+ * so within a priority, jobs in their team's guaranteed share come first, then those that miss fewer service-level
+ * objectives, then those with less expected work, where waiting time counts in a job's favour.
  */
 internal class Ranking(
     objectives: List<Objective>,
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Returns whether [job] has waited long enough to preempt other teams' surplus if it is in its team's guaranteed
-     * share: half of the time in which it is to start, after subtracting the image fetch. Until then it is only served
+     * Returns whether [job], if in its team's guaranteed share, has waited long enough to preempt other teams' surplus:
+     * half of the time in which it is to start, after subtracting the image fetch. Until then it is only served
      * first within its priority, and usually enough room becomes free without preemption.
      */
     fun mayClaimGuarantee(job: Job): Boolean {
@@ -84,34 +84,31 @@
         if (job.isService) {
             0
         } else {
-            countMissed(
-                job,
-                waitedS(job) + estimates.expectedRunTimeS(job),
-            )
+            countMissedObjectives(job, waitedS(job) + estimates.expectedRunTimeS(job))
         }
 
-    /** Returns how many more objectives [job] misses if a task that has run for [ranS] seconds is restarted. */
+    /** Returns how many more objectives [job] misses if a task that has run for [elapsedS] seconds is restarted. */
     fun countMissedByRestart(
         job: Job,
-        ranS: Double,
+        elapsedS: Double,
     ): Int {
         if (job.isService) return 0
         val endS = waitedS(job) + estimates.expectedRunTimeS(job)
-        return countMissed(job, endS) - countMissed(job, endS - ranS)
+        return countMissedObjectives(job, endS) - countMissedObjectives(job, endS - elapsedS)
     }
 
     /**
-     * Returns how many more objectives [job], whose tasks run for [runS] seconds, misses if its end is delayed by
+     * Returns how many more objectives [job], whose tasks run for [runTimeS] seconds, misses if its end is delayed by
      * [delayS] seconds.
      */
     fun countMissedByDelay(
         job: Job,
-        runS: Double,
+        runTimeS: Double,
         delayS: Double,
     ): Int {
         if (job.isService) return 0
-        val endS = runS + if (job.attempts.isEmpty()) waitedS(job) else 0.0
-        return countMissed(job, endS + delayS) - countMissed(job, endS)
+        val endS = runTimeS + if (job.attempts.isEmpty()) waitedS(job) else 0.0
+        return countMissedObjectives(job, endS + delayS) - countMissedObjectives(job, endS)
     }
 
     /** Returns the seconds since [job] became ready to start. */
@@ -120,7 +117,7 @@
     private fun imageFetchS(job: Job): Double = job.spec.imageGb * SchedulingTuning.IMAGE_FETCH_S_PER_GB
 
     /** Returns how many objectives [job] misses if it ends [endS] seconds after it became ready to start. */
-    private fun countMissed(
+    private fun countMissedObjectives(
         job: Job,
         endS: Double,
     ): Int {
@@ -136,6 +133,6 @@
         val waitedS = waitedS(job)
         if (job.isService) return -waitedS
         val workCpuS = job.pendingCount * job.spec.vcpus * estimates.expectedRunTimeS(job)
-        return workCpuS - waitedS * job.spec.vcpus * job.spec.taskCount * SchedulingTuning.WAITING_CREDIT_SHARE
+        return workCpuS - waitedS * job.spec.vcpus * job.spec.taskCount * SchedulingTuning.WAITING_CREDIT_RATE
     }
 }
--- a/src/main/kotlin/ledgearch/scheduling/RecoveryPolicy.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RecoveryPolicy.kt
@@ -8,7 +8,7 @@
  * placement or reorders jobs and never permits what the rules or a team's quota forbid.
  */
 internal interface RecoveryPolicy {
-    /** False while all zones are up and no displaced work is tracked: then the policy changes nothing. */
+    /** False while all zones are up and no displaced work is tracked; the policy then changes nothing. */
     val isActive: Boolean
 
     /** Called at the start of each placement pass with all jobs that wait for room. */
--- a/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
@@ -28,18 +28,18 @@
 
     private val runningMeanErrors = HashMap<String, RunningMeanError>()
 
-    /** Records that a task of [job] has run for [seconds], from its start to its end. */
+    /** Records that a task of [job] has run for [runTimeS] seconds, from its start to its end. */
     fun recordRunTime(
         job: Job,
-        seconds: Double,
+        runTimeS: Double,
     ) {
-        job.runTime.add(seconds)
-        if (job.spec.estimatedRunS <= 0 || seconds <= 0) return
+        job.runTime.add(runTimeS)
+        if (job.spec.estimatedRunS <= 0 || runTimeS <= 0) return
         // Every job has the same weight, however many tasks it has.
         val taskWeight = 1.0 / job.spec.taskCount
         val mean = runningMeanErrors.getOrPut(job.spec.jobClass) { RunningMeanError() }
         mean.weight = minOf(mean.weight + taskWeight, SchedulingTuning.MAX_MEAN_ERROR_JOBS)
-        val deviation = ln(seconds / job.spec.estimatedRunS) - mean.logRatio
+        val deviation = ln(runTimeS / job.spec.estimatedRunS) - mean.logRatio
         mean.logRatio += deviation * minOf(1.0, taskWeight / mean.weight)
     }
 
@@ -48,7 +48,9 @@
 
     private fun RunningMeanError.toMeanError() = MeanError(logRatio, weight)
 
-    /** Takes over the mean error of a class from another leader, unless the own one has at least the same [weight]. */
+    /**
+     * Replaces the mean error of a class by that of another leader, unless the own one has at least the same [weight].
+     */
     fun restoreMeanError(
         jobClass: String,
         logRatio: Double,
@@ -92,7 +94,6 @@
         if (job.isService) {
             0.0
         } else {
-            job.spec.vcpus /
-                maxOf(expectedRunTimeS(job), 1.0)
+            job.spec.vcpus / maxOf(expectedRunTimeS(job), 1.0)
         }
 }
--- a/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
@@ -37,8 +37,8 @@
      */
     const val PRIORITY_LEVEL_COST_CPU_S = 1e6
 
-    /** Share of a second of a job's work, with all its tasks running, that a second of waiting compensates. */
-    const val WAITING_CREDIT_SHARE = 0.25
+    /** Processor seconds credited for each second of waiting and each processor that the job asks for. */
+    const val WAITING_CREDIT_RATE = 0.25
 
     /** Image fetch time on the slowest of the common machine types. */
     const val IMAGE_FETCH_S_PER_GB = 4.0
--- a/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
@@ -18,7 +18,7 @@
 
     /** Steady ms up to which [machineHours] are counted; 0 before the first count. */
     private var countedUntilMs = 0L
-    private var spotMachines = 0
+    private var spotMachineCount = 0
 
     /** Steady ms at which the current loss window began. */
     private var windowStartMs = Long.MIN_VALUE / 2
@@ -37,8 +37,8 @@
         machines: Collection<Machine>,
         nowMs: Long,
     ) {
-        spotMachines = machines.count { it.spot }
-        if (countedUntilMs != 0L) machineHours += spotMachines * (nowMs - countedUntilMs) / MS_PER_HOUR
+        spotMachineCount = machines.count { it.spot }
+        if (countedUntilMs != 0L) machineHours += spotMachineCount * (nowMs - countedUntilMs) / MS_PER_HOUR
         countedUntilMs = nowMs
     }
 
@@ -54,7 +54,7 @@
         if (!machine.spot) return
         if (nowMs - windowStartMs > SchedulingTuning.LOSS_WINDOW_MS) {
             windowStartMs = nowMs
-            windowLossesLeft = SchedulingTuning.MIN_WINDOW_LOSSES + expectedWindowLosses()
+            windowLossesLeft = SchedulingTuning.MIN_WINDOW_LOSSES + additionalWindowLosses()
         }
         if (windowLossesLeft < 1.0) return
         windowLossesLeft -= 1.0
@@ -98,7 +98,7 @@
     private class GainingJob(
         val job: Job,
         /**
-         * Objectives that it is expected not to miss on on-demand machines, per processor second that it uses there.
+         * Expected number of objectives missed due to spot losses, per processor second of remaining work.
          */
         val gain: Double,
     )
@@ -116,45 +116,47 @@
     private fun expectedLosses(job: Job): Double =
         expectedLossesPerTask(estimates.expectedRunTimeS(job)) * unfinishedTasks(job)
 
-    private fun expectedLossesPerTask(runS: Double): Double = losses / machineHours * runS / SECONDS_PER_HOUR
+    private fun expectedLossesPerTask(runTimeS: Double): Double = losses / machineHours * runTimeS / SECONDS_PER_HOUR
 
     /** Returns a multiple of the losses that the current rate predicts for all spot machines in one window. */
-    private fun expectedWindowLosses(): Double =
-        SchedulingTuning.WINDOW_LOSS_FACTOR * losses / machineHours * spotMachines * SchedulingTuning.LOSS_WINDOW_MS /
-            MS_PER_HOUR
+    private fun additionalWindowLosses(): Double =
+        SchedulingTuning.WINDOW_LOSS_FACTOR * losses / machineHours * spotMachineCount *
+            SchedulingTuning.LOSS_WINDOW_MS / MS_PER_HOUR
 
     private fun unfinishedTasks(job: Job): Int = job.spec.taskCount - job.finishedCount
 
     private fun unfinishedCpus(job: Job): Double = job.spec.vcpus * unfinishedTasks(job)
 
     private fun onDemandGain(job: Job): Double {
-        val runS = estimates.expectedRunTimeS(job)
+        val runTimeS = estimates.expectedRunTimeS(job)
         val factors =
             if (job.runTime.tasks > 0) {
                 SchedulingTuning.OBSERVED_RUN_TIME_FACTORS
             } else {
                 SchedulingTuning.ESTIMATED_RUN_TIME_FACTORS
             }
-        val missed = factors.map { expectedMissedOnSpot(job, runS * it) }.average()
-        return missed / (unfinishedCpus(job) * runS).coerceAtLeast(1.0)
+        val missed = factors.map { expectedMissedOnSpot(job, runTimeS * it) }.average()
+        return missed / (unfinishedCpus(job) * runTimeS).coerceAtLeast(1.0)
     }
 
-    /** Returns the objectives that [job] is expected to miss on spot machines if its tasks run for [runS] seconds. */
+    /**
+     * Returns the objectives that [job] is expected to miss on spot machines if its tasks run for [runTimeS] seconds.
+     */
     private fun expectedMissedOnSpot(
         job: Job,
-        runS: Double,
+        runTimeS: Double,
     ): Double {
-        val lossesPerTask = expectedLossesPerTask(runS)
+        val lossesPerTask = expectedLossesPerTask(runTimeS)
         val expectedLosses = lossesPerTask * unfinishedTasks(job)
-        // The last of the lost tasks delays the end by its restart; then the last of those lost again, and so on.
+        // The last task to be lost delays the end by the work it repeats; so does the last one lost again, and so on.
         var lost = expectedLosses
         var delayS = 0.0
         while (lost > SchedulingTuning.MAX_EXPECTED_LOSSES && delayS < SchedulingTuning.MAX_DELAY_S) {
-            delayS += runS * lost / (lost + 1) + SchedulingTuning.LOSS_DETECTION_S
+            delayS += runTimeS * lost / (lost + 1) + SchedulingTuning.LOSS_DETECTION_S
             lost *= lossesPerTask
         }
         val lossProbability = 1 - exp(-expectedLosses)
-        return lossProbability * ranking.countMissedByDelay(job, runS, delayS)
+        return lossProbability * ranking.countMissedByDelay(job, runTimeS, delayS)
     }
 
     private companion object {
--- a/src/main/kotlin/ledgearch/scheduling/UnplaceableSizes.kt
+++ b/src/main/kotlin/ledgearch/scheduling/UnplaceableSizes.kt
@@ -34,7 +34,8 @@
         zones: Set<String>? = null,
     ): Boolean =
         sizes.any {
-            isNoLarger(it.spec, job.spec) && wasTriedIn(it, zones) &&
+            isNoLarger(it.spec, job.spec) &&
+                wasTriedIn(it, zones) &&
                 isNoMoreRestricted(it.spec, job.spec)
         }
 
