--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -17,7 +17,7 @@
     /** Interval at which the leader publishes its status. */
     const val PUBLISH_INTERVAL_MS = 1_000L
 
-    /** Finished jobs whose final record stays in memory; older ones are read from the state service on request. */
+    /** Finished jobs whose final record stays in memory; others are read from the state service on request. */
     const val FINAL_RECORD_CACHE_SIZE = 20_000L
 
     /** Low bits of an attempt number that count within a term; the fencing token above them makes it unique. */
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -65,9 +65,7 @@
         runIsolated { metrics.spend("api") { components.userApi.drive() } }
         runIsolated { leader.drive() }
         runIsolated { components.leaderStatusExchange.drive() }
-        if (standby !=
-            null
-        ) {
+        if (standby != null) {
             runIsolated { metrics.spend("standby") { standby.drive(election.isLeader && leader.isReady) } }
         }
         runIsolated { metrics.spend("state") { storeClient.sendAllowed() } }
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -88,7 +88,7 @@
         )
 
     /** Handles the users' requests about jobs. */
-    val userApi = UserApi(settings, jobStore, storeClient, LeadershipEvents(), clock)
+    val userApi = UserApi(settings, jobStore, storeClient, ElectionView(), clock)
 
     /** The warm standby; null unless it is enabled in the operator settings. */
     val standby: WarmStandby? = createWarmStandby()
@@ -181,7 +181,7 @@
         }
     }
 
-    private inner class LeadershipEvents : LeadershipView {
+    private inner class ElectionView : LeadershipView {
         override val isLeader get() = election.isLeader
         override val condition: Condition get() = election.condition
 
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -10,7 +10,7 @@
 import ledgearch.wire.Priority
 import org.slf4j.LoggerFactory
 
-/** Reacts on the leader to jobs that are opened, released by their dependencies, changed, cancelled or closed. */
+/** Updates the leader's state when jobs are opened, become startable, change, are cancelled or are closed. */
 internal class JobLifecycle(
     private val term: LeadershipTerm,
     private val jobStore: JobStore,
@@ -70,7 +70,7 @@
     fun onDependenciesDone(job: Job) {
         headroom.opened(job)
         if (!term.isActive) return
-        log.debug("job released: all its dependencies are done; job={}", job.id)
+        log.debug("job may start: all its dependencies are done; job={}", job.id)
         placementLoop.invalidateGuarantees()
         placementLoop.requestPass()
     }
@@ -87,12 +87,8 @@
     ) {
         // Attempts are counted by priority: those of the job are subtracted before the change and added after it.
         val countedAttempts =
-            machineRegistry.machines.values.flatMap { machine ->
-                machine.attempts.values.filter {
-                    it.job ===
-                        job
-                }
-            }
+            machineRegistry.machines.values
+                .flatMap { machine -> machine.attempts.values.filter { it.job === job } }
         countedAttempts.forEach { it.machine.count(it, -1) }
         job.priority = priority
         countedAttempts.forEach { it.machine.count(it, 1) }
@@ -129,7 +125,7 @@
 
     /**
      * Returns whether no task of [job] can be on any machine, so that no later leader has to count it for its team.
-     * This holds at once for a job that depends on a cancelled one: no leader ever released it.
+     * This holds at once for a job that depends on a cancelled one: no leader ever started it.
      */
     private fun isFullyStopped(job: Job) = job.dependencyCancelled || (job.accountedFor && job.attempts.isEmpty())
 
--- a/src/main/kotlin/ledgearch/control/MachineAdmission.kt
+++ b/src/main/kotlin/ledgearch/control/MachineAdmission.kt
@@ -23,7 +23,7 @@
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
 
-    /** Adds the machine that sent [heartbeat] and returns it, or null when its type is unknown or it is released. */
+    /** Adds the machine that sent [heartbeat] and returns it, or null if its type is unknown or it is released. */
     fun admit(heartbeat: Heartbeat): Machine? {
         val machineType = jobStore.machineTypes[heartbeat.machineType] ?: return null
         if (autoscaler.isReleased(heartbeat.machine)) return null
--- a/src/main/kotlin/ledgearch/control/OwnerCommand.kt
+++ b/src/main/kotlin/ledgearch/control/OwnerCommand.kt
@@ -6,7 +6,7 @@
 import ledgearch.peers.LeaderStatus
 import ledgearch.peers.StandbyEvent
 
-/** A command for the owner; the commands of a batch are executed in order. */
+/** A command for the owner of the state, see [Controller]; the commands of a batch are executed in order. */
 internal sealed interface OwnerCommand {
     /** Serves an HTTP [request]; [respond] is called exactly once, in this batch or a later one. */
     class ServeRequest(
@@ -24,7 +24,7 @@
         val event: StandbyEvent,
     ) : OwnerCommand
 
-    /** Handles that the controller at the mesh [address] ended its connection and now refuses new ones. */
+    /** Reports that the controller at the mesh [address] refuses new connections after an existing one ended. */
     class HandlePeerRefusal(
         val address: String,
     ) : OwnerCommand
--- a/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
+++ b/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
@@ -54,10 +54,10 @@
     ): Boolean {
         val job = attempt.job ?: return true
         if (job.isService || job.spec.checkpointIntervalS != 0.0) return false
-        return estimates.runTimeS(job) - runTimeS(attempt) <= secondsLeft
+        return estimates.runTimeS(job) - elapsedS(attempt) <= secondsLeft
     }
 
-    private fun runTimeS(attempt: TaskAttempt) =
+    private fun elapsedS(attempt: TaskAttempt) =
         if (attempt.state == AttemptState.RUNNING) {
             (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND
         } else {
--- a/src/main/kotlin/ledgearch/control/Reconciliation.kt
+++ b/src/main/kotlin/ledgearch/control/Reconciliation.kt
@@ -39,7 +39,7 @@
         failoverMs = null
     }
 
-    /** Probes the machines that have not confirmed the token, and completes when no recorded one is left. */
+    /** Probes the machines that have not confirmed the token, and completes once no recorded one is left. */
     fun drive() {
         // Includes machines being released: the cloud API may be down, and attempts of an earlier leader may run
         // there until the agent has seen the token.
