--- a/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
@@ -31,14 +31,14 @@
     private val newMachines = LinkedHashMap<String, Machine>()
 
     /** Names of records that can't be decoded. They are left in place, so that the next leader finds them too. */
-    private val undecodableNames = HashSet<String>()
+    private val undecodable = HashSet<String>()
 
     /** Discards all machines when a leadership term has ended. */
     fun clear() {
         groups.clear()
         groupOfMachine.clear()
         newMachines.clear()
-        undecodableNames.clear()
+        undecodable.clear()
     }
 
     /** Adds [machine], or queues its record for writing if the machine was added before. */
@@ -64,7 +64,7 @@
     ): List<Machine>? {
         val record = MachineRecordCodec.decode(name, stored.value)
         if (record == null) {
-            undecodableNames.add(name)
+            undecodable.add(name)
             return null
         }
         val group = MachineGroup(name)
@@ -104,11 +104,7 @@
     }
 
     /** Returns a name without a record, as the record under the name of a machine may hold other machines by now. */
-    private fun unusedName(name: String) =
-        generateSequence(name) { "$it+" }.first {
-            it !in groups &&
-                it !in undecodableNames
-        }
+    private fun unusedName(name: String) = generateSequence(name) { "$it+" }.first { it !in groups && it !in undecodable }
 
     /** Returns the entry of [group]; null if its record is too large and one transaction can't hold all parts. */
     private fun createEntry(group: MachineGroup): BatchEntry? {
