--- a/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
@@ -104,7 +104,8 @@
     }
 
     /** Returns a name without a record, as the record under the name of a machine may hold other machines by now. */
-    private fun unusedName(name: String) = generateSequence(name) { "$it+" }.first { it !in groups && it !in undecodable }
+    private fun unusedName(name: String) =
+        generateSequence(name) { "$it+" }.first { it !in groups && it !in undecodable }
 
     /** Returns the entry of [group]; null if its record is too large and one transaction can't hold all parts. */
     private fun createEntry(group: MachineGroup): BatchEntry? {
