--- a/src/main/kotlin/ledgearch/agents/AgentClient.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentClient.kt
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Returns whether [status] is numbered no later than [incarnation] and [sequence], the latest known when the request
-     * was sent. An agent's numbers only grow, so this means that the agent has lost its state.
+     * Returns whether [status] is numbered no later than [incarnation] and [sequence], the latest known when the
+     * request was sent. An agent's numbers only grow, so this means that the agent has lost its state.
      */
     private fun isNotAfter(
         status: Heartbeat,
--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -4,7 +4,7 @@
 import ledgearch.runtime.Clock
 import ledgearch.runtime.StallCompensation
 
-/** Probes agents with empty command requests, which carry the leader's token and are answered with the agent's status. */
+/** Probes agents with empty command requests, which carry the leader's token; agents reply with their status. */
 internal class AgentProbes(
     private val client: AgentClient,
     private val queue: DispatchQueue,
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -45,8 +45,8 @@
     /**
      * Returns whether most other machines sent heartbeats after [machine] was first probed without a reply. While this
      * node lags, a timed-out probe alone proves nothing, since the reply may wait here unread. But messages are read in
-     * the order of their arrival, and those later heartbeats have been read. Without this rule a node that always lags a
-     * little would detect the machine only by its heartbeat silence.
+     * the order of their arrival, and those later heartbeats have been read. Without this rule a node that always lags
+     * a little would detect the machine only by its heartbeat silence.
      */
     private fun haveOthersReportedSince(
         machine: Machine,
