--- a/src/test/kotlin/ledgearch/control/HeartbeatCostTest.kt
+++ b/src/test/kotlin/ledgearch/control/HeartbeatCostTest.kt
@@ -39,12 +39,12 @@
         simulation.clock.runUntil(SETTLED_AT_MS)
         val leader = simulation.nodes.single { it.name == leader(simulation) }
         val worker = simulation.workers.values.first()
-        var answerCount = 0
-        repeat(HEARTBEATS) { sendHeartbeatOf(worker) { body -> leader.run(heartbeatCommand(body) { answerCount++ }) } }
+        var replyCount = 0
+        repeat(HEARTBEATS) { sendHeartbeatOf(worker) { body -> leader.run(heartbeatCommand(body) { replyCount++ }) } }
         val bytesBefore = allocatedBytes()
-        repeat(HEARTBEATS) { sendHeartbeatOf(worker) { body -> leader.run(heartbeatCommand(body) { answerCount++ }) } }
+        repeat(HEARTBEATS) { sendHeartbeatOf(worker) { body -> leader.run(heartbeatCommand(body) { replyCount++ }) } }
         val bytes = allocatedBytes() - bytesBefore
-        assertEquals(2 * HEARTBEATS, answerCount)
+        assertEquals(2 * HEARTBEATS, replyCount)
         return bytes / HEARTBEATS
     }
 
@@ -55,10 +55,10 @@
 
     private fun heartbeatCommand(
         body: String,
-        onAnswer: () -> Unit,
+        onReply: () -> Unit,
     ) = OwnerCommand.ServeRequest(Request("POST", "/checkin", body, true)) {
         assertEquals(HTTP_OK, it.status)
-        onAnswer()
+        onReply()
     }
 
     private fun allocatedBytes(): Long =
