--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -71,7 +71,7 @@
     fun probe(machine: Machine) = probes.probe(machine)
 
     /** Sends pending commands, and renews the token to fence unanswered starts. */
-    fun drive() {
+    fun runDueWork() {
         if (!queue.isEmpty) sendPending()
         unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedToken != 0L } }
         if (unacknowledged.any { !it.unreachable }) election.renewToken()
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -41,7 +41,7 @@
     fun clear() = zones.clear()
 
     /** Checks all machines when a check is due. */
-    fun drive() {
+    fun runDueWork() {
         if (clock.steadyMs < nextCheckAtMs) return
         nextCheckAtMs = clock.steadyMs + AgentTuning.CHECK_INTERVAL_MS
         silence.update()
--- a/src/main/kotlin/ledgearch/api/UserApi.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -62,7 +62,7 @@
     fun closed(id: String) = cancellations.closed(id)
 
     /** Turns away the requests that have waited too long, then sends the transactions that are due. */
-    fun drive() {
+    fun runDueWork() {
         submissions.expire()
         polls.expire()
         cancellations.expire()
--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -73,18 +73,18 @@
     fun bootS(): Double = pools.shortestBootS()
 
     /** Refills the budget of calls and reads the catalog if that is due; called on every node. */
-    fun driveCatalog(isLeader: Boolean) {
+    fun runDueCatalogWork(isLeader: Boolean) {
         cloud.refillBudget()
-        catalogReader.drive(isLeader)
+        catalogReader.runDueWork(isLeader)
     }
 
     /** The leader's part: reads the machine list, releases machines, and plans, each if it is due. */
-    fun drive(cluster: Cluster) {
-        machineListReader.drive(cluster)
+    fun runDueWork(cluster: Cluster) {
+        machineListReader.runDueWork(cluster)
         // A leader that is cut off with its zone misses all other machines. What it asks for then may be carried out
         // when the cut is over: hundreds of machines released that serve the next leader, and hundreds provisioned.
         if (!election.hasValidLease) return
-        releases.drive(cluster)
+        releases.runDueWork(cluster)
         if (clock.steadyMs < nextPlanAt) return
         nextPlanAt = clock.steadyMs + AutoscalingTuning.PLAN_INTERVAL_MS
         plan(cluster)
@@ -96,7 +96,7 @@
         scaleIn.observeLoad(cluster)
         val demands = Demand.of(jobStore.jobs.values, cluster, clock)
         scaleIn.observeDemands(cluster, demands)
-        scaleOut.drive(cluster, demands, freedPerSecond)
+        scaleOut.planAndProvision(cluster, demands, freedPerSecond)
         scaleIn.releaseEmpty(cluster)
         scaleIn.drainUnneeded(cluster, freedPerSecond)
     }
--- a/src/main/kotlin/ledgearch/autoscaling/CatalogReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CatalogReader.kt
@@ -23,7 +23,7 @@
     private var isReading = false
 
     /** Reads the catalog if that is due and the budget of calls allows it. */
-    fun drive(isLeader: Boolean) {
+    fun runDueWork(isLeader: Boolean) {
         val isWanted = jobStore.machineTypes.isEmpty() || isLeader
         if (!isWanted || isReading || clock.steadyMs < nextReadAt || !cloud.hasBudget) return
         isReading = true
--- a/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
@@ -31,7 +31,7 @@
     }
 
     /** Begins to read the list if that is due and the budget of calls allows it. */
-    fun drive(cluster: Cluster) {
+    fun runDueWork(cluster: Cluster) {
         if (isReading || clock.steadyMs < nextReadAt || !cloud.hasBudget) return
         isReading = true
         readPage(cluster, "", 1)
--- a/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
@@ -46,7 +46,7 @@
     }
 
     /** Releases the next machines, if there are any and the budget of calls allows it. */
-    fun drive(cluster: Cluster) {
+    fun runDueWork(cluster: Cluster) {
         if (isCalling || pending.isEmpty() || clock.steadyMs < retryAt || !cloud.hasBudget) return
         val names = pending.take(AutoscalingTuning.MACHINES_PER_RELEASE)
         isCalling = true
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -25,7 +25,7 @@
      * Plans for [demands], in their order, and requests the machines. [freedPerSecond]: processors that running tasks
      * free in a second.
      */
-    fun drive(
+    fun planAndProvision(
         cluster: Cluster,
         demands: List<Demand>,
         freedPerSecond: Double,
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -48,7 +48,7 @@
 
     /**
      * Runs one batch at [steadyMs] on the steady clock and [wallMs] on the wall clock: executes all [commands] in
-     * order, then drives every component once.
+     * order, then runs the due work of every component once.
      */
     fun runBatch(
         steadyMs: Long,
@@ -59,16 +59,16 @@
         clock.wallMs = wallMs
         stalls.began()
         for (command in commands) runIsolated { execute(command) }
-        runIsolated { jobStore.drive() }
-        runIsolated { election.drive() }
-        runIsolated { components.autoscaler.driveCatalog(election.isLeader) }
-        runIsolated { metrics.spend("api") { components.userApi.drive() } }
-        runIsolated { leader.drive() }
-        runIsolated { components.leaderStatusExchange.drive() }
+        runIsolated { jobStore.runDueWork() }
+        runIsolated { election.runDueWork() }
+        runIsolated { components.autoscaler.runDueCatalogWork(election.isLeader) }
+        runIsolated { metrics.spend("api") { components.userApi.runDueWork() } }
+        runIsolated { leader.runDueWork() }
+        runIsolated { components.leaderStatusExchange.runDueWork() }
         if (standby !=
             null
         ) {
-            runIsolated { metrics.spend("standby") { standby.drive(election.isLeader && leader.isReady) } }
+            runIsolated { metrics.spend("standby") { standby.runDueWork(election.isLeader && leader.isReady) } }
         }
         runIsolated { metrics.spend("state") { storeClient.sendAllowed() } }
         logTimeSpent()
--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -42,10 +42,10 @@
     }
 
     /** Loads the next records; called until [isReady] holds. */
-    fun drive() {
+    fun runDueWork() {
         // Once the watch has passed the leadership record, the job store has all jobs accepted before the election.
         if (jobStore.revision < term.firstToken) return
-        recordLoader.drive(this)
+        recordLoader.runDueWork(this)
     }
 
     override fun onMachineLoaded(machine: Machine) {
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -39,9 +39,10 @@
 import ledgearch.wire.Heartbeat
 
 /**
- * The leader of the cluster; it alone assigns tasks to machines. It begins and ends the leadership term, drives its
- * components in a fixed order, and is the autoscaler's view of the cluster. Except for the estimates, no state is kept
- * beyond the term: a new leader learns the running tasks from the agents, each after it has confirmed the new token.
+ * The leader of the cluster; it alone assigns tasks to machines. It begins and ends the leadership term, runs the due
+ * work of its components in a fixed order, and is the autoscaler's view of the cluster. Except for the estimates, no
+ * state is kept beyond the term: a new leader learns the running tasks from the agents, each after it has confirmed the
+ * new token.
  */
 internal class Leader(
     settings: Settings,
@@ -213,21 +214,21 @@
      * Performs the work that is due; does nothing while this node does not lead. The stage names are the keys of the
      * times in `GET /metrics`.
      */
-    fun drive() {
+    fun runDueWork() {
         if (!term.isActive || !election.isLeader) return
-        if (!failover.isReady) failover.drive()
+        if (!failover.isReady) failover.runDueWork()
         if (!failover.isReady) return
         if (term.areAttemptNumbersExhausted) return election.stepDown("the attempt numbers of the term are exhausted")
-        reconciliation.drive()
+        reconciliation.runDueWork()
         jobLifecycle.closeCancelled()
-        metrics.spend("failure_detection") { failureDetector.drive() }
+        metrics.spend("failure_detection") { failureDetector.runDueWork() }
         // The failure detector may have stepped down because this node receives almost no heartbeats.
         if (!election.isLeader) return
         placementLoop.updateReliability()
-        metrics.spend("placement") { placementLoop.drive() }
-        metrics.spend("commands") { dispatcher.drive() }
-        metrics.spend("autoscaling") { autoscaler.drive(this) }
-        metrics.spend("records") { recordWriter.drive() }
+        metrics.spend("placement") { placementLoop.runDueWork() }
+        metrics.spend("commands") { dispatcher.runDueWork() }
+        metrics.spend("autoscaling") { autoscaler.runDueWork(this) }
+        metrics.spend("records") { recordWriter.runDueWork() }
     }
 
     /** Applies [heartbeat] and returns the reply to it. */
--- a/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -27,7 +27,7 @@
     private var joinedCountAtLastPublish = 0
 
     /** On the leader, publishes once per interval the changed progress, or all of it when a peer has joined. */
-    fun drive() {
+    fun runDueWork() {
         if (!election.isLeader || clock.steadyMs < nextPublishAtMs) return
         nextPublishAtMs = clock.steadyMs + ControlTuning.PUBLISH_INTERVAL_MS
         val hasNewPeer = mesh.joined != joinedCountAtLastPublish
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -47,7 +47,7 @@
     }
 
     /** Runs a pass if one was requested or the idle interval is over, and the pacing of passes allows it. */
-    fun drive() {
+    fun runDueWork() {
         if (!isPassRequested && clock.steadyMs - lastPassAtMs < ControlTuning.IDLE_PASS_INTERVAL_MS) return
         if (!stalls.mayPass()) return
         lastPassAtMs = clock.steadyMs
--- a/src/main/kotlin/ledgearch/control/Reconciliation.kt
+++ b/src/main/kotlin/ledgearch/control/Reconciliation.kt
@@ -40,7 +40,7 @@
     }
 
     /** Probes the machines that have not confirmed the token, and completes when no recorded one is left. */
-    fun drive() {
+    fun runDueWork() {
         // Includes machines being released: the cloud API may be down, and attempts of an earlier leader may run
         // there until the agent has seen the token.
         for (machine in machineRegistry.unconfirmed) dispatcher.probe(machine)
--- a/src/main/kotlin/ledgearch/control/RecordLoader.kt
+++ b/src/main/kotlin/ledgearch/control/RecordLoader.kt
@@ -73,7 +73,7 @@
     }
 
     /** Requests the next page, or calls [RecordLoaderListener.onAllRecordsLoaded] when none is left. */
-    fun drive(listener: RecordLoaderListener) {
+    fun runDueWork(listener: RecordLoaderListener) {
         if (isReading || clock.steadyMs < retryAtMs) return
         val page = pendingPages.firstOrNull() ?: return listener.onAllRecordsLoaded()
         isReading = true
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -98,10 +98,10 @@
         }
 
     /** Keeps the lease alive, and confirms or claims the leadership when that is due. */
-    fun drive() {
-        lease.drive()
+    fun runDueWork() {
+        lease.runDueWork()
         if (!jobStore.isLoaded || !lease.isOpen) return
-        if (held.isLeader) confirmation.drive() else claim.drive()
+        if (held.isLeader) confirmation.runDueWork() else claim.runDueWork()
     }
 
     /** Claims the leadership of [leader], whose process seems to have ended, before its lease expires. */
--- a/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
@@ -40,7 +40,7 @@
     }
 
     /** Claims the leadership if it is free or its record is this node's; called while this node is not the leader. */
-    fun drive() {
+    fun runDueWork() {
         val isOwnRecord = jobStore.leadership?.node == node
         if (isClaiming || clock.steadyMs < nextClaimAtMs || !(isOwnRecord || jobStore.leadershipRevision == 0L)) return
         if (clock.steadyMs >= cooldownUntilMs) {
--- a/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
@@ -20,7 +20,7 @@
     private var nextTryAtMs = 0L
 
     /** Confirms the leadership when that is due. */
-    fun drive() {
+    fun runDueWork() {
         if (!isDue()) return
         isRequestInFlight = true
         nextTryAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
--- a/src/main/kotlin/ledgearch/election/NodeLease.kt
+++ b/src/main/kotlin/ledgearch/election/NodeLease.kt
@@ -28,7 +28,7 @@
     }
 
     /** Opens the lease or keeps it alive when that is due. */
-    fun drive() {
+    fun runDueWork() {
         if (isRequestInFlight || clock.steadyMs < nextRequestAtMs) return
         isRequestInFlight = true
         nextRequestAtMs = clock.steadyMs + ElectionTuning.LEASE_KEEP_ALIVE_INTERVAL_MS
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -48,7 +48,7 @@
 
     /** The number of reads of final records that are pending. */
     private var pendingReads = 0
-    private var nextDriveAtMs = Long.MIN_VALUE
+    private var nextRunAtMs = Long.MIN_VALUE
 
     /** Adds [job], which is open on this node from now on. */
     fun addJob(job: Job) {
@@ -100,9 +100,9 @@
     }
 
     /** Reads the final records of dependencies that are neither open nor known to have ended, a few at a time. */
-    fun drive() {
-        if (dependents.isEmpty() || clock.steadyMs < nextDriveAtMs) return
-        nextDriveAtMs = clock.steadyMs + RuntimeTuning.TICK_MS
+    fun runDueWork() {
+        if (dependents.isEmpty() || clock.steadyMs < nextRunAtMs) return
+        nextRunAtMs = clock.steadyMs + RuntimeTuning.TICK_MS
         for (id in dependents.keys) {
             if (pendingReads >= JobsTuning.MAX_CONCURRENT_DEPENDENCY_READS) return
             val isDue = clock.steadyMs >= (nextReadAtMs[id] ?: Long.MIN_VALUE)
--- a/src/main/kotlin/ledgearch/jobs/JobStore.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobStore.kt
@@ -105,8 +105,8 @@
     ) = modRevision <= revision && id !in jobs
 
     /** Reads due final records of dependencies and starts the listing or the next watch unless one is pending. */
-    fun drive() {
-        dependencies.drive()
+    fun runDueWork() {
+        dependencies.runDueWork()
         if (isRequestPending || clock.steadyMs < retryAtMs) return
         isRequestPending = true
         if (isLoaded) watch() else listingReader.read(::onListed)
@@ -131,7 +131,7 @@
         isLoaded = true
         retryAtMs = Long.MIN_VALUE
         log.info("read {} open jobs; revision={}", jobs.size, revision)
-        drive()
+        runDueWork()
     }
 
     /** Closes the open jobs that are not listed, except those accepted after the listing began. */
@@ -150,14 +150,14 @@
                     apply(result.value)
                     completeAsOfMs = sentAtMs
                     retryAtMs = Long.MIN_VALUE
-                    drive()
+                    runDueWork()
                 }
 
                 ReadResult.Absent -> {
                     log.warn("the watch fell behind; listing all watched keys again")
                     isLoaded = false
                     retryAtMs = Long.MIN_VALUE
-                    drive()
+                    runDueWork()
                 }
 
                 ReadResult.Failed -> {
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -103,7 +103,7 @@
     fun writeCatalog(record: CatalogRecord) = catalogWrite.put(record)
 
     /** Writes the next batch if there are pending writes and no other transaction is pending. */
-    fun drive() {
+    fun runDueWork() {
         if (isWritePending || !election.isLeader || clock.steadyMs < retryAtMs) return
         val entries = collectEntries()
         if (entries.isNotEmpty()) write(entries)
--- a/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
@@ -53,7 +53,7 @@
     fun leave(follower: Long) = streamLog.leave(follower)
 
     /** Streams the changes since the last interval if one is over. To be called only while this node leads. */
-    fun drive() {
+    fun runDueWork() {
         if (clock.steadyMs < nextIntervalAt || !streamLog.isFollowed) return
         nextIntervalAt = clock.steadyMs + StandbyTuning.STREAM_INTERVAL_MS
         streamLog.advance(snapshot.read())
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -54,8 +54,8 @@
     }
 
     /** Streams the changes since the last interval; [leading]: this node leads and has read the records. */
-    fun drive(leading: Boolean) {
-        if (leading) publisher.drive()
+    fun runDueWork(leading: Boolean) {
+        if (leading) publisher.runDueWork()
     }
 
     /**
