--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -48,7 +48,7 @@
 
     /**
      * Runs one batch at [steadyMs] on the steady clock and [wallMs] on the wall clock: executes all [commands] in
-     * order, then runs the due work of every component once.
+     * order, then drives every component once.
      */
     fun runBatch(
         steadyMs: Long,
@@ -65,9 +65,7 @@
         runIsolated { metrics.spend("api") { components.userApi.runDueWork() } }
         runIsolated { leader.runDueWork() }
         runIsolated { components.leaderStatusExchange.runDueWork() }
-        if (standby !=
-            null
-        ) {
+        if (standby != null) {
             runIsolated { metrics.spend("standby") { standby.runDueWork(election.isLeader && leader.isReady) } }
         }
         runIsolated { metrics.spend("state") { storeClient.sendAllowed() } }
