--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -10,9 +10,9 @@
 import ledgearch.runtime.Transport
 
 /**
- * Scales the block's machines out and in, and follows the cloud's catalog and machine list. Only the leader provisions
- * and releases machines; every node may read the catalog. The facade of this package: it wires the parts together and
- * sets the order in which they act. Runs on the owner thread.
+ * Scales the block's machines out and in, and reads the cloud's catalog and machine list. Only the leader provisions
+ * and releases machines; every node may read the catalog. This class creates the components of the package and calls
+ * them in a fixed order. It runs on the owner thread.
  */
 internal class Autoscaler(
     settings: Settings,
@@ -25,79 +25,81 @@
 ) {
     private val cloud = CloudClient(settings, transport, clock)
     private val catalogReader = CatalogReader(cloud, election, jobStore, recordWriter, clock)
-    private val booting = BootingMachines()
-    private val hints = RentalHints(clock)
-    private val releases = ReleaseQueue(cloud, election, clock, booting)
-    private val bootTimeouts = BootTimeouts(settings, jobStore, clock, stalls, booting, releases)
-    private val machineListReader = MachineListReader(cloud, election, clock, bootTimeouts, releases)
-    private val provisioner = Provisioner(cloud, election, clock, booting)
-    private val pools = PoolSelector(settings, jobStore, booting, provisioner)
-    private val scaleOut = ScaleOutPlanner(settings, jobStore, clock, booting, hints, pools, provisioner)
-    private val scaleIn = ScaleInPlanner(jobStore, clock, pools, releases)
+    private val bootingMachines = BootingMachines()
+    private val rentalHints = RentalHints(clock)
+    private val releaseQueue = ReleaseQueue(cloud, election, clock, bootingMachines)
+    private val bootTimeouts = BootTimeouts(settings, jobStore, clock, stalls, bootingMachines, releaseQueue)
+    private val machineListReader = MachineListReader(cloud, election, clock, bootTimeouts, releaseQueue)
+    private val provisioner = Provisioner(cloud, election, clock, bootingMachines)
+    private val poolSelector = PoolSelector(settings, jobStore, bootingMachines, provisioner)
+    private val scaleOutPlanner =
+        ScaleOutPlanner(settings, jobStore, clock, bootingMachines, rentalHints, poolSelector, provisioner)
+    private val scaleInPlanner = ScaleInPlanner(jobStore, clock, poolSelector, releaseQueue)
 
-    /** Steady ms of the next round of planning. */
-    private var nextPlanAt = 0L
+    /** Steady-clock ms of the next planning round. */
+    private var nextPlanAtMs = 0L
 
-    /** This node leads no more: forgets machines that boot or are to be released, and calls under way. */
+    /** Ends the leadership term: clears the booting machines, the release queue and the pending calls. */
     fun end() {
-        booting.clear()
-        hints.clear()
+        bootingMachines.clear()
+        rentalHints.clear()
         bootTimeouts.clear()
-        releases.clear()
+        releaseQueue.clear()
         provisioner.clear()
         machineListReader.clear()
     }
 
-    /** The machine [name] is to be released or was. */
-    fun isReleased(name: String): Boolean = name in releases
+    /** Returns whether the machine [name] is queued for release or was released. */
+    fun isReleased(name: String): Boolean = name in releaseQueue
 
-    /** [machine] has reported for the first time. */
+    /** Called when [machine] has sent its first heartbeat. */
     fun arrived(machine: Machine) {
-        booting.remove(machine.name)
-        bootTimeouts.reported(machine.name)
+        bootingMachines.remove(machine.name)
+        bootTimeouts.onMachineJoined(machine.name)
     }
 
-    /** [machine] gets nothing more and is released; once asked for, this is never taken back. */
-    fun release(machine: Machine) = releases.add(machine)
+    /** Queues [machine] for release, which can't be undone; no more tasks are placed on it. */
+    fun release(machine: Machine) = releaseQueue.add(machine)
 
-    /** Machines that were provisioned and have not reported yet. */
+    /** Returns the provisioned machines that have not sent a heartbeat yet. */
     fun bootingMachines(): List<RentalHint> =
-        booting.map { name, machine ->
+        bootingMachines.map { name, machine ->
             RentalHint(name, machine.pool.machineType.name, machine.pool.zone, machine.pool.spot)
         }
 
-    /** The leader before may have provisioned this machine, which the cloud's list may not show yet. */
-    fun mayBoot(hint: RentalHint) = hints.add(hint)
+    /** Adds a machine that the previous leader may have provisioned and that the cloud's list may not show yet. */
+    fun mayBoot(hint: RentalHint) = rentalHints.add(hint)
 
-    /** Seconds until a machine of the type that boots fastest is up, 0 while no catalog is known. */
-    fun bootS(): Double = pools.shortestBootS()
+    /** Returns the boot time of the machine type that boots fastest, in seconds, or 0 while no catalog is known. */
+    fun bootS(): Double = poolSelector.shortestBootS()
 
-    /** Refills the budget of calls and reads the catalog if that is due; called on every node. */
+    /** Refills the budget of calls to the cloud and reads the catalog if that is due. Called on every node. */
     fun runDueCatalogWork(isLeader: Boolean) {
         cloud.refillBudget()
         catalogReader.runDueWork(isLeader)
     }
 
-    /** The leader's part: reads the machine list, releases machines, and plans, each if it is due. */
+    /** Reads the machine list, releases machines and plans, each if it is due. Called on the leader only. */
     fun runDueWork(cluster: Cluster) {
         machineListReader.runDueWork(cluster)
-        // A leader that is cut off with its zone misses all other machines. What it asks for then may be carried out
-        // when the cut is over: hundreds of machines released that serve the next leader, and hundreds provisioned.
+        // A leader that is partitioned with its zone gets no heartbeats from the other zones. The calls that it makes
+        // then may be carried out after the partition ends: they would release hundreds of machines that serve the next
+        // leader, and provision hundreds.
         if (!election.hasValidLease) return
-        releases.runDueWork(cluster)
-        if (clock.steadyMs < nextPlanAt) return
-        nextPlanAt = clock.steadyMs + AutoscalingTuning.PLAN_INTERVAL_MS
+        releaseQueue.runDueWork(cluster)
+        if (clock.steadyMs < nextPlanAtMs) return
+        nextPlanAtMs = clock.steadyMs + AutoscalingTuning.PLAN_INTERVAL_MS
         plan(cluster)
     }
 
     private fun plan(cluster: Cluster) {
         bootTimeouts.releaseOverdue(cluster)
-        val freedPerSecond = cluster.estimates.freedCpusPerSecond(jobStore.jobs.values)
-        scaleIn.observeLoad(cluster)
+        val freedCpusPerSecond = cluster.estimates.freedCpusPerSecond(jobStore.jobs.values)
+        scaleInPlanner.observeLoad(cluster)
         val demands = Demand.of(jobStore.jobs.values, cluster, clock)
-        scaleIn.observeDemands(cluster, demands)
-        scaleOut.planAndProvision(cluster, demands, freedPerSecond)
-        scaleIn.releaseEmpty(cluster)
-        scaleIn.drainUnneeded(cluster, freedPerSecond)
+        scaleInPlanner.observeDemands(cluster, demands)
+        scaleOutPlanner.planAndProvision(cluster, demands, freedCpusPerSecond)
+        scaleInPlanner.releaseEmpty(cluster)
+        scaleInPlanner.drainUnneeded(cluster, freedCpusPerSecond)
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
@@ -1,82 +1,79 @@
 package ledgearch.autoscaling
 
-/** Constants of scaling out and in: each with its unit and the reason for its value. */
+/** Limits and intervals of scaling out and in. */
 internal object AutoscalingTuning {
     // --- Calls to the cloud -------------------------------------------------------------------------------------
 
-    /** ms. Time-out of a call to the cloud. */
     const val CALL_TIMEOUT_MS = 5_000L
 
-    /** ms. Pause after a refused or unanswered call to the cloud. */
+    /** Delay after a call that was refused or not answered. */
     const val RETRY_DELAY_MS = 1_000L
 
-    /** ms. Between two readings of the catalog; prices move slowly. */
+    /** Prices change slowly. */
     const val CATALOG_INTERVAL_MS = 60_000L
 
-    /** ms. Between two readings of the machine list. */
     const val LIST_INTERVAL_MS = 4_000L
 
-    /** Machines on one page of the machine list: the most that the cloud gives. */
+    /** The cloud's maximum. */
     const val LIST_PAGE_SIZE = 500
 
-    /** Calls. So many are left to others for each page of the machine list. */
+    /** Calls whose time is waited per page before the list is read again; most are for provisioning and releasing. */
     const val CALLS_PER_LIST_PAGE = 3
 
-    /** Machines in one call that releases: the most that the cloud takes. */
-    const val MACHINES_PER_RELEASE = 100
+    /** The cloud's maximum for one call. */
+    const val MAX_MACHINES_PER_RELEASE = 100
 
-    /** Machines in one call that provisions: the most that the cloud takes. */
-    const val MACHINES_PER_PROVISION = 50
+    /** The cloud's maximum for one call. */
+    const val MAX_MACHINES_PER_PROVISION = 50
 
-    // --- Machines that boot -------------------------------------------------------------------------------------
+    // --- Booting machines ---------------------------------------------------------------------------------------
 
-    /** Factor on the catalog's boot time after which a booting machine is taken for dead. */
+    /** Multiple of the catalog's boot time after which a booting machine counts as failed. */
     const val BOOT_TIMEOUT_FACTOR = 3.0
 
     /**
-     * ms. A machine that is up by the list and has not reported for this long is released: its worker has tried every
-     * controller by then, at 5 s for each that does not answer.
+     * Time after which a machine that is up by the cloud's list and sends no heartbeat is released. Its worker has
+     * tried every controller by then, at 5 s for each that does not answer.
      */
     const val UNREPORTED_TIMEOUT_MS = 30_000L
 
-    /** ms. A machine that the last leader had provisioned counts as coming: by then the cloud's list shows it. */
-    const val RENTAL_HINT_MS = 10_000L
+    /** Time after which the cloud's list shows every machine that the previous leader provisioned. */
+    const val RENTAL_HINT_TTL_MS = 10_000L
 
     /**
-     * Machines. Released ones that are remembered, or as many as there are machines if those are more: late reports and
-     * lists still name them for some minutes.
+     * Names of released machines that are kept; the number of machines if that is larger. Late heartbeats and machine
+     * lists contain them for some minutes.
      */
-    const val RELEASED_REMEMBERED = 2_000
+    const val RELEASED_NAMES_KEPT = 2_000
 
     // --- Planning -----------------------------------------------------------------------------------------------
 
-    /** ms. Between two rounds of planning. */
     const val PLAN_INTERVAL_MS = 500L
 
-    /** Machines. Planned in one round; the demand is looked at again before more. */
-    const val MACHINES_PER_PLAN = 200
+    /** The demand is computed again before more machines are planned. */
+    const val MAX_MACHINES_PER_PLAN = 200
 
-    /** Machines. The same while a zone is lost or returns. */
-    const val MACHINES_PER_PLAN_IN_RECOVERY = 50
+    /** The limit while a zone is lost or returning. */
+    const val MAX_MACHINES_PER_PLAN_IN_RECOVERY = 50
 
-    /** ms. A type, zone and kind that had no capacity is not asked for again before this. */
-    const val NO_CAPACITY_PAUSE_MS = 15_000L
+    /** Time for which a pool without capacity is not requested again. */
+    const val NO_CAPACITY_BACKOFF_MS = 15_000L
 
-    /** Factor on the cheapest price from which a machine is expensive: waiting a little is better than renting it. */
-    const val EXPENSIVE_FACTOR = 2.0
+    /** Multiple of the lowest price above which waiting for running tasks to end is preferred to provisioning. */
+    const val EXPENSIVE_PRICE_FACTOR = 2.0
 
-    /** ms. A machine costs at least a minute, so it is not drained sooner after it came up. */
+    /** Time in service before a machine may be drained; the cloud charges at least one minute. */
     const val MIN_SERVICE_MS = 45_000L
 
-    /** ms. Nothing has waited for this long before machines are drained. */
-    const val CALM_BEFORE_SCALE_IN_MS = 6_000L
+    /** Time without demand before machines are drained. */
+    const val SCALE_IN_DELAY_MS = 6_000L
 
-    /** ms. Between two rounds of draining: each shows in the load before the next. */
+    /** Long enough for the load to show the effect of one round of draining before the next. */
     const val SCALE_IN_INTERVAL_MS = 3_000L
 
-    /** ms. How slowly a peak of load is forgotten: about a boot time. */
+    /** Time constant of the decay of a load peak, about a boot time. */
     const val PEAK_DECAY_MS = 30_000L
 
-    /** ms. How slowly arrivals of jobs fade: a few boot times, some jobs of every class that matters. */
+    /** Time constant of the decay of arrivals: a few boot times, in which some jobs of every relevant class arrive. */
     const val ARRIVAL_DECAY_MS = 60_000L
 }
--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -11,85 +11,85 @@
 
 /**
  * Releases provisioned machines that do not come into service: those that boot for too long, and those that are up by
- * the cloud's list and do not report. Owns since when each of the latter is known to be up.
+ * the cloud's list and send no heartbeat.
  */
 internal class BootTimeouts(
     settings: Settings,
     private val jobStore: JobStore,
     private val clock: Clock,
     private val stalls: StallCompensation,
-    private val booting: BootingMachines,
-    private val releases: ReleaseQueue,
+    private val bootingMachines: BootingMachines,
+    private val releaseQueue: ReleaseQueue,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
 
-    /** ms by which the cloud's list may be late. */
+    /** Maximum delay of the cloud's list in ms. */
     private val listLagMs = (settings.deployment.cloud.listLagS * MS_PER_SECOND).toLong()
 
-    /** Machines that the list shows as up and that have not reported, and the steady ms since when. */
-    private val unreportedSince = HashMap<String, Long>()
+    /** Steady-clock ms at which each machine was first listed as up, while it has sent no heartbeat. */
+    private val unreportedSinceMs = HashMap<String, Long>()
 
-    fun clear() = unreportedSince.clear()
+    fun clear() = unreportedSinceMs.clear()
 
-    /** The machine has reported. */
-    fun reported(name: String) {
-        unreportedSince.remove(name)
+    /** Called when the machine [name] has sent its first heartbeat. */
+    fun onMachineJoined(name: String) {
+        unreportedSinceMs.remove(name)
     }
 
-    /** The cloud lists [listed], which has not reported, as booting. */
-    fun listedBooting(
+    /** Called when the cloud lists [listed], which has sent no heartbeat, as booting. */
+    fun onListedAsBooting(
         cluster: Cluster,
         listed: ListedMachine,
     ) {
         val machineType = jobStore.machineTypes[listed.machineType] ?: return
         if (listed.ageS > machineType.bootS * AutoscalingTuning.BOOT_TIMEOUT_FACTOR) {
-            log.info("machine released: it does not come up; machine={}", listed.name)
-            booting.remove(listed.name)
-            releases.add(listed.name)
+            log.info("machine queued for release: it has exceeded the boot time-out; machine={}", listed.name)
+            bootingMachines.remove(listed.name)
+            releaseQueue.add(listed.name)
             return
         }
         val pool = MachinePool(machineType, listed.zone, listed.spot)
-        val requestedAt = clock.steadyMs - (listed.ageS * MS_PER_SECOND).toLong()
-        booting.expect(cluster, listed.name, BootingMachine(pool, requestedAt))
+        val requestedAtMs = clock.steadyMs - (listed.ageS * MS_PER_SECOND).toLong()
+        bootingMachines.add(cluster, listed.name, BootingMachine(pool, requestedAtMs))
     }
 
     /**
-     * The cloud lists [listed], which has not reported, as up. A machine that is up but whose worker reaches no
-     * controller is of no use, and nobody waits for it as for one that boots.
+     * Called when the cloud lists [listed], which has sent no heartbeat, as up. If its worker reaches no controller, the
+     * machine is of no use, and it is released sooner than one that boots.
      */
-    fun listedUp(
+    fun onListedAsUp(
         cluster: Cluster,
         listed: ListedMachine,
     ) {
-        val since = unreportedSince.getOrPut(listed.name) { clock.steadyMs }
-        val hadTime = stalls.attentiveMsSince(since) >= AutoscalingTuning.UNREPORTED_TIMEOUT_MS
-        if (!hadTime || cluster.isCutOff(listed.zone)) return
-        log.info("machine released: it is up and does not report; machine={}", listed.name)
-        unreportedSince.remove(listed.name)
-        booting.remove(listed.name)
-        releases.add(listed.name)
+        val sinceMs = unreportedSinceMs.getOrPut(listed.name) { clock.steadyMs }
+        val hadTimeToReport = stalls.attentiveMsSince(sinceMs) >= AutoscalingTuning.UNREPORTED_TIMEOUT_MS
+        if (!hadTimeToReport || cluster.isCutOff(listed.zone)) return
+        log.info("machine queued for release: it is up but sends no heartbeat; machine={}", listed.name)
+        unreportedSinceMs.remove(listed.name)
+        bootingMachines.remove(listed.name)
+        releaseQueue.add(listed.name)
     }
 
-    /** Releases machines that should be up and have reported by now. */
+    /** Releases the machines that should be up and have sent a heartbeat by now. */
     fun releaseOverdue(cluster: Cluster) {
-        for ((name, machine) in booting.entries()) {
+        for ((name, machine) in bootingMachines.entries()) {
             val bootMs = machine.pool.machineType.bootS * MS_PER_SECOND
             val timeoutMs = bootMs * AutoscalingTuning.BOOT_TIMEOUT_FACTOR + listLagMs
-            if (clock.steadyMs - machine.since > timeoutMs && !isProbeMachine(cluster, name, machine)) {
-                booting.remove(name)
-                releases.add(name)
+            if (clock.steadyMs - machine.requestedAtMs > timeoutMs && !isProbeMachine(cluster, name, machine)) {
+                bootingMachines.remove(name)
+                releaseQueue.add(name)
             }
         }
     }
 
-    /** It is up in a zone that is cut off, and its first report will tell that the zone is back. */
+    /** Returns whether the machine is up in a partitioned zone: its first heartbeat shows that the partition is over. */
     private fun isProbeMachine(
         cluster: Cluster,
         name: String,
         machine: BootingMachine,
     ): Boolean {
         if (!cluster.isCutOff(machine.pool.zone)) return false
-        val since = unreportedSince[name] ?: return false
-        return clock.steadyMs - since < RecoveryTuning.ZONE_OUTAGE_GRACE_MS
+        val sinceMs = unreportedSinceMs[name] ?: return false
+        return clock.steadyMs - sinceMs < RecoveryTuning.ZONE_OUTAGE_GRACE_MS
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/BootingMachines.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootingMachines.kt
@@ -1,28 +1,30 @@
 package ledgearch.autoscaling
 
-/** A machine that was provisioned and has not reported; [since]: steady ms of its request. */
+/** A machine that was requested at [requestedAtMs] (steady-clock ms) and has not sent a heartbeat. */
 internal class BootingMachine(
     val pool: MachinePool,
-    val since: Long,
+    val requestedAtMs: Long,
 )
 
-/** The machines that were provisioned and have not reported, by name, the longest known first. */
+/** The provisioned machines that have not sent a heartbeat, by name, in the order in which they were added. */
 internal class BootingMachines {
     private val machines = LinkedHashMap<String, BootingMachine>()
 
-    /** Views, not copies. */
+    /** A view, not a copy. */
     val names: Set<String> get() = machines.keys
+
+    /** A view, not a copy. */
     val all: Collection<BootingMachine> get() = machines.values
     val count: Int get() = machines.size
 
-    /** A copy, over which machines may be removed. */
+    /** Returns a copy, during whose iteration machines may be removed. */
     fun entries(): List<Map.Entry<String, BootingMachine>> = machines.entries.toList()
 
     /**
-     * The machine [name] is to be waited for. No machine that is known boots: it may have been up and at work before
-     * the answer to its request came.
+     * Adds the machine [name] unless it is already known to [cluster]: it may have joined and run tasks before the reply
+     * to its request arrived.
      */
-    fun expect(
+    fun add(
         cluster: Cluster,
         name: String,
         machine: BootingMachine,
@@ -30,18 +32,18 @@
         if (name !in cluster.machines) machines.putIfAbsent(name, machine)
     }
 
-    /** The machine has reported, or is waited for no more. */
+    /** Removes the machine [name], which has joined or is being released. */
     fun remove(name: String) {
         machines.remove(name)
     }
 
-    /** What [transform] makes of each name and machine. */
+    /** Returns the results of [transform] for all names and machines. */
     fun <T> map(transform: (String, BootingMachine) -> T): List<T> =
         machines.map { (name, machine) -> transform(name, machine) }
 
     fun countIn(zone: String): Int = machines.values.count { it.pool.zone == zone }
 
-    fun noneIn(zone: String): Boolean = machines.values.none { it.pool.zone == zone }
+    fun hasNoneIn(zone: String): Boolean = machines.values.none { it.pool.zone == zone }
 
     fun clear() = machines.clear()
 }
--- a/src/main/kotlin/ledgearch/autoscaling/CatalogReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CatalogReader.kt
@@ -8,8 +8,8 @@
 import ledgearch.wire.MachineType
 
 /**
- * Reads the catalog of machine types: the leader time and again, any other node until it knows one. The leader records
- * a catalog that names other types than the one known.
+ * Reads the catalog of machine types: the leader at regular intervals, any other node until it has one. The leader
+ * records a catalog whose type names differ from those of the present one.
  */
 internal class CatalogReader(
     private val cloud: CloudClient,
@@ -18,35 +18,35 @@
     private val recordWriter: RecordWriter,
     private val clock: Clock,
 ) {
-    /** Steady ms before which the catalog is not read again. */
-    private var nextReadAt = Long.MIN_VALUE
+    /** Steady-clock ms before which the catalog is not read again. */
+    private var nextReadAtMs = Long.MIN_VALUE
     private var isReading = false
 
-    /** Reads the catalog if that is due and the budget of calls allows it. */
+    /** Requests the catalog if that is due and the budget of calls allows it. */
     fun runDueWork(isLeader: Boolean) {
-        val isWanted = jobStore.machineTypes.isEmpty() || isLeader
-        if (!isWanted || isReading || clock.steadyMs < nextReadAt || !cloud.hasBudget) return
+        val isNeeded = jobStore.machineTypes.isEmpty() || isLeader
+        if (!isNeeded || isReading || clock.steadyMs < nextReadAtMs || !cloud.hasBudget) return
         isReading = true
-        cloud.readCatalog(::onAnswer)
+        cloud.readCatalog(::onResult)
     }
 
-    private fun onAnswer(answer: CloudAnswer<List<MachineType>>) {
+    private fun onResult(result: CloudResult<List<MachineType>>) {
         isReading = false
-        when (answer) {
-            is CloudAnswer.Received -> {
-                nextReadAt = clock.steadyMs + AutoscalingTuning.CATALOG_INTERVAL_MS
-                if (answer.value.isNotEmpty()) use(answer.value)
+        when (result) {
+            is CloudResult.Success -> {
+                nextReadAtMs = clock.steadyMs + AutoscalingTuning.CATALOG_INTERVAL_MS
+                if (result.value.isNotEmpty()) applyCatalog(result.value)
             }
 
-            CloudAnswer.Failed -> {
-                nextReadAt = clock.steadyMs + AutoscalingTuning.RETRY_DELAY_MS
+            CloudResult.Failure -> {
+                nextReadAtMs = clock.steadyMs + AutoscalingTuning.RETRY_DELAY_MS
             }
         }
     }
 
-    private fun use(machineTypes: List<MachineType>) {
-        val known = jobStore.machineTypes.keys
-        val namesDiffer = known != machineTypes.mapTo(HashSet()) { it.name }
+    private fun applyCatalog(machineTypes: List<MachineType>) {
+        val currentNames = jobStore.machineTypes.keys
+        val namesDiffer = currentNames != machineTypes.mapTo(HashSet()) { it.name }
         if (namesDiffer && election.isLeader) recordWriter.writeCatalog(CatalogRecord(machineTypes))
         jobStore.setMachineTypes(machineTypes)
     }
--- a/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
@@ -16,35 +16,37 @@
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
-/** The answer to a call to the cloud. */
-internal sealed interface CloudAnswer<out T> {
+/** The result of a call to the cloud. */
+internal sealed interface CloudResult<out T> {
     /** The cloud carried out the call. */
-    data class Received<T>(
+    data class Success<T>(
         val value: T,
-    ) : CloudAnswer<T>
+    ) : CloudResult<T>
 
-    /** The cloud refused, or no answer came, or it can't be read; without an answer the call may have taken effect. */
-    data object Failed : CloudAnswer<Nothing>
+    /**
+     * The cloud refused the call, or no reply came or it can't be decoded. Without a reply the call may have taken
+     * effect.
+     */
+    data object Failure : CloudResult<Nothing>
 }
 
-/** The answer to a request for machines. */
-internal sealed interface ProvisionAnswer {
-    /** Names of the machines that were provisioned, fewer than asked for or none where capacity is short. */
+/** The result of a request for machines. */
+internal sealed interface ProvisionResult {
+    /** The names of the provisioned machines: fewer than requested, or none, if capacity is short. */
     data class Provisioned(
         val machines: List<String>,
-    ) : ProvisionAnswer
+    ) : ProvisionResult
 
     /** The cloud has no capacity for this machine type, zone and kind at present. */
-    data object NoCapacity : ProvisionAnswer
+    data object NoCapacity : ProvisionResult
 
-    /** The cloud refused for another reason, or no answer came. */
-    data object Failed : ProvisionAnswer
+    /** The cloud refused the request for another reason, or no reply came. */
+    data object Failure : ProvisionResult
 }
 
 /**
- * The cloud's interface: its calls, its rate limit, and its answers as types. Owns the budget of calls. A caller asks
- * [hasBudget] before the first call of a task; the client itself holds nothing back. Each callback is called once, by
- * the owner thread.
+ * Client of the cloud with a budget for its rate limit. Callers check [hasBudget] before the first call of an operation;
+ * the client itself delays no call. Each callback is called once, on the owner thread.
  */
 internal class CloudClient(
     settings: Settings,
@@ -54,64 +56,67 @@
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
     private val address = settings.outside.cloud
 
-    /** Calls that this node plans to make in a second. */
+    /** Calls per second that this node plans to make at most. */
     val callsPerSecond = settings.deployment.cloud.rps * RuntimeTuning.BUDGET_USED
     private val budget = TokenBucket(callsPerSecond)
 
-    /** One more call is allowed now. */
+    /** Whether the budget allows one more call now. */
     val hasBudget: Boolean get() = budget.has(1)
 
-    /** Adds to the budget what the time since the last refill allows. */
+    /** Adds the calls that the time since the last refill allows. */
     fun refillBudget() = budget.refill(clock.steadyMs)
 
-    /** Reads all machine types that the cloud offers. */
-    fun readCatalog(onAnswer: (CloudAnswer<List<MachineType>>) -> Unit) {
+    /** Reads the machine types that the cloud offers. */
+    fun readCatalog(onResult: (CloudResult<List<MachineType>>) -> Unit) {
         call("GET", "/catalog", null) { reply ->
-            onAnswer(parse(reply) { WireJson.decodeFromString(Catalog.serializer(), it).machineTypes })
+            onResult(decode(reply) { WireJson.decodeFromString(Catalog.serializer(), it).machineTypes })
         }
     }
 
-    /** Reads the page of the machine list that follows the machine [after]; "" asks for the first page. */
+    /** Reads the page of the machine list after the machine [after]; "" reads the first page. */
     fun readMachineList(
         after: String,
-        onAnswer: (CloudAnswer<MachineList>) -> Unit,
+        onResult: (CloudResult<MachineList>) -> Unit,
     ) {
         call("GET", "/hosts?since=$after&limit=${AutoscalingTuning.LIST_PAGE_SIZE}", null) { reply ->
-            onAnswer(parse(reply) { WireJson.decodeFromString(MachineList.serializer(), it) })
+            onResult(decode(reply) { WireJson.decodeFromString(MachineList.serializer(), it) })
         }
     }
 
-    /** Releases [machines], at most [AutoscalingTuning.MACHINES_PER_RELEASE]. */
+    /** Releases [machines], at most [AutoscalingTuning.MAX_MACHINES_PER_RELEASE]. */
     fun release(
         machines: List<String>,
-        onAnswer: (CloudAnswer<Unit>) -> Unit,
+        onResult: (CloudResult<Unit>) -> Unit,
     ) {
         val body = WireJson.encodeToString(MachineNames.serializer(), MachineNames(machines))
         call("POST", "/hosts/release", body) { reply ->
-            onAnswer(if (reply.status == HttpStatus.OK) CloudAnswer.Received(Unit) else CloudAnswer.Failed)
+            onResult(if (reply.status == HttpStatus.OK) CloudResult.Success(Unit) else CloudResult.Failure)
         }
     }
 
-    /** Provisions machines; a repeat with the same idempotency key provisions nothing more. */
+    /** Provisions machines; a second call with the same idempotency key provisions no more. */
     fun provision(
         request: RentalRequest,
-        onAnswer: (ProvisionAnswer) -> Unit,
+        onResult: (ProvisionResult) -> Unit,
     ) {
         val body = WireJson.encodeToString(RentalRequest.serializer(), request)
-        call("POST", "/hosts", body) { reply -> onAnswer(provisionAnswer(reply)) }
+        call("POST", "/hosts", body) { reply -> onResult(provisionResult(reply)) }
     }
 
-    private fun provisionAnswer(reply: Reply): ProvisionAnswer =
+    private fun provisionResult(reply: Reply): ProvisionResult =
         when {
-            reply.status == HttpStatus.OK -> ProvisionAnswer.Provisioned(provisionedMachines(reply))
-            reply.status == HttpStatus.UNAVAILABLE && NO_CAPACITY in reply.body -> ProvisionAnswer.NoCapacity
-            else -> ProvisionAnswer.Failed
+            reply.status == HttpStatus.OK -> ProvisionResult.Provisioned(provisionedMachines(reply))
+            reply.status == HttpStatus.UNAVAILABLE && NO_CAPACITY in reply.body -> ProvisionResult.NoCapacity
+            else -> ProvisionResult.Failure
         }
 
-    /** None if the answer can't be read: the machines show in the list and in their reports. */
+    /**
+     * Returns no names if the reply can't be decoded; the machines are then found by the machine list and their
+     * heartbeats.
+     */
     private fun provisionedMachines(reply: Reply): List<String> {
-        val answer = parse(reply) { WireJson.decodeFromString(MachineNames.serializer(), it).machines }
-        return if (answer is CloudAnswer.Received) answer.value else emptyList()
+        val result = decode(reply) { WireJson.decodeFromString(MachineNames.serializer(), it).machines }
+        return if (result is CloudResult.Success) result.value else emptyList()
     }
 
     private fun call(
@@ -124,21 +129,21 @@
         transport.call(address, method, target, body, AutoscalingTuning.CALL_TIMEOUT_MS, onReply)
     }
 
-    private inline fun <T> parse(
+    private inline fun <T> decode(
         reply: Reply,
-        decode: (String) -> T,
-    ): CloudAnswer<T> {
-        if (reply.status != HttpStatus.OK) return CloudAnswer.Failed
+        decodeBody: (String) -> T,
+    ): CloudResult<T> {
+        if (reply.status != HttpStatus.OK) return CloudResult.Failure
         return try {
-            CloudAnswer.Received(decode(reply.body))
+            CloudResult.Success(decodeBody(reply.body))
         } catch (e: SerializationException) {
-            log.warn("the cloud's answer can't be read: {}", e.message)
-            CloudAnswer.Failed
+            log.warn("reply of the cloud can't be decoded: {}", e.message)
+            CloudResult.Failure
         }
     }
 
     private companion object {
-        /** What the body of a refusal for want of capacity says; other refusals have the same status. */
+        /** Text in the body of a refusal for lack of capacity; other refusals have the same status. */
         const val NO_CAPACITY = "no capacity"
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
@@ -7,38 +7,38 @@
 import ledgearch.scheduling.RunTimeEstimates
 import ledgearch.scheduling.SpotReliability
 
-/** What the autoscaler sees of the leader's machines and plans, and whom it tells of machines that are gone. */
+/** The leader's state that the autoscaler reads, and the operations on it that it calls. */
 internal interface Cluster {
     /** The machines of the block, by name. */
     val machines: Map<String, Machine>
 
-    /** The limits of the teams and what they use. */
+    /** The quotas of the teams and their usage. */
     val teams: TeamQuotas
 
-    /** Run times, and what running tasks free by them. */
+    /** The estimated run times, and the processors that running tasks are expected to free. */
     val estimates: RunTimeEstimates
 
-    /** The room to keep free ahead of demand. */
+    /** The capacity to keep free for expected jobs. */
     val headroom: Headroom
 
-    /** Which jobs belong on on-demand machines. */
+    /** Decides which jobs belong on on-demand machines. */
     val reliability: SpotReliability
 
-    /** Moves replicas off machines that are to be emptied. */
+    /** Moves replicas off machines that are to be released. */
     val replicas: ReplicaMover
 
-    /** Null unless the operators have switched it on. */
+    /** The zone recovery; null unless it is enabled in the operator settings. */
     val recovery: ZoneRecovery?
 
-    /** Next to nothing is heard from some zone, or one is not yet back as it was. */
+    /** Whether any zone is partitioned or has not fully recovered. */
     val anyZoneUnsettled: Boolean
 
-    /** Next to nothing is heard from [zone]. */
+    /** Returns whether [zone] is partitioned: almost none of its machines send heartbeats while others do. */
     fun isCutOff(zone: String): Boolean
 
-    /** [machine] and everything on it are gone. */
+    /** Removes [machine], which no longer exists, and all attempts on it. */
     fun machineGone(machine: Machine)
 
-    /** Something has changed that may let waiting tasks start. */
+    /** Requests a placement pass because of a change that may let pending tasks start. */
     fun changed()
 }
--- a/src/main/kotlin/ledgearch/autoscaling/Demand.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Demand.kt
@@ -4,15 +4,15 @@
 import ledgearch.model.ZoneSpread
 import ledgearch.runtime.Clock
 
-/** Tasks of [job] that wait although their team's limit allows them to run: room is missing. */
+/** The [taskCount] tasks of [job] that lack only machines: their team's quota allows them to run. */
 internal class Demand(
     val job: Job,
-    private val tasks: Int,
+    private val taskCount: Int,
 ) {
-    /** Where the job's tasks are or are planned to be. */
-    val zones = ZoneSpread(job)
+    /** The zones in which tasks of the job are or are planned to be. */
+    val zoneSpread = ZoneSpread(job)
 
-    /** The one zone that the job's tasks may be in, or null where there are several or none is chosen yet. */
+    /** The only zone in which the job's tasks may be; null if there are several or the job has none yet. */
     val onlyZone: String? =
         when {
             job.spec.zone != null -> job.spec.zone
@@ -26,46 +26,46 @@
             ?.machine
             ?.zone
 
-    /** Takes room of [supplies], in their order, and returns how many tasks found none. */
+    /** Takes resources of [supplies], in their order, and returns the number of tasks that don't fit. */
     fun unmetBy(supplies: List<Supply>): Int {
-        var unmet = tasks
+        var unmetCount = taskCount
         for (supply in supplies) {
-            if (unmet == 0) break
-            unmet -= supply.take(job, unmet, zones)
+            if (unmetCount == 0) break
+            unmetCount -= supply.take(job, unmetCount, zoneSpread)
         }
-        return unmet
+        return unmetCount
     }
 
     companion object {
-        /** The demands of those [jobs] that wait for room, in the order in which they are to be served. */
+        /** Returns the demands of the [jobs] that wait for machines, in the order in which they are served. */
         fun of(
             jobs: Collection<Job>,
             cluster: Cluster,
             clock: Clock,
         ): List<Demand> {
-            val plannedCpus = HashMap<String, Double>()
+            val plannedCpusByTeam = HashMap<String, Double>()
             return inServingOrder(jobs, cluster, clock).mapNotNull { job ->
                 val team = job.spec.team
-                val planned = plannedCpus[team] ?: 0.0
-                val tasks = minOf(job.pendingCount, cluster.teams.roomFor(job, planned))
-                if (tasks <= 0) return@mapNotNull null
-                plannedCpus[team] = planned + tasks * job.spec.vcpus
-                Demand(job, tasks)
+                val plannedCpus = plannedCpusByTeam[team] ?: 0.0
+                val taskCount = minOf(job.pendingCount, cluster.teams.roomFor(job, plannedCpus))
+                if (taskCount <= 0) return@mapNotNull null
+                plannedCpusByTeam[team] = plannedCpus + taskCount * job.spec.vcpus
+                Demand(job, taskCount)
             }
         }
 
-        /** By priority, then by age; the recovery from a lost zone may place displaced jobs otherwise. */
+        /** Returns the startable jobs by priority, then by age; the zone recovery may reorder displaced jobs. */
         private fun inServingOrder(
             jobs: Collection<Job>,
             cluster: Cluster,
             clock: Clock,
         ): List<Job> {
-            val waiting =
+            val startable =
                 jobs
                     .filter { it.startable(clock.steadyMs) }
                     .sortedWith(compareBy({ it.priority }, { it.readyAt }))
-            val recovery = cluster.recovery ?: return waiting
-            return recovery.reorder(listOf(waiting)).single()
+            val recovery = cluster.recovery ?: return startable
+            return recovery.reorder(listOf(startable)).single()
         }
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -10,31 +10,33 @@
 import kotlin.math.sqrt
 
 /**
- * How much room to keep free ahead of demand. Jobs of a class whose objective is a start within a time find room in two
- * ways: what running tasks free within that time, and what is kept free. Machines boot too slowly to help.
+ * The capacity to keep free for expected jobs. Machines boot too slowly for jobs of a class with a start objective, so
+ * these need processors that running tasks free within that time, or processors that were kept free.
  */
 internal class Headroom(
     settings: Settings,
     private val clock: Clock,
 ) {
-    /** The recent arrivals of jobs of one class; what came long ago has faded. */
+    /** Sums over the arrivals of jobs of one class that decay exponentially with time. */
     private class Arrivals(
         val needsOnDemand: Boolean,
     ) {
-        /** Processors that arrived, and the sum of the squares of each job's processors. */
+        /** The processors of the jobs. */
         var cpus = 0.0
             private set
+
+        /** The squares of the processors of the jobs. */
         var squaredCpus = 0.0
             private set
 
-        /** Steady ms up to which the sums have faded. */
-        private var fadedAt = 0L
+        /** Steady-clock ms of the last decay. */
+        private var decayedAtMs = 0L
 
-        fun fade(nowMs: Long) {
-            val share = exp(-(nowMs - fadedAt) / AutoscalingTuning.ARRIVAL_DECAY_MS.toDouble())
-            cpus *= share
-            squaredCpus *= share
-            fadedAt = nowMs
+        fun decay(nowMs: Long) {
+            val factor = exp(-(nowMs - decayedAtMs) / AutoscalingTuning.ARRIVAL_DECAY_MS.toDouble())
+            cpus *= factor
+            squaredCpus *= factor
+            decayedAtMs = nowMs
         }
 
         fun add(jobCpus: Double) {
@@ -43,75 +45,78 @@
         }
     }
 
-    /** What jobs are likely to need within a boot time, and the shortest time in which one of them is to start. */
-    private class ExpectedNeed(
+    /** The processors that jobs are likely to need within a boot time, and the shortest start objective among them. */
+    private class ExpectedDemand(
         val cpus: Double,
         val startWithinS: Double,
     )
 
-    private val deviations = settings.operator.reserveDeviations
+    private val reserveDeviations = settings.operator.reserveDeviations
 
-    /** Processors that each team may use. */
-    private val teamLimits = settings.deployment.teams.associate { it.name to it.cpusMax }
+    /** The processor quota of each team. */
+    private val teamMaxCpus = settings.deployment.teams.associate { it.name to it.cpusMax }
 
-    /** Seconds within which jobs of a class are to start, for classes with that objective. */
-    private val startObjectives: Map<String, Double> = settings.deployment.objectives.startWithinS()
+    /** Start objectives in seconds, by job class. */
+    private val startObjectivesS: Map<String, Double> = settings.deployment.objectives.startWithinS()
     private val arrivals = HashMap<String, Arrivals>()
 
-    /** [job] was submitted, or no longer waits for other jobs. */
+    /** Records the arrival of [job]: it was submitted, or its last dependency ended. */
     fun opened(job: Job) {
-        if (job.spec.jobClass !in startObjectives) return
-        // More than its team's limit never starts at once.
-        val cpusAtOnce = minOf(job.spec.vcpus * job.spec.taskCount, teamLimits[job.spec.team] ?: 0.0)
-        val ofClass = arrivals.getOrPut(job.spec.jobClass) { Arrivals(!job.spec.allowsSpot) }
-        ofClass.fade(clock.steadyMs)
-        ofClass.add(cpusAtOnce)
+        if (job.spec.jobClass !in startObjectivesS) return
+        // Tasks beyond the team's quota never start at once.
+        val cpusAtOnce = minOf(job.spec.vcpus * job.spec.taskCount, teamMaxCpus[job.spec.team] ?: 0.0)
+        val classArrivals = arrivals.getOrPut(job.spec.jobClass) { Arrivals(!job.spec.allowsSpot) }
+        classArrivals.decay(clock.steadyMs)
+        classArrivals.add(cpusAtOnce)
     }
 
-    /** Seconds within which [job] is to start, [otherwise] where its class has no objective or a longer one. */
+    /** Returns the seconds within which [job] is to start: the objective of its class, at most [maxS]. */
     fun startWithinS(
         job: Job,
-        otherwise: Double,
-    ): Double = minOf(startObjectives[job.spec.jobClass] ?: otherwise, otherwise)
+        maxS: Double,
+    ): Double = minOf(startObjectivesS[job.spec.jobClass] ?: maxS, maxS)
 
     /**
-     * Processors to keep free: what the classes that can't wait for a machine to boot are likely to need within a
-     * boot time ([bootS], seconds), less what frees within the time that they can wait. [freedPerSecond]: processors
-     * that running tasks free in a second.
+     * Returns the processors to keep free: those that classes with a start objective below the boot time [bootS] are
+     * likely to need within that time, less those that running tasks, which free [freedCpusPerSecond], free within the
+     * shortest objective.
      */
     fun cpus(
-        freedPerSecond: Double,
+        freedCpusPerSecond: Double,
         bootS: Double,
     ): Double {
-        val need = expectedNeed(bootS) { true }
-        if (need.cpus == 0.0) return 0.0
-        val freed = freedPerSecond * need.startWithinS * SchedulingTuning.RELIABLE_FREED_SHARE
-        return (need.cpus - freed).coerceAtLeast(0.0)
+        val demand = expectedDemand(bootS) { true }
+        if (demand.cpus == 0.0) return 0.0
+        val freedCpus = freedCpusPerSecond * demand.startWithinS * SchedulingTuning.RELIABLE_FREED_SHARE
+        return (demand.cpus - freedCpus).coerceAtLeast(0.0)
     }
 
     /**
-     * Processors of on-demand machines that classes which may go nowhere else are likely to need within a boot time
-     * ([bootS], seconds).
+     * Returns the processors of on-demand machines that classes which may not run on spot machines are likely to need
+     * within the boot time [bootS].
      */
-    fun onDemandCpus(bootS: Double): Double = expectedNeed(bootS) { it.needsOnDemand }.cpus
+    fun onDemandCpus(bootS: Double): Double = expectedDemand(bootS) { it.needsOnDemand }.cpus
 
-    /** The expected need of those classes that can't wait for a boot and are [counted], plus some deviations of it. */
-    private fun expectedNeed(
+    /**
+     * Returns the expected demand of the classes that [isIncluded] accepts and whose start objective is below the boot
+     * time, plus [reserveDeviations] standard deviations.
+     */
+    private fun expectedDemand(
         bootS: Double,
-        counted: (Arrivals) -> Boolean,
-    ): ExpectedNeed {
-        val bootTimes = bootS * MS_PER_SECOND / AutoscalingTuning.ARRIVAL_DECAY_MS
-        var expected = 0.0
+        isIncluded: (Arrivals) -> Boolean,
+    ): ExpectedDemand {
+        val bootToDecayRatio = bootS * MS_PER_SECOND / AutoscalingTuning.ARRIVAL_DECAY_MS
+        var expectedCpus = 0.0
         var variance = 0.0
         var shortestS = Double.MAX_VALUE
-        for ((jobClass, ofClass) in arrivals) {
-            val withinS = startObjectives[jobClass] ?: continue
-            if (withinS >= bootS || !counted(ofClass)) continue
-            ofClass.fade(clock.steadyMs)
-            expected += ofClass.cpus * bootTimes
-            variance += ofClass.squaredCpus * bootTimes
+        for ((jobClass, classArrivals) in arrivals) {
+            val withinS = startObjectivesS[jobClass] ?: continue
+            if (withinS >= bootS || !isIncluded(classArrivals)) continue
+            classArrivals.decay(clock.steadyMs)
+            expectedCpus += classArrivals.cpus * bootToDecayRatio
+            variance += classArrivals.squaredCpus * bootToDecayRatio
             shortestS = minOf(shortestS, withinS)
         }
-        return ExpectedNeed(expected + deviations * sqrt(variance), shortestS)
+        return ExpectedDemand(expectedCpus + reserveDeviations * sqrt(variance), shortestS)
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
@@ -9,52 +9,51 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Reads the cloud's list of machines page by page, and passes on what it says of machines that failed, boot, or are up
- * and have not reported.
+ * Reads the cloud's machine list page by page. Releases machines that failed, and passes those that boot or are up
+ * without a heartbeat to [BootTimeouts].
  */
 internal class MachineListReader(
     private val cloud: CloudClient,
     private val election: Election,
     private val clock: Clock,
     private val bootTimeouts: BootTimeouts,
-    private val releases: ReleaseQueue,
+    private val releaseQueue: ReleaseQueue,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
 
-    /** Steady ms before which the list is not read again. */
-    private var nextReadAt = 0L
+    /** Steady-clock ms before which the list is not read again. */
+    private var nextReadAtMs = 0L
     private var isReading = false
 
-    /** An answer under way is no longer waited for. */
     fun clear() {
         isReading = false
     }
 
-    /** Begins to read the list if that is due and the budget of calls allows it. */
+    /** Requests the first page if that is due and the budget of calls allows it. */
     fun runDueWork(cluster: Cluster) {
-        if (isReading || clock.steadyMs < nextReadAt || !cloud.hasBudget) return
+        if (isReading || clock.steadyMs < nextReadAtMs || !cloud.hasBudget) return
         isReading = true
         readPage(cluster, "", 1)
     }
 
-    /** Reads the page with this [number], the first being 1, which follows the machine [after]. */
+    /** Reads the page after the machine [after], which is page [pageNumber], counted from 1. */
     private fun readPage(
         cluster: Cluster,
         after: String,
-        number: Int,
+        pageNumber: Int,
     ) {
-        cloud.readMachineList(after) { answer ->
+        cloud.readMachineList(after) { result ->
             isReading = false
-            nextReadAt = clock.steadyMs + pauseMs(number)
-            if (answer is CloudAnswer.Received && election.isLeader) {
-                onPage(cluster, answer.value, number)
+            nextReadAtMs = clock.steadyMs + intervalMs(pageNumber)
+            if (result is CloudResult.Success && election.isLeader) {
+                onPage(cluster, result.value, pageNumber)
             }
         }
     }
 
-    /** Thousands of machines take several calls, and provisioning and releasing need some of those allowed too. */
-    private fun pauseMs(pages: Int): Long {
-        val calls = pages * AutoscalingTuning.CALLS_PER_LIST_PAGE
+    /** Returns the time to the next reading of the list; a long list must leave calls for provisioning and releasing. */
+    private fun intervalMs(pageCount: Int): Long {
+        val calls = pageCount * AutoscalingTuning.CALLS_PER_LIST_PAGE
         val callsMs = (calls * MS_PER_SECOND / cloud.callsPerSecond).toLong()
         return maxOf(AutoscalingTuning.LIST_INTERVAL_MS, callsMs)
     }
@@ -62,34 +61,34 @@
     private fun onPage(
         cluster: Cluster,
         page: MachineList,
-        number: Int,
+        pageNumber: Int,
     ) {
-        page.machines.forEach { onMachine(cluster, it) }
+        page.machines.forEach { onListed(cluster, it) }
         if (page.hasNext && page.machines.isNotEmpty()) {
             isReading = true
-            readPage(cluster, page.machines.last().name, number + 1)
+            readPage(cluster, page.machines.last().name, pageNumber + 1)
         }
     }
 
-    private fun onMachine(
+    private fun onListed(
         cluster: Cluster,
         listed: ListedMachine,
     ) {
-        if (listed.name in releases) return
-        val known = cluster.machines[listed.name]
+        if (listed.name in releaseQueue) return
+        val machine = cluster.machines[listed.name]
         when (listed.state) {
             MachineState.FAILED -> {
-                log.info("machine released: it failed, as the cloud's list says; machine={}", listed.name)
-                releases.add(listed.name)
-                known?.let(cluster::machineGone)
+                log.info("machine queued for release: the cloud lists it as failed; machine={}", listed.name)
+                releaseQueue.add(listed.name)
+                machine?.let(cluster::machineGone)
             }
 
             MachineState.BOOTING -> {
-                if (known == null) bootTimeouts.listedBooting(cluster, listed)
+                if (machine == null) bootTimeouts.onListedAsBooting(cluster, listed)
             }
 
             MachineState.RUNNING, MachineState.UNRECOGNIZED -> {
-                if (known == null) bootTimeouts.listedUp(cluster, listed)
+                if (machine == null) bootTimeouts.onListedAsUp(cluster, listed)
             }
         }
     }
--- a/src/main/kotlin/ledgearch/autoscaling/MachinePool.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/MachinePool.kt
@@ -2,20 +2,20 @@
 
 import ledgearch.wire.MachineType
 
-/** A pool that machines are provisioned from: a machine type in a zone, as spot or on-demand machines. */
+/** A pool from which machines are provisioned: a machine type in a zone, as spot or on-demand machines. */
 internal data class MachinePool(
     val machineType: MachineType,
     val zone: String,
     val spot: Boolean,
 ) {
-    /** What stays the same when the catalog, and with it a price, changes. */
+    /** The identity of the pool, which does not change with the prices of the catalog. */
     val key: PoolKey get() = PoolKey(machineType.name, zone, spot)
 
-    /** Price of a processor for an hour. */
-    val price: Double get() = pricePerCpu(machineType, spot)
+    /** Price of one processor per hour. */
+    val pricePerCpu: Double get() = pricePerCpu(machineType, spot)
 
     companion object {
-        /** Price of a processor of [machineType] for an hour. */
+        /** Returns the price of one processor of [machineType] per hour. */
         fun pricePerCpu(
             machineType: MachineType,
             spot: Boolean,
@@ -23,7 +23,7 @@
     }
 }
 
-/** Identifies a [MachinePool] whatever its prices are. */
+/** Identifies a [MachinePool] independently of its prices. */
 internal data class PoolKey(
     val machineType: String,
     val zone: String,
--- a/src/main/kotlin/ledgearch/autoscaling/PeakLoad.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/PeakLoad.kt
@@ -1,15 +1,15 @@
 package ledgearch.autoscaling
 
 /**
- * The processors used of late: a peak that decays exponentially, with [AutoscalingTuning.PEAK_DECAY_MS] as its time
- * constant. Load comes in jobs: what it was a moment ago it may be again before a machine could boot.
+ * A peak of the processors in use that decays exponentially with the time constant [AutoscalingTuning.PEAK_DECAY_MS].
+ * After a drop the load may reach the peak again before a machine could boot.
  */
 internal class PeakLoad {
-    /** Processors. */
+    /** The decayed peak in processors. */
     var cpus = 0.0
         private set
 
-    /** [used] processors are used now; called once in [AutoscalingTuning.PLAN_INTERVAL_MS]. */
+    /** Updates the peak with [used] processors in use now; called once per [AutoscalingTuning.PLAN_INTERVAL_MS]. */
     fun observe(used: Double) {
         cpus = maxOf(used, cpus - (cpus - used) * AutoscalingTuning.PLAN_INTERVAL_MS / AutoscalingTuning.PEAK_DECAY_MS)
     }
--- a/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
@@ -5,67 +5,69 @@
 import ledgearch.model.FreeResources
 import ledgearch.model.Job
 
-/** Which pools of the catalog a job may use, and which of them to provision from. */
+/** Selects the pool of the catalog from which to provision a machine for a job. */
 internal class PoolSelector(
     settings: Settings,
     private val jobStore: JobStore,
-    private val booting: BootingMachines,
+    private val bootingMachines: BootingMachines,
     private val provisioner: Provisioner,
 ) {
     private val allowsSpot = settings.operator.spot
 
-    /** Seconds until a machine of the type that boots fastest is up, 0 while no catalog is known. */
+    /** Returns the boot time of the machine type that boots fastest, in seconds, or 0 while no catalog is known. */
     fun shortestBootS(): Double = jobStore.machineTypes.values.minOfOrNull { it.bootS } ?: 0.0
 
     /**
-     * The cheapest pool for [demand] that may have capacity, among equals the one in whose zone the fewest machines
-     * boot or are [planned]. Null if none is left. Not in a zone that is cut off: what is provisioned there can't be
-     * reached, and no more than a probe machine is.
+     * Returns the cheapest pool for [demand] that may have capacity, or null if there is none. Of pools with the same
+     * price it is the one in whose zone the fewest machines boot or are planned; [plannedCounts] are the machines
+     * planned in this round. In a zone that is partitioned, only a probe machine is provisioned.
      */
-    fun cheapest(
+    fun cheapestPool(
         cluster: Cluster,
         demand: Demand,
-        planned: Map<MachinePool, Int>,
+        plannedCounts: Map<MachinePool, Int>,
     ): MachinePool? {
-        val pools = poolsFor(demand.job).filter { demand.zones.allows(it.zone) }
-        return usable(cluster, pools)
-            .ifEmpty { pools.filter { mayProvisionProbeMachine(cluster, it.zone, planned) } }
+        val pools = poolsFor(demand.job).filter { demand.zoneSpread.allows(it.zone) }
+        return usablePools(cluster, pools)
+            .ifEmpty { pools.filter { mayProvisionProbeMachine(cluster, it.zone, plannedCounts) } }
             .filter(provisioner::mayHaveCapacity)
-            .minWithOrNull(compareBy({ it.price }, { booting.countIn(it.zone) + (planned[it] ?: 0) }))
+            .minWithOrNull(
+                compareBy({ it.pricePerCpu }, { bootingMachines.countIn(it.zone) + (plannedCounts[it] ?: 0) }),
+            )
     }
 
-    /** Those of [pools] whose zone is reached and used for new work. */
-    private fun usable(
+    /** Returns the [pools] whose zone is neither partitioned nor suppressed. */
+    private fun usablePools(
         cluster: Cluster,
         pools: List<MachinePool>,
     ): List<MachinePool> {
-        val reached = pools.filter { !cluster.isCutOff(it.zone) && cluster.recovery?.isSuppressed(it.zone) != true }
-        // Where displaced work finds nothing more to provision, it is worth knowing when its zone is back: with no
-        // capacity left elsewhere, a probe machine is chosen.
-        return if (cluster.recovery?.isActive == true) reached.filter(provisioner::mayHaveCapacity) else reached
+        val reachable = pools.filter { !cluster.isCutOff(it.zone) && cluster.recovery?.isSuppressed(it.zone) != true }
+        // During a recovery, pools without capacity are left out: when no other zone has capacity for displaced work, a
+        // probe machine is provisioned to detect the return of its zone.
+        return if (cluster.recovery?.isActive == true) reachable.filter(provisioner::mayHaveCapacity) else reachable
     }
 
     /**
-     * No machine is left in the zone that would tell when it is heard again: one is provisioned, for work that can go
-     * nowhere else.
+     * Returns whether a probe machine may be provisioned in [zone]: no other machine is left there whose heartbeats
+     * would show that the zone is reachable again.
      */
     private fun mayProvisionProbeMachine(
         cluster: Cluster,
         zone: String,
-        planned: Map<MachinePool, Int>,
+        plannedCounts: Map<MachinePool, Int>,
     ): Boolean =
-        booting.noneIn(zone) &&
-            planned.keys.none { it.zone == zone } &&
-            provisioner.noneUnderWayIn(zone) &&
+        bootingMachines.hasNoneIn(zone) &&
+            plannedCounts.keys.none { it.zone == zone } &&
+            provisioner.hasNoPendingRequestIn(zone) &&
             cluster.machines.values.none { it.zone == zone && !it.releasing }
 
-    /** [pool] costs this job much more than the cheapest machine that it may use. */
+    /** Returns whether [pool] is much more expensive than the cheapest pool that [job] may use. */
     fun isExpensive(
         job: Job,
         pool: MachinePool?,
     ): Boolean {
-        val least = poolsFor(job).minOfOrNull { it.price } ?: return false
-        return pool != null && pool.price > least * AutoscalingTuning.EXPENSIVE_FACTOR
+        val lowestPrice = poolsFor(job).minOfOrNull { it.pricePerCpu } ?: return false
+        return pool != null && pool.pricePerCpu > lowestPrice * AutoscalingTuning.EXPENSIVE_PRICE_FACTOR
     }
 
     private fun poolsFor(job: Job): List<MachinePool> =
--- a/src/main/kotlin/ledgearch/autoscaling/Provisioner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Provisioner.kt
@@ -6,43 +6,45 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Requests machines from the cloud. Owns the idempotency keys, the pools with a request under way (one at a time for
- * each pool), and the pools that had no capacity a moment ago.
+ * Requests machines from the cloud, with at most one pending request per pool. Pools that had no capacity are not
+ * requested again for a while.
  */
 internal class Provisioner(
     private val cloud: CloudClient,
     private val election: Election,
     private val clock: Clock,
-    private val booting: BootingMachines,
+    private val bootingMachines: BootingMachines,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
-    private val underWay = HashSet<PoolKey>()
 
-    /** Steady ms before which a pool is not asked for again, for pools that had no capacity. */
-    private val noCapacityUntil = HashMap<PoolKey, Long>()
+    /** The pools with a pending request. */
+    private val pendingPools = HashSet<PoolKey>()
 
-    /** Steady ms before which nothing is requested, after a request that failed. */
-    private var retryAt = 0L
+    /** Steady-clock ms before which a pool that had no capacity is not requested again. */
+    private val noCapacityUntilMs = HashMap<PoolKey, Long>()
+
+    /** Steady-clock ms before which nothing is requested, after a request that failed. */
+    private var retryAtMs = 0L
     private var lastRequestNumber = 0L
 
-    /** The last request failed a moment ago. */
-    val isPaused: Boolean get() = clock.steadyMs < retryAt
+    /** Whether the retry delay after a failed request is not over. */
+    val isBackingOff: Boolean get() = clock.steadyMs < retryAtMs
 
-    /** Forgets requests under way and shortages; request numbers go on, so that no key is used twice. */
+    /** Clears the pending requests and the shortages. Request numbers continue, so that no key is used twice. */
     fun clear() {
-        noCapacityUntil.clear()
-        underWay.clear()
+        noCapacityUntilMs.clear()
+        pendingPools.clear()
     }
 
-    /** [pool] had capacity when it was last asked for, or that was long enough ago. */
-    fun mayHaveCapacity(pool: MachinePool): Boolean = clock.steadyMs >= (noCapacityUntil[pool.key] ?: Long.MIN_VALUE)
+    /** Returns whether [pool] had capacity at its last request, or that request was long enough ago. */
+    fun mayHaveCapacity(pool: MachinePool): Boolean = clock.steadyMs >= (noCapacityUntilMs[pool.key] ?: Long.MIN_VALUE)
 
-    /** No request for machines in [zone] is under way. */
-    fun noneUnderWayIn(zone: String): Boolean = underWay.none { it.zone == zone }
+    /** Returns whether no request for machines in [zone] is pending. */
+    fun hasNoPendingRequestIn(zone: String): Boolean = pendingPools.none { it.zone == zone }
 
     /**
-     * Requests [count] machines of [pool], or as many of them as one call may ask for, unless a request for this pool
-     * is under way or the budget of calls is used up.
+     * Requests [count] machines of [pool], or the maximum of one call if that is less. Does nothing while a request for
+     * the pool is pending or the budget of calls is used up.
      */
     fun provision(
         cluster: Cluster,
@@ -50,24 +52,24 @@
         count: Int,
     ) {
         val key = pool.key
-        if (key in underWay || !cloud.hasBudget) return
-        underWay.add(key)
-        val request = request(pool, minOf(count, AutoscalingTuning.MACHINES_PER_PROVISION))
-        cloud.provision(request) { answer ->
-            underWay.remove(key)
-            when (answer) {
-                is ProvisionAnswer.Provisioned -> onProvisioned(cluster, pool, request.count, answer.machines)
+        if (key in pendingPools || !cloud.hasBudget) return
+        pendingPools.add(key)
+        val request = createRequest(pool, minOf(count, AutoscalingTuning.MAX_MACHINES_PER_PROVISION))
+        cloud.provision(request) { result ->
+            pendingPools.remove(key)
+            when (result) {
+                is ProvisionResult.Provisioned -> onProvisioned(cluster, pool, request.count, result.machines)
 
-                ProvisionAnswer.NoCapacity -> pausePool(key)
+                ProvisionResult.NoCapacity -> backOff(key)
 
-                // Without an answer machines may have been provisioned; they show in the list and in their reports.
-                ProvisionAnswer.Failed -> retryAt = clock.steadyMs + AutoscalingTuning.RETRY_DELAY_MS
+                // Without a reply machines may have been provisioned; the machine list and their heartbeats show them.
+                ProvisionResult.Failure -> retryAtMs = clock.steadyMs + AutoscalingTuning.RETRY_DELAY_MS
             }
         }
     }
 
-    /** The token is this leadership's alone: no other node and no later process of this one ever uses the key again. */
-    private fun request(
+    /** The key contains the token of this term, so no other node and no restarted process uses it again. */
+    private fun createRequest(
         pool: MachinePool,
         count: Int,
     ): RentalRequest {
@@ -78,22 +80,22 @@
     private fun onProvisioned(
         cluster: Cluster,
         pool: MachinePool,
-        requested: Int,
+        requestedCount: Int,
         names: List<String>,
     ) {
         log.info(
-            "{} machines provisioned of {} requested; zone={} machineType={} count={}",
+            "{} machines provisioned, {} requested; zone={} machineType={} count={}",
             if (pool.spot) "spot" else "on-demand",
-            requested,
+            requestedCount,
             pool.zone,
             pool.machineType.name,
             names.size,
         )
-        for (name in names) booting.expect(cluster, name, BootingMachine(pool, clock.steadyMs))
-        if (names.size < requested) pausePool(pool.key)
+        for (name in names) bootingMachines.add(cluster, name, BootingMachine(pool, clock.steadyMs))
+        if (names.size < requestedCount) backOff(pool.key)
     }
 
-    private fun pausePool(key: PoolKey) {
-        noCapacityUntil[key] = clock.steadyMs + AutoscalingTuning.NO_CAPACITY_PAUSE_MS
+    private fun backOff(key: PoolKey) {
+        noCapacityUntilMs[key] = clock.steadyMs + AutoscalingTuning.NO_CAPACITY_BACKOFF_MS
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
@@ -6,89 +6,89 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The machines that are to be released and those that were. While this node leads, a machine that was added is released
- * however often the cloud refuses; nothing takes it back. One call to the cloud is under way at a time.
+ * Releases machines to the cloud with one call at a time, and keeps the names of those released. While this node leads,
+ * the release of a machine that was added is repeated until it succeeds; it can't be undone.
  */
 internal class ReleaseQueue(
     private val cloud: CloudClient,
     private val election: Election,
     private val clock: Clock,
-    private val booting: BootingMachines,
+    private val bootingMachines: BootingMachines,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
-    private val pending = LinkedHashSet<String>()
+    private val pendingNames = LinkedHashSet<String>()
 
-    /** The last released, the oldest first. */
-    private val released = LinkedHashSet<String>()
-    private var isCalling = false
+    /** The names of the machines released last, the oldest first. */
+    private val releasedNames = LinkedHashSet<String>()
+    private var isCallPending = false
 
-    /** Steady ms before which no call is made, after one that failed. */
-    private var retryAt = 0L
+    /** Steady-clock ms before which no call is made, after one that failed. */
+    private var retryAtMs = 0L
 
-    /** The machine [name] is to be released, or was. */
-    operator fun contains(name: String): Boolean = name in released || name in pending
+    /** Returns whether the machine [name] is queued for release or was released. */
+    operator fun contains(name: String): Boolean = name in releasedNames || name in pendingNames
 
-    /** The machine [name] is to be released. */
+    /** Queues the machine [name] for release. */
     fun add(name: String) {
-        pending.add(name)
+        pendingNames.add(name)
     }
 
-    /** The machine gets nothing more and is released. */
+    /** Queues [machine] for release; no more tasks are placed on it. */
     fun add(machine: Machine) {
         machine.releasing = true
-        pending.add(machine.name)
+        pendingNames.add(machine.name)
     }
 
     fun clear() {
-        pending.clear()
-        released.clear()
-        isCalling = false
+        pendingNames.clear()
+        releasedNames.clear()
+        isCallPending = false
     }
 
-    /** Releases the next machines, if there are any and the budget of calls allows it. */
+    /** Releases the next machines if there are any and the budget of calls allows it. */
     fun runDueWork(cluster: Cluster) {
-        if (isCalling || pending.isEmpty() || clock.steadyMs < retryAt || !cloud.hasBudget) return
-        val names = pending.take(AutoscalingTuning.MACHINES_PER_RELEASE)
-        isCalling = true
+        if (isCallPending || pendingNames.isEmpty() || clock.steadyMs < retryAtMs || !cloud.hasBudget) return
+        val names = pendingNames.take(AutoscalingTuning.MAX_MACHINES_PER_RELEASE)
+        isCallPending = true
         names.forEach { cluster.machines[it]?.releaseRequested = true }
         val token = election.token
-        cloud.release(names) { answer -> onAnswer(cluster, names, token, answer) }
+        cloud.release(names) { result -> onResult(cluster, names, token, result) }
     }
 
-    private fun onAnswer(
+    private fun onResult(
         cluster: Cluster,
         names: List<String>,
         token: Long,
-        answer: CloudAnswer<Unit>,
+        result: CloudResult<Unit>,
     ) {
-        // This node leads no more: its queue is void.
+        // This node no longer leads and has cleared the queue.
         if (election.token == 0L) return
-        isCalling = false
-        when (answer) {
-            is CloudAnswer.Received -> {
+        isCallPending = false
+        when (result) {
+            is CloudResult.Success -> {
                 log.info("machines released; machine={} token={}", names, token)
-                names.forEach { remember(cluster, it) }
-                forgetOldest(cluster)
+                names.forEach { recordRelease(cluster, it) }
+                removeOldestNames(cluster)
             }
 
-            CloudAnswer.Failed -> {
-                retryAt = clock.steadyMs + AutoscalingTuning.RETRY_DELAY_MS
+            CloudResult.Failure -> {
+                retryAtMs = clock.steadyMs + AutoscalingTuning.RETRY_DELAY_MS
             }
         }
     }
 
-    private fun remember(
+    private fun recordRelease(
         cluster: Cluster,
         name: String,
     ) {
-        pending.remove(name)
-        released.add(name)
-        booting.remove(name)
+        pendingNames.remove(name)
+        releasedNames.add(name)
+        bootingMachines.remove(name)
         cluster.machines[name]?.let(cluster::machineGone)
     }
 
-    private fun forgetOldest(cluster: Cluster) {
-        val most = maxOf(AutoscalingTuning.RELEASED_REMEMBERED, cluster.machines.size)
-        while (released.size > most) released.remove(released.first())
+    private fun removeOldestNames(cluster: Cluster) {
+        val maxCount = maxOf(AutoscalingTuning.RELEASED_NAMES_KEPT, cluster.machines.size)
+        while (releasedNames.size > maxCount) releasedNames.remove(releasedNames.first())
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/RentalHints.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/RentalHints.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.runtime.Clock
 
-/** A machine that the leader before may have provisioned. */
+/** A machine that the previous leader may have provisioned. */
 internal data class RentalHint(
     val name: String,
     val machineType: String,
@@ -11,32 +11,32 @@
 )
 
 /**
- * Machines that the leader before may have provisioned. They count as coming for
- * [AutoscalingTuning.RENTAL_HINT_MS], until the cloud's list must show them: so that they are not provisioned twice.
- * Nothing is ever released because of a hint.
+ * Machines that the previous leader may have provisioned. They count as booting for
+ * [AutoscalingTuning.RENTAL_HINT_TTL_MS], until the cloud's list must show them, so that they are not provisioned
+ * twice. No machine is released because of a hint.
  */
 internal class RentalHints(
     private val clock: Clock,
 ) {
     private val hints = HashMap<String, RentalHint>()
 
-    /** Steady ms at which all hints are void. */
-    private var validUntil = 0L
+    /** Steady-clock ms at which all hints expire. */
+    private var validUntilMs = 0L
 
-    /** Adds a hint; all hints are valid for the full time again. */
+    /** Adds [hint] and restarts the lifetime of all hints. */
     fun add(hint: RentalHint) {
         hints[hint.name] = hint
-        validUntil = clock.steadyMs + AutoscalingTuning.RENTAL_HINT_MS
+        validUntilMs = clock.steadyMs + AutoscalingTuning.RENTAL_HINT_TTL_MS
     }
 
     fun clear() = hints.clear()
 
-    /** The hinted machines that are neither among the [booting] nor among the [joined], by name. */
-    fun notIn(
-        booting: Set<String>,
-        joined: Set<String>,
+    /** Returns the valid hints for machines whose names are neither in [bootingNames] nor in [joinedNames]. */
+    fun validHints(
+        bootingNames: Set<String>,
+        joinedNames: Set<String>,
     ): List<RentalHint> {
-        if (clock.steadyMs >= validUntil) hints.clear()
-        return hints.values.filter { it.name !in booting && it.name !in joined }
+        if (clock.steadyMs >= validUntilMs) hints.clear()
+        return hints.values.filter { it.name !in bootingNames && it.name !in joinedNames }
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -6,15 +6,12 @@
 import ledgearch.runtime.Clock
 import org.slf4j.LoggerFactory
 
-/**
- * Drains machines that are not needed, moves replicas off them, and has them released once they are empty. Owns the
- * load of late and since when nothing has waited.
- */
+/** Drains machines that are not needed, moves replicas off them, and queues them for release once they are empty. */
 internal class ScaleInPlanner(
     private val jobStore: JobStore,
     private val clock: Clock,
-    private val pools: PoolSelector,
-    private val releases: ReleaseQueue,
+    private val poolSelector: PoolSelector,
+    private val releaseQueue: ReleaseQueue,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
     private val load = PeakLoad()
@@ -22,40 +19,41 @@
     /** The part of the load that belongs on on-demand machines. */
     private val onDemandLoad = PeakLoad()
 
-    /** Steady ms since when nothing has waited, or 0 while something waits. */
-    private var calmSince = 0L
+    /** Steady-clock ms since which there has been no demand, or 0 while there is some. */
+    private var noDemandSinceMs = 0L
 
-    /** Steady ms of the last round of draining. */
-    private var lastDrainAt = 0L
+    /** Steady-clock ms of the last round of draining. */
+    private var lastDrainAtMs = 0L
 
-    /** Takes note of the present load. */
+    /** Updates the peak loads with the processors in use. */
     fun observeLoad(cluster: Cluster) {
         load.observe(cluster.machines.values.sumOf { it.usedCpus })
         onDemandLoad.observe(jobStore.jobs.values.sumOf { onDemandCpus(cluster, it) })
     }
 
-    /** What the tasks of [job] take if they belong on on-demand machines: they may not or should not run on spot. */
+    /** Returns the processors of the attempts of [job] if it may not or should not run on spot machines, otherwise 0. */
     private fun onDemandCpus(
         cluster: Cluster,
         job: Job,
     ): Double = if (cluster.reliability.shouldRunOnDemand(job)) job.attempts.size * job.spec.vcpus else 0.0
 
-    /** Takes note of what waits. */
+    /** Updates the time without demand; while there is demand, draining machines return to service. */
     fun observeDemands(
         cluster: Cluster,
         demands: List<Demand>,
     ) {
-        // With a zone cut off, tasks that may run there wait for it unseen: what is up now will be needed.
-        val isCalm = demands.isEmpty() && !cluster.anyZoneUnsettled
-        if (!isCalm) {
-            calmSince = 0L
+        // While a zone is partitioned, the demand lacks tasks that may still run there. If they are lost, they need the
+        // machines that are up now.
+        val hasNoDemand = demands.isEmpty() && !cluster.anyZoneUnsettled
+        if (!hasNoDemand) {
+            noDemandSinceMs = 0L
             cancelDraining(cluster)
-        } else if (calmSince == 0L) {
-            calmSince = clock.steadyMs
+        } else if (noDemandSinceMs == 0L) {
+            noDemandSinceMs = clock.steadyMs
         }
     }
 
-    /** Work waits: draining machines serve again before any is provisioned. */
+    /** Returns draining machines to service, so that they are used before any is provisioned. */
     private fun cancelDraining(cluster: Cluster) {
         for (machine in cluster.machines.values) {
             if (machine.draining && !machine.releasing) {
@@ -65,16 +63,19 @@
         }
     }
 
-    /** Has draining and quarantined machines released that are empty, and moves replicas off quarantined ones. */
+    /** Queues empty machines for release that are draining or quarantined, and moves replicas off quarantined ones. */
     fun releaseEmpty(cluster: Cluster) {
         val inService = cluster.machines.values.filter { it.inService }
         for (machine in cluster.machines.values.toList()) {
-            val movesReplicas =
+            val shouldMoveReplicas =
                 machine.quarantined && machine.confirmed && cluster.replicas.canMoveReplicas(machine, inService)
-            if (movesReplicas) cluster.replicas.moveReplicas(machine)
+            if (shouldMoveReplicas) cluster.replicas.moveReplicas(machine)
             if (isEmptyAndLeaving(machine)) {
-                log.info("machine released: it is empty and not needed; machine={}", machine.name)
-                releases.add(machine)
+                log.info(
+                    "machine queued for release: it is drained or quarantined, and empty; machine={}",
+                    machine.name,
+                )
+                releaseQueue.add(machine)
             }
         }
     }
@@ -84,54 +85,57 @@
             machine.attempts.isEmpty() && machine.confirmed && !machine.releasing
 
     /**
-     * Once nothing has waited for a while, drains machines, the most expensive first, as long as what is left holds
-     * the load and the headroom. [freedPerSecond]: processors that running tasks free in a second.
+     * Drains machines, the most expensive first, if there has been no demand for a while and as long as the remaining
+     * machines hold the peak load and the headroom. Running tasks free [freedCpusPerSecond].
      */
     fun drainUnneeded(
         cluster: Cluster,
-        freedPerSecond: Double,
+        freedCpusPerSecond: Double,
     ) {
-        if (calmSince == 0L || clock.steadyMs - calmSince <= AutoscalingTuning.CALM_BEFORE_SCALE_IN_MS) return
-        if (clock.steadyMs - lastDrainAt < AutoscalingTuning.SCALE_IN_INTERVAL_MS) return
-        lastDrainAt = clock.steadyMs
-        while (drainOne(cluster, freedPerSecond)) Unit
+        if (noDemandSinceMs == 0L || clock.steadyMs - noDemandSinceMs <= AutoscalingTuning.SCALE_IN_DELAY_MS) return
+        if (clock.steadyMs - lastDrainAtMs < AutoscalingTuning.SCALE_IN_INTERVAL_MS) return
+        lastDrainAtMs = clock.steadyMs
+        while (drainOne(cluster, freedCpusPerSecond)) Unit
     }
 
-    /** Drains one machine; returns whether another may be drained in the same round. */
+    /** Drains one machine, and returns whether another may be drained in the same round. */
     private fun drainOne(
         cluster: Cluster,
-        freedPerSecond: Double,
+        freedCpusPerSecond: Double,
     ): Boolean {
         val inService = cluster.machines.values.filter { it.inService }
-        val capacity = inService.sumOf { it.machineType.vcpus }
-        val headroom = cluster.headroom.cpus(freedPerSecond, pools.shortestBootS())
-        val machine = mostExpensiveUnneeded(cluster, inService, capacity, headroom) ?: return false
+        val capacityCpus = inService.sumOf { it.machineType.vcpus }
+        val headroomCpus = cluster.headroom.cpus(freedCpusPerSecond, poolSelector.shortestBootS())
+        val machine = mostExpensiveUnneeded(cluster, inService, capacityCpus, headroomCpus) ?: return false
         machine.draining = true
         log.info(
-            "machine drained: {} of {} processors used, {} kept free; machine={}",
+            "machine is drained: peak load {} of {} processors, headroom {}; machine={}",
             load.cpus.toInt(),
-            capacity.toInt(),
-            headroom.toInt(),
+            capacityCpus.toInt(),
+            headroomCpus.toInt(),
             machine.name,
         )
-        // Replicas of several machines would move to the same room, and some wait for their image elsewhere.
+        // Replicas of several machines could move to the same free resources, or wait for their image elsewhere.
         return !cluster.replicas.moveReplicas(machine)
     }
 
-    /** Among those of the same price the least used. Null if each of [inService] is needed or can't be emptied. */
+    /**
+     * Returns the most expensive machine of [inService] that is not needed and can be emptied, or null if there is none.
+     * Of machines with the same price it is the least used.
+     */
     private fun mostExpensiveUnneeded(
         cluster: Cluster,
         inService: List<Machine>,
-        capacity: Double,
-        headroom: Double,
+        capacityCpus: Double,
+        headroomCpus: Double,
     ): Machine? {
-        val onDemandCapacity = inService.sumOf { if (it.spot) 0.0 else it.machineType.vcpus }
-        val onDemandByZone = inService.filter { !it.spot }.groupingBy { it.zone }.eachCount()
+        val onDemandCapacityCpus = inService.sumOf { if (it.spot) 0.0 else it.machineType.vcpus }
+        val onDemandCountByZone = inService.filter { !it.spot }.groupingBy { it.zone }.eachCount()
         return inService
             .filter { clock.steadyMs - it.knownSince > AutoscalingTuning.MIN_SERVICE_MS }
-            .filter { capacity - it.machineType.vcpus >= load.cpus + headroom }
-            .filter { it.spot || onDemandCapacity - it.machineType.vcpus >= onDemandLoad.cpus }
-            .filter { it.spot || (onDemandByZone[it.zone] ?: 0) > 1 }
+            .filter { capacityCpus - it.machineType.vcpus >= load.cpus + headroomCpus }
+            .filter { it.spot || onDemandCapacityCpus - it.machineType.vcpus >= onDemandLoad.cpus }
+            .filter { it.spot || (onDemandCountByZone[it.zone] ?: 0) > 1 }
             .sortedWith(compareBy({ -MachinePool.pricePerCpu(it.machineType, it.spot) }, { it.usedCpus }))
             .firstOrNull { cluster.replicas.canMoveReplicas(it, inService) }
     }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
@@ -5,81 +5,85 @@
 import ledgearch.scheduling.SchedulingTuning
 
 /**
- * One round of planning to scale out: what each demand takes of the room that is coming, and the machines planned for
- * the rest.
+ * One planning round for scaling out: assigns the upcoming capacity to the demands in their order, and plans machines
+ * for the rest.
  */
 internal class ScaleOutPlan(
     private val cluster: Cluster,
     private val clock: Clock,
-    private val pools: PoolSelector,
-    /** Room that is coming; the room of planned machines is added to it. */
+    private val poolSelector: PoolSelector,
+    /** The upcoming capacity, to which the planned machines are added. */
     private val supplies: MutableList<Supply>,
-    /** No more machines are planned than this. */
-    private val mostPlanned: Int,
-    /** Processors that running tasks free in a second. */
-    private val freedPerSecond: Double,
+    /** Maximum number of machines that are planned. */
+    private val maxMachineCount: Int,
+    /** Processors that running tasks are expected to free per second. */
+    private val freedCpusPerSecond: Double,
 ) {
-    private val planned = LinkedHashMap<MachinePool, Int>()
+    private val plannedCounts = LinkedHashMap<MachinePool, Int>()
 
-    /** The same as [freedPerSecond] by zone; only demands for a single zone ask for it. */
-    private val freedPerSecondByZone by lazy(LazyThreadSafetyMode.NONE) {
+    /** [freedCpusPerSecond] by zone; computed only if a demand is limited to one zone. */
+    private val freedCpusPerSecondByZone by lazy(LazyThreadSafetyMode.NONE) {
         cluster.estimates.freedCpusPerSecondByZone(cluster.machines.values)
     }
 
-    /** Processors of those freed soon that demands planned so far count on. */
+    /** The processors freed by running tasks that are assigned to the demands so far. */
     private var freedCpusTaken = 0.0
 
-    /** Machines to provision, by pool, in the order of planning. */
-    val machines: Map<MachinePool, Int> get() = planned
-    val machineCount: Int get() = planned.values.sum()
+    /** The number of machines to provision by pool, in the order of planning. */
+    val machines: Map<MachinePool, Int> get() = plannedCounts
+    val machineCount: Int get() = plannedCounts.values.sum()
 
-    /** Plans for [demand], after all demands that were added before. */
+    /** Plans for [demand], which has lower precedence than all demands added before. */
     fun add(demand: Demand) {
-        var unmet = demand.unmetBy(supplies)
-        if (mayWaitForFreed(demand.job)) unmet -= takeFreed(demand, unmet)
-        planMachines(demand, unmet)
+        var unmetCount = demand.unmetBy(supplies)
+        if (mayUseFreedCpus(demand.job)) unmetCount -= takeFreedCpus(demand, unmetCount)
+        planMachines(demand, unmetCount)
     }
 
-    /** What frees by itself may serve the job. One that has starved beside all that frees is not served by it. */
-    private fun mayWaitForFreed(job: Job): Boolean =
+    /**
+     * Returns whether processors that running tasks free may be expected to serve [job]. They have not served a job that
+     * has starved for [SchedulingTuning.STARVATION_MS].
+     */
+    private fun mayUseFreedCpus(job: Job): Boolean =
         !job.isService && job.spec.vcpus > 0 && job.unservedMs(clock.wallMs) <= SchedulingTuning.STARVATION_MS
 
-    /** How many of [tasks] tasks are served by what running tasks free in time; that is taken. */
-    private fun takeFreed(
+    /** Takes processors freed in time for [taskCount] tasks, and returns the number of tasks that they serve. */
+    private fun takeFreedCpus(
         demand: Demand,
-        tasks: Int,
+        taskCount: Int,
     ): Int {
         val vcpus = demand.job.spec.vcpus
         val cpusLeft = cpusFreedInTime(demand) - freedCpusTaken
-        val served = minOf(tasks, (cpusLeft / vcpus).toInt().coerceAtLeast(0))
-        freedCpusTaken += served * vcpus
-        return served
+        val servedCount = minOf(taskCount, (cpusLeft / vcpus).toInt().coerceAtLeast(0))
+        freedCpusTaken += servedCount * vcpus
+        return servedCount
     }
 
-    /** Processors that free before the job is late or a machine could be up. */
+    /** Returns the processors that are freed before the job's start objective is missed or a new machine could be up. */
     private fun cpusFreedInTime(demand: Demand): Double {
-        val bootS = pools.shortestBootS()
-        // Where only expensive machines are left to provision, all that frees before one could be up is counted on.
-        val onlyExpensive = pools.isExpensive(demand.job, pools.cheapest(cluster, demand, planned))
-        val withinS = if (onlyExpensive) bootS else cluster.headroom.startWithinS(demand.job, bootS)
-        val counted = if (onlyExpensive) 1.0 else SchedulingTuning.RELIABLE_FREED_SHARE
-        val freedThere = demand.onlyZone?.let { freedPerSecondByZone[it] ?: 0.0 } ?: freedPerSecond
-        return freedThere * withinS * counted
+        val bootS = poolSelector.shortestBootS()
+        // If only expensive machines can be provisioned, everything freed before one could be up is counted.
+        val isOnlyExpensive =
+            poolSelector.isExpensive(demand.job, poolSelector.cheapestPool(cluster, demand, plannedCounts))
+        val withinS = if (isOnlyExpensive) bootS else cluster.headroom.startWithinS(demand.job, bootS)
+        val countedShare = if (isOnlyExpensive) 1.0 else SchedulingTuning.RELIABLE_FREED_SHARE
+        val freedPerSecond = demand.onlyZone?.let { freedCpusPerSecondByZone[it] ?: 0.0 } ?: freedCpusPerSecond
+        return freedPerSecond * withinS * countedShare
     }
 
     private fun planMachines(
         demand: Demand,
-        tasks: Int,
+        taskCount: Int,
     ) {
-        var unmet = tasks
-        while (unmet > 0 && machineCount < mostPlanned) {
-            val pool = pools.cheapest(cluster, demand, planned) ?: break
+        var unmetCount = taskCount
+        while (unmetCount > 0 && machineCount < maxMachineCount) {
+            val pool = poolSelector.cheapestPool(cluster, demand, plannedCounts) ?: break
             val supply = Supply(pool)
-            val taken = supply.take(demand.job, unmet, demand.zones)
-            if (taken == 0) break
-            unmet -= taken
+            val takenCount = supply.take(demand.job, unmetCount, demand.zoneSpread)
+            if (takenCount == 0) break
+            unmetCount -= takenCount
             supplies.add(supply)
-            planned.merge(pool, 1, Int::plus)
+            plannedCounts.merge(pool, 1, Int::plus)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -6,78 +6,75 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Provisions machines for what waits, less what is coming and what running tasks will free before it is late or a
- * machine could be up.
+ * Provisions machines for the demand that is not met by upcoming capacity or by what running tasks free before a job's
+ * start objective is missed or a new machine could be up.
  */
 internal class ScaleOutPlanner(
     settings: Settings,
     private val jobStore: JobStore,
     private val clock: Clock,
-    private val booting: BootingMachines,
-    private val hints: RentalHints,
-    private val pools: PoolSelector,
+    private val bootingMachines: BootingMachines,
+    private val rentalHints: RentalHints,
+    private val poolSelector: PoolSelector,
     private val provisioner: Provisioner,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
     private val maxMachines = settings.operator.maxMachines
 
-    /**
-     * Plans for [demands], in their order, and requests the machines. [freedPerSecond]: processors that running tasks
-     * free in a second.
-     */
+    /** Plans for [demands], in their order, and requests the machines. Running tasks free [freedCpusPerSecond]. */
     fun planAndProvision(
         cluster: Cluster,
         demands: List<Demand>,
-        freedPerSecond: Double,
+        freedCpusPerSecond: Double,
     ) {
-        if (provisioner.isPaused) return
-        val plan = planFor(cluster, freedPerSecond)
+        if (provisioner.isBackingOff) return
+        val plan = createPlan(cluster, freedCpusPerSecond)
         demands.forEach(plan::add)
         if (demands.isNotEmpty() && log.isDebugEnabled) {
             log.debug(
-                "{} jobs wait for room: {} processors freed a second, {} machines coming, {} planned",
+                "{} jobs wait for machines: {} processors freed per second, {} machines booting, {} planned",
                 demands.size,
-                freedPerSecond,
-                booting.count,
+                freedCpusPerSecond,
+                bootingMachines.count,
                 plan.machineCount,
             )
         }
         for ((pool, count) in plan.machines) provisioner.provision(cluster, pool, count)
     }
 
-    private fun planFor(
+    private fun createPlan(
         cluster: Cluster,
-        freedPerSecond: Double,
+        freedCpusPerSecond: Double,
     ): ScaleOutPlan {
         val supplies = bootingSupplies(cluster)
-        val hinted = hints.notIn(booting.names, cluster.machines.keys)
-        supplies += hintedSupplies(hinted)
+        val hints = rentalHints.validHints(bootingMachines.names, cluster.machines.keys)
+        supplies += hintedSupplies(hints)
         supplies += heldBackSupplies(cluster)
-        val known = cluster.machines.size + booting.count + hinted.size
-        val mostPlanned = minOf(mostInOnePlan(cluster), maxMachines - known)
-        return ScaleOutPlan(cluster, clock, pools, supplies, mostPlanned, freedPerSecond)
+        val knownCount = cluster.machines.size + bootingMachines.count + hints.size
+        val maxPlanned = minOf(maxMachinesPerPlan(cluster), maxMachines - knownCount)
+        return ScaleOutPlan(cluster, clock, poolSelector, supplies, maxPlanned, freedCpusPerSecond)
     }
 
-    private fun mostInOnePlan(cluster: Cluster): Int =
+    private fun maxMachinesPerPlan(cluster: Cluster): Int =
         if (cluster.recovery?.isActive == true) {
-            AutoscalingTuning.MACHINES_PER_PLAN_IN_RECOVERY
+            AutoscalingTuning.MAX_MACHINES_PER_PLAN_IN_RECOVERY
         } else {
-            AutoscalingTuning.MACHINES_PER_PLAN
+            AutoscalingTuning.MAX_MACHINES_PER_PLAN
         }
 
-    /** Machines that boot in a zone that is cut off can't be counted on. */
+    /** Returns the capacity of booting machines, except for those in partitioned zones, which may not become usable. */
     private fun bootingSupplies(cluster: Cluster): MutableList<Supply> =
-        booting.all
+        bootingMachines.all
             .filter { !cluster.isCutOff(it.pool.zone) }
             .map { Supply(it.pool) }
             .toMutableList()
 
-    private fun hintedSupplies(hinted: List<RentalHint>): List<Supply> =
-        hinted.mapNotNull { hint ->
+    private fun hintedSupplies(hints: List<RentalHint>): List<Supply> =
+        hints.mapNotNull { hint ->
             jobStore.machineTypes[hint.machineType]?.let { Supply(it, hint.zone, hint.spot) }
         }
 
-    /** Room of a returning zone that is to be admitted soon. */
+    /** Returns the free resources of machines in returning zones that are to be admitted soon. */
     private fun heldBackSupplies(cluster: Cluster): List<Supply> =
         cluster.machines.values
             .filter { it.heldBack && it.inService && cluster.recovery?.isSuppressed(it.zone) == false }
--- a/src/main/kotlin/ledgearch/autoscaling/Supply.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Supply.kt
@@ -5,30 +5,30 @@
 import ledgearch.model.ZoneSpread
 import ledgearch.wire.MachineType
 
-/** Room that is coming: a machine that boots or is planned, or one that is held back and has [room] left. */
+/** Upcoming capacity: a machine that boots or is planned, or the [free] resources of one that is held back. */
 internal class Supply(
     private val machineType: MachineType,
     private val zone: String,
     private val spot: Boolean,
-    private val room: FreeResources = FreeResources(machineType),
+    private val free: FreeResources = FreeResources(machineType),
 ) {
-    /** A machine of [pool] that nothing runs on yet. */
+    /** Creates the supply of an empty machine of [pool]. */
     constructor(pool: MachinePool) : this(pool.machineType, pool.zone, pool.spot)
 
-    /** Takes as many of [tasks] tasks of [job] as fit here and in its [zones], and returns how many. */
+    /** Takes resources for at most [maxTasks] tasks of [job], as [zoneSpread] permits; returns how many tasks fit. */
     fun take(
         job: Job,
-        tasks: Int,
-        zones: ZoneSpread,
+        maxTasks: Int,
+        zoneSpread: ZoneSpread,
     ): Int {
         if (!job.allows(machineType, zone, spot)) return 0
-        val most = zones.room(zone, tasks)
-        var taken = 0
-        while (taken < most && room.fits(job)) {
-            room.take(job)
-            taken++
+        val maxInZone = zoneSpread.room(zone, maxTasks)
+        var takenCount = 0
+        while (takenCount < maxInZone && free.fits(job)) {
+            free.take(job)
+            takenCount++
         }
-        zones.add(zone, taken)
-        return taken
+        zoneSpread.add(zone, takenCount)
+        return takenCount
     }
 }
