--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -27,19 +27,19 @@
      * command to the machine is in flight, before its next probe is due, or while too many probes are in flight.
      */
     fun probe(machine: Machine) {
-        if (machine.commandInFlight || clock.steadyMs < machine.probeAt || probesInFlight >= maxConcurrentProbes) return
-        if (!machine.confirmed && isHeartbeatExpected(machine)) return
+        if (machine.isCommandInFlight || clock.steadyMs < machine.probeAt || probesInFlight >= maxConcurrentProbes) return
+        if (!machine.isConfirmed && isHeartbeatExpected(machine)) return
         send(machine)
     }
 
     private fun send(machine: Machine) {
-        machine.commandInFlight = true
+        machine.isCommandInFlight = true
         machine.probeAt = clock.steadyMs + intervalMs(machine.probesFailed)
         probesInFlight++
         val sentAtMs = clock.steadyMs
         val incarnation = machine.incarnation
         client.send(machine, emptyList(), intervalMs(machine.probesFailed + 1)) { status ->
-            machine.commandInFlight = false
+            machine.isCommandInFlight = false
             probesInFlight--
             if (status == null) {
                 recordFailure(machine, sentAtMs)
@@ -48,14 +48,14 @@
             if (listener.isRegistered(machine)) listener.onReply(machine, status)
             // An agent rejects a token sent for another incarnation than its own. Its reply contains the right
             // incarnation, so the token is sent again at once.
-            if (listener.isRegistered(machine) && !machine.confirmed && machine.incarnation != incarnation) {
+            if (listener.isRegistered(machine) && !machine.isConfirmed && machine.incarnation != incarnation) {
                 resend(machine)
             }
         }
     }
 
     private fun resend(machine: Machine) {
-        if (!machine.commandInFlight) send(machine)
+        if (!machine.isCommandInFlight) send(machine)
     }
 
     /** Counts an unanswered probe; one that timed out while this node lagged does not count as a failure. */
@@ -66,7 +66,7 @@
         machine.probeUnanswered(sentAtMs)
         if (stalls.wasLaggingSince(sentAtMs)) return
         machine.probesFailed++
-        if (!machine.confirmed) queue.markUnreachable(machine)
+        if (!machine.isConfirmed) queue.markUnreachable(machine)
     }
 
     /** Returns the time until the next probe, which grows with failures: a partition can silence hundreds of agents. */
@@ -83,7 +83,7 @@
      */
     private fun isHeartbeatExpected(machine: Machine) =
         stalls.isLagging &&
-            machine.inherited &&
-            !machine.returningHint &&
+            machine.isInherited &&
+            !machine.isReturningHint &&
             clock.steadyMs - machine.knownSince < maxHeartbeatIntervalMs
 }
--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -74,7 +74,7 @@
     fun drive() {
         if (!queue.isEmpty) sendPending()
         unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedToken != 0L } }
-        if (unacknowledged.any { !it.unreachable }) election.renewToken()
+        if (unacknowledged.any { !it.isUnreachable }) election.renewToken()
     }
 
     private fun sendPending() {
@@ -89,13 +89,13 @@
         val commands = pendingCommands(machine)
         if (commands.isEmpty()) return
         val started = commands.filter { it.kind == CommandKind.START }.mapNotNull { machine.attempts.get(it.attempt) }
-        started.forEach { it.startInFlight = true }
-        machine.commandInFlight = true
+        started.forEach { it.isStartInFlight = true }
+        machine.isCommandInFlight = true
         requestsInFlight++
         val token = election.token
         val sentAtMs = clock.steadyMs
         client.send(machine, commands, AgentTuning.COMMAND_TIMEOUT_MS) { status ->
-            machine.commandInFlight = false
+            machine.isCommandInFlight = false
             requestsInFlight--
             endStarts(machine, started, token, isAnswered = status != null)
             // A time-out while this node lagged may be this node's own and says nothing about the machine.
@@ -116,7 +116,7 @@
         isAnswered: Boolean,
     ) {
         for (attempt in started) {
-            attempt.startInFlight = false
+            attempt.isStartInFlight = false
             if (!isAnswered && machine.token <= token && listener.isRegistered(machine)) {
                 attempt.unacknowledgedToken = token
                 unacknowledged.add(machine)
--- a/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
@@ -43,18 +43,18 @@
     fun sendable(): List<Machine> = pending.filter(::isSendable)
 
     private fun isSendable(machine: Machine) =
-        !machine.commandInFlight &&
-            !machine.unreachable &&
-            machine.durable &&
-            machine.confirmed &&
-            !machine.releaseRequested
+        !machine.isCommandInFlight &&
+            !machine.isUnreachable &&
+            machine.isDurable &&
+            machine.isConfirmed &&
+            !machine.isReleaseRequested
 
     /** Marks [machine] as reachable, and queues it if it was not, so that lost commands are sent again. */
     fun markReachable(machine: Machine) {
         machine.probesFailed = 0
         machine.probeAnswered()
-        if (machine.unreachable) enqueue(machine)
-        machine.unreachable = false
+        if (machine.isUnreachable) enqueue(machine)
+        machine.isUnreachable = false
         machine.unreachableSince = 0L
         unreachable.remove(machine)
     }
@@ -62,7 +62,7 @@
     /** Marks [machine] as unreachable: it gets nothing new until it is reached again. */
     fun markUnreachable(machine: Machine) {
         if (!listener.isRegistered(machine)) return
-        machine.unreachable = true
+        machine.isUnreachable = true
         if (machine.unreachableSince == 0L) machine.unreachableSince = clock.steadyMs
         unreachable.add(machine)
     }
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -47,14 +47,14 @@
         silence.update()
         val healedZones = zones.update(machines.values, ::isReporting)
         recovery?.look(machines.values, zones::contains, ::isReporting)
-        for (machine in machines.values) machine.overdue = silence.isOverdue(machine)
+        for (machine in machines.values) machine.isHeartbeatOverdue = silence.isOverdue(machine)
         if (healedZones.isNotEmpty()) machines.values.filter { it.zone in healedZones }.forEach(::resetFailures)
         releaseMissing()
         releaseUnreachable()
         checkOverdue()
     }
 
-    private fun isReporting(machine: Machine) = (machine.confirmed || !machine.inherited) && !silence.isSilent(machine)
+    private fun isReporting(machine: Machine) = (machine.isConfirmed || !machine.isInherited) && !silence.isSilent(machine)
 
     /**
      * Disregards most of what [machine] left unanswered while its zone was partitioned. One failed probe stays counted,
@@ -69,7 +69,7 @@
     private fun releaseMissing() {
         // While a zone is partitioned, the filter below also records which of its confirmed machines are kept.
         if (zones.isEmpty && machines.values.none(missingMachines::isCandidate)) return
-        for (machine in missingMachines.findAmong(machines.values.filter { it.inherited && !zones.shouldKeep(it) })) {
+        for (machine in missingMachines.findAmong(machines.values.filter { it.isInherited && !zones.shouldKeep(it) })) {
             log.warn("recorded machine released: it answers no probe; machine={}", machine.name)
             releaser.release(machine)
         }
@@ -96,24 +96,24 @@
     }
 
     private fun isLongUnreachable(machine: Machine) =
-        !machine.releasing &&
+        !machine.isReleasing &&
             !zones.shouldKeep(machine) &&
             machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE &&
             stalls.attentiveMsSince(machine.unreachableSince) > lostMs
 
     private fun checkOverdue() {
-        val active = machines.values.filter { !it.releasing }
+        val active = machines.values.filter { !it.isReleasing }
         if (stepDownIfIsolated(active)) return
         val contacts by lazy(LazyThreadSafetyMode.NONE) { LastContacts(active) }
         val isOneWayFaultLikely =
             active.count { onlyAnswersCommands(it) } > active.size * RecoveryTuning.MAJORITY_SHARE
-        for (machine in dispatcher.unreachableMachines) if (!machine.releasing) dispatcher.probe(machine)
+        for (machine in dispatcher.unreachableMachines) if (!machine.isReleasing) dispatcher.probe(machine)
         for (machine in machines.values.toList()) {
             if (!silence.isOverdue(machine)) {
                 if (isPreemptionDue(machine)) releaseIfPreempted(machine)
                 continue
             }
-            if (machine.confirmed && !machine.releasing) dispatcher.probe(machine)
+            if (machine.isConfirmed && !machine.isReleasing) dispatcher.probe(machine)
             // The contacts are sorted only if a machine needs them.
             if (!silence.isLost(machine) && !(failsProbes(machine) && isIsolatedFailure(machine, contacts))) continue
             releaseUnlessKept(machine, isOneWayFaultLikely)
@@ -135,12 +135,12 @@
 
     /** Returns whether the announced preemption time of [machine] is over and nothing was heard from it since. */
     private fun isPreemptionDue(machine: Machine) =
-        machine.confirmed && machine.preemptionAt != 0L && machine.lastHeardAt < machine.preemptionAt &&
+        machine.isConfirmed && machine.preemptionAt != 0L && machine.lastHeardAt < machine.preemptionAt &&
             clock.steadyMs > machine.preemptionAt + AgentTuning.PREEMPTION_MARGIN_MS
 
     private fun releaseIfPreempted(machine: Machine) {
         dispatcher.probe(machine)
-        if (machine.probesFailed == 0 || machine.releasing) return
+        if (machine.probesFailed == 0 || machine.isReleasing) return
         log.info("machine released: the cloud has preempted it; machine={}", machine.name)
         releaser.release(machine)
     }
@@ -149,7 +149,7 @@
         machine: Machine,
         isOneWayFaultLikely: Boolean,
     ) {
-        if (machine.releasing || zones.shouldKeep(machine) ||
+        if (machine.isReleasing || zones.shouldKeep(machine) ||
             (isOneWayFaultLikely && onlyAnswersCommands(machine))
         ) {
             return
@@ -167,13 +167,13 @@
      * for most machines, the fault may be this node's, and they are kept for [AgentTuning.ONE_WAY_FAULT_GRACE_MS].
      */
     private fun onlyAnswersCommands(machine: Machine) =
-        machine.confirmed && machine.probesFailed == 0 && !machine.unreachable &&
+        machine.isConfirmed && machine.probesFailed == 0 && !machine.isUnreachable &&
             machine.lastHeardAt > machine.lastHeartbeatAt &&
             silence.isSilent(machine) &&
             clock.steadyMs - machine.lastHeartbeatAt < AgentTuning.ONE_WAY_FAULT_GRACE_MS
 
     private fun failsProbes(machine: Machine) =
-        !machine.releasing && machine.confirmed && machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE
+        !machine.isReleasing && machine.isConfirmed && machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE
 
     /**
      * Returns whether most machines, and one in the zone of [machine], were heard since its heartbeat was due. The
--- a/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
+++ b/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
@@ -26,7 +26,7 @@
      * valid reply since [Machine.lastAnsweredAt], provided that this node was still the leader after the lease ended.
      */
     fun check(machine: Machine) {
-        if (!machine.confirmed || machine.attempts.isEmpty()) return
+        if (!machine.isConfirmed || machine.attempts.isEmpty()) return
         val leaseEndsAtMs =
             machine.lastAnsweredAt + (leaseMs * AgentTuning.CLOCK_DRIFT_FACTOR).toLong() +
                 AgentTuning.LEASE_EXPIRY_MARGIN_MS
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -17,19 +17,19 @@
     private val heartbeatWindowMs: Long,
 ) {
     /** Returns whether [machine] may be missing; without any such machine [findAmong] finds none. */
-    fun isCandidate(machine: Machine): Boolean = machine.inherited && isUnconfirmed(machine)
+    fun isCandidate(machine: Machine): Boolean = machine.isInherited && isUnconfirmed(machine)
 
     /** Returns the missing machines of [inherited], which holds no machine that is kept during a partition. */
     fun findAmong(inherited: List<Machine>): List<Machine> {
         if (inherited.none(::isUnconfirmed)) return emptyList()
-        val confirmedCount = inherited.count { it.confirmed }
+        val confirmedCount = inherited.count { it.isConfirmed }
         if (!areEnoughConfirmed(confirmedCount, inherited.size)) return emptyList()
         val areMostConfirmed = confirmedCount > inherited.size * RecoveryTuning.MAJORITY_SHARE
         val heartbeats = ConfirmedHeartbeats(inherited)
         return inherited.filter { isUnconfirmed(it) && isMissing(it, heartbeats, areMostConfirmed) }
     }
 
-    private fun isUnconfirmed(machine: Machine) = !machine.confirmed && !machine.releasing
+    private fun isUnconfirmed(machine: Machine) = !machine.isConfirmed && !machine.isReleasing
 
     private fun isMissing(
         machine: Machine,
@@ -40,7 +40,7 @@
         return areMostConfirmed && (wasBeingReturned(machine) || haveOthersReportedSince(machine, heartbeats))
     }
 
-    private fun wasBeingReturned(machine: Machine) = machine.returningHint && machine.probesUnanswered > 0
+    private fun wasBeingReturned(machine: Machine) = machine.isReturningHint && machine.probesUnanswered > 0
 
     /**
      * Returns whether most other machines sent heartbeats after [machine] was first probed without a reply. While this
@@ -75,7 +75,7 @@
         private val inherited: List<Machine>,
     ) {
         private val sentAfterMs by lazy(LazyThreadSafetyMode.NONE) {
-            SortedTimes(inherited.filter { it.confirmed }.map { it.heartbeatSentAfter })
+            SortedTimes(inherited.filter { it.isConfirmed }.map { it.heartbeatSentAfter })
         }
 
         /** Returns whether most of all inherited machines, confirmed or not, sent a heartbeat after [timeMs]. */
--- a/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
+++ b/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
@@ -75,7 +75,7 @@
     ): Map<String, ZoneCounts> {
         val zones = HashMap<String, ZoneCounts>()
         for (machine in machines) {
-            if (machine.releasing) continue
+            if (machine.isReleasing) continue
             val counts = zones.getOrPut(machine.zone) { ZoneCounts() }
             counts.machines++
             if (isReporting(machine)) counts.reporting++
@@ -135,7 +135,7 @@
         if (reachableZoneCount >= 2) return false
         val sinceMs = partitionedSinceMs[machine.zone] ?: return false
         if (clock.steadyMs - sinceMs >= RecoveryTuning.ZONE_OUTAGE_GRACE_MS) return false
-        if (!machine.confirmed) return machine.zone in recentLeaderZones
+        if (!machine.isConfirmed) return machine.zone in recentLeaderZones
         if (machine in keptMachines) return true
         if (!hasTwoZoneReplica(machine)) return false
         keptMachines.add(machine)
@@ -145,7 +145,7 @@
     private fun hasTwoZoneReplica(machine: Machine) =
         machine.attempts.values.any { attempt ->
             val job = attempt.job
-            job != null && job.spec.spreadZones && job.isService && !attempt.exited
+            job != null && job.spec.spreadZones && job.isService && !attempt.isExited
         }
 
     private companion object {
--- a/src/main/kotlin/ledgearch/agents/TaskCommands.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskCommands.kt
@@ -17,14 +17,14 @@
      * idempotent and repeated until the agent's list of tasks shows their effect.
      */
     fun pending(machine: Machine): List<TaskCommand> {
-        if (!machine.durable || !machine.confirmed) return emptyList()
+        if (!machine.isDurable || !machine.isConfirmed) return emptyList()
         val stops = ArrayList<TaskCommand>()
         val starts = ArrayList<TaskCommand>()
         for (attempt in machine.attempts.values) {
             when {
-                attempt.exited -> if (mayClear(attempt)) stops.add(command(CommandKind.CLEAR, attempt))
+                attempt.isExited -> if (mayClear(attempt)) stops.add(command(CommandKind.CLEAR, attempt))
                 attempt.stop != StopMode.NONE -> stopCommand(attempt)?.let { stops.add(it) }
-                !attempt.reported -> starts.add(command(CommandKind.START, attempt))
+                !attempt.isReported -> starts.add(command(CommandKind.START, attempt))
             }
         }
         // The rest goes with the next message.
@@ -36,7 +36,7 @@
         attempt: TaskAttempt,
     ) = TaskCommand(kind, attempt.taskId, attempt.number)
 
-    private fun mayClear(attempt: TaskAttempt) = attempt.clearable && attempt.settled(attempt.machine.heartbeatSequence)
+    private fun mayClear(attempt: TaskAttempt) = attempt.isClearable && attempt.isSettled(attempt.machine.heartbeatSequence)
 
     /** Returns the stop command for [attempt], or null while it saves the checkpoint that an earlier stop asked for. */
     private fun stopCommand(attempt: TaskAttempt): TaskCommand? {
--- a/src/main/kotlin/ledgearch/agents/TaskFailures.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskFailures.kt
@@ -69,13 +69,13 @@
         machine: Machine,
         job: Job,
     ) {
-        if (machine.quarantined || !(hasFailedSeveralJobs(machine) || hasFailedCompletableJob(machine, job))) return
+        if (machine.isQuarantined || !(hasFailedSeveralJobs(machine) || hasFailedCompletableJob(machine, job))) return
         log.warn(
             "machine quarantined: several jobs fail on it, or tasks that complete elsewhere; machine={} failures={}",
             machine.name,
             machine.consecutiveErrors,
         )
-        machine.quarantined = true
+        machine.isQuarantined = true
         // Recorded for the next leader, which would otherwise find out only by failures of its own.
         recordWriter.putMachine(machine)
     }
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -51,7 +51,7 @@
             attempt.lastListedSequence = machine.sequence
             update(attempt, report)
             // The agent may still send its heartbeats to an earlier leader, so the stop is sent directly.
-            if (known == null && attempt.stop != StopMode.NONE && !attempt.exited) dispatcher.enqueue(machine)
+            if (known == null && attempt.stop != StopMode.NONE && !attempt.isExited) dispatcher.enqueue(machine)
         }
         removeUnlisted(machine)
     }
@@ -65,8 +65,8 @@
 
     /** Returns whether [attempt] may start later; its start is sent repeatedly until the agent lists it. */
     private fun mayStillStart(attempt: TaskAttempt): Boolean {
-        if (attempt.reported) return false
-        return attempt.stop == StopMode.NONE || !attempt.settled(attempt.machine.heartbeatSequence)
+        if (attempt.isReported) return false
+        return attempt.stop == StopMode.NONE || !attempt.isSettled(attempt.machine.heartbeatSequence)
     }
 
     /**
@@ -80,7 +80,7 @@
         val id = report.taskId.substringBefore('/')
         val index = report.taskId.substringAfter('/', "").toIntOrNull() ?: NO_INDEX
         val job = jobStore.jobs[id]?.takeIf { index in 0 until it.spec.taskCount && !it.attempts.containsKey(index) }
-        val attempt = TaskAttempt(job, report.taskId, index, report.attempt, machine, clock.steadyMs, inherited = true)
+        val attempt = TaskAttempt(job, report.taskId, index, report.attempt, machine, clock.steadyMs, isInherited = true)
         machine.attach(attempt)
         if (job == null) {
             attempt.stop = StopMode.AT_ONCE
@@ -96,13 +96,13 @@
         attempt: TaskAttempt,
         report: TaskReport,
     ) {
-        val isFirstReport = !attempt.reported
-        attempt.reported = true
+        val isFirstReport = !attempt.isReported
+        attempt.isReported = true
         when (report.state) {
             TaskState.FETCHING -> markFetching(attempt, isFirstReport)
             TaskState.RUNNING -> if (attempt.state != AttemptState.RUNNING) markRunning(attempt)
             TaskState.SAVING -> attempt.state = AttemptState.SAVING
-            TaskState.EXITED -> if (!attempt.exited) markExited(attempt, report.cause)
+            TaskState.EXITED -> if (!attempt.isExited) markExited(attempt, report.cause)
             TaskState.UNRECOGNIZED -> Unit
         }
     }
@@ -169,15 +169,15 @@
             estimates.recordRunTime(job, (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND)
         }
         job.finish(attempt.index)
-        if (!job.closed) recordWriter.writeFinishedTasks(job)
-        if (job.complete) recordWriter.closeJob(job, JobState.DONE)
+        if (!job.isClosed) recordWriter.writeFinishedTasks(job)
+        if (job.isComplete) recordWriter.closeJob(job, JobState.DONE)
     }
 
     /** Returns whether this leader saw [attempt] from its start, and no checkpoint of an earlier one shortened it. */
     private fun isRunTimeKnown(
         attempt: TaskAttempt,
         job: Job,
-    ) = attempt.runningSince > 0 && !attempt.inherited && job.spec.checkpointIntervalS == 0.0
+    ) = attempt.runningSince > 0 && !attempt.isInherited && job.spec.checkpointIntervalS == 0.0
 
     /** Removes all attempts of [machine] once none of them can run or start there any more. */
     fun removeAll(machine: Machine) {
@@ -188,7 +188,7 @@
 
     /** Removes [attempt], which provably neither runs nor can start on its machine any more. */
     private fun remove(attempt: TaskAttempt) {
-        if (!attempt.exited) {
+        if (!attempt.isExited) {
             metrics.count("task.lost")
             log.debug(
                 "attempt lost; task={} attempt={} machine={}",
--- a/src/main/kotlin/ledgearch/api/DependencyAdmission.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyAdmission.kt
@@ -48,7 +48,7 @@
     private fun isCancelled(
         id: String,
         submission: Submission,
-    ) = finalOf(id, submission) != null || jobStore.jobs[id]?.dependencyCancelled == true
+    ) = finalOf(id, submission) != null || jobStore.jobs[id]?.hasCancelledDependency == true
 
     private fun finalOf(
         id: String,
--- a/src/main/kotlin/ledgearch/api/DependencyKnowledge.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyKnowledge.kt
@@ -21,7 +21,7 @@
      * change of its own record, so all of them have to be known here, and known to have been open a short while ago.
      */
     fun mayReportOpen(job: Job): Boolean {
-        if (!job.waitsForOthers) return true
-        return !job.dependencyCancelled && isFresh && jobStore.dependencies.areDependenciesOpen(job)
+        if (!job.isBlockedByDependencies) return true
+        return !job.hasCancelledDependency && isFresh && jobStore.dependencies.areDependenciesOpen(job)
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/Demand.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Demand.kt
@@ -62,7 +62,7 @@
         ): List<Job> {
             val waiting =
                 jobs
-                    .filter { it.startable(clock.steadyMs) }
+                    .filter { it.isStartable(clock.steadyMs) }
                     .sortedWith(compareBy({ it.priority }, { it.readyAt }))
             val recovery = cluster.recovery ?: return waiting
             return recovery.reorder(listOf(waiting)).single()
--- a/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
@@ -57,7 +57,7 @@
         booting.noneIn(zone) &&
             planned.keys.none { it.zone == zone } &&
             provisioner.noneUnderWayIn(zone) &&
-            cluster.machines.values.none { it.zone == zone && !it.releasing }
+            cluster.machines.values.none { it.zone == zone && !it.isReleasing }
 
     /** [pool] costs this job much more than the cheapest machine that it may use. */
     fun isExpensive(
--- a/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
@@ -35,7 +35,7 @@
 
     /** The machine gets nothing more and is released. */
     fun add(machine: Machine) {
-        machine.releasing = true
+        machine.isReleasing = true
         pending.add(machine.name)
     }
 
@@ -50,7 +50,7 @@
         if (isCalling || pending.isEmpty() || clock.steadyMs < retryAt || !cloud.hasBudget) return
         val names = pending.take(AutoscalingTuning.MACHINES_PER_RELEASE)
         isCalling = true
-        names.forEach { cluster.machines[it]?.releaseRequested = true }
+        names.forEach { cluster.machines[it]?.isReleaseRequested = true }
         val token = election.token
         cloud.release(names) { answer -> onAnswer(cluster, names, token, answer) }
     }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -58,8 +58,8 @@
     /** Work waits: draining machines serve again before any is provisioned. */
     private fun cancelDraining(cluster: Cluster) {
         for (machine in cluster.machines.values) {
-            if (machine.draining && !machine.releasing) {
-                machine.draining = false
+            if (machine.isDraining && !machine.isReleasing) {
+                machine.isDraining = false
                 cluster.changed()
             }
         }
@@ -67,10 +67,10 @@
 
     /** Has draining and quarantined machines released that are empty, and moves replicas off quarantined ones. */
     fun releaseEmpty(cluster: Cluster) {
-        val inService = cluster.machines.values.filter { it.inService }
+        val inService = cluster.machines.values.filter { it.isInService }
         for (machine in cluster.machines.values.toList()) {
             val movesReplicas =
-                machine.quarantined && machine.confirmed && cluster.replicas.canMoveReplicas(machine, inService)
+                machine.isQuarantined && machine.isConfirmed && cluster.replicas.canMoveReplicas(machine, inService)
             if (movesReplicas) cluster.replicas.moveReplicas(machine)
             if (isEmptyAndLeaving(machine)) {
                 log.info("machine released: it is empty and not needed; machine={}", machine.name)
@@ -80,8 +80,8 @@
     }
 
     private fun isEmptyAndLeaving(machine: Machine): Boolean =
-        (machine.quarantined || machine.draining) &&
-            machine.attempts.isEmpty() && machine.confirmed && !machine.releasing
+        (machine.isQuarantined || machine.isDraining) &&
+            machine.attempts.isEmpty() && machine.isConfirmed && !machine.isReleasing
 
     /**
      * Once nothing has waited for a while, drains machines, the most expensive first, as long as what is left holds
@@ -102,11 +102,11 @@
         cluster: Cluster,
         freedPerSecond: Double,
     ): Boolean {
-        val inService = cluster.machines.values.filter { it.inService }
+        val inService = cluster.machines.values.filter { it.isInService }
         val capacity = inService.sumOf { it.machineType.vcpus }
         val headroom = cluster.headroom.cpus(freedPerSecond, pools.shortestBootS())
         val machine = mostExpensiveUnneeded(cluster, inService, capacity, headroom) ?: return false
-        machine.draining = true
+        machine.isDraining = true
         log.info(
             "machine drained: {} of {} processors used, {} kept free; machine={}",
             load.cpus.toInt(),
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -80,6 +80,6 @@
     /** Room of a returning zone that is to be admitted soon. */
     private fun heldBackSupplies(cluster: Cluster): List<Supply> =
         cluster.machines.values
-            .filter { it.heldBack && it.inService && cluster.recovery?.isSuppressed(it.zone) == false }
+            .filter { it.isHeldBack && it.isInService && cluster.recovery?.isSuppressed(it.zone) == false }
             .map { Supply(it.machineType, it.zone, it.spot, it.roomLeft()) }
 }
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -54,10 +54,10 @@
         if (status.sequence <= machine.sequence) return
         machine.sequence = status.sequence
         if (isCurrent) machine.lastHeardAt = clock.steadyMs
-        if (!machine.unreachable && machine.confirmed) machine.probesFailed = 0
+        if (!machine.isUnreachable && machine.isConfirmed) machine.probesFailed = 0
         preemptionNotices.update(machine, status)
         updateToken(machine, status.token)
-        if (!machine.confirmed) {
+        if (!machine.isConfirmed) {
             if (!confirmsToken(machine, status, source)) return
             machineConfirmation.confirm(machine)
         }
@@ -73,7 +73,7 @@
         machine: Machine,
         status: Heartbeat,
         source: StatusSource,
-    ) = source != StatusSource.HEARTBEAT || machine.confirmed || status.token >= term.firstToken
+    ) = source != StatusSource.HEARTBEAT || machine.isConfirmed || status.token >= term.firstToken
 
     private fun updateHeartbeatTimes(
         machine: Machine,
@@ -97,7 +97,7 @@
     ) {
         if (token <= machine.token) return
         machine.token = token
-        if (token == election.token && machine.confirmed) dispatcher.markReachable(machine)
+        if (token == election.token && machine.isConfirmed) dispatcher.markReachable(machine)
         for (attempt in machine.attempts.values) {
             if (attempt.unacknowledgedToken in 1 until machine.token) attempt.unacknowledgedToken = 0
         }
@@ -112,7 +112,7 @@
         status: Heartbeat,
         source: StatusSource,
     ) = status.token >= term.firstToken && failover.isReady &&
-        (source != StatusSource.HEARTBEAT || machine.inherited)
+        (source != StatusSource.HEARTBEAT || machine.isInherited)
 
     /** Begins [incarnation] of the agent of [machine] and ends all attempts of the previous one. */
     private fun beginIncarnation(
--- a/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
@@ -111,7 +111,7 @@
      * machine is gone.
      */
     fun handleStateLoss(machine: Machine) {
-        if (machine.releasing) return
+        if (machine.isReleasing) return
         log.warn("machine released: its agent restarted without its state; machine={}", machine.name)
         autoscaler.release(machine)
     }
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -30,7 +30,7 @@
     /** Begins a term after [end]. */
     fun begin() {
         for (job in jobStore.jobs.values) {
-            job.accountedFor = term.wasWrittenInTerm(job) && !job.record.cancelRequested
+            job.isAccountedFor = term.wasWrittenInTerm(job) && !job.record.cancelRequested
             if (isCancelled(job)) cancelledJobs.add(job)
         }
         placementLoop.invalidateGuarantees()
@@ -41,16 +41,16 @@
 
     /** Called when [job] was added to the job store. */
     fun onOpened(job: Job) {
-        if (!job.waitsForOthers) headroom.opened(job)
+        if (!job.isBlockedByDependencies) headroom.opened(job)
         logOpened(job)
         if (!term.isActive) return
-        job.accountedFor = reconciliation.isAccountedFor(job)
+        job.isAccountedFor = reconciliation.isAccountedFor(job)
         if (isCancelled(job)) cancelledJobs.add(job)
         placementLoop.invalidateGuarantees()
         placementLoop.requestPass()
     }
 
-    private fun isCancelled(job: Job) = job.record.cancelRequested || job.dependencyCancelled
+    private fun isCancelled(job: Job) = job.record.cancelRequested || job.hasCancelledDependency
 
     private fun logOpened(job: Job) {
         log.debug(
@@ -109,7 +109,7 @@
     /** Called when the final record of [job] is durable. */
     fun onClosed(job: Job) {
         if (!term.isActive) return
-        job.closed = true
+        job.isClosed = true
         cancelledJobs.remove(job)
         placer.removeFromQueues(job)
         attemptControl.stopAll(job)
@@ -120,7 +120,7 @@
     /** Stops cancelled jobs, and closes each one once none of its tasks can be on a machine or still start. */
     fun closeCancelled() {
         for (job in cancelledJobs) {
-            if (job.closing) continue
+            if (job.isClosing) continue
             placer.removeFromQueues(job)
             attemptControl.stopAll(job)
             if (isFullyStopped(job)) recordWriter.closeJob(job, JobState.CANCELLED)
@@ -131,7 +131,7 @@
      * Returns whether no task of [job] can be on any machine, so that no later leader has to count it for its team.
      * This holds at once for a job that depends on a cancelled one: no leader ever released it.
      */
-    private fun isFullyStopped(job: Job) = job.dependencyCancelled || (job.accountedFor && job.attempts.isEmpty())
+    private fun isFullyStopped(job: Job) = job.hasCancelledDependency || (job.isAccountedFor && job.attempts.isEmpty())
 
     /** Returns whether the counts of running attempts equal a recount. */
     fun hasConsistentCounts(): Boolean =
--- a/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
+++ b/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
@@ -20,7 +20,7 @@
         machine.confirm()
         dispatcher.markReachable(machine)
         machineRegistry.markConfirmed(machine)
-        if (!machine.durable) recordWriter.putMachine(machine)
+        if (!machine.isDurable) recordWriter.putMachine(machine)
         placer.updateMachines()
         machine.lastAnsweredAt = clock.steadyMs
         // The agent may have reached this leader only now, so the heartbeat timeout starts here.
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -64,7 +64,7 @@
     private fun updateOnDemandJobs() =
         metrics.spend("reliability") {
             reliability.chooseOnDemandJobs(
-                jobStore.jobs.values.filter { !it.waitsForOthers },
+                jobStore.jobs.values.filter { !it.isBlockedByDependencies },
                 machineRegistry.machines.values,
                 headroom.onDemandCpus(autoscaler.bootS()),
             )
--- a/src/main/kotlin/ledgearch/control/Reconciliation.kt
+++ b/src/main/kotlin/ledgearch/control/Reconciliation.kt
@@ -44,10 +44,10 @@
         // Includes machines being released: the cloud API may be down, and attempts of an earlier leader may run
         // there until the agent has seen the token.
         for (machine in machineRegistry.unconfirmed) dispatcher.probe(machine)
-        if (isComplete || recordLoader.hasUnreadableRecord || machineRegistry.unconfirmed.any { it.inherited }) return
+        if (isComplete || recordLoader.hasUnreadableRecord || machineRegistry.unconfirmed.any { it.isInherited }) return
         isComplete = true
         failoverMs = clock.steadyMs - election.electedAtMs
-        jobStore.jobs.values.forEach { it.accountedFor = true }
+        jobStore.jobs.values.forEach { it.isAccountedFor = true }
         recovery?.confirmed(jobStore.jobs.values.filter { !term.wasWrittenInTerm(it) })
         placementLoop.requestPass()
         log.info("reconciliation complete: every recorded machine is confirmed; ms={}", failoverMs)
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -130,7 +130,7 @@
     fun dependentsOf(job: Job): Collection<Job> = dependents[job.id].orEmpty()
 
     private fun isCancelled(id: String) =
-        finalRecordOf(id)?.state == JobState.CANCELLED || openJobs[id]?.dependencyCancelled == true
+        finalRecordOf(id)?.state == JobState.CANCELLED || openJobs[id]?.hasCancelledDependency == true
 
     /** Removes the dependency [id], which is done, from [job]. */
     private fun removeDependency(
@@ -138,7 +138,7 @@
         id: String,
     ) {
         job.unfinishedDependencies.remove(id)
-        if (job.waitsForOthers) return
+        if (job.isBlockedByDependencies) return
         job.readyAt = clock.wallMs
         listener.onDependenciesDone(job)
     }
@@ -148,8 +148,8 @@
         val toCancel = ArrayDeque(listOf(first))
         while (toCancel.isNotEmpty()) {
             val job = toCancel.removeFirst()
-            if (job.dependencyCancelled) continue
-            job.dependencyCancelled = true
+            if (job.hasCancelledDependency) continue
+            job.hasCancelledDependency = true
             listener.onDependencyCancelled(job)
             dependents[job.id]?.let(toCancel::addAll)
         }
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -45,13 +45,13 @@
     val unfinishedDependencies = LinkedHashSet<String>()
 
     /** Whether a direct or indirect dependency was cancelled: this job then never starts and is cancelled too. */
-    var dependencyCancelled = false
+    var hasCancelledDependency = false
 
     /** Wall-clock ms from which the waiting time counts: the submission, or the end of the last dependency. */
     var readyAt = record.submittedAtMs
 
     /** Whether the job waits for dependencies, or one of them was cancelled. */
-    val waitsForOthers: Boolean get() = dependencyCancelled || unfinishedDependencies.isNotEmpty()
+    val isBlockedByDependencies: Boolean get() = hasCancelledDependency || unfinishedDependencies.isNotEmpty()
 
     /** On a follower, the progress last received from the leader; on the leader, the progress last sent. */
     var lastProgress: JobProgress? = null
@@ -77,10 +77,10 @@
     var progressAt = Long.MIN_VALUE / 2
 
     /** Whether the final record is being written. */
-    var closing = false
+    var isClosing = false
 
     /** Whether the final record is durable. */
-    var closed = false
+    var isClosed = false
 
     // --- Tasks, on the leader only ---------------------------------------------------------------------------------
 
@@ -108,13 +108,13 @@
     val pendingCount: Int get() = spec.taskCount - takenCount
 
     /** Whether all tasks are finished; always false for a service. */
-    val complete: Boolean get() = !isService && finishedCount == spec.taskCount
+    val isComplete: Boolean get() = !isService && finishedCount == spec.taskCount
 
     /**
      * Whether no machine that the current leader has not confirmed can hold a task of this job: the job was accepted
      * under this leader, or every recorded machine has been confirmed since.
      */
-    var accountedFor = false
+    var isAccountedFor = false
 
     /** Run times of the finished tasks that the current leader saw from start to end. */
     val runTime = RunTime()
@@ -170,7 +170,7 @@
     // --- Scheduling ------------------------------------------------------------------------------------------------
 
     /** Whether the job, together with the earlier jobs of its team, fits into the team's guaranteed share. */
-    var guaranteed = false
+    var isGuaranteed = false
 
     /** Steady-clock ms before which no task is started, after failures that the job itself caused. */
     var notBefore = Long.MIN_VALUE
@@ -188,8 +188,8 @@
     fun unservedMs(wallMs: Long): Long = wallMs - maxOf(lastStartAt, readyAt)
 
     /** Returns whether the job has tasks that wait only for free resources; [nowMs] is on the steady clock. */
-    fun startable(nowMs: Long): Boolean =
-        accountedFor && !waitsForOthers && !closing && !record.cancelRequested && pendingCount > 0 && nowMs >= notBefore
+    fun isStartable(nowMs: Long): Boolean =
+        isAccountedFor && !isBlockedByDependencies && !isClosing && !record.cancelRequested && pendingCount > 0 && nowMs >= notBefore
 
     /** Clears all state that only a leader has. */
     fun forgetLeaderState() {
@@ -201,8 +201,8 @@
         takenCount = 0
         runningCount = 0
         attempts.clear()
-        accountedFor = false
-        closing = false
+        isAccountedFor = false
+        isClosing = false
         notBefore = Long.MIN_VALUE
         progressAt = Long.MIN_VALUE / 2
         lastStartAt = 0L
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -24,16 +24,16 @@
     // --- Membership of the block -----------------------------------------------------------------------------------
 
     /** Whether the state service holds the record that assigns the machine to the block. */
-    var durable = false
+    var isDurable = false
 
     /** Whether an earlier leader recorded the machine; until it is confirmed, any task of an older job may be on it. */
-    var inherited = false
+    var isInherited = false
 
     /** Whether the worker has confirmed the current leader's token, so that [attempts] is complete. */
-    var confirmed = false
+    var isConfirmed = false
         private set
 
-    private val isUnconfirmed: Boolean get() = inherited && !confirmed
+    private val isUnconfirmed: Boolean get() = isInherited && !isConfirmed
 
     /** Adds the machine to the block and counts it for the teams. */
     fun joined() {
@@ -43,7 +43,7 @@
     /** Records that the worker has confirmed the current leader's token. */
     fun confirm() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
-        confirmed = true
+        isConfirmed = true
     }
 
     /** Removes the machine from the teams' counts; its attempts must have been detached. */
@@ -95,18 +95,18 @@
     var lastHeartbeatAt = knownSince
 
     /** Whether the next heartbeat is overdue; a task that is started now may end when the lease expires. */
-    var overdue = false
+    var isHeartbeatOverdue = false
 
     // --- Commands and probes ---------------------------------------------------------------------------------------
 
     /** Whether a direct command or a probe awaits its answer; no other is sent meanwhile. */
-    var commandInFlight = false
+    var isCommandInFlight = false
 
     /** Latency in ms of the last answered direct command. */
     var answerMs = 0L
 
     /** Whether the last message could not be delivered; the machine gets no new tasks before it is reached again. */
-    var unreachable = false
+    var isUnreachable = false
 
     /** Steady-clock ms since which no message has reached the machine, or 0. */
     var unreachableSince = 0L
@@ -144,29 +144,29 @@
     var preemptionAt = 0L
 
     /** Whether, according to a replica of the last leader's state, the machine was being returned to the cloud. */
-    var returningHint = false
+    var isReturningHint = false
 
     /**
      * Whether the machine is held back while its zone is readmitted in steps; it gets new tasks only if they can't
      * wait.
      */
-    var heldBack = false
+    var isHeldBack = false
 
     /**
      * Whether the machine is quarantined because tasks fail on it: no task is started, and it is drained and returned.
      */
-    var quarantined = false
+    var isQuarantined = false
 
     /**
      * Whether the machine is not needed at present: it is drained and returned unless new tasks are placed on it first.
      */
-    var draining = false
+    var isDraining = false
 
     /** Whether the machine is being returned to the cloud. */
-    var releasing = false
+    var isReleasing = false
 
     /** Whether the cloud has been asked to take the machine back. */
-    var releaseRequested = false
+    var isReleaseRequested = false
 
     /** Steady-clock ms before which no task is started, since the worker refused a task or a task failed. */
     var refusedUntil = Long.MIN_VALUE
@@ -178,7 +178,7 @@
     var consecutiveErrors = 0
 
     /** Whether the machine accepts tasks and is not known to be leaving or failing. */
-    val inService: Boolean get() = confirmed && !releasing && !quarantined && !draining && !overdue && probesFailed == 0
+    val isInService: Boolean get() = isConfirmed && !isReleasing && !isQuarantined && !isDraining && !isHeartbeatOverdue && probesFailed == 0
 
     // --- Attempts and resources ------------------------------------------------------------------------------------
 
@@ -200,16 +200,16 @@
     /** Adds [attempt], which may be on the machine from now on. */
     fun attach(attempt: TaskAttempt) {
         attempts.put(attempt.number, attempt)
-        attempt.attached = true
+        attempt.isAttached = true
         count(attempt, 1)
     }
 
     /** Removes [attempt], which is proven not to be on the machine any more. */
     fun detach(attempt: TaskAttempt) {
-        if (!attempt.attached) return
+        if (!attempt.isAttached) return
         attempts.remove(attempt.number)
         count(attempt, -1)
-        attempt.attached = false
+        attempt.isAttached = false
     }
 
     /** Applies [change] to [attempt] and updates the counts that depend on it. */
@@ -217,9 +217,9 @@
         attempt: TaskAttempt,
         change: () -> Unit,
     ) {
-        if (attempt.attached) count(attempt, -1)
+        if (attempt.isAttached) count(attempt, -1)
         change()
-        if (attempt.attached) count(attempt, 1)
+        if (attempt.isAttached) count(attempt, 1)
     }
 
     /**
@@ -230,7 +230,7 @@
         attempt: TaskAttempt,
         sign: Int,
     ) {
-        if (attempt.exited) return
+        if (attempt.isExited) return
         if (waitsForImage(attempt)) fetching += sign
         if (attempt.state == AttemptState.RUNNING) attempt.job?.let { it.runningCount += sign }
         if (sign > 0) free.take(attempt.job) else free.give(attempt.job)
@@ -243,7 +243,7 @@
     /** Returns whether the counts equal a recount. */
     fun countsHold(): Boolean {
         val recount = FreeResources(machineType)
-        val present = attempts.values.filter { !it.exited }
+        val present = attempts.values.filter { !it.isExited }
         present.forEach { recount.take(it.job) }
         return free.isAbout(recount) && fetching == present.count { waitsForImage(it) }
     }
@@ -254,7 +254,7 @@
     /** Returns whether a task of [job] would fit once all tasks that end by themselves have ended. */
     fun couldTake(job: Job): Boolean {
         val free = FreeResources(machineType)
-        for (attempt in attempts.values) if (!attempt.exited && attempt.job?.isService != false) free.take(attempt.job)
+        for (attempt in attempts.values) if (!attempt.isExited && attempt.job?.isService != false) free.take(attempt.job)
         return free.fits(job)
     }
 
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -19,12 +19,12 @@
     /** Steady-clock ms of the placement. */
     val assignedAt: Long,
     /** Whether an earlier leader started the attempt, so that the start of its run is not known. */
-    val inherited: Boolean = false,
+    val isInherited: Boolean = false,
 ) {
     // --- State and stop mode ---------------------------------------------------------------------------------------
 
     /** Whether the attempt is among its machine's attempts and is counted there and for its team. */
-    var attached = false
+    var isAttached = false
 
     /** Last known state; a change updates the counts. */
     var state = AttemptState.ASSIGNED
@@ -45,21 +45,21 @@
     var runningSince = 0L
 
     /** Whether the attempt is not preempted for other jobs. Set for a job that had starved and would starve again. */
-    var exemptFromPreemption = false
+    var isExemptFromPreemption = false
 
     /** Whether the attempt has exited. */
-    val exited: Boolean get() = state == AttemptState.EXITED
+    val isExited: Boolean get() = state == AttemptState.EXITED
 
     /** Whether the task is finished. */
-    val done: Boolean get() = exited && cause == ExitCause.DONE
+    val isFinished: Boolean get() = isExited && cause == ExitCause.DONE
 
     /** Whether the attempt may be on its machine and is not to be stopped. */
-    val continues: Boolean get() = !exited && stop == StopMode.NONE
+    val continues: Boolean get() = !isExited && stop == StopMode.NONE
 
     // --- Messages to and from the worker ---------------------------------------------------------------------------
 
     /** Whether the worker has listed the attempt. */
-    var reported = false
+    var isReported = false
 
     /** Sequence number of the worker's last message that listed the attempt. */
     var lastListedSequence = 0L
@@ -71,7 +71,7 @@
     var sentInReplyTo = 0L
 
     /** Whether a direct command with the start is in flight. */
-    var startInFlight = false
+    var isStartInFlight = false
 
     /**
      * Token of a direct start command that was never answered, or 0. The worker may still execute that command until it
@@ -80,12 +80,12 @@
     var unacknowledgedToken = 0L
 
     /** Whether the worker may forget the attempt without a loss. */
-    val clearable: Boolean get() = exited && (!done || job == null || job.closed || job.recorded.get(index))
+    val isClearable: Boolean get() = isExited && (!isFinished || job == null || job.isClosed || job.recorded.get(index))
 
     /**
      * Returns whether no start of this attempt is still in flight, given the sequence number of the worker's last
      * heartbeat. Until then, a `clear` command could let the attempt start a second time.
      */
-    fun settled(lastReportSequence: Long): Boolean =
-        !startInFlight && unacknowledgedToken == 0L && lastReportSequence > sentInReplyTo
+    fun isSettled(lastReportSequence: Long): Boolean =
+        !isStartInFlight && unacknowledgedToken == 0L && lastReportSequence > sentInReplyTo
 }
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -28,20 +28,20 @@
     // --- Counting --------------------------------------------------------------------------------------------------
 
     /**
-     * Sets [Job.guaranteed] for those of [jobs] that fit into their team's guaranteed share together with the team's
+     * Sets [Job.isGuaranteed] for those of [jobs] that fit into their team's guaranteed share together with the team's
      * earlier open jobs.
      */
     fun countGuarantees(jobs: Collection<Job>) {
         val guaranteedByTeam = HashMap<String, ResourceSum>()
         for (job in jobs.sortedBy { it.readyAt }) {
-            if (job.waitsForOthers) {
-                job.guaranteed = false
+            if (job.isBlockedByDependencies) {
+                job.isGuaranteed = false
                 continue
             }
             val team = usages[job.spec.team]?.team ?: continue
             val promised = guaranteedByTeam.getOrPut(job.spec.team) { ResourceSum() }
             promised.addTasks(job, job.spec.taskCount)
-            job.guaranteed = promised.isWithin(team.cpus, team.gpus)
+            job.isGuaranteed = promised.isWithin(team.cpus, team.gpus)
         }
     }
 
@@ -78,7 +78,7 @@
         for (usage in usages.values) usage.unfound.set(0.0)
         for (job in jobs) {
             val usage = usages[job.spec.team]
-            if (job.accountedFor || usage == null) continue
+            if (job.isAccountedFor || usage == null) continue
             usage.unfound.addTasks(job, job.pendingCount)
         }
     }
@@ -95,8 +95,8 @@
     fun countsHold(machines: Collection<Machine>): Boolean {
         val recount = TeamQuotas(usages.values.map { it.team })
         for (machine in machines) {
-            if (machine.inherited && !machine.confirmed) recount.countUnconfirmed(machine.machineType, 1)
-            for (attempt in machine.attempts.values) if (!attempt.exited) recount.count(attempt, 1)
+            if (machine.isInherited && !machine.isConfirmed) recount.countUnconfirmed(machine.machineType, 1)
+            for (attempt in machine.attempts.values) if (!attempt.isExited) recount.count(attempt, 1)
         }
         return abs(ownerless.cpus - recount.ownerless.cpus) <= Machine.ROUNDING &&
             abs(unconfirmed.cpus - recount.unconfirmed.cpus) <= Machine.ROUNDING &&
@@ -128,7 +128,7 @@
         more: Int,
     ): Boolean {
         val usage = usages[job.spec.team] ?: return false
-        return job.guaranteed &&
+        return job.isGuaranteed &&
             usage.continuing.cpus + more * job.spec.vcpus <= usage.team.cpus + Machine.ROUNDING &&
             usage.continuing.gpus + more * job.spec.accelerators <= usage.team.gpus + Machine.ROUNDING
     }
--- a/src/main/kotlin/ledgearch/persistence/MachineRecordCodec.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecordCodec.kt
@@ -25,7 +25,7 @@
     /** Returns one record of all [machines]. */
     fun encode(machines: Collection<Machine>): JsonElement {
         val machineTypes = machines.map { it.machineType }.distinct()
-        val entries = machines.map { createEntry(it, machineTypes.indexOf(it.machineType), it.quarantined) }
+        val entries = machines.map { createEntry(it, machineTypes.indexOf(it.machineType), it.isQuarantined) }
         return encodeRecord(MachinesRecord.serializer(), MachinesRecord(0, machineTypes, entries))
     }
 
@@ -55,9 +55,9 @@
     ): Machine {
         val machineType = record.machineTypes[entry.machineTypeIndex]
         val machine = Machine(entry.name, entry.endpoint, machineType, entry.zone, entry.spot, nowMs, teams)
-        machine.inherited = true
-        machine.durable = true
-        machine.quarantined = entry.quarantined
+        machine.isInherited = true
+        machine.isDurable = true
+        machine.isQuarantined = entry.quarantined
         return machine
     }
 }
--- a/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
@@ -88,8 +88,8 @@
         for (members in sizes.partition(newMachines.values)) createGroup(members)
         newMachines.clear()
         val changed = groups.values.filter { it.hasUnwrittenChanges && it.parts.first() === it }
-        val (durable, withNewMachines) = changed.partition { group -> group.machines.values.all { it.durable } }
-        for (group in withNewMachines + durable) {
+        val (isDurable, withNewMachines) = changed.partition { group -> group.machines.values.all { it.isDurable } }
+        for (group in withNewMachines + isDurable) {
             val entry = createEntry(group) ?: continue
             if (!batch.add(entry)) return false
         }
@@ -117,7 +117,7 @@
         val machines = parts.flatMap { it.machines.values }
         val versions = parts.map { it.version }
         return BatchEntry(parts.map(::createChange)) {
-            machines.forEach { it.durable = true }
+            machines.forEach { it.isDurable = true }
             for ((index, part) in parts.withIndex()) markWritten(part, versions[index])
         }
     }
--- a/src/main/kotlin/ledgearch/persistence/PendingJobClosings.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingJobClosings.kt
@@ -48,8 +48,8 @@
         job: Job,
         state: JobState,
     ) {
-        if (job.closing) return
-        job.closing = true
+        if (job.isClosing) return
+        job.isClosing = true
         closings[job.id] = Closing(job, state)
     }
 
--- a/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
+++ b/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
@@ -29,7 +29,7 @@
     /** [attempt] is gone with its machine. */
     fun lost(attempt: TaskAttempt) {
         val job = attempt.job ?: return
-        if (job.closed || job.record.cancelRequested || job.finished.get(attempt.index)) return
+        if (job.isClosed || job.record.cancelRequested || job.finished.get(attempt.index)) return
         displaced(job).waitingTasks.add(attempt.index)
     }
 
@@ -61,7 +61,7 @@
 
     /** Forgets jobs that are over. */
     fun removeClosed() {
-        if (jobs.isNotEmpty()) jobs.keys.removeIf { it.closed || it.record.cancelRequested || it.complete }
+        if (jobs.isNotEmpty()) jobs.keys.removeIf { it.isClosed || it.record.cancelRequested || it.isComplete }
     }
 
     /** Displaced tasks that wait, by the names of the groups in their order; groups with none are left out. */
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -84,12 +84,12 @@
         isPartitioned: (String) -> Boolean,
         isHeard: (Machine) -> Boolean,
     ) {
-        val byZone = machines.filter { !it.releasing }.groupBy { it.zone }
+        val byZone = machines.filter { !it.isReleasing }.groupBy { it.zone }
         zones.observe(byZone, isPartitioned, isHeard)
         firstUnprovenGroup = if (order.isStated) firstUnprovenGroup(byZone) else NO_GROUP
         displaced.removeClosed()
         if (!anyUnsettled && !displaced.anyWaiting) displaced.clear()
-        if (isActive) pacing.update(machines.count { it.inService }, clock.steadyMs)
+        if (isActive) pacing.update(machines.count { it.isInService }, clock.steadyMs)
     }
 
     private fun firstUnprovenGroup(byZone: Map<String, List<Machine>>): Int {
@@ -127,7 +127,7 @@
 
     /** Every recorded machine is confirmed: what waits of [older] jobs may have been displaced before this term. */
     fun confirmed(older: Collection<Job>) {
-        if (anyUnsettled) older.filter { it.startable(clock.steadyMs) }.forEach(displaced::allWaitingOf)
+        if (anyUnsettled) older.filter { it.isStartable(clock.steadyMs) }.forEach(displaced::allWaitingOf)
     }
 
     // --- Placement --------------------------------------------------------------------------------------------
@@ -143,7 +143,7 @@
         machine: Machine,
         job: Job,
     ): Boolean {
-        if (machine.heldBack && !mayUseHeldBack(job)) return false
+        if (machine.isHeldBack && !mayUseHeldBack(job)) return false
         return !isPaced(job) || mayFetchFor(machine, job)
     }
 
--- a/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
@@ -106,9 +106,9 @@
         members: List<Machine>,
     ) {
         val share = health.admittedShare
-        if (share >= 1.0) return members.forEach { it.heldBack = false }
+        if (share >= 1.0) return members.forEach { it.isHeldBack = false }
         val admitted = ceil(members.size * share).toInt()
-        members.sortedBy { it.name }.forEachIndexed { index, machine -> machine.heldBack = index >= admitted }
+        members.sortedBy { it.name }.forEachIndexed { index, machine -> machine.isHeldBack = index >= admitted }
     }
 
     /** What the other controllers are told, while there is something to tell. */
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -55,7 +55,7 @@
      * Starts the pending tasks of [jobs], preempts other tasks for them or binds them to queues, as far as possible.
      */
     fun runPass(jobs: Collection<Job>) {
-        val startable = jobs.filter { it.startable(clock.steadyMs) }
+        val startable = jobs.filter { it.isStartable(clock.steadyMs) }
         recovery.updateWaiting(startable)
         if (startable.isEmpty()) return
         val allUsable = machines.values.filter { isUsable(it) }
@@ -65,7 +65,7 @@
         val running = jobs.filter { it.attempts.isNotEmpty() }
         val waiting = serveByPriority(startable, usable, running)
         if (waiting.isEmpty()) return
-        val admitting = if (recovery.isActive) usable.filter { !it.heldBack } else usable
+        val admitting = if (recovery.isActive) usable.filter { !it.isHeldBack } else usable
         metrics.spend("preemption") {
             preemption.runPass(waiting, admitting, running, estimates.freedCpusPerSecond(jobs))
         }
@@ -136,7 +136,7 @@
             val unreserved = excluding(reserved, usable)
             val part = maxOf(1, job.pendingCount / SchedulingTuning.STARVED_JOB_PARTS)
             starter.startAnywhere(job, unreserved, keepPending = job.pendingCount - part)
-            job.attempts.values.forEach { it.exemptFromPreemption = true }
+            job.attempts.values.forEach { it.isExemptFromPreemption = true }
             val mayReserve = job.attempts.isEmpty() && teams.allows(job)
             if (mayReserve && reserved.size < SchedulingTuning.MAX_RESERVED_MACHINES) {
                 reservations.reserve(job, unreserved)?.let { reserved.add(it) }
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionCandidate.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionCandidate.kt
@@ -15,7 +15,7 @@
     val freeAfterStops: FreeResources =
         machine.roomLeft().apply {
             for (attempt in machine.attempts.values) {
-                if (!attempt.exited && !attempt.continues) give(attempt.job)
+                if (!attempt.isExited && !attempt.continues) give(attempt.job)
             }
         }
 
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
@@ -19,7 +19,7 @@
     /** Returns [attempt] with its cost, or null if it may not be preempted at all. */
     fun toVictim(attempt: TaskAttempt): PreemptionVictim? {
         val job = attempt.job
-        if (job == null || attempt.exemptFromPreemption || !attempt.continues) return null
+        if (job == null || attempt.isExemptFromPreemption || !attempt.continues) return null
         val missedObjectives = countMissedObjectives(attempt, job)
         val costCpuS =
             lostWorkCpuS(attempt, job) +
--- a/src/main/kotlin/ledgearch/scheduling/QueueBinder.kt
+++ b/src/main/kotlin/ledgearch/scheduling/QueueBinder.kt
@@ -75,7 +75,7 @@
     ) {
         var openQueues = usable.count { it.queue.loadState != LoadState.OVERLOADED }
         val preferred =
-            preferredLists ?: PreferredLists(machines.values.filter { it.inService }).also { preferredLists = it }
+            preferredLists ?: PreferredLists(machines.values.filter { it.isInService }).also { preferredLists = it }
         // Jobs with the same constraints as one that could not be bound completely wait for the next pass.
         val exhausted = HashSet<PlacementConstraints>()
         for (job in waiting) {
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -76,7 +76,7 @@
     fun sortByRank(jobs: List<Job>): List<Job> =
         jobs
             .map { RankedJob(it, countMissedIfStartedNow(it), costCpuS(it)) }
-            .sortedWith(compareBy({ !it.job.guaranteed }, { it.missedObjectives }, { it.costCpuS }, { it.job.id }))
+            .sortedWith(compareBy({ !it.job.isGuaranteed }, { it.missedObjectives }, { it.costCpuS }, { it.job.id }))
             .map { it.job }
 
     /** Returns how many of its objectives [job] would miss even if it started now. */
--- a/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
@@ -33,7 +33,7 @@
         machine: Machine,
         machines: List<Machine>,
     ): Boolean {
-        val replicas = machine.attempts.values.filter { it.job?.isService == true && !it.exited }
+        val replicas = machine.attempts.values.filter { it.job?.isService == true && !it.isExited }
         if (replicas.isEmpty()) return true
         val destinations = machines.filter { it !== machine && isUsable(it) }.map { Destination(it) }
         return replicas.all { replica ->
--- a/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
@@ -75,7 +75,7 @@
         onDemandJobs.clear()
         gainingJobs.clear()
         var freeCpus =
-            machines.sumOf { if (it.spot || !it.inService) 0.0 else it.machineType.vcpus } - reservedCpus -
+            machines.sumOf { if (it.spot || !it.isInService) 0.0 else it.machineType.vcpus } - reservedCpus -
                 jobs.sumOf { if (it.spec.allowsSpot) 0.0 else unfinishedCpus(it) }
         for (gaining in sortByGain(jobs)) {
             val job = gaining.job
@@ -106,7 +106,7 @@
     /** Returns the jobs at risk on spot machines that gain by on-demand ones, those with the highest gain first. */
     private fun sortByGain(jobs: Collection<Job>): List<GainingJob> =
         jobs
-            .filter { it.spec.allowsSpot && !it.complete && isAtRiskOnSpot(it) }
+            .filter { it.spec.allowsSpot && !it.isComplete && isAtRiskOnSpot(it) }
             .map { GainingJob(it, onDemandGain(it)) }
             .filter { it.gain > 0 }
             .sortedByDescending { it.gain }
--- a/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
+++ b/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
@@ -8,9 +8,9 @@
  * leave, and has not just refused or failed a task.
  */
 internal fun Machine.isUsable(clock: Clock): Boolean =
-    durable && confirmed && !quarantined && !draining && !releasing &&
-        !unreachable &&
-        !overdue &&
+    isDurable && isConfirmed && !isQuarantined && !isDraining && !isReleasing &&
+        !isUnreachable &&
+        !isHeartbeatOverdue &&
         probesFailed == 0 &&
         preemptionAt == 0L &&
         clock.steadyMs >= refusedUntil
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -41,7 +41,7 @@
         machine.incarnationHint = hint.incarnation.coerceAtLeast(0)
         if (hint.returning) {
             machine.refusedUntil = clock.steadyMs + StandbyTuning.RETURNING_HINT_MS
-            machine.returningHint = true
+            machine.isReturningHint = true
         }
         hint.images.take(ModelTuning.MACHINE_TASKS).forEach { useImage(machine, it) }
     }
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -60,7 +60,7 @@
         MachineSnapshot(
             machine.name,
             machine.incarnation,
-            machine.releasing,
+            machine.isReleasing,
             machine.attempts.values.map { AttemptSnapshot(it.taskId, it.number, it.state) },
             machine.images.map { (name, gigabytes) -> CachedImage(name, gigabytes, name in machine.fetched) },
         )
