--- a/src/main/kotlin/ledgearch/agents/AgentClient.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentClient.kt
@@ -47,12 +47,12 @@
         val incarnation = machine.incarnation
         val sequence = machine.sequence
         val sentAtMs = clock.steadyMs
-        val timeoutMs = maxOf(minTimeoutMs, machine.answerMs * AgentTuning.REPLY_TIMEOUT_HALVES / 2)
+        val timeoutMs = maxOf(minTimeoutMs, machine.lastCommandReplyMs * AgentTuning.REPLY_TIMEOUT_HALVES / 2)
         transport.call(machine.endpoint, "POST", COMMAND_PATH, body, timeoutMs) { reply ->
             if (term != sentInTerm) return@call
             val status = acceptStatus(reply, machine)
             if (status != null) {
-                machine.answerMs = clock.steadyMs - sentAtMs
+                machine.lastCommandReplyMs = clock.steadyMs - sentAtMs
                 queue.markReachable(machine)
                 if (listener.isRegistered(machine) && isNotAfter(status, incarnation, sequence)) {
                     listener.onAgentStateLost(machine)
--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -27,14 +27,14 @@
      * command to the machine is in flight, before its next probe is due, or while too many probes are in flight.
      */
     fun probe(machine: Machine) {
-        if (machine.isCommandInFlight || clock.steadyMs < machine.probeAt || probesInFlight >= maxConcurrentProbes) return
+        if (machine.isCommandInFlight || clock.steadyMs < machine.nextProbeAtMs || probesInFlight >= maxConcurrentProbes) return
         if (!machine.isConfirmed && isHeartbeatExpected(machine)) return
         send(machine)
     }
 
     private fun send(machine: Machine) {
         machine.isCommandInFlight = true
-        machine.probeAt = clock.steadyMs + intervalMs(machine.probesFailed)
+        machine.nextProbeAtMs = clock.steadyMs + intervalMs(machine.probesFailed)
         probesInFlight++
         val sentAtMs = clock.steadyMs
         val incarnation = machine.incarnation
@@ -85,5 +85,5 @@
         stalls.isLagging &&
             machine.isInherited &&
             !machine.isReturningHint &&
-            clock.steadyMs - machine.knownSince < maxHeartbeatIntervalMs
+            clock.steadyMs - machine.knownSinceMs < maxHeartbeatIntervalMs
 }
--- a/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
@@ -55,7 +55,7 @@
         machine.probeAnswered()
         if (machine.isUnreachable) enqueue(machine)
         machine.isUnreachable = false
-        machine.unreachableSince = 0L
+        machine.unreachableSinceMs = 0L
         unreachable.remove(machine)
     }
 
@@ -63,7 +63,7 @@
     fun markUnreachable(machine: Machine) {
         if (!listener.isRegistered(machine)) return
         machine.isUnreachable = true
-        if (machine.unreachableSince == 0L) machine.unreachableSince = clock.steadyMs
+        if (machine.unreachableSinceMs == 0L) machine.unreachableSinceMs = clock.steadyMs
         unreachable.add(machine)
     }
 }
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -62,8 +62,8 @@
      */
     private fun resetFailures(machine: Machine) {
         machine.probesFailed = minOf(machine.probesFailed, 1)
-        machine.probeAt = clock.steadyMs
-        if (machine.unreachableSince != 0L) machine.unreachableSince = clock.steadyMs
+        machine.nextProbeAtMs = clock.steadyMs
+        if (machine.unreachableSinceMs != 0L) machine.unreachableSinceMs = clock.steadyMs
     }
 
     private fun releaseMissing() {
@@ -83,7 +83,7 @@
         val candidates = dispatcher.unreachableMachines.filter(::isLongUnreachable)
         val areMostUnreachable = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MAJORITY_SHARE
         for (machine in candidates) {
-            val unreachableMs = clock.steadyMs - machine.unreachableSince
+            val unreachableMs = clock.steadyMs - machine.unreachableSinceMs
             // If most machines are unreachable, the fault may be a temporary one of this node.
             if (areMostUnreachable && unreachableMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS) continue
             log.warn(
@@ -99,7 +99,7 @@
         !machine.isReleasing &&
             !zones.shouldKeep(machine) &&
             machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE &&
-            stalls.attentiveMsSince(machine.unreachableSince) > lostMs
+            stalls.attentiveMsSince(machine.unreachableSinceMs) > lostMs
 
     private fun checkOverdue() {
         val active = machines.values.filter { !it.isReleasing }
@@ -135,8 +135,8 @@
 
     /** Returns whether the announced preemption time of [machine] is over and nothing was heard from it since. */
     private fun isPreemptionDue(machine: Machine) =
-        machine.isConfirmed && machine.preemptionAt != 0L && machine.lastHeardAt < machine.preemptionAt &&
-            clock.steadyMs > machine.preemptionAt + AgentTuning.PREEMPTION_MARGIN_MS
+        machine.isConfirmed && machine.preemptionAtMs != 0L && machine.lastMessageAtMs < machine.preemptionAtMs &&
+            clock.steadyMs > machine.preemptionAtMs + AgentTuning.PREEMPTION_MARGIN_MS
 
     private fun releaseIfPreempted(machine: Machine) {
         dispatcher.probe(machine)
@@ -157,7 +157,7 @@
         log.warn(
             "machine released: it sends no heartbeats; machine={} ms={}",
             machine.name,
-            clock.steadyMs - machine.lastHeartbeatAt,
+            clock.steadyMs - machine.lastHeartbeatAtMs,
         )
         releaser.release(machine)
     }
@@ -168,9 +168,9 @@
      */
     private fun onlyAnswersCommands(machine: Machine) =
         machine.isConfirmed && machine.probesFailed == 0 && !machine.isUnreachable &&
-            machine.lastHeardAt > machine.lastHeartbeatAt &&
+            machine.lastMessageAtMs > machine.lastHeartbeatAtMs &&
             silence.isSilent(machine) &&
-            clock.steadyMs - machine.lastHeartbeatAt < AgentTuning.ONE_WAY_FAULT_GRACE_MS
+            clock.steadyMs - machine.lastHeartbeatAtMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS
 
     private fun failsProbes(machine: Machine) =
         !machine.isReleasing && machine.isConfirmed && machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE
@@ -183,7 +183,7 @@
         machine: Machine,
         contacts: LastContacts,
     ): Boolean {
-        val dueAtMs = machine.lastHeardAt + dueMs
+        val dueAtMs = machine.lastMessageAtMs + dueMs
         return contacts.times.countAfter(dueAtMs) > contacts.times.size * RecoveryTuning.MAJORITY_SHARE &&
             contacts.hasAnyAfter(dueAtMs, machine.zone)
     }
@@ -192,11 +192,11 @@
     private class LastContacts(
         machines: List<Machine>,
     ) {
-        val times = SortedTimes(machines.map { it.lastHeardAt })
+        val times = SortedTimes(machines.map { it.lastMessageAtMs })
         private val lastByZoneMs =
             machines
                 .groupingBy { it.zone }
-                .fold(Long.MIN_VALUE) { lastMs, machine -> maxOf(lastMs, machine.lastHeardAt) }
+                .fold(Long.MIN_VALUE) { lastMs, machine -> maxOf(lastMs, machine.lastMessageAtMs) }
 
         fun hasAnyAfter(
             timeMs: Long,
--- a/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
+++ b/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
@@ -43,5 +43,5 @@
     fun isLost(machine: Machine): Boolean = silenceStartMs(machine) <= lostSinceMs
 
     private fun silenceStartMs(machine: Machine) =
-        maxOf(machine.lastHeartbeatAt, election.electedAtMs, zones.reachableSinceMs(machine.zone))
+        maxOf(machine.lastHeartbeatAtMs, election.electedAtMs, zones.reachableSinceMs(machine.zone))
 }
--- a/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
+++ b/src/main/kotlin/ledgearch/agents/LeaseExpiry.kt
@@ -23,12 +23,12 @@
 
     /**
      * Notifies the listener if the lease of [machine] has expired. An agent that confirmed this term's token has had no
-     * valid reply since [Machine.lastAnsweredAt], provided that this node was still the leader after the lease ended.
+     * valid reply since [Machine.lastReplyAtMs], provided that this node was still the leader after the lease ended.
      */
     fun check(machine: Machine) {
         if (!machine.isConfirmed || machine.attempts.isEmpty()) return
         val leaseEndsAtMs =
-            machine.lastAnsweredAt + (leaseMs * AgentTuning.CLOCK_DRIFT_FACTOR).toLong() +
+            machine.lastReplyAtMs + (leaseMs * AgentTuning.CLOCK_DRIFT_FACTOR).toLong() +
                 AgentTuning.LEASE_EXPIRY_MARGIN_MS
         if (clock.steadyMs <= leaseEndsAtMs || election.confirmedAtMs <= leaseEndsAtMs) return
         log.info("agent lease expired; machine={}", machine.name)
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -53,8 +53,8 @@
         heartbeats: ConfirmedHeartbeats,
     ): Boolean {
         if (machine.probesUnanswered < AgentTuning.FAILED_PROBES_FOR_RELEASE) return false
-        if (machine.heartbeatFirstSeenAt > machine.unansweredSince) return false
-        return heartbeats.areMostSentAfter(machine.unansweredSince)
+        if (machine.heartbeatFirstSeenAtMs > machine.unansweredSinceMs) return false
+        return heartbeats.areMostSentAfter(machine.unansweredSinceMs)
     }
 
     /**
@@ -75,7 +75,7 @@
         private val inherited: List<Machine>,
     ) {
         private val sentAfterMs by lazy(LazyThreadSafetyMode.NONE) {
-            SortedTimes(inherited.filter { it.isConfirmed }.map { it.heartbeatSentAfter })
+            SortedTimes(inherited.filter { it.isConfirmed }.map { it.heartbeatSentAfterMs })
         }
 
         /** Returns whether most of all inherited machines, confirmed or not, sent a heartbeat after [timeMs]. */
--- a/src/main/kotlin/ledgearch/agents/TaskFailures.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskFailures.kt
@@ -42,7 +42,7 @@
         if (job.errorMachines.size >= AgentTuning.FAILED_MACHINES_FOR_JOB_DELAY) {
             delay(job)
         } else {
-            machine.refusedUntil = clock.steadyMs + AgentTuning.FAILED_TASK_PAUSE_MS
+            machine.startsPausedUntilMs = clock.steadyMs + AgentTuning.FAILED_TASK_PAUSE_MS
             quarantineIfFaulty(machine, job)
         }
     }
@@ -52,7 +52,7 @@
         val doublings = minOf(job.failedAttempts, AgentTuning.MAX_JOB_DELAY_DOUBLINGS)
         val delayMs = minOf(AgentTuning.FIRST_JOB_DELAY_MS shl doublings, AgentTuning.MAX_JOB_DELAY_MS)
         job.failedAttempts++
-        job.notBefore = clock.steadyMs + delayMs
+        job.pausedUntilMs = clock.steadyMs + delayMs
         for (name in job.errorMachines) {
             val machine = machines[name] ?: continue
             machine.errorJobs.remove(job.id)
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -118,7 +118,7 @@
 
     private fun markRunning(attempt: TaskAttempt) {
         val machine = attempt.machine
-        attempt.runningSince = clock.steadyMs
+        attempt.runningSinceMs = clock.steadyMs
         attempt.state = AttemptState.RUNNING
         log.debug(
             "attempt started running; task={} attempt={} machine={}",
@@ -152,8 +152,8 @@
         when (cause) {
             ExitCause.DONE -> finishTask(attempt, job)
             ExitCause.ERROR -> failures.recordFailure(machine, job)
-            ExitCause.FULL, ExitCause.BUSY -> machine.refusedUntil = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
-            ExitCause.UNKNOWN_TASK -> job.notBefore = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
+            ExitCause.FULL, ExitCause.BUSY -> machine.startsPausedUntilMs = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
+            ExitCause.UNKNOWN_TASK -> job.pausedUntilMs = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
             ExitCause.STOPPED, ExitCause.UNRECOGNIZED, null -> Unit
         }
         job.free(attempt)
@@ -166,7 +166,7 @@
         failures.recordSuccess(attempt.machine, job)
         if (job.isService) return
         if (isRunTimeKnown(attempt, job)) {
-            estimates.recordRunTime(job, (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND)
+            estimates.recordRunTime(job, (clock.steadyMs - attempt.runningSinceMs) / MS_PER_SECOND)
         }
         job.finish(attempt.index)
         if (!job.isClosed) recordWriter.writeFinishedTasks(job)
@@ -177,7 +177,7 @@
     private fun isRunTimeKnown(
         attempt: TaskAttempt,
         job: Job,
-    ) = attempt.runningSince > 0 && !attempt.isInherited && job.spec.checkpointIntervalS == 0.0
+    ) = attempt.runningSinceMs > 0 && !attempt.isInherited && job.spec.checkpointIntervalS == 0.0
 
     /** Removes all attempts of [machine] once none of them can run or start there any more. */
     fun removeAll(machine: Machine) {
--- a/src/main/kotlin/ledgearch/autoscaling/Demand.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Demand.kt
@@ -63,7 +63,7 @@
             val waiting =
                 jobs
                     .filter { it.isStartable(clock.steadyMs) }
-                    .sortedWith(compareBy({ it.priority }, { it.readyAt }))
+                    .sortedWith(compareBy({ it.priority }, { it.readyAtMs }))
             val recovery = cluster.recovery ?: return waiting
             return recovery.reorder(listOf(waiting)).single()
         }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -128,7 +128,7 @@
         val onDemandCapacity = inService.sumOf { if (it.spot) 0.0 else it.machineType.vcpus }
         val onDemandByZone = inService.filter { !it.spot }.groupingBy { it.zone }.eachCount()
         return inService
-            .filter { clock.steadyMs - it.knownSince > AutoscalingTuning.MIN_SERVICE_MS }
+            .filter { clock.steadyMs - it.knownSinceMs > AutoscalingTuning.MIN_SERVICE_MS }
             .filter { capacity - it.machineType.vcpus >= load.cpus + headroom }
             .filter { it.spot || onDemandCapacity - it.machineType.vcpus >= onDemandLoad.cpus }
             .filter { it.spot || (onDemandByZone[it.zone] ?: 0) > 1 }
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -48,12 +48,12 @@
         if (status.incarnation > machine.incarnation) beginIncarnation(machine, status.incarnation)
         // First message of an incarnation. The agent's lease began with the incarnation, before this message and
         // without a reply from this node.
-        if (machine.sequence == 0L) machine.lastAnsweredAt = clock.steadyMs
+        if (machine.sequence == 0L) machine.lastReplyAtMs = clock.steadyMs
         val isCurrent = countsAsCurrent(machine, status, source)
         if (source == StatusSource.HEARTBEAT) updateHeartbeatTimes(machine, status, isCurrent)
         if (status.sequence <= machine.sequence) return
         machine.sequence = status.sequence
-        if (isCurrent) machine.lastHeardAt = clock.steadyMs
+        if (isCurrent) machine.lastMessageAtMs = clock.steadyMs
         if (!machine.isUnreachable && machine.isConfirmed) machine.probesFailed = 0
         preemptionNotices.update(machine, status)
         updateToken(machine, status.token)
@@ -82,11 +82,11 @@
     ) {
         if (heartbeat.sequence <= machine.heartbeatSequence) return
         machine.heartbeatSequence = heartbeat.sequence
-        machine.heartbeatSentAfter = machine.heartbeatFirstSeenAt
-        machine.heartbeatFirstSeenAt = clock.steadyMs
+        machine.heartbeatSentAfterMs = machine.heartbeatFirstSeenAtMs
+        machine.heartbeatFirstSeenAtMs = clock.steadyMs
         if (isCurrent) {
-            machine.lastHeardAt = clock.steadyMs
-            machine.lastHeartbeatAt = clock.steadyMs
+            machine.lastMessageAtMs = clock.steadyMs
+            machine.lastHeartbeatAtMs = clock.steadyMs
         }
     }
 
--- a/src/main/kotlin/ledgearch/control/AttemptControl.kt
+++ b/src/main/kotlin/ledgearch/control/AttemptControl.kt
@@ -29,7 +29,7 @@
         val attempt = TaskAttempt(job, "${job.id}/$index", index, number, machine, clock.steadyMs)
         machine.attach(attempt)
         job.place(attempt)
-        job.lastStartAt = clock.wallMs
+        job.lastStartAtMs = clock.wallMs
         machine.touchImage(job.spec.image, job.spec.imageGb)
         dispatcher.enqueue(machine)
         log.debug("attempt placed; task={} attempt={} machine={}", attempt.taskId, number, machine.name)
--- a/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
@@ -56,7 +56,7 @@
         if (machine == null || isLateDuplicate(machine, heartbeat)) return HeartbeatResult.NO_COMMANDS
         // Every other reply may renew the agent's lease. This includes a machine being released: until the release
         // is done its tasks may run there and must be stopped like any others.
-        machine.lastAnsweredAt = clock.steadyMs
+        machine.lastReplyAtMs = clock.steadyMs
         statusHandler.apply(machine, heartbeat, StatusSource.HEARTBEAT)
         if (heartbeat.incarnation != machine.incarnation || !failover.isReady) return HeartbeatResult.NO_COMMANDS
         return HeartbeatResult.of(collectCommands(machine, heartbeat))
@@ -93,7 +93,7 @@
     ): Boolean {
         if (heartbeat.incarnation != machine.incarnation) return heartbeat.incarnation < machine.incarnation
         if (heartbeat.sequence != machine.heartbeatSequence) return heartbeat.sequence < machine.heartbeatSequence
-        return clock.steadyMs - machine.heartbeatFirstSeenAt > ControlTuning.HEARTBEAT_REPLY_TIMEOUT_MS
+        return clock.steadyMs - machine.heartbeatFirstSeenAtMs > ControlTuning.HEARTBEAT_REPLY_TIMEOUT_MS
     }
 
     /** Applies the [status] with which the agent of [machine] replied to a direct command. */
--- a/src/main/kotlin/ledgearch/control/MachineAdmission.kt
+++ b/src/main/kotlin/ledgearch/control/MachineAdmission.kt
@@ -37,7 +37,7 @@
                 clock.steadyMs,
                 teams,
             )
-        machine.lastAnsweredAt = clock.steadyMs
+        machine.lastReplyAtMs = clock.steadyMs
         metrics.count("machine.joined")
         machineRegistry.add(machine)
         autoscaler.arrived(machine)
--- a/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
+++ b/src/main/kotlin/ledgearch/control/MachineConfirmation.kt
@@ -22,9 +22,9 @@
         machineRegistry.markConfirmed(machine)
         if (!machine.isDurable) recordWriter.putMachine(machine)
         placer.updateMachines()
-        machine.lastAnsweredAt = clock.steadyMs
+        machine.lastReplyAtMs = clock.steadyMs
         // The agent may have reached this leader only now, so the heartbeat timeout starts here.
-        machine.lastHeartbeatAt = clock.steadyMs
+        machine.lastHeartbeatAtMs = clock.steadyMs
         placementLoop.requestPass()
     }
 }
--- a/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
+++ b/src/main/kotlin/ledgearch/control/PreemptionNotices.kt
@@ -23,7 +23,7 @@
         heartbeat: Heartbeat,
     ) {
         val noticeS = heartbeat.preemptionNoticeS
-        machine.preemptionAt =
+        machine.preemptionAtMs =
             if (noticeS == null) 0 else clock.steadyMs + (noticeS * MS_PER_SECOND).toLong()
     }
 
@@ -32,8 +32,8 @@
      * makes a checkpoint first if the time allows; array tasks expected to finish in time keep running.
      */
     fun evacuate(machine: Machine) {
-        if (machine.preemptionAt == 0L) return
-        val secondsLeft = (machine.preemptionAt - clock.steadyMs) / MS_PER_SECOND
+        if (machine.preemptionAtMs == 0L) return
+        val secondsLeft = (machine.preemptionAtMs - clock.steadyMs) / MS_PER_SECOND
         for (attempt in machine.attempts.values) {
             if (!attempt.continues || shouldKeepRunning(attempt, secondsLeft)) continue
             attemptControl.stop(attempt, secondsLeft)
@@ -59,7 +59,7 @@
 
     private fun runTimeS(attempt: TaskAttempt) =
         if (attempt.state == AttemptState.RUNNING) {
-            (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND
+            (clock.steadyMs - attempt.runningSinceMs) / MS_PER_SECOND
         } else {
             0.0
         }
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -139,7 +139,7 @@
     ) {
         job.unfinishedDependencies.remove(id)
         if (job.isBlockedByDependencies) return
-        job.readyAt = clock.wallMs
+        job.readyAtMs = clock.wallMs
         listener.onDependenciesDone(job)
     }
 
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -48,7 +48,7 @@
     var hasCancelledDependency = false
 
     /** Wall-clock ms from which the waiting time counts: the submission, or the end of the last dependency. */
-    var readyAt = record.submittedAtMs
+    var readyAtMs = record.submittedAtMs
 
     /** Whether the job waits for dependencies, or one of them was cancelled. */
     val isBlockedByDependencies: Boolean get() = hasCancelledDependency || unfinishedDependencies.isNotEmpty()
@@ -74,7 +74,7 @@
     val writtenChunks = BitSet()
 
     /** Steady-clock ms at which finished tasks were last written. */
-    var progressAt = Long.MIN_VALUE / 2
+    var progressWrittenAtMs = Long.MIN_VALUE / 2
 
     /** Whether the final record is being written. */
     var isClosing = false
@@ -173,10 +173,10 @@
     var isGuaranteed = false
 
     /** Steady-clock ms before which no task is started, after failures that the job itself caused. */
-    var notBefore = Long.MIN_VALUE
+    var pausedUntilMs = Long.MIN_VALUE
 
     /** Wall-clock ms at which this leader last started a task of the job; 0 before the first start. */
-    var lastStartAt = 0L
+    var lastStartAtMs = 0L
 
     /** Names of the machines on which its tasks failed, since the last task that succeeded. */
     val errorMachines = HashSet<String>()
@@ -185,11 +185,11 @@
     var failedAttempts = 0
 
     /** Returns the ms since a task of the job was last started, or since it could have been. */
-    fun unservedMs(wallMs: Long): Long = wallMs - maxOf(lastStartAt, readyAt)
+    fun unservedMs(wallMs: Long): Long = wallMs - maxOf(lastStartAtMs, readyAtMs)
 
     /** Returns whether the job has tasks that wait only for free resources; [nowMs] is on the steady clock. */
     fun isStartable(nowMs: Long): Boolean =
-        isAccountedFor && !isBlockedByDependencies && !isClosing && !record.cancelRequested && pendingCount > 0 && nowMs >= notBefore
+        isAccountedFor && !isBlockedByDependencies && !isClosing && !record.cancelRequested && pendingCount > 0 && nowMs >= pausedUntilMs
 
     /** Clears all state that only a leader has. */
     fun forgetLeaderState() {
@@ -203,9 +203,9 @@
         attempts.clear()
         isAccountedFor = false
         isClosing = false
-        notBefore = Long.MIN_VALUE
-        progressAt = Long.MIN_VALUE / 2
-        lastStartAt = 0L
+        pausedUntilMs = Long.MIN_VALUE
+        progressWrittenAtMs = Long.MIN_VALUE / 2
+        lastStartAtMs = 0L
         errorMachines.clear()
         failedAttempts = 0
         runTime.clear()
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -18,7 +18,7 @@
     /** Whether the cloud may preempt the machine at short notice; otherwise it is an on-demand machine. */
     val spot: Boolean,
     /** Steady-clock ms at which the machine became known. */
-    val knownSince: Long,
+    val knownSinceMs: Long,
     private val teams: TeamQuotas,
 ) {
     // --- Membership of the block -----------------------------------------------------------------------------------
@@ -72,27 +72,27 @@
     var heartbeatSequence = 0L
 
     /** Steady-clock ms at which the heartbeat [heartbeatSequence] was first received. */
-    var heartbeatFirstSeenAt = 0L
+    var heartbeatFirstSeenAtMs = 0L
 
     /**
      * Steady-clock ms after which that heartbeat was sent: a worker sends the next heartbeat once the previous one was
      * answered.
      */
-    var heartbeatSentAfter = 0L
+    var heartbeatSentAfterMs = 0L
 
     /** Highest token that the worker is known to have seen. */
     var token = 0L
 
     /** Steady-clock ms of the last message from the worker. */
-    var lastHeardAt = knownSince
+    var lastMessageAtMs = knownSinceMs
 
     /** Steady-clock ms of the last answer to the worker that may have renewed its lease. */
-    var lastAnsweredAt = 0L
+    var lastReplyAtMs = 0L
 
     /**
      * Steady-clock ms of the last heartbeat. Only the answer to a heartbeat renews the lease; direct commands do not.
      */
-    var lastHeartbeatAt = knownSince
+    var lastHeartbeatAtMs = knownSinceMs
 
     /** Whether the next heartbeat is overdue; a task that is started now may end when the lease expires. */
     var isHeartbeatOverdue = false
@@ -103,16 +103,16 @@
     var isCommandInFlight = false
 
     /** Latency in ms of the last answered direct command. */
-    var answerMs = 0L
+    var lastCommandReplyMs = 0L
 
     /** Whether the last message could not be delivered; the machine gets no new tasks before it is reached again. */
     var isUnreachable = false
 
     /** Steady-clock ms since which no message has reached the machine, or 0. */
-    var unreachableSince = 0L
+    var unreachableSinceMs = 0L
 
     /** Steady-clock ms before which no probe is sent. */
-    var probeAt = 0L
+    var nextProbeAtMs = 0L
 
     /**
      * Number of consecutive unanswered probes, without those whose answers this node may have been too slow to read.
@@ -124,24 +124,24 @@
         private set
 
     /** Steady-clock ms at which the first of those probes was sent; 0 without any. */
-    var unansweredSince = 0L
+    var unansweredSinceMs = 0L
         private set
 
-    /** Records that the probe sent at [sentAt] (steady-clock ms) was not answered. */
-    fun probeUnanswered(sentAt: Long) {
-        if (probesUnanswered++ == 0) unansweredSince = sentAt
+    /** Records that the probe sent at [sentAtMs] (steady-clock ms) was not answered. */
+    fun probeUnanswered(sentAtMs: Long) {
+        if (probesUnanswered++ == 0) unansweredSinceMs = sentAtMs
     }
 
     /** Records that the worker has answered a probe. */
     fun probeAnswered() {
         probesUnanswered = 0
-        unansweredSince = 0L
+        unansweredSinceMs = 0L
     }
 
     // --- Departure and restrictions --------------------------------------------------------------------------------
 
     /** Steady-clock ms at which the cloud preempts the spot machine, or 0. */
-    var preemptionAt = 0L
+    var preemptionAtMs = 0L
 
     /** Whether, according to a replica of the last leader's state, the machine was being returned to the cloud. */
     var isReturningHint = false
@@ -169,7 +169,7 @@
     var isReleaseRequested = false
 
     /** Steady-clock ms before which no task is started, since the worker refused a task or a task failed. */
-    var refusedUntil = Long.MIN_VALUE
+    var startsPausedUntilMs = Long.MIN_VALUE
 
     /** Ids of the jobs whose tasks failed consecutively. */
     val errorJobs = LinkedHashSet<String>()
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -17,7 +17,7 @@
     val number: Long,
     val machine: Machine,
     /** Steady-clock ms of the placement. */
-    val assignedAt: Long,
+    val assignedAtMs: Long,
     /** Whether an earlier leader started the attempt, so that the start of its run is not known. */
     val isInherited: Boolean = false,
 ) {
@@ -42,7 +42,7 @@
         }
 
     /** Steady-clock ms at which the task began to run; 0 before. */
-    var runningSince = 0L
+    var runningSinceMs = 0L
 
     /** Whether the attempt is not preempted for other jobs. Set for a job that had starved and would starve again. */
     var isExemptFromPreemption = false
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -33,7 +33,7 @@
      */
     fun countGuarantees(jobs: Collection<Job>) {
         val guaranteedByTeam = HashMap<String, ResourceSum>()
-        for (job in jobs.sortedBy { it.readyAt }) {
+        for (job in jobs.sortedBy { it.readyAtMs }) {
             if (job.isBlockedByDependencies) {
                 job.isGuaranteed = false
                 continue
--- a/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
@@ -43,7 +43,7 @@
         for (job in jobs.values) {
             // Until the interval has passed, the machines still list the finished tasks, so the next leader learns of
             // them from there.
-            if (job.isClosing || clock.steadyMs - job.progressAt < PersistenceTuning.FINISHED_TASKS_WRITE_INTERVAL_MS) {
+            if (job.isClosing || clock.steadyMs - job.progressWrittenAtMs < PersistenceTuning.FINISHED_TASKS_WRITE_INTERVAL_MS) {
                 continue
             }
             if (batch.remainingChanges == 0) return false
@@ -97,7 +97,7 @@
         job: Job,
         tasksByChunk: Map<Int, BitSet>,
     ) {
-        job.progressAt = clock.steadyMs
+        job.progressWrittenAtMs = clock.steadyMs
         tasksByChunk.values.forEach(job.recorded::or)
         // If the job has ended in the meantime, nothing else would remove these records.
         if (jobStore.jobs[job.id] !== job) tasksByChunk.keys.forEach { removals.add(Keys.finished(job.id, it)) }
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -130,7 +130,7 @@
         startable: List<Job>,
         usable: List<Machine>,
     ): Set<Machine> {
-        val starved = startable.filter { it.attempts.isEmpty() && ranking.isStarved(it) }.sortedBy { it.readyAt }
+        val starved = startable.filter { it.attempts.isEmpty() && ranking.isStarved(it) }.sortedBy { it.readyAtMs }
         val reserved = HashSet<Machine>()
         for (job in starved) {
             val unreserved = excluding(reserved, usable)
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionCosts.kt
@@ -41,7 +41,7 @@
         job: Job,
     ): Int {
         if (job.pendingCount > 0 || attempt.state != AttemptState.RUNNING) return 0
-        return ranking.countMissedByRestart(job, secondsSince(attempt.runningSince))
+        return ranking.countMissedByRestart(job, secondsSince(attempt.runningSinceMs))
     }
 
     private fun lostWorkCpuS(
@@ -49,7 +49,7 @@
         job: Job,
     ): Double {
         val isRunning = attempt.state == AttemptState.RUNNING
-        val sinceMs = if (isRunning) attempt.runningSince else attempt.assignedAt
+        val sinceMs = if (isRunning) attempt.runningSinceMs else attempt.assignedAtMs
         val startCostCpuS = if (isRunning) SchedulingTuning.LOST_START_COST_CPU_S else 0.0
         return secondsSince(sinceMs) * job.spec.vcpus + startCostCpuS
     }
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -115,7 +115,7 @@
     }
 
     /** Returns the seconds since [job] became ready to start. */
-    private fun waitedS(job: Job): Double = (clock.wallMs - job.readyAt) / MS_PER_SECOND
+    private fun waitedS(job: Job): Double = (clock.wallMs - job.readyAtMs) / MS_PER_SECOND
 
     private fun imageFetchS(job: Job): Double = job.spec.imageGb * SchedulingTuning.IMAGE_FETCH_S_PER_GB
 
@@ -126,7 +126,7 @@
     ): Int {
         var missed = 0
         finishWithinS[job.spec.jobClass]?.forEach { if (endS > it) missed++ }
-        val wallEndS = job.readyAt / MS_PER_SECOND + endS
+        val wallEndS = job.readyAtMs / MS_PER_SECOND + endS
         deadlines.latestEndsS(job).forEach { if (wallEndS > it) missed++ }
         return missed
     }
--- a/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
@@ -46,7 +46,7 @@
 
     private fun hasSettled(replica: TaskAttempt): Boolean =
         replica.state == AttemptState.RUNNING &&
-            clock.steadyMs - replica.runningSince > SchedulingTuning.MIN_REPLICA_RUN_MS &&
+            clock.steadyMs - replica.runningSinceMs > SchedulingTuning.MIN_REPLICA_RUN_MS &&
             replica.stop == StopMode.NONE
 
     private fun destinationFor(
--- a/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
+++ b/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
@@ -12,5 +12,5 @@
         !isUnreachable &&
         !isHeartbeatOverdue &&
         probesFailed == 0 &&
-        preemptionAt == 0L &&
-        clock.steadyMs >= refusedUntil
+        preemptionAtMs == 0L &&
+        clock.steadyMs >= startsPausedUntilMs
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -40,7 +40,7 @@
         val hint = machines[machine.name] ?: return
         machine.incarnationHint = hint.incarnation.coerceAtLeast(0)
         if (hint.returning) {
-            machine.refusedUntil = clock.steadyMs + StandbyTuning.RETURNING_HINT_MS
+            machine.startsPausedUntilMs = clock.steadyMs + StandbyTuning.RETURNING_HINT_MS
             machine.isReturningHint = true
         }
         hint.images.take(ModelTuning.MACHINE_TASKS).forEach { useImage(machine, it) }
@@ -93,7 +93,7 @@
         clock: Clock,
     ) {
         val job = jobStore.jobs[hint.job] ?: return
-        job.lastStartAt = maxOf(job.lastStartAt, minOf(hint.lastStartAt, clock.wallMs))
+        job.lastStartAtMs = maxOf(job.lastStartAtMs, minOf(hint.lastStartAt, clock.wallMs))
     }
 
     private fun useRentedMachine(
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -40,7 +40,7 @@
             add(records, ClassRunTime(jobClass, meanError.logRatio, meanError.weight))
         }
         for (job in jobStore.jobs.values) {
-            if (job.lastStartAt != 0L) add(records, ServiceTime(job.id, job.lastStartAt))
+            if (job.lastStartAtMs != 0L) add(records, ServiceTime(job.id, job.lastStartAtMs))
         }
         for (rented in autoscaler.bootingMachines()) {
             add(records, RentedMachine(rented.name, rented.machineType, rented.zone, rented.spot))
