--- a/src/main/kotlin/ledgearch/agents/AgentClient.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentClient.kt
@@ -45,7 +45,7 @@
         val request = CommandRequest(election.token, machine.commandIncarnation, commands)
         val body = WireJson.encodeToString(CommandRequest.serializer(), request)
         val incarnation = machine.incarnation
-        val sequence = machine.sequence
+        val sequence = machine.lastSequence
         val sentAtMs = clock.steadyMs
         val timeoutMs = maxOf(minTimeoutMs, machine.lastCommandReplyMs * AgentTuning.REPLY_TIMEOUT_HALVES / 2)
         transport.call(machine.endpoint, "POST", COMMAND_PATH, body, timeoutMs) { reply ->
--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -34,11 +34,11 @@
 
     private fun send(machine: Machine) {
         machine.isCommandInFlight = true
-        machine.nextProbeAtMs = clock.steadyMs + intervalMs(machine.probesFailed)
+        machine.nextProbeAtMs = clock.steadyMs + intervalMs(machine.consecutiveFailedProbes)
         probesInFlight++
         val sentAtMs = clock.steadyMs
         val incarnation = machine.incarnation
-        client.send(machine, emptyList(), intervalMs(machine.probesFailed + 1)) { status ->
+        client.send(machine, emptyList(), intervalMs(machine.consecutiveFailedProbes + 1)) { status ->
             machine.isCommandInFlight = false
             probesInFlight--
             if (status == null) {
@@ -63,9 +63,9 @@
         machine: Machine,
         sentAtMs: Long,
     ) {
-        machine.probeUnanswered(sentAtMs)
+        machine.recordUnansweredProbe(sentAtMs)
         if (stalls.wasLaggingSince(sentAtMs)) return
-        machine.probesFailed++
+        machine.consecutiveFailedProbes++
         if (!machine.isConfirmed) queue.markUnreachable(machine)
     }
 
--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -73,7 +73,7 @@
     /** Sends pending commands, and renews the token to fence unanswered starts. */
     fun drive() {
         if (!queue.isEmpty) sendPending()
-        unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedToken != 0L } }
+        unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedStartToken != 0L } }
         if (unacknowledged.any { !it.isUnreachable }) election.renewToken()
     }
 
@@ -117,8 +117,8 @@
     ) {
         for (attempt in started) {
             attempt.isStartInFlight = false
-            if (!isAnswered && machine.token <= token && listener.isRegistered(machine)) {
-                attempt.unacknowledgedToken = token
+            if (!isAnswered && machine.highestSeenToken <= token && listener.isRegistered(machine)) {
+                attempt.unacknowledgedStartToken = token
                 unacknowledged.add(machine)
             }
         }
--- a/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
@@ -51,8 +51,8 @@
 
     /** Marks [machine] as reachable, and queues it if it was not, so that lost commands are sent again. */
     fun markReachable(machine: Machine) {
-        machine.probesFailed = 0
-        machine.probeAnswered()
+        machine.consecutiveFailedProbes = 0
+        machine.recordProbeReply()
         if (machine.isUnreachable) enqueue(machine)
         machine.isUnreachable = false
         machine.unreachableSinceMs = 0L
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -61,7 +61,7 @@
      * since the machine itself has yet to reply.
      */
     private fun resetFailures(machine: Machine) {
-        machine.probesFailed = minOf(machine.probesFailed, 1)
+        machine.consecutiveFailedProbes = minOf(machine.consecutiveFailedProbes, 1)
         machine.nextProbeAtMs = clock.steadyMs
         if (machine.unreachableSinceMs != 0L) machine.unreachableSinceMs = clock.steadyMs
     }
@@ -98,7 +98,7 @@
     private fun isLongUnreachable(machine: Machine) =
         !machine.isReleasing &&
             !zones.shouldKeep(machine) &&
-            machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE &&
+            machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE &&
             stalls.attentiveMsSince(machine.unreachableSinceMs) > lostMs
 
     private fun checkOverdue() {
@@ -140,7 +140,7 @@
 
     private fun releaseIfPreempted(machine: Machine) {
         dispatcher.probe(machine)
-        if (machine.probesFailed == 0 || machine.isReleasing) return
+        if (machine.consecutiveFailedProbes == 0 || machine.isReleasing) return
         log.info("machine released: the cloud has preempted it; machine={}", machine.name)
         releaser.release(machine)
     }
@@ -167,13 +167,13 @@
      * for most machines, the fault may be this node's, and they are kept for [AgentTuning.ONE_WAY_FAULT_GRACE_MS].
      */
     private fun onlyAnswersCommands(machine: Machine) =
-        machine.isConfirmed && machine.probesFailed == 0 && !machine.isUnreachable &&
+        machine.isConfirmed && machine.consecutiveFailedProbes == 0 && !machine.isUnreachable &&
             machine.lastMessageAtMs > machine.lastHeartbeatAtMs &&
             silence.isSilent(machine) &&
             clock.steadyMs - machine.lastHeartbeatAtMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS
 
     private fun failsProbes(machine: Machine) =
-        !machine.isReleasing && machine.isConfirmed && machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE
+        !machine.isReleasing && machine.isConfirmed && machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE
 
     /**
      * Returns whether most machines, and one in the zone of [machine], were heard since its heartbeat was due. The
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -36,11 +36,11 @@
         heartbeats: ConfirmedHeartbeats,
         areMostConfirmed: Boolean,
     ): Boolean {
-        if (machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE) return true
+        if (machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE) return true
         return areMostConfirmed && (wasBeingReturned(machine) || haveOthersReportedSince(machine, heartbeats))
     }
 
-    private fun wasBeingReturned(machine: Machine) = machine.isReturningHint && machine.probesUnanswered > 0
+    private fun wasBeingReturned(machine: Machine) = machine.isReturningHint && machine.consecutiveUnansweredProbes > 0
 
     /**
      * Returns whether most other machines sent heartbeats after [machine] was first probed without a reply. While this
@@ -52,7 +52,7 @@
         machine: Machine,
         heartbeats: ConfirmedHeartbeats,
     ): Boolean {
-        if (machine.probesUnanswered < AgentTuning.FAILED_PROBES_FOR_RELEASE) return false
+        if (machine.consecutiveUnansweredProbes < AgentTuning.FAILED_PROBES_FOR_RELEASE) return false
         if (machine.heartbeatFirstSeenAtMs > machine.unansweredSinceMs) return false
         return heartbeats.areMostSentAfter(machine.unansweredSinceMs)
     }
--- a/src/main/kotlin/ledgearch/agents/TaskCommands.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskCommands.kt
@@ -23,7 +23,7 @@
         for (attempt in machine.attempts.values) {
             when {
                 attempt.isExited -> if (mayClear(attempt)) stops.add(command(CommandKind.CLEAR, attempt))
-                attempt.stop != StopMode.NONE -> stopCommand(attempt)?.let { stops.add(it) }
+                attempt.stopMode != StopMode.NONE -> stopCommand(attempt)?.let { stops.add(it) }
                 !attempt.isReported -> starts.add(command(CommandKind.START, attempt))
             }
         }
@@ -41,7 +41,7 @@
     /** Returns the stop command for [attempt], or null while it saves the checkpoint that an earlier stop asked for. */
     private fun stopCommand(attempt: TaskAttempt): TaskCommand? {
         val graceS =
-            if (attempt.stop == StopMode.CHECKPOINT_FIRST) attempt.job?.spec?.checkpointS ?: NO_GRACE_S else NO_GRACE_S
+            if (attempt.stopMode == StopMode.CHECKPOINT_FIRST) attempt.job?.spec?.checkpointS ?: NO_GRACE_S else NO_GRACE_S
         if (attempt.state == AttemptState.SAVING && graceS != NO_GRACE_S) return null
         return TaskCommand(CommandKind.STOP, attempt.taskId, attempt.number, graceS)
     }
--- a/src/main/kotlin/ledgearch/agents/TaskFailures.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskFailures.kt
@@ -20,15 +20,15 @@
         job: Job,
     ) {
         resetFailures(machine)
-        job.failedAttempts = 0
+        job.consecutivePauses = 0
         // Since the job's tasks can complete, the machines on which they failed may be faulty.
-        job.errorMachines.forEach { name -> machines[name]?.let { quarantineIfFaulty(it, job) } }
-        job.errorMachines.clear()
+        job.failedMachineNames.forEach { name -> machines[name]?.let { quarantineIfFaulty(it, job) } }
+        job.failedMachineNames.clear()
     }
 
     private fun resetFailures(machine: Machine) {
-        machine.errorJobs.clear()
-        machine.consecutiveErrors = 0
+        machine.failedJobIds.clear()
+        machine.consecutiveFailures = 0
     }
 
     /** Records that a task of [job] has failed on [machine]. */
@@ -36,10 +36,10 @@
         machine: Machine,
         job: Job,
     ) {
-        machine.errorJobs.add(job.id)
-        machine.consecutiveErrors++
-        job.errorMachines.add(machine.name)
-        if (job.errorMachines.size >= AgentTuning.FAILED_MACHINES_FOR_JOB_DELAY) {
+        machine.failedJobIds.add(job.id)
+        machine.consecutiveFailures++
+        job.failedMachineNames.add(machine.name)
+        if (job.failedMachineNames.size >= AgentTuning.FAILED_MACHINES_FOR_JOB_DELAY) {
             delay(job)
         } else {
             machine.startsPausedUntilMs = clock.steadyMs + AgentTuning.FAILED_TASK_PAUSE_MS
@@ -49,16 +49,16 @@
 
     /** Delays [job], which fails on every machine, and removes its failures from the counts of the machines. */
     private fun delay(job: Job) {
-        val doublings = minOf(job.failedAttempts, AgentTuning.MAX_JOB_DELAY_DOUBLINGS)
+        val doublings = minOf(job.consecutivePauses, AgentTuning.MAX_JOB_DELAY_DOUBLINGS)
         val delayMs = minOf(AgentTuning.FIRST_JOB_DELAY_MS shl doublings, AgentTuning.MAX_JOB_DELAY_MS)
-        job.failedAttempts++
+        job.consecutivePauses++
         job.pausedUntilMs = clock.steadyMs + delayMs
-        for (name in job.errorMachines) {
+        for (name in job.failedMachineNames) {
             val machine = machines[name] ?: continue
-            machine.errorJobs.remove(job.id)
-            machine.consecutiveErrors = 0
+            machine.failedJobIds.remove(job.id)
+            machine.consecutiveFailures = 0
         }
-        job.errorMachines.clear()
+        job.failedMachineNames.clear()
     }
 
     /**
@@ -73,18 +73,18 @@
         log.warn(
             "machine quarantined: several jobs fail on it, or tasks that complete elsewhere; machine={} failures={}",
             machine.name,
-            machine.consecutiveErrors,
+            machine.consecutiveFailures,
         )
         machine.isQuarantined = true
         // Recorded for the next leader, which would otherwise find out only by failures of its own.
         recordWriter.putMachine(machine)
     }
 
-    private fun hasFailedSeveralJobs(machine: Machine) = machine.errorJobs.size >= AgentTuning.FAILURES_FOR_QUARANTINE
+    private fun hasFailedSeveralJobs(machine: Machine) = machine.failedJobIds.size >= AgentTuning.FAILURES_FOR_QUARANTINE
 
     private fun hasFailedCompletableJob(
         machine: Machine,
         job: Job,
-    ) = machine.consecutiveErrors >= AgentTuning.FAILURES_FOR_QUARANTINE && job.id in machine.errorJobs &&
-        !job.finished.isEmpty
+    ) = machine.consecutiveFailures >= AgentTuning.FAILURES_FOR_QUARANTINE && job.id in machine.failedJobIds &&
+        !job.finishedTasks.isEmpty
 }
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -48,25 +48,25 @@
         for (report in reports) {
             val known = machine.attempts.get(report.attempt)
             val attempt = known ?: adopt(machine, report)
-            attempt.lastListedSequence = machine.sequence
+            attempt.lastListedSequence = machine.lastSequence
             update(attempt, report)
             // The agent may still send its heartbeats to an earlier leader, so the stop is sent directly.
-            if (known == null && attempt.stop != StopMode.NONE && !attempt.isExited) dispatcher.enqueue(machine)
+            if (known == null && attempt.stopMode != StopMode.NONE && !attempt.isExited) dispatcher.enqueue(machine)
         }
         removeUnlisted(machine)
     }
 
     private fun removeUnlisted(machine: Machine) {
-        if (machine.attempts.values.all { it.lastListedSequence == machine.sequence }) return
+        if (machine.attempts.values.all { it.lastListedSequence == machine.lastSequence }) return
         for (attempt in machine.attempts.values.toList()) {
-            if (attempt.lastListedSequence != machine.sequence && !mayStillStart(attempt)) remove(attempt)
+            if (attempt.lastListedSequence != machine.lastSequence && !mayStillStart(attempt)) remove(attempt)
         }
     }
 
     /** Returns whether [attempt] may start later; its start is sent repeatedly until the agent lists it. */
     private fun mayStillStart(attempt: TaskAttempt): Boolean {
         if (attempt.isReported) return false
-        return attempt.stop == StopMode.NONE || !attempt.isSettled(attempt.machine.heartbeatSequence)
+        return attempt.stopMode == StopMode.NONE || !attempt.isSettled(attempt.machine.heartbeatSequence)
     }
 
     /**
@@ -83,11 +83,11 @@
         val attempt = TaskAttempt(job, report.taskId, index, report.attempt, machine, clock.steadyMs, isInherited = true)
         machine.attach(attempt)
         if (job == null) {
-            attempt.stop = StopMode.AT_ONCE
+            attempt.stopMode = StopMode.AT_ONCE
         } else {
-            if (job.finished.get(index)) attempt.stop = StopMode.AT_ONCE
-            job.place(attempt)
-            if (job.record.cancelRequested) attempt.stop = StopMode.AT_ONCE
+            if (job.finishedTasks.get(index)) attempt.stopMode = StopMode.AT_ONCE
+            job.addAttempt(attempt)
+            if (job.record.cancelRequested) attempt.stopMode = StopMode.AT_ONCE
         }
         return attempt
     }
@@ -112,7 +112,7 @@
         isFirstReport: Boolean,
     ) {
         val job = attempt.job
-        if (isFirstReport && job != null) attempt.machine.touchImage(job.spec.image, job.spec.imageGb)
+        if (isFirstReport && job != null) attempt.machine.recordImageUse(job.spec.image, job.spec.imageGb)
         attempt.state = AttemptState.FETCHING
     }
 
@@ -127,9 +127,9 @@
             machine.name,
         )
         val job = attempt.job ?: return
-        machine.touchImage(job.spec.image, job.spec.imageGb)
+        machine.recordImageUse(job.spec.image, job.spec.imageGb)
         // Latency-sensitive tasks are placed on machines that have their image.
-        if (machine.fetched.add(job.spec.image)) listener.onPlacementChanged()
+        if (machine.fetchedImages.add(job.spec.image)) listener.onPlacementChanged()
     }
 
     private fun markExited(
@@ -138,7 +138,7 @@
     ) {
         val machine = attempt.machine
         attempt.state = AttemptState.EXITED
-        attempt.cause = cause
+        attempt.exitCause = cause
         listener.onPlacementChanged()
         metrics.count("task.exited.${cause?.text}")
         log.debug(
@@ -156,7 +156,7 @@
             ExitCause.UNKNOWN_TASK -> job.pausedUntilMs = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
             ExitCause.STOPPED, ExitCause.UNRECOGNIZED, null -> Unit
         }
-        job.free(attempt)
+        job.removeAttempt(attempt)
     }
 
     private fun finishTask(
@@ -168,7 +168,7 @@
         if (isRunTimeKnown(attempt, job)) {
             estimates.recordRunTime(job, (clock.steadyMs - attempt.runningSinceMs) / MS_PER_SECOND)
         }
-        job.finish(attempt.index)
+        job.markFinished(attempt.index)
         if (!job.isClosed) recordWriter.writeFinishedTasks(job)
         if (job.isComplete) recordWriter.closeJob(job, JobState.DONE)
     }
@@ -196,10 +196,10 @@
                 attempt.number,
                 attempt.machine.name,
             )
-            if (attempt.stop == StopMode.NONE) listener.onAttemptLost(attempt)
+            if (attempt.stopMode == StopMode.NONE) listener.onAttemptLost(attempt)
         }
         attempt.machine.detach(attempt)
-        attempt.job?.free(attempt)
+        attempt.job?.removeAttempt(attempt)
         listener.onPlacementChanged()
     }
 
--- a/src/main/kotlin/ledgearch/api/JobAnswers.kt
+++ b/src/main/kotlin/ledgearch/api/JobAnswers.kt
@@ -37,8 +37,8 @@
      * the leader's last status.
      */
     fun open(job: Job): Response {
-        val running = if (leadership.isLeader) job.runningCount else job.lastProgress?.running ?: 0
-        val done = if (leadership.isLeader) job.finishedCount else job.lastProgress?.done ?: 0
+        val running = if (leadership.isLeader) job.runningCount else job.lastProgress?.runningTasks ?: 0
+        val done = if (leadership.isLeader) job.finishedCount else job.lastProgress?.finishedTasks ?: 0
         val state = if (running > 0) JobState.RUNNING else JobState.PENDING
         return response(HttpStatus.OK, JobStatus(job.id, state, done, running))
     }
--- a/src/main/kotlin/ledgearch/api/Validation.kt
+++ b/src/main/kotlin/ledgearch/api/Validation.kt
@@ -42,8 +42,8 @@
         if (team == null) return Infeasibility.UNKNOWN_TEAM
         val tasksAtOnce = if (spec.kind == JobKind.SERVICE) spec.taskCount else 1
         return when {
-            spec.vcpus * tasksAtOnce > team.cpusMax + Machine.ROUNDING -> Infeasibility.VCPUS_ABOVE_LIMIT
-            spec.accelerators * tasksAtOnce > team.gpusMax + Machine.ROUNDING -> Infeasibility.ACCELERATORS_ABOVE_LIMIT
+            spec.vcpus * tasksAtOnce > team.cpusMax + Machine.TOLERANCE -> Infeasibility.VCPUS_ABOVE_LIMIT
+            spec.accelerators * tasksAtOnce > team.gpusMax + Machine.TOLERANCE -> Infeasibility.ACCELERATORS_ABOVE_LIMIT
             machineTypes.none { isAllowed(spec, it) && holdsTask(it, spec) } -> Infeasibility.NO_FITTING_MACHINE_TYPE
             else -> null
         }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -81,5 +81,5 @@
     private fun heldBackSupplies(cluster: Cluster): List<Supply> =
         cluster.machines.values
             .filter { it.isHeldBack && it.isInService && cluster.recovery?.isSuppressed(it.zone) == false }
-            .map { Supply(it.machineType, it.zone, it.spot, it.roomLeft()) }
+            .map { Supply(it.machineType, it.zone, it.spot, it.copyFreeResources()) }
 }
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -48,13 +48,13 @@
         if (status.incarnation > machine.incarnation) beginIncarnation(machine, status.incarnation)
         // First message of an incarnation. The agent's lease began with the incarnation, before this message and
         // without a reply from this node.
-        if (machine.sequence == 0L) machine.lastReplyAtMs = clock.steadyMs
+        if (machine.lastSequence == 0L) machine.lastReplyAtMs = clock.steadyMs
         val isCurrent = countsAsCurrent(machine, status, source)
         if (source == StatusSource.HEARTBEAT) updateHeartbeatTimes(machine, status, isCurrent)
-        if (status.sequence <= machine.sequence) return
-        machine.sequence = status.sequence
+        if (status.sequence <= machine.lastSequence) return
+        machine.lastSequence = status.sequence
         if (isCurrent) machine.lastMessageAtMs = clock.steadyMs
-        if (!machine.isUnreachable && machine.isConfirmed) machine.probesFailed = 0
+        if (!machine.isUnreachable && machine.isConfirmed) machine.consecutiveFailedProbes = 0
         preemptionNotices.update(machine, status)
         updateToken(machine, status.token)
         if (!machine.isConfirmed) {
@@ -95,11 +95,11 @@
         machine: Machine,
         token: Long,
     ) {
-        if (token <= machine.token) return
-        machine.token = token
+        if (token <= machine.highestSeenToken) return
+        machine.highestSeenToken = token
         if (token == election.token && machine.isConfirmed) dispatcher.markReachable(machine)
         for (attempt in machine.attempts.values) {
-            if (attempt.unacknowledgedToken in 1 until machine.token) attempt.unacknowledgedToken = 0
+            if (attempt.unacknowledgedStartToken in 1 until machine.highestSeenToken) attempt.unacknowledgedStartToken = 0
         }
     }
 
@@ -129,7 +129,7 @@
         }
         taskStatusHandler.removeAll(machine)
         machine.incarnation = incarnation
-        machine.sequence = 0
+        machine.lastSequence = 0
         machine.heartbeatSequence = 0
         placementLoop.requestPass()
     }
--- a/src/main/kotlin/ledgearch/control/AttemptControl.kt
+++ b/src/main/kotlin/ledgearch/control/AttemptControl.kt
@@ -28,9 +28,9 @@
         val number = term.nextAttemptNumber()
         val attempt = TaskAttempt(job, "${job.id}/$index", index, number, machine, clock.steadyMs)
         machine.attach(attempt)
-        job.place(attempt)
+        job.addAttempt(attempt)
         job.lastStartAtMs = clock.wallMs
-        machine.touchImage(job.spec.image, job.spec.imageGb)
+        machine.recordImageUse(job.spec.image, job.spec.imageGb)
         dispatcher.enqueue(machine)
         log.debug("attempt placed; task={} attempt={} machine={}", attempt.taskId, number, machine.name)
     }
@@ -57,7 +57,7 @@
         attempt: TaskAttempt,
         secondsLeft: Double = Double.MAX_VALUE,
     ) {
-        attempt.stop = if (canCheckpoint(attempt, secondsLeft)) StopMode.CHECKPOINT_FIRST else StopMode.AT_ONCE
+        attempt.stopMode = if (canCheckpoint(attempt, secondsLeft)) StopMode.CHECKPOINT_FIRST else StopMode.AT_ONCE
         dispatcher.enqueue(attempt.machine)
     }
 
@@ -72,8 +72,8 @@
     /** Stops all attempts of [job] without a checkpoint. */
     fun stopAll(job: Job) {
         for (attempt in job.attempts.values) {
-            if (attempt.stop == StopMode.AT_ONCE) continue
-            attempt.stop = StopMode.AT_ONCE
+            if (attempt.stopMode == StopMode.AT_ONCE) continue
+            attempt.stopMode = StopMode.AT_ONCE
             dispatcher.enqueue(attempt.machine)
         }
     }
--- a/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
@@ -74,7 +74,7 @@
         for (command in commands) {
             if (command.kind != CommandKind.START) continue
             val attempt = machine.attempts.get(command.attempt) ?: continue
-            attempt.sentInReplyTo = maxOf(attempt.sentInReplyTo, heartbeat.sequence)
+            attempt.startHeartbeatSequence = maxOf(attempt.startHeartbeatSequence, heartbeat.sequence)
         }
         return commands
     }
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -93,9 +93,9 @@
                         job
                 }
             }
-        countedAttempts.forEach { it.machine.count(it, -1) }
+        countedAttempts.forEach { it.machine.adjustCounts(it, -1) }
         job.priority = priority
-        countedAttempts.forEach { it.machine.count(it, 1) }
+        countedAttempts.forEach { it.machine.adjustCounts(it, 1) }
         placementLoop.requestPass()
     }
 
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -204,7 +204,7 @@
         recordLoader.clear()
         recordWriter.clear()
         recovery?.end()
-        for (job in jobStore.jobs.values) job.forgetLeaderState()
+        for (job in jobStore.jobs.values) job.clearLeaderState()
         autoscaler.end()
         storeClient.setBudgetShare(isLeader = false)
     }
@@ -251,7 +251,7 @@
 
     /** Returns whether the counts that are updated with each attempt equal a recount. */
     fun hasConsistentCounts() =
-        machines.values.all { it.countsHold() } && teams.countsHold(machines.values) &&
+        machines.values.all { it.hasConsistentCounts() } && teams.hasConsistentCounts(machines.values) &&
             jobLifecycle.hasConsistentCounts()
 
     private inner class AgentReplies : AgentReplyListener {
--- a/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -44,7 +44,7 @@
 
     /** Applies the [status] that the leader published. */
     fun apply(status: LeaderStatus) {
-        status.progress.forEach { jobStore.jobs[it.job]?.lastProgress = it }
+        status.progress.forEach { jobStore.jobs[it.jobId]?.lastProgress = it }
         if (status.served == false) healthCheck.recordLeaderOutage()
         if (!election.isLeader) leader.recovery?.heard(status.zones)
     }
--- a/src/main/kotlin/ledgearch/control/MachineRegistry.kt
+++ b/src/main/kotlin/ledgearch/control/MachineRegistry.kt
@@ -19,7 +19,7 @@
     /** Adds [machine] as an unconfirmed machine. */
     fun add(machine: Machine) {
         machinesByName[machine.name] = machine
-        machine.joined()
+        machine.join()
         unconfirmedMachines.add(machine)
     }
 
@@ -31,7 +31,7 @@
     /** Removes [machine], whose attempts were ended before. */
     fun remove(machine: Machine) {
         machinesByName.remove(machine.name)
-        machine.left()
+        machine.leave()
         unconfirmedMachines.remove(machine)
     }
 
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -54,7 +54,7 @@
         isPassRequested = false
         if (areGuaranteesOutdated) {
             areGuaranteesOutdated = false
-            teams.countGuarantees(jobStore.jobs.values)
+            teams.updateGuarantees(jobStore.jobs.values)
             updateOnDemandJobs()
         }
         teams.countUnfound(jobStore.jobs.values)
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -167,8 +167,8 @@
         while (toVisit.isNotEmpty()) {
             val id = toVisit.removeFirst()
             val job = openJobs[id] ?: continue
-            val highestOfDependents = dependents[id]?.minOfOrNull { it.priority } ?: job.ownPriority
-            val priority = minOf(job.ownPriority, highestOfDependents)
+            val highestOfDependents = dependents[id]?.minOfOrNull { it.priority } ?: job.submittedPriority
+            val priority = minOf(job.submittedPriority, highestOfDependents)
             if (priority == job.priority) continue
             listener.onPriorityChanged(job, priority)
             toVisit.addAll(job.unfinishedDependencies)
--- a/src/main/kotlin/ledgearch/model/FreeResources.kt
+++ b/src/main/kotlin/ledgearch/model/FreeResources.kt
@@ -6,7 +6,7 @@
 /**
  * Free processors, accelerators and gigabytes of memory of one machine, used to pack tasks onto machines. It starts
  * with all resources of [machineType]. Amounts are sums of decimal numbers, so comparisons allow a difference of
- * [Machine.ROUNDING]. They fall below 0 when more is taken than the machine has.
+ * [Machine.TOLERANCE]. They fall below 0 when more is taken than the machine has.
  */
 internal class FreeResources(
     private val machineType: MachineType,
@@ -29,7 +29,7 @@
     fun take(job: Job?) = add(job, -1)
 
     /** Gives back what [take] took for one task of [job]. */
-    fun give(job: Job?) = add(job, 1)
+    fun release(job: Job?) = add(job, 1)
 
     private fun add(
         job: Job?,
@@ -41,52 +41,52 @@
         memoryGb += sign * (spec?.memoryGb ?: machineType.memoryGb)
     }
 
-    /** Returns how many tasks of [job] fit, at most [most]. */
-    fun count(
+    /** Returns how many tasks of [job] fit, at most [maxTasks]. */
+    fun countFitting(
         job: Job,
-        most: Int,
+        maxTasks: Int,
     ): Int {
         val spec = job.spec
         return minOf(
-            tasks(cpus, spec.vcpus, accelerators, spec.accelerators, most),
-            tasks(memoryGb, spec.memoryGb, 0.0, 0.0, most),
+            taskCapacity(cpus, spec.vcpus, accelerators, spec.accelerators, maxTasks),
+            taskCapacity(memoryGb, spec.memoryGb, 0.0, 0.0, maxTasks),
         )
     }
 
     /** Returns whether one more task of [job] fits. */
     fun fits(job: Job): Boolean {
         val spec = job.spec
-        return spec.vcpus <= cpus + Machine.ROUNDING &&
-            spec.accelerators <= accelerators + Machine.ROUNDING &&
-            spec.memoryGb <= memoryGb + Machine.ROUNDING
+        return spec.vcpus <= cpus + Machine.TOLERANCE &&
+            spec.accelerators <= accelerators + Machine.TOLERANCE &&
+            spec.memoryGb <= memoryGb + Machine.TOLERANCE
     }
 
     /** Returns whether both hold the same amounts, apart from rounding. */
-    fun isAbout(other: FreeResources): Boolean =
-        abs(cpus - other.cpus) <= Machine.ROUNDING &&
-            abs(accelerators - other.accelerators) <= Machine.ROUNDING &&
-            abs(memoryGb - other.memoryGb) <= Machine.ROUNDING
+    fun approximatelyEquals(other: FreeResources): Boolean =
+        abs(cpus - other.cpus) <= Machine.TOLERANCE &&
+            abs(accelerators - other.accelerators) <= Machine.TOLERANCE &&
+            abs(memoryGb - other.memoryGb) <= Machine.TOLERANCE
 
     companion object {
         /**
          * Returns how many tasks that each need [perTask] and [perTaskOther] of two resources fit into [free] and
-         * [freeOther], at most [most]. A resource that a task does not need sets no limit.
+         * [freeOther], at most [maxTasks]. A resource that a task does not need sets no limit.
          */
-        fun tasks(
+        fun taskCapacity(
             free: Double,
             perTask: Double,
             freeOther: Double,
             perTaskOther: Double,
-            most: Int,
+            maxTasks: Int,
         ): Int =
             minOf(
-                countFitting(free, perTask),
-                countFitting(freeOther, perTaskOther),
-            ).coerceIn(0.0, most.toDouble()).toInt()
+                capacity(free, perTask),
+                capacity(freeOther, perTaskOther),
+            ).coerceIn(0.0, maxTasks.toDouble()).toInt()
 
-        private fun countFitting(
+        private fun capacity(
             free: Double,
             perTask: Double,
-        ): Double = if (perTask > 0) (free + Machine.ROUNDING) / perTask else Double.MAX_VALUE
+        ): Double = if (perTask > 0) (free + Machine.TOLERANCE) / perTask else Double.MAX_VALUE
     }
 }
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -36,10 +36,10 @@
     val isService: Boolean = spec.kind == JobKind.SERVICE
 
     /** Priority that the job was submitted with. */
-    val ownPriority: Priority = spec.priority
+    val submittedPriority: Priority = spec.priority
 
     /** Priority that scheduling uses: the highest among the job's own and those of the open jobs that depend on it. */
-    var priority: Priority = ownPriority
+    var priority: Priority = submittedPriority
 
     /** Ids of the jobs that must finish before this one starts and are not known to have finished. */
     val unfinishedDependencies = LinkedHashSet<String>()
@@ -85,14 +85,14 @@
     // --- Tasks, on the leader only ---------------------------------------------------------------------------------
 
     /** Indices of the finished tasks, durable or not. */
-    val finished = BitSet()
+    val finishedTasks = BitSet()
 
-    /** Size of [finished]. */
+    /** Size of [finishedTasks]. */
     var finishedCount = 0
         private set
 
     /** Indices of the tasks whose completion is durable. */
-    val recorded = BitSet()
+    val recordedTasks = BitSet()
 
     /** Indices of the tasks that are finished or may be on a machine. */
     private val takenTasks = BitSet()
@@ -101,7 +101,7 @@
     /** Current attempt of each task that may be on a machine, by task index. */
     val attempts = Int2ObjectOpenHashMap<TaskAttempt>()
 
-    /** Number of running attempts, maintained by [Machine.count]. */
+    /** Number of running attempts, maintained by [Machine.adjustCounts]. */
     var runningCount = 0
 
     /** Number of tasks that wait to be started. */
@@ -117,13 +117,13 @@
     var isAccountedFor = false
 
     /** Run times of the finished tasks that the current leader saw from start to end. */
-    val runTime = RunTime()
+    val meanRunTime = MeanRunTime()
 
     /** Returns the first pending task at or after [from], or null if there is none. */
-    fun nextPending(from: Int = 0): Int? = takenTasks.nextClearBit(from).takeIf { it < spec.taskCount }
+    fun nextPendingTask(from: Int = 0): Int? = takenTasks.nextClearBit(from).takeIf { it < spec.taskCount }
 
     /** Makes [attempt] the current attempt of its task, which is then no longer pending. */
-    fun place(attempt: TaskAttempt) {
+    fun addAttempt(attempt: TaskAttempt) {
         attempts.put(attempt.index, attempt)
         markTaken(attempt.index)
     }
@@ -131,10 +131,10 @@
     /**
      * Removes [attempt], whose task is on no machine any more; the task becomes pending again unless it is finished.
      */
-    fun free(attempt: TaskAttempt) {
+    fun removeAttempt(attempt: TaskAttempt) {
         if (attempts.get(attempt.index) !== attempt) return
         attempts.remove(attempt.index)
-        if (!finished.get(attempt.index) && takenTasks.get(attempt.index)) {
+        if (!finishedTasks.get(attempt.index) && takenTasks.get(attempt.index)) {
             takenTasks.clear(attempt.index)
             takenCount--
         }
@@ -147,9 +147,9 @@
     }
 
     /** Marks the task [index] as finished. */
-    fun finish(index: Int) {
-        if (finished.get(index)) return
-        finished.set(index)
+    fun markFinished(index: Int) {
+        if (finishedTasks.get(index)) return
+        finishedTasks.set(index)
         finishedCount++
         markTaken(index)
     }
@@ -159,11 +159,11 @@
         ranges: String,
         chunk: Int,
     ) {
-        TaskRanges.decode(ranges, finished, spec.taskCount)
-        takenTasks.or(finished)
+        TaskRanges.decode(ranges, finishedTasks, spec.taskCount)
+        takenTasks.or(finishedTasks)
         takenCount = takenTasks.cardinality()
-        finishedCount = finished.cardinality()
-        recorded.or(finished)
+        finishedCount = finishedTasks.cardinality()
+        recordedTasks.or(finishedTasks)
         writtenChunks.set(chunk)
     }
 
@@ -179,10 +179,10 @@
     var lastStartAtMs = 0L
 
     /** Names of the machines on which its tasks failed, since the last task that succeeded. */
-    val errorMachines = HashSet<String>()
+    val failedMachineNames = HashSet<String>()
 
     /** Number of consecutive pauses of the job because its tasks failed on several machines. */
-    var failedAttempts = 0
+    var consecutivePauses = 0
 
     /** Returns the ms since a task of the job was last started, or since it could have been. */
     fun unservedMs(wallMs: Long): Long = wallMs - maxOf(lastStartAtMs, readyAtMs)
@@ -192,10 +192,10 @@
         isAccountedFor && !isBlockedByDependencies && !isClosing && !record.cancelRequested && pendingCount > 0 && nowMs >= pausedUntilMs
 
     /** Clears all state that only a leader has. */
-    fun forgetLeaderState() {
-        finished.clear()
+    fun clearLeaderState() {
+        finishedTasks.clear()
         finishedCount = 0
-        recorded.clear()
+        recordedTasks.clear()
         writtenChunks.clear()
         takenTasks.clear()
         takenCount = 0
@@ -206,8 +206,8 @@
         pausedUntilMs = Long.MIN_VALUE
         progressWrittenAtMs = Long.MIN_VALUE / 2
         lastStartAtMs = 0L
-        errorMachines.clear()
-        failedAttempts = 0
-        runTime.clear()
+        failedMachineNames.clear()
+        consecutivePauses = 0
+        meanRunTime.clear()
     }
 }
--- a/src/main/kotlin/ledgearch/model/JobProgress.kt
+++ b/src/main/kotlin/ledgearch/model/JobProgress.kt
@@ -3,9 +3,9 @@
 /** Progress of an open job, as shown to users. */
 internal data class JobProgress(
     /** Id of the job. */
-    val job: String,
+    val jobId: String,
     /** Number of finished tasks. */
-    val done: Int,
+    val finishedTasks: Int,
     /** Number of running tasks. */
-    val running: Int,
+    val runningTasks: Int,
 )
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -36,7 +36,7 @@
     private val isUnconfirmed: Boolean get() = isInherited && !isConfirmed
 
     /** Adds the machine to the block and counts it for the teams. */
-    fun joined() {
+    fun join() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, 1)
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** Removes the machine from the teams' counts; its attempts must have been detached. */
-    fun left() {
+    fun leave() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
     }
 
@@ -66,7 +66,7 @@
     val commandIncarnation: Long get() = if (incarnation != 0L) incarnation else maxOf(incarnationHint, 1L)
 
     /** Sequence number of the worker's newest message in this incarnation, a heartbeat or an answer to a command. */
-    var sequence = 0L
+    var lastSequence = 0L
 
     /** Sequence number of the worker's newest heartbeat in this incarnation. */
     var heartbeatSequence = 0L
@@ -81,7 +81,7 @@
     var heartbeatSentAfterMs = 0L
 
     /** Highest token that the worker is known to have seen. */
-    var token = 0L
+    var highestSeenToken = 0L
 
     /** Steady-clock ms of the last message from the worker. */
     var lastMessageAtMs = knownSinceMs
@@ -117,10 +117,10 @@
     /**
      * Number of consecutive unanswered probes, without those whose answers this node may have been too slow to read.
      */
-    var probesFailed = 0
+    var consecutiveFailedProbes = 0
 
     /** Number of all consecutive unanswered probes. */
-    var probesUnanswered = 0
+    var consecutiveUnansweredProbes = 0
         private set
 
     /** Steady-clock ms at which the first of those probes was sent; 0 without any. */
@@ -128,13 +128,13 @@
         private set
 
     /** Records that the probe sent at [sentAtMs] (steady-clock ms) was not answered. */
-    fun probeUnanswered(sentAtMs: Long) {
-        if (probesUnanswered++ == 0) unansweredSinceMs = sentAtMs
+    fun recordUnansweredProbe(sentAtMs: Long) {
+        if (consecutiveUnansweredProbes++ == 0) unansweredSinceMs = sentAtMs
     }
 
     /** Records that the worker has answered a probe. */
-    fun probeAnswered() {
-        probesUnanswered = 0
+    fun recordProbeReply() {
+        consecutiveUnansweredProbes = 0
         unansweredSinceMs = 0L
     }
 
@@ -172,13 +172,13 @@
     var startsPausedUntilMs = Long.MIN_VALUE
 
     /** Ids of the jobs whose tasks failed consecutively. */
-    val errorJobs = LinkedHashSet<String>()
+    val failedJobIds = LinkedHashSet<String>()
 
     /** Number of consecutive task failures. */
-    var consecutiveErrors = 0
+    var consecutiveFailures = 0
 
     /** Whether the machine accepts tasks and is not known to be leaving or failing. */
-    val isInService: Boolean get() = isConfirmed && !isReleasing && !isQuarantined && !isDraining && !isHeartbeatOverdue && probesFailed == 0
+    val isInService: Boolean get() = isConfirmed && !isReleasing && !isQuarantined && !isDraining && !isHeartbeatOverdue && consecutiveFailedProbes == 0
 
     // --- Attempts and resources ------------------------------------------------------------------------------------
 
@@ -194,78 +194,78 @@
     val usedCpus: Double get() = machineType.vcpus - free.cpus
 
     /** Number of attempts that wait for their image. */
-    var fetching = 0
+    var fetchingCount = 0
         private set
 
     /** Adds [attempt], which may be on the machine from now on. */
     fun attach(attempt: TaskAttempt) {
         attempts.put(attempt.number, attempt)
         attempt.isAttached = true
-        count(attempt, 1)
+        adjustCounts(attempt, 1)
     }
 
     /** Removes [attempt], which is proven not to be on the machine any more. */
     fun detach(attempt: TaskAttempt) {
         if (!attempt.isAttached) return
         attempts.remove(attempt.number)
-        count(attempt, -1)
+        adjustCounts(attempt, -1)
         attempt.isAttached = false
     }
 
     /** Applies [change] to [attempt] and updates the counts that depend on it. */
-    inline fun updateCounted(
+    inline fun updateCounts(
         attempt: TaskAttempt,
         change: () -> Unit,
     ) {
-        if (attempt.isAttached) count(attempt, -1)
+        if (attempt.isAttached) adjustCounts(attempt, -1)
         change()
-        if (attempt.isAttached) count(attempt, 1)
+        if (attempt.isAttached) adjustCounts(attempt, 1)
     }
 
     /**
      * Adds [attempt] to the counts with [sign] 1, or removes it with -1. The counts are maintained incrementally
      * because recounting the whole block for each heartbeat would cost too much.
      */
-    fun count(
+    fun adjustCounts(
         attempt: TaskAttempt,
         sign: Int,
     ) {
         if (attempt.isExited) return
-        if (waitsForImage(attempt)) fetching += sign
+        if (waitsForImage(attempt)) fetchingCount += sign
         if (attempt.state == AttemptState.RUNNING) attempt.job?.let { it.runningCount += sign }
-        if (sign > 0) free.take(attempt.job) else free.give(attempt.job)
-        teams.count(attempt, sign)
+        if (sign > 0) free.take(attempt.job) else free.release(attempt.job)
+        teams.adjustUsage(attempt, sign)
     }
 
     private fun waitsForImage(attempt: TaskAttempt): Boolean =
         attempt.state == AttemptState.FETCHING || attempt.state == AttemptState.ASSIGNED
 
     /** Returns whether the counts equal a recount. */
-    fun countsHold(): Boolean {
+    fun hasConsistentCounts(): Boolean {
         val recount = FreeResources(machineType)
         val present = attempts.values.filter { !it.isExited }
         present.forEach { recount.take(it.job) }
-        return free.isAbout(recount) && fetching == present.count { waitsForImage(it) }
+        return free.approximatelyEquals(recount) && fetchingCount == present.count { waitsForImage(it) }
     }
 
     /** Returns whether one more task of [job] fits, by resources and by number of tasks. */
     fun hasRoom(job: Job): Boolean = attempts.size < ModelTuning.MACHINE_TASKS && free.fits(job)
 
     /** Returns whether a task of [job] would fit once all tasks that end by themselves have ended. */
-    fun couldTake(job: Job): Boolean {
+    fun couldFit(job: Job): Boolean {
         val free = FreeResources(machineType)
         for (attempt in attempts.values) if (!attempt.isExited && attempt.job?.isService != false) free.take(attempt.job)
         return free.fits(job)
     }
 
     /** Returns a copy of the free resources. */
-    fun roomLeft(): FreeResources = free.copy()
+    fun copyFreeResources(): FreeResources = free.copy()
 
-    /** Returns how many more tasks of [job] fit, at most [most]. */
+    /** Returns how many more tasks of [job] fit, at most [maxTasks]. */
     fun roomFor(
         job: Job,
-        most: Int,
-    ): Int = free.count(job, most)
+        maxTasks: Int,
+    ): Int = free.countFitting(job, maxTasks)
 
     /** Returns whether tasks of [job] may run on this machine by its type, zone and kind. */
     fun allows(job: Job): Boolean = job.allows(machineType, zone, spot)
@@ -273,48 +273,48 @@
     // --- Images ----------------------------------------------------------------------------------------------------
 
     /** Images that are on the machine or being fetched, with their size in gigabytes, in the order of last use. */
-    val images = LinkedHashMap<String, Double>()
+    val imageSizesGb = LinkedHashMap<String, Double>()
 
     /** Images that are known to be on the machine because a task that needs them has run here. */
-    val fetched = HashSet<String>()
+    val fetchedImages = HashSet<String>()
 
-    /** Returns whether the image is on the machine: [IMAGE_PRESENT], [IMAGE_COMING] or [IMAGE_ABSENT]. */
+    /** Returns whether the image is on the machine: [IMAGE_PRESENT], [IMAGE_FETCHING] or [IMAGE_ABSENT]. */
     fun imageDistance(image: String): Int =
         when (image) {
-            !in images -> IMAGE_ABSENT
-            in fetched -> IMAGE_PRESENT
-            else -> IMAGE_COMING
+            !in imageSizesGb -> IMAGE_ABSENT
+            in fetchedImages -> IMAGE_PRESENT
+            else -> IMAGE_FETCHING
         }
 
     /**
      * Records a use of [image], which has [gb] gigabytes, and removes the least recently used images as long as the
      * disk is too small for all.
      */
-    fun touchImage(
+    fun recordImageUse(
         image: String,
         gb: Double,
     ) {
-        images.remove(image)
-        images[image] = gb
-        var total = images.values.sum()
-        val oldest = images.entries.iterator()
-        while (total > machineType.diskGb && images.size > 1 && oldest.hasNext()) {
+        imageSizesGb.remove(image)
+        imageSizesGb[image] = gb
+        var total = imageSizesGb.values.sum()
+        val oldest = imageSizesGb.entries.iterator()
+        while (total > machineType.diskGb && imageSizesGb.size > 1 && oldest.hasNext()) {
             val (name, size) = oldest.next()
             total -= size
-            fetched.remove(name)
+            fetchedImages.remove(name)
             oldest.remove()
         }
     }
 
     companion object {
         /** Tolerance for comparing sums of decimal amounts. */
-        const val ROUNDING = 1e-6
+        const val TOLERANCE = 1e-6
 
         /** The image is on the machine. */
         const val IMAGE_PRESENT = 0
 
         /** The image is being fetched. */
-        const val IMAGE_COMING = 1
+        const val IMAGE_FETCHING = 1
 
         /** The image is neither on the machine nor being fetched. */
         const val IMAGE_ABSENT = 2
--- /dev/null
+++ b/src/main/kotlin/ledgearch/model/MeanRunTime.kt
@@ -0,0 +1,24 @@
+package ledgearch.model
+
+/** Running mean of the run times of a job's finished tasks. */
+internal class MeanRunTime {
+    /** Number of tasks in the mean. */
+    var taskCount = 0
+        private set
+
+    /** Mean run time in seconds; 0 when there are no [taskCount]. */
+    var seconds = 0.0
+        private set
+
+    /** Adds a task that ran for [taskSeconds]. */
+    fun add(taskSeconds: Double) {
+        taskCount++
+        seconds += (taskSeconds - seconds) / taskCount
+    }
+
+    /** Removes all tasks. */
+    fun clear() {
+        taskCount = 0
+        seconds = 0.0
+    }
+}
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -4,7 +4,7 @@
 
 /**
  * One attempt to run a task on a machine, from the placement until the attempt is proven to be gone. Its machine and
- * its team count it by [state] and [stop]; a change of either updates those counts.
+ * its team count it by [state] and [stopMode]; a change of either updates those counts.
  */
 internal class TaskAttempt(
     /** Null if the job is not open; the attempt is then stopped and cleared. */
@@ -29,16 +29,16 @@
     /** Last known state; a change updates the counts. */
     var state = AttemptState.ASSIGNED
         set(value) {
-            if (value != field) machine.updateCounted(this) { field = value }
+            if (value != field) machine.updateCounts(this) { field = value }
         }
 
     /** Cause of the exit; null before the exit, or if the worker gave no cause. */
-    var cause: ExitCause? = null
+    var exitCause: ExitCause? = null
 
     /** How the worker is to stop the attempt; a change updates the counts. */
-    var stop = StopMode.NONE
+    var stopMode = StopMode.NONE
         set(value) {
-            if (value != field) machine.updateCounted(this) { field = value }
+            if (value != field) machine.updateCounts(this) { field = value }
         }
 
     /** Steady-clock ms at which the task began to run; 0 before. */
@@ -51,10 +51,10 @@
     val isExited: Boolean get() = state == AttemptState.EXITED
 
     /** Whether the task is finished. */
-    val isFinished: Boolean get() = isExited && cause == ExitCause.DONE
+    val isFinished: Boolean get() = isExited && exitCause == ExitCause.DONE
 
     /** Whether the attempt may be on its machine and is not to be stopped. */
-    val continues: Boolean get() = !isExited && stop == StopMode.NONE
+    val continues: Boolean get() = !isExited && stopMode == StopMode.NONE
 
     // --- Messages to and from the worker ---------------------------------------------------------------------------
 
@@ -68,7 +68,7 @@
      * Sequence number of the last heartbeat whose answer carried the start command. A later heartbeat proves that the
      * worker has received that answer or never will.
      */
-    var sentInReplyTo = 0L
+    var startHeartbeatSequence = 0L
 
     /** Whether a direct command with the start is in flight. */
     var isStartInFlight = false
@@ -77,15 +77,15 @@
      * Token of a direct start command that was never answered, or 0. The worker may still execute that command until it
      * is known to have seen a higher token or has begun a new incarnation.
      */
-    var unacknowledgedToken = 0L
+    var unacknowledgedStartToken = 0L
 
     /** Whether the worker may forget the attempt without a loss. */
-    val isClearable: Boolean get() = isExited && (!isFinished || job == null || job.isClosed || job.recorded.get(index))
+    val isClearable: Boolean get() = isExited && (!isFinished || job == null || job.isClosed || job.recordedTasks.get(index))
 
     /**
      * Returns whether no start of this attempt is still in flight, given the sequence number of the worker's last
      * heartbeat. Until then, a `clear` command could let the attempt start a second time.
      */
     fun isSettled(lastReportSequence: Long): Boolean =
-        !isStartInFlight && unacknowledgedToken == 0L && lastReportSequence > sentInReplyTo
+        !isStartInFlight && unacknowledgedStartToken == 0L && lastReportSequence > startHeartbeatSequence
 }
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -9,7 +9,7 @@
  * Upper bound on the resources that each team's tasks may use, and whether more tasks may start. A team has a quota,
  * the most that its tasks may use at one time ([Team.cpusMax], [Team.gpusMax]), and within it a guaranteed share
  * ([Team.cpus], [Team.gpus]). Usage beyond that share is surplus. Amounts are in processors and accelerators;
- * comparisons allow a difference of [Machine.ROUNDING].
+ * comparisons allow a difference of [Machine.TOLERANCE].
  */
 internal class TeamQuotas(
     teams: List<Team>,
@@ -31,7 +31,7 @@
      * Sets [Job.isGuaranteed] for those of [jobs] that fit into their team's guaranteed share together with the team's
      * earlier open jobs.
      */
-    fun countGuarantees(jobs: Collection<Job>) {
+    fun updateGuarantees(jobs: Collection<Job>) {
         val guaranteedByTeam = HashMap<String, ResourceSum>()
         for (job in jobs.sortedBy { it.readyAtMs }) {
             if (job.isBlockedByDependencies) {
@@ -48,15 +48,15 @@
     /**
      * Adds [attempt] ([sign] 1) or removes it (-1). It counts towards its team's quota even while it is being stopped.
      */
-    fun count(
+    fun adjustUsage(
         attempt: TaskAttempt,
         sign: Int,
     ) {
         val job = attempt.job ?: return ownerless.add(attempt.machine.machineType, sign)
-        if (attempt.stop == StopMode.NONE) continuing[job.priority.ordinal] += sign
+        if (attempt.stopMode == StopMode.NONE) continuing[job.priority.ordinal] += sign
         val usage = usages[job.spec.team] ?: return
         usage.used.addTasks(job, sign)
-        if (attempt.stop == StopMode.NONE) usage.continuing.addTasks(job, sign)
+        if (attempt.stopMode == StopMode.NONE) usage.continuing.addTasks(job, sign)
     }
 
     /**
@@ -92,22 +92,22 @@
     }
 
     /** Returns whether the counts equal a recount of [machines]. */
-    fun countsHold(machines: Collection<Machine>): Boolean {
+    fun hasConsistentCounts(machines: Collection<Machine>): Boolean {
         val recount = TeamQuotas(usages.values.map { it.team })
         for (machine in machines) {
             if (machine.isInherited && !machine.isConfirmed) recount.countUnconfirmed(machine.machineType, 1)
-            for (attempt in machine.attempts.values) if (!attempt.isExited) recount.count(attempt, 1)
+            for (attempt in machine.attempts.values) if (!attempt.isExited) recount.adjustUsage(attempt, 1)
         }
-        return abs(ownerless.cpus - recount.ownerless.cpus) <= Machine.ROUNDING &&
-            abs(unconfirmed.cpus - recount.unconfirmed.cpus) <= Machine.ROUNDING &&
+        return abs(ownerless.cpus - recount.ownerless.cpus) <= Machine.TOLERANCE &&
+            abs(unconfirmed.cpus - recount.unconfirmed.cpus) <= Machine.TOLERANCE &&
             continuing.contentEquals(recount.continuing) &&
-            usages.all { (name, usage) -> recount.usages[name]?.let(usage::isAbout) == true }
+            usages.all { (name, usage) -> recount.usages[name]?.let(usage::approximatelyEquals) == true }
     }
 
     // --- Queries ---------------------------------------------------------------------------------------------------
 
     /** Returns whether any attempt of a lower priority than that of [job] continues. */
-    fun anyLowerPriority(job: Job): Boolean =
+    fun hasLowerPriorityAttempts(job: Job): Boolean =
         (job.priority.ordinal + 1 until continuing.size).any { continuing[it] > 0 }
 
     /**
@@ -118,19 +118,19 @@
         val usage = usages[job.spec.team] ?: return false
         val cpus = usage.used.cpus + ownerless.cpus + minOf(unconfirmed.cpus, usage.unfound.cpus)
         val gpus = usage.used.gpus + ownerless.gpus + minOf(unconfirmed.gpus, usage.unfound.gpus)
-        return cpus + job.spec.vcpus <= usage.team.cpusMax + Machine.ROUNDING &&
-            gpus + job.spec.accelerators <= usage.team.gpusMax + Machine.ROUNDING
+        return cpus + job.spec.vcpus <= usage.team.cpusMax + Machine.TOLERANCE &&
+            gpus + job.spec.accelerators <= usage.team.gpusMax + Machine.TOLERANCE
     }
 
     /** Returns whether [job] is guaranteed and [more] more of its tasks fit into its team's guaranteed share. */
-    fun mayClaim(
+    fun mayClaimGuarantee(
         job: Job,
         more: Int,
     ): Boolean {
         val usage = usages[job.spec.team] ?: return false
         return job.isGuaranteed &&
-            usage.continuing.cpus + more * job.spec.vcpus <= usage.team.cpus + Machine.ROUNDING &&
-            usage.continuing.gpus + more * job.spec.accelerators <= usage.team.gpus + Machine.ROUNDING
+            usage.continuing.cpus + more * job.spec.vcpus <= usage.team.cpus + Machine.TOLERANCE &&
+            usage.continuing.gpus + more * job.spec.accelerators <= usage.team.gpus + Machine.TOLERANCE
     }
 
     /**
@@ -145,17 +145,17 @@
         val usage = usages[job.spec.team] ?: return false
         val selectedOfTeam = selected.filter { it.spec.team == job.spec.team }
         return usage.continuing.cpus - job.spec.vcpus - selectedOfTeam.sumOf { it.spec.vcpus } >=
-            usage.team.cpus - Machine.ROUNDING &&
+            usage.team.cpus - Machine.TOLERANCE &&
             usage.continuing.gpus - job.spec.accelerators - selectedOfTeam.sumOf { it.spec.accelerators } >=
-            usage.team.gpus - Machine.ROUNDING
+            usage.team.gpus - Machine.TOLERANCE
     }
 
     /**
      * Returns how many more tasks of [job] its team's quota allows once all attempts that are being stopped are gone.
      */
-    fun roomOnceStopped(job: Job): Int {
+    fun roomAfterStops(job: Job): Int {
         val usage = usages[job.spec.team] ?: return 0
-        return FreeResources.tasks(
+        return FreeResources.taskCapacity(
             usage.team.cpusMax - usage.continuing.cpus,
             job.spec.vcpus,
             usage.team.gpusMax - usage.continuing.gpus,
@@ -170,7 +170,7 @@
         promised: Double = 0.0,
     ): Int {
         val usage = usages[job.spec.team] ?: return 0
-        return FreeResources.tasks(
+        return FreeResources.taskCapacity(
             usage.team.cpusMax - usage.used.cpus - promised,
             job.spec.vcpus,
             usage.team.gpusMax - usage.used.gpus,
@@ -214,10 +214,10 @@
         fun isWithin(
             cpusMax: Double,
             gpusMax: Double,
-        ): Boolean = cpus <= cpusMax + Machine.ROUNDING && gpus <= gpusMax + Machine.ROUNDING
+        ): Boolean = cpus <= cpusMax + Machine.TOLERANCE && gpus <= gpusMax + Machine.TOLERANCE
 
-        fun isAbout(other: ResourceSum): Boolean =
-            abs(cpus - other.cpus) <= Machine.ROUNDING && abs(gpus - other.gpus) <= Machine.ROUNDING
+        fun approximatelyEquals(other: ResourceSum): Boolean =
+            abs(cpus - other.cpus) <= Machine.TOLERANCE && abs(gpus - other.gpus) <= Machine.TOLERANCE
     }
 
     /** Resources used by the tasks of one team. */
@@ -239,6 +239,6 @@
             continuing.set(0.0)
         }
 
-        fun isAbout(other: TeamUsage): Boolean = used.isAbout(other.used) && continuing.isAbout(other.continuing)
+        fun approximatelyEquals(other: TeamUsage): Boolean = used.approximatelyEquals(other.used) && continuing.approximatelyEquals(other.continuing)
     }
 }
--- a/src/main/kotlin/ledgearch/model/ZoneSpread.kt
+++ b/src/main/kotlin/ledgearch/model/ZoneSpread.kt
@@ -25,15 +25,15 @@
         if (count > 0) tasksByZone.merge(zone, count, Int::plus)
     }
 
-    /** Returns how many more tasks [zone] may have, at most [most]. */
+    /** Returns how many more tasks [zone] may have, at most [maxTasks]. */
     fun room(
         zone: String,
-        most: Int,
+        maxTasks: Int,
     ): Int =
         when {
             job.spec.singleZone && tasksByZone.keys.any { it != zone } -> 0
-            job.spec.spreadZones -> minOf(most, halfOfTasks() - (tasksByZone[zone] ?: 0)).coerceAtLeast(0)
-            else -> most
+            job.spec.spreadZones -> minOf(maxTasks, halfOfTasks() - (tasksByZone[zone] ?: 0)).coerceAtLeast(0)
+            else -> maxTasks
         }
 
     /** Returns whether [zone] may have one more task. */
--- a/src/main/kotlin/ledgearch/peers/Frames.kt
+++ b/src/main/kotlin/ledgearch/peers/Frames.kt
@@ -43,7 +43,7 @@
     fun encode(status: LeaderStatus): ByteString {
         val body = Buffer()
         status.served?.let { writeEntry(body, JOBLESS_ID, if (it) 1 else 0, 0) }
-        status.progress.forEach { writeEntry(body, it.job, it.done, it.running) }
+        status.progress.forEach { writeEntry(body, it.jobId, it.finishedTasks, it.runningTasks) }
         status.zones.forEach { writeZone(body, it) }
         val frame = Buffer().writeInt(FrameHeader.encode(FrameKind.STATUS, body.size.toInt()))
         frame.writeAll(body)
@@ -72,8 +72,8 @@
         while (!body.exhausted()) {
             val entry = readEntry(body)
             when {
-                entry.job.isEmpty() -> served = entry.done != 0
-                entry.job.startsWith(ZONE_PREFIX) -> zoneOf(entry)?.let(zones::add)
+                entry.jobId.isEmpty() -> served = entry.finishedTasks != 0
+                entry.jobId.startsWith(ZONE_PREFIX) -> zoneOf(entry)?.let(zones::add)
                 else -> progress.add(entry)
             }
         }
@@ -91,10 +91,10 @@
 
     /** Null for a state that this version does not know, or a share out of range. */
     private fun zoneOf(entry: JobProgress): ZoneStatus? {
-        val state = ZoneState.of(entry.done ushr PENALTY_BITS) ?: return null
-        if (entry.running !in 0..THOUSANDTHS) return null
-        val penalty = (entry.done and PENALTY_MASK).toDouble() / THOUSANDTHS
-        return ZoneStatus(entry.job.removePrefix(ZONE_PREFIX), state, penalty, entry.running.toDouble() / THOUSANDTHS)
+        val state = ZoneState.of(entry.finishedTasks ushr PENALTY_BITS) ?: return null
+        if (entry.runningTasks !in 0..THOUSANDTHS) return null
+        val penalty = (entry.finishedTasks and PENALTY_MASK).toDouble() / THOUSANDTHS
+        return ZoneStatus(entry.jobId.removePrefix(ZONE_PREFIX), state, penalty, entry.runningTasks.toDouble() / THOUSANDTHS)
     }
 
     private fun writeEntry(
--- a/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
@@ -61,7 +61,7 @@
         val tasksByChunk =
             unwrittenChunks(
                 job,
-            ).take(maxChunks).associateWith { job.finished.within(chunks.tasksOf(it)) }
+            ).take(maxChunks).associateWith { job.finishedTasks.within(chunks.tasksOf(it)) }
         if (tasksByChunk.isEmpty()) return null
         // A write may take effect even if it is never answered, so its records have to be removed with the job.
         tasksByChunk.keys.forEach(job.writtenChunks::set)
@@ -83,8 +83,8 @@
 
     /** Returns the chunks with finished tasks that are not known to be durable. */
     private fun unwrittenChunks(job: Job): List<Int> {
-        val tasks = job.finished.clone() as BitSet
-        tasks.andNot(job.recorded)
+        val tasks = job.finishedTasks.clone() as BitSet
+        tasks.andNot(job.recordedTasks)
         return tasks
             .stream()
             .map(chunks::chunkOf)
@@ -98,9 +98,9 @@
         tasksByChunk: Map<Int, BitSet>,
     ) {
         job.progressWrittenAtMs = clock.steadyMs
-        tasksByChunk.values.forEach(job.recorded::or)
+        tasksByChunk.values.forEach(job.recordedTasks::or)
         // If the job has ended in the meantime, nothing else would remove these records.
         if (jobStore.jobs[job.id] !== job) tasksByChunk.keys.forEach { removals.add(Keys.finished(job.id, it)) }
-        if (job.finished == job.recorded) jobs.remove(job.id)
+        if (job.finishedTasks == job.recordedTasks) jobs.remove(job.id)
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
+++ b/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
@@ -29,17 +29,17 @@
     /** [attempt] is gone with its machine. */
     fun lost(attempt: TaskAttempt) {
         val job = attempt.job ?: return
-        if (job.isClosed || job.record.cancelRequested || job.finished.get(attempt.index)) return
+        if (job.isClosed || job.record.cancelRequested || job.finishedTasks.get(attempt.index)) return
         displaced(job).waitingTasks.add(attempt.index)
     }
 
     /** All tasks of [job] that wait: a leader that took over after the loss can't tell which of them ran before. */
     fun allWaitingOf(job: Job) {
-        var index = job.nextPending() ?: return
+        var index = job.nextPendingTask() ?: return
         val waitingTasks = displaced(job).waitingTasks
         while (true) {
             waitingTasks.add(index)
-            index = job.nextPending(index + 1) ?: return
+            index = job.nextPendingTask(index + 1) ?: return
         }
     }
 
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -152,7 +152,7 @@
         machine: Machine,
         job: Job,
     ) = machine.imageDistance(job.spec.image) != Machine.IMAGE_ABSENT ||
-        machine.fetching < RecoveryTuning.MAX_FETCHES_PER_MACHINE
+        machine.fetchingCount < RecoveryTuning.MAX_FETCHES_PER_MACHINE
 
     override fun mayStart(job: Job): Boolean {
         if (!isPaced(job)) return true
--- a/src/main/kotlin/ledgearch/scheduling/CandidateRating.kt
+++ b/src/main/kotlin/ledgearch/scheduling/CandidateRating.kt
@@ -25,7 +25,7 @@
         if (job.isService) candidate.replicaCount = job.attempts.values.count { it.machine === machine }
         candidate.imageRank = imageRank(machine, imageDistance)
         candidate.pricingRank = if (machine.spot == prefersSpot) 0 else 1
-        candidate.pendingFetches = if (imageDistance == Machine.IMAGE_ABSENT) machine.fetching else 0
+        candidate.pendingFetches = if (imageDistance == Machine.IMAGE_ABSENT) machine.fetchingCount else 0
         // One lost task delays the whole job, and a job on fewer spot machines is hit by a loss less often.
         candidate.spotRoomRank = if (machine.spot && !job.isService) -machine.roomFor(job, pendingTasks) else 0
         candidate.freeCpus = machine.machineType.vcpus - machine.usedCpus
@@ -39,18 +39,18 @@
             isLatencySensitive -> imageDistance
 
             // Only a present image lets a replica start at once; otherwise spreading the replicas ranks higher.
-            job.isService -> minOf(imageDistance, Machine.IMAGE_COMING)
+            job.isService -> minOf(imageDistance, Machine.IMAGE_FETCHING)
 
             else -> countLatencySensitiveImages(machine)
         }
 
     private fun countLatencySensitiveImages(machine: Machine): Int =
-        if (machine.fetched.isEmpty()) {
+        if (machine.fetchedImages.isEmpty()) {
             0
         } else {
             latencySensitiveImages.count {
                 it in
-                    machine.fetched
+                    machine.fetchedImages
             }
         }
 }
--- a/src/main/kotlin/ledgearch/scheduling/Preemption.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Preemption.kt
@@ -40,7 +40,7 @@
                 val isServedSoon =
                     ranking.canWait(job, SchedulingTuning.MAX_PREEMPTION_DELAY_S) && expectedCpus >= wantedCpus
                 expectedCpus -= wantedCpus
-                !isServedSoon && (teams.anyLowerPriority(job) || rules.mayClaimGuarantee(job, 1))
+                !isServedSoon && (teams.hasLowerPriorityAttempts(job) || rules.mayClaimGuarantee(job, 1))
             }
         if (claimants.isEmpty()) return
         serve(claimants, usable, running, PreemptionMode.ANY_MACHINE)
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionCandidate.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionCandidate.kt
@@ -13,9 +13,9 @@
      * waiting tasks. The pass updates them.
      */
     val freeAfterStops: FreeResources =
-        machine.roomLeft().apply {
+        machine.copyFreeResources().apply {
             for (attempt in machine.attempts.values) {
-                if (!attempt.isExited && !attempt.continues) give(attempt.job)
+                if (!attempt.isExited && !attempt.continues) release(attempt.job)
             }
         }
 
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionPass.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionPass.kt
@@ -88,7 +88,7 @@
             val allowedZones = allZones.filterTo(HashSet()) { zoneSpread.allows(it) }
             // A search of image holders only does not show that the other machines have no room.
             if (!mode.onlyImageHolders && unplaceableAtLevel.covers(job, allowedZones)) return false
-            val isQuotaLeft = assignedCount < teams.roomOnceStopped(job)
+            val isQuotaLeft = assignedCount < teams.roomAfterStops(job)
             val quotaVictim = if (isQuotaLeft) null else quotaVictims.next() ?: return false
             val search = getOrCreateSearch(claimsGuarantee)
             val candidate = search.next()
@@ -120,7 +120,7 @@
         }
 
         private fun preemptForQuota(quotaVictim: QuotaVictim) {
-            quotaVictim.candidate.freeAfterStops.give(quotaVictim.victim.job)
+            quotaVictim.candidate.freeAfterStops.release(quotaVictim.victim.job)
             preempt(quotaVictim.victim.attempt, job)
         }
 
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
@@ -15,7 +15,7 @@
     fun mayClaimGuarantee(
         job: Job,
         tasks: Int,
-    ): Boolean = ranking.mayClaimGuarantee(job) && teams.mayClaim(job, tasks)
+    ): Boolean = ranking.mayClaimGuarantee(job) && teams.mayClaimGuarantee(job, tasks)
 
     /**
      * Returns whether [job] may preempt tasks of [victim]: those of a lower priority and, if [claimsGuarantee], the
--- a/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
@@ -21,7 +21,7 @@
     private class Destination(
         val machine: Machine,
     ) {
-        val free: FreeResources = machine.roomLeft()
+        val free: FreeResources = machine.copyFreeResources()
     }
 
     /**
@@ -47,7 +47,7 @@
     private fun hasSettled(replica: TaskAttempt): Boolean =
         replica.state == AttemptState.RUNNING &&
             clock.steadyMs - replica.runningSinceMs > SchedulingTuning.MIN_REPLICA_RUN_MS &&
-            replica.stop == StopMode.NONE
+            replica.stopMode == StopMode.NONE
 
     private fun destinationFor(
         job: Job,
--- a/src/main/kotlin/ledgearch/scheduling/ResourceSearch.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ResourceSearch.kt
@@ -90,7 +90,7 @@
 
     private fun preemptAll(set: VictimSet) {
         for (victim in set.victims) {
-            set.candidate.freeAfterStops.give(victim.job)
+            set.candidate.freeAfterStops.release(victim.job)
             preempt(victim.attempt, job)
         }
     }
--- a/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
@@ -33,7 +33,7 @@
         job: Job,
         seconds: Double,
     ) {
-        job.runTime.add(seconds)
+        job.meanRunTime.add(seconds)
         if (job.spec.estimatedRunS <= 0 || seconds <= 0) return
         // Every job has the same weight, however many tasks it has.
         val taskWeight = 1.0 / job.spec.taskCount
@@ -62,7 +62,7 @@
 
     /** Returns the estimated run time of a task of [job] in seconds. */
     fun expectedRunTimeS(job: Job): Double {
-        if (job.runTime.tasks > 0) return job.runTime.mean
+        if (job.meanRunTime.taskCount > 0) return job.meanRunTime.seconds
         val mean = runningMeanErrors[job.spec.jobClass] ?: return job.spec.estimatedRunS
         // The prior, that owners are right on average, has the weight of one job.
         return job.spec.estimatedRunS * exp(mean.logRatio * mean.weight / (mean.weight + 1.0))
--- a/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
@@ -130,7 +130,7 @@
     private fun onDemandGain(job: Job): Double {
         val runS = estimates.expectedRunTimeS(job)
         val factors =
-            if (job.runTime.tasks > 0) {
+            if (job.meanRunTime.taskCount > 0) {
                 SchedulingTuning.OBSERVED_RUN_TIME_FACTORS
             } else {
                 SchedulingTuning.ESTIMATED_RUN_TIME_FACTORS
--- a/src/main/kotlin/ledgearch/scheduling/StarvedJobReservations.kt
+++ b/src/main/kotlin/ledgearch/scheduling/StarvedJobReservations.kt
@@ -44,7 +44,7 @@
         val zoneSpread = ZoneSpread(job)
         val machine =
             available
-                .filter { it.allows(job) && zoneSpread.allows(it.zone) && it.couldTake(job) }
+                .filter { it.allows(job) && zoneSpread.allows(it.zone) && it.couldFit(job) }
                 .minByOrNull { it.usedCpus } ?: return null
         reservations[job] = Reservation(machine, clock.steadyMs + SchedulingTuning.RESERVATION_MS)
         return machine
--- a/src/main/kotlin/ledgearch/scheduling/TaskStarter.kt
+++ b/src/main/kotlin/ledgearch/scheduling/TaskStarter.kt
@@ -45,7 +45,7 @@
         val candidates = Candidates(job, fitting, createRating(job))
         val zoneSpread = ZoneSpread(job)
         while (job.pendingCount > keepPending && teams.allows(job) && recovery.mayStart(job)) {
-            val index = job.nextPending() ?: break
+            val index = job.nextPendingTask() ?: break
             val isStarted =
                 candidates.startOnBest(zoneSpread) { machine ->
                     queues.unbindStarted(job, machine)
--- a/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
+++ b/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
@@ -11,6 +11,6 @@
     isDurable && isConfirmed && !isQuarantined && !isDraining && !isReleasing &&
         !isUnreachable &&
         !isHeartbeatOverdue &&
-        probesFailed == 0 &&
+        consecutiveFailedProbes == 0 &&
         preemptionAtMs == 0L &&
         clock.steadyMs >= startsPausedUntilMs
--- a/src/main/kotlin/ledgearch/scheduling/VictimSelector.kt
+++ b/src/main/kotlin/ledgearch/scheduling/VictimSelector.kt
@@ -30,7 +30,7 @@
             if (!mayPreempt(victim) || !canTeamSpare(victim, selected)) continue
             val victims = selected ?: ArrayList<PreemptionVictim>().also { selected = it }
             victims.add(victim)
-            free.give(victim.job)
+            free.release(victim.job)
             if (free.fits(job)) break
         }
         val victims = selected ?: return null
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -72,8 +72,8 @@
     ) {
         // Written so that a NaN is out of range.
         if (!(image.gigabytes >= 0.0) || image.gigabytes.isInfinite()) return
-        machine.touchImage(image.name, image.gigabytes)
-        if (image.fetched && image.name in machine.images) machine.fetched.add(image.name)
+        machine.recordImageUse(image.name, image.gigabytes)
+        if (image.fetched && image.name in machine.imageSizesGb) machine.fetchedImages.add(image.name)
     }
 
     private fun useRunTime(
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -62,6 +62,6 @@
             machine.incarnation,
             machine.isReleasing,
             machine.attempts.values.map { AttemptSnapshot(it.taskId, it.number, it.state) },
-            machine.images.map { (name, gigabytes) -> CachedImage(name, gigabytes, name in machine.fetched) },
+            machine.imageSizesGb.map { (name, gigabytes) -> CachedImage(name, gigabytes, name in machine.fetchedImages) },
         )
 }
