--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -27,7 +27,11 @@
      * command to the machine is in flight, before its next probe is due, or while too many probes are in flight.
      */
     fun probe(machine: Machine) {
-        if (machine.isCommandInFlight || clock.steadyMs < machine.nextProbeAtMs || probesInFlight >= maxConcurrentProbes) return
+        if (machine.isCommandInFlight || clock.steadyMs < machine.nextProbeAtMs ||
+            probesInFlight >= maxConcurrentProbes
+        ) {
+            return
+        }
         if (!machine.isConfirmed && isHeartbeatExpected(machine)) return
         send(machine)
     }
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -54,7 +54,8 @@
         checkOverdue()
     }
 
-    private fun isReporting(machine: Machine) = (machine.isConfirmed || !machine.isInherited) && !silence.isSilent(machine)
+    private fun isReporting(machine: Machine) =
+        (machine.isConfirmed || !machine.isInherited) && !silence.isSilent(machine)
 
     /**
      * Disregards most of what [machine] left unanswered while its zone was partitioned. One failed probe stays counted,
@@ -173,7 +174,8 @@
             clock.steadyMs - machine.lastHeartbeatAtMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS
 
     private fun failsProbes(machine: Machine) =
-        !machine.isReleasing && machine.isConfirmed && machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE
+        !machine.isReleasing && machine.isConfirmed &&
+            machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE
 
     /**
      * Returns whether most machines, and one in the zone of [machine], were heard since its heartbeat was due. The
--- a/src/main/kotlin/ledgearch/agents/TaskCommands.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskCommands.kt
@@ -36,12 +36,19 @@
         attempt: TaskAttempt,
     ) = TaskCommand(kind, attempt.taskId, attempt.number)
 
-    private fun mayClear(attempt: TaskAttempt) = attempt.isClearable && attempt.isSettled(attempt.machine.heartbeatSequence)
+    private fun mayClear(attempt: TaskAttempt) =
+        attempt.isClearable && attempt.isSettled(attempt.machine.heartbeatSequence)
 
     /** Returns the stop command for [attempt], or null while it saves the checkpoint that an earlier stop asked for. */
     private fun stopCommand(attempt: TaskAttempt): TaskCommand? {
         val graceS =
-            if (attempt.stopMode == StopMode.CHECKPOINT_FIRST) attempt.job?.spec?.checkpointS ?: NO_GRACE_S else NO_GRACE_S
+            if (attempt.stopMode ==
+                StopMode.CHECKPOINT_FIRST
+            ) {
+                attempt.job?.spec?.checkpointS ?: NO_GRACE_S
+            } else {
+                NO_GRACE_S
+            }
         if (attempt.state == AttemptState.SAVING && graceS != NO_GRACE_S) return null
         return TaskCommand(CommandKind.STOP, attempt.taskId, attempt.number, graceS)
     }
--- a/src/main/kotlin/ledgearch/agents/TaskFailures.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskFailures.kt
@@ -80,7 +80,8 @@
         recordWriter.putMachine(machine)
     }
 
-    private fun hasFailedSeveralJobs(machine: Machine) = machine.failedJobIds.size >= AgentTuning.FAILURES_FOR_QUARANTINE
+    private fun hasFailedSeveralJobs(machine: Machine) =
+        machine.failedJobIds.size >= AgentTuning.FAILURES_FOR_QUARANTINE
 
     private fun hasFailedCompletableJob(
         machine: Machine,
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -80,7 +80,8 @@
         val id = report.taskId.substringBefore('/')
         val index = report.taskId.substringAfter('/', "").toIntOrNull() ?: NO_INDEX
         val job = jobStore.jobs[id]?.takeIf { index in 0 until it.spec.taskCount && !it.attempts.containsKey(index) }
-        val attempt = TaskAttempt(job, report.taskId, index, report.attempt, machine, clock.steadyMs, isInherited = true)
+        val attempt =
+            TaskAttempt(job, report.taskId, index, report.attempt, machine, clock.steadyMs, isInherited = true)
         machine.attach(attempt)
         if (job == null) {
             attempt.stopMode = StopMode.AT_ONCE
@@ -150,11 +151,26 @@
         )
         val job = attempt.job ?: return
         when (cause) {
-            ExitCause.DONE -> finishTask(attempt, job)
-            ExitCause.ERROR -> failures.recordFailure(machine, job)
-            ExitCause.FULL, ExitCause.BUSY -> machine.startsPausedUntilMs = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
-            ExitCause.UNKNOWN_TASK -> job.pausedUntilMs = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
-            ExitCause.STOPPED, ExitCause.UNRECOGNIZED, null -> Unit
+            ExitCause.DONE -> {
+                finishTask(attempt, job)
+            }
+
+            ExitCause.ERROR -> {
+                failures.recordFailure(machine, job)
+            }
+
+            ExitCause.FULL, ExitCause.BUSY -> {
+                machine.startsPausedUntilMs =
+                    clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
+            }
+
+            ExitCause.UNKNOWN_TASK -> {
+                job.pausedUntilMs = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
+            }
+
+            ExitCause.STOPPED, ExitCause.UNRECOGNIZED, null -> {
+                Unit
+            }
         }
         job.removeAttempt(attempt)
     }
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -99,7 +99,11 @@
         machine.highestSeenToken = token
         if (token == election.token && machine.isConfirmed) dispatcher.markReachable(machine)
         for (attempt in machine.attempts.values) {
-            if (attempt.unacknowledgedStartToken in 1 until machine.highestSeenToken) attempt.unacknowledgedStartToken = 0
+            if (attempt.unacknowledgedStartToken in
+                1 until machine.highestSeenToken
+            ) {
+                attempt.unacknowledgedStartToken = 0
+            }
         }
     }
 
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -189,7 +189,8 @@
 
     /** Returns whether the job has tasks that wait only for free resources; [nowMs] is on the steady clock. */
     fun isStartable(nowMs: Long): Boolean =
-        isAccountedFor && !isBlockedByDependencies && !isClosing && !record.cancelRequested && pendingCount > 0 && nowMs >= pausedUntilMs
+        isAccountedFor && !isBlockedByDependencies && !isClosing && !record.cancelRequested && pendingCount > 0 &&
+            nowMs >= pausedUntilMs
 
     /** Clears all state that only a leader has. */
     fun clearLeaderState() {
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -178,7 +178,9 @@
     var consecutiveFailures = 0
 
     /** Whether the machine accepts tasks and is not known to be leaving or failing. */
-    val isInService: Boolean get() = isConfirmed && !isReleasing && !isQuarantined && !isDraining && !isHeartbeatOverdue && consecutiveFailedProbes == 0
+    val isInService: Boolean get() =
+        isConfirmed && !isReleasing && !isQuarantined && !isDraining && !isHeartbeatOverdue &&
+            consecutiveFailedProbes == 0
 
     // --- Attempts and resources ------------------------------------------------------------------------------------
 
@@ -254,7 +256,13 @@
     /** Returns whether a task of [job] would fit once all tasks that end by themselves have ended. */
     fun couldFit(job: Job): Boolean {
         val free = FreeResources(machineType)
-        for (attempt in attempts.values) if (!attempt.isExited && attempt.job?.isService != false) free.take(attempt.job)
+        for (attempt in attempts.values) {
+            if (!attempt.isExited &&
+                attempt.job?.isService != false
+            ) {
+                free.take(attempt.job)
+            }
+        }
         return free.fits(job)
     }
 
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -80,7 +80,9 @@
     var unacknowledgedStartToken = 0L
 
     /** Whether the worker may forget the attempt without a loss. */
-    val isClearable: Boolean get() = isExited && (!isFinished || job == null || job.isClosed || job.recordedTasks.get(index))
+    val isClearable: Boolean get() =
+        isExited &&
+            (!isFinished || job == null || job.isClosed || job.recordedTasks.get(index))
 
     /**
      * Returns whether no start of this attempt is still in flight, given the sequence number of the worker's last
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -108,7 +108,10 @@
 
     /** Returns whether any attempt of a lower priority than that of [job] continues. */
     fun hasLowerPriorityAttempts(job: Job): Boolean =
-        (job.priority.ordinal + 1 until continuing.size).any { continuing[it] > 0 }
+        (job.priority.ordinal + 1 until continuing.size).any {
+            continuing[it] >
+                0
+        }
 
     /**
      * Returns whether one more task of [job] keeps its team within its quota, even if unconfirmed machines hold as many
@@ -239,6 +242,7 @@
             continuing.set(0.0)
         }
 
-        fun approximatelyEquals(other: TeamUsage): Boolean = used.approximatelyEquals(other.used) && continuing.approximatelyEquals(other.continuing)
+        fun approximatelyEquals(other: TeamUsage): Boolean =
+            used.approximatelyEquals(other.used) && continuing.approximatelyEquals(other.continuing)
     }
 }
--- a/src/main/kotlin/ledgearch/peers/Frames.kt
+++ b/src/main/kotlin/ledgearch/peers/Frames.kt
@@ -94,7 +94,12 @@
         val state = ZoneState.of(entry.finishedTasks ushr PENALTY_BITS) ?: return null
         if (entry.runningTasks !in 0..THOUSANDTHS) return null
         val penalty = (entry.finishedTasks and PENALTY_MASK).toDouble() / THOUSANDTHS
-        return ZoneStatus(entry.jobId.removePrefix(ZONE_PREFIX), state, penalty, entry.runningTasks.toDouble() / THOUSANDTHS)
+        return ZoneStatus(
+            entry.jobId.removePrefix(ZONE_PREFIX),
+            state,
+            penalty,
+            entry.runningTasks.toDouble() / THOUSANDTHS,
+        )
     }
 
     private fun writeEntry(
--- a/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
+++ b/src/main/kotlin/ledgearch/persistence/PendingFinishedTaskWrites.kt
@@ -43,7 +43,9 @@
         for (job in jobs.values) {
             // Until the interval has passed, the machines still list the finished tasks, so the next leader learns of
             // them from there.
-            if (job.isClosing || clock.steadyMs - job.progressWrittenAtMs < PersistenceTuning.FINISHED_TASKS_WRITE_INTERVAL_MS) {
+            if (job.isClosing ||
+                clock.steadyMs - job.progressWrittenAtMs < PersistenceTuning.FINISHED_TASKS_WRITE_INTERVAL_MS
+            ) {
                 continue
             }
             if (batch.remainingChanges == 0) return false
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
@@ -36,7 +36,8 @@
     private fun isSurplusOfOtherTeam(
         job: Job,
         victim: Job,
-    ): Boolean = !victim.isGuaranteed && victim.spec.team != job.spec.team && !victim.isService && teams.canSpare(victim)
+    ): Boolean =
+        !victim.isGuaranteed && victim.spec.team != job.spec.team && !victim.isService && teams.canSpare(victim)
 
     /**
      * Returns whether [job], whose team has used up its quota, may preempt tasks of [victim] to free some of it:
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -62,6 +62,8 @@
             machine.incarnation,
             machine.isReleasing,
             machine.attempts.values.map { AttemptSnapshot(it.taskId, it.number, it.state) },
-            machine.imageSizesGb.map { (name, gigabytes) -> CachedImage(name, gigabytes, name in machine.fetchedImages) },
+            machine.imageSizesGb.map { (name, gigabytes) ->
+                CachedImage(name, gigabytes, name in machine.fetchedImages)
+            },
         )
 }
