--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.model.Machine
 import ledgearch.runtime.Clock
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 
 /** Probes agents with empty command requests, which carry the leader's token; agents reply with their status. */
 internal class AgentProbes(
@@ -11,7 +11,7 @@
     private val maxConcurrentProbes: Int,
     /** Longest time between two heartbeats of a healthy agent. */
     private val maxHeartbeatIntervalMs: Long,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     private val clock: Clock,
     private val listener: AgentReplyListener,
 ) {
@@ -68,7 +68,7 @@
         sentAtMs: Long,
     ) {
         machine.recordUnansweredProbe(sentAtMs)
-        if (stalls.wasLaggingSince(sentAtMs)) return
+        if (lagMonitor.wasLaggingSince(sentAtMs)) return
         machine.consecutiveFailedProbes++
         if (!machine.isConfirmed) queue.markUnreachable(machine)
     }
@@ -86,7 +86,7 @@
      * heartbeats. A machine that was being returned is not waited for, since it is most likely gone.
      */
     private fun isHeartbeatExpected(machine: Machine) =
-        stalls.isLagging &&
+        lagMonitor.isLagging &&
             machine.isInherited &&
             !machine.isReturningHint &&
             clock.steadyMs - machine.knownSinceMs < maxHeartbeatIntervalMs
--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -4,7 +4,7 @@
 import ledgearch.model.Machine
 import ledgearch.model.TaskAttempt
 import ledgearch.runtime.Clock
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.Transport
 import ledgearch.wire.CommandKind
 import ledgearch.wire.TaskCommand
@@ -17,7 +17,7 @@
     transport: Transport,
     private val election: Election,
     private val clock: Clock,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     private val limits: DispatchLimits,
     private val listener: AgentReplyListener,
 ) {
@@ -29,7 +29,7 @@
             queue,
             limits.maxConcurrentProbes,
             limits.maxHeartbeatIntervalMs,
-            stalls,
+            lagMonitor,
             clock,
             listener,
         )
@@ -99,7 +99,7 @@
             requestsInFlight--
             endStarts(machine, started, token, isAnswered = status != null)
             // A time-out while this node lagged may be this node's own and says nothing about the machine.
-            if (status == null && !stalls.wasLaggingSince(sentAtMs)) queue.markUnreachable(machine)
+            if (status == null && !lagMonitor.wasLaggingSince(sentAtMs)) queue.markUnreachable(machine)
             if (status != null && listener.isRegistered(machine)) listener.onReply(machine, status)
             if (commands.size == AgentTuning.MAX_COMMANDS_PER_MESSAGE) enqueue(machine)
         }
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -7,7 +7,7 @@
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
 import ledgearch.runtime.MS_PER_SECOND
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 import org.slf4j.LoggerFactory
 
 /**
@@ -24,7 +24,7 @@
     private val recovery: ZoneRecovery?,
     leaseListener: LeaseExpiryListener,
     private val clock: Clock,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.agents")
     private val heartbeatIntervalMs = (times.reportS * MS_PER_SECOND).toLong()
@@ -32,9 +32,9 @@
     private val lostMs = (heartbeatIntervalMs * AgentTuning.LOST_HEARTBEAT_INTERVALS).toLong()
     private val leases =
         LeaseExpiry((times.leaseS * MS_PER_SECOND).toLong(), election, clock, leaseListener)
-    private val silence = HeartbeatSilence(heartbeatIntervalMs, election, stalls, zones)
+    private val silence = HeartbeatSilence(heartbeatIntervalMs, election, lagMonitor, zones)
     private val missingMachines =
-        MissingMachines(election, stalls, (heartbeatIntervalMs * AgentTuning.SILENT_HEARTBEAT_INTERVALS).toLong())
+        MissingMachines(election, lagMonitor, (heartbeatIntervalMs * AgentTuning.SILENT_HEARTBEAT_INTERVALS).toLong())
     private var nextCheckAtMs = 0L
 
     /** Removes all state at the end of a term. */
@@ -100,7 +100,7 @@
         !machine.isReleasing &&
             !zones.shouldKeep(machine) &&
             machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE &&
-            stalls.attentiveMsSince(machine.unreachableSinceMs) > lostMs
+            lagMonitor.responsiveMsSince(machine.unreachableSinceMs) > lostMs
 
     private fun checkOverdue() {
         val active = machines.values.filter { !it.isReleasing }
--- a/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
+++ b/src/main/kotlin/ledgearch/agents/HeartbeatSilence.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.election.Election
 import ledgearch.model.Machine
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 
 /**
  * Measures how many heartbeat intervals machines have been silent. Silence counts from the election and from the end of
@@ -12,7 +12,7 @@
     /** Time between two heartbeats of an agent. */
     private val intervalMs: Long,
     private val election: Election,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     private val zones: PartitionedZones,
 ) {
     /** Steady-clock time: a machine without a heartbeat since is overdue. Computed once per check for all machines. */
@@ -31,7 +31,7 @@
         lostSinceMs = thresholdMs(AgentTuning.LOST_HEARTBEAT_INTERVALS)
     }
 
-    private fun thresholdMs(intervals: Double) = stalls.attentiveSince((intervalMs * intervals).toLong())
+    private fun thresholdMs(intervals: Double) = lagMonitor.responsiveSince((intervalMs * intervals).toLong())
 
     /** Returns whether [machine] has sent no heartbeat for [AgentTuning.OVERDUE_HEARTBEAT_INTERVALS]. */
     fun isOverdue(machine: Machine): Boolean = silenceStartMs(machine) <= overdueSinceMs
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -3,7 +3,7 @@
 import ledgearch.election.Election
 import ledgearch.model.Machine
 import ledgearch.recovery.RecoveryTuning
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 
 /**
  * Finds inherited machines that are most likely gone already. Every older job waits for each of them, so they are
@@ -12,7 +12,7 @@
  */
 internal class MissingMachines(
     private val election: Election,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     /** Time within which every healthy agent sends a heartbeat. */
     private val heartbeatWindowMs: Long,
 ) {
@@ -67,7 +67,7 @@
     ) = confirmedCount > totalCount * RecoveryTuning.MAJORITY_SHARE ||
         (
             confirmedCount > totalCount * AgentTuning.MIN_REPORTING_SHARE &&
-                stalls.attentiveMsSince(election.electedAtMs) > heartbeatWindowMs
+                lagMonitor.responsiveMsSince(election.electedAtMs) > heartbeatWindowMs
         )
 
     /** When the confirmed machines of [inherited] sent their last heartbeats; sorted once, on first use. */
--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -6,7 +6,7 @@
 import ledgearch.model.Machine
 import ledgearch.persistence.RecordWriter
 import ledgearch.runtime.Clock
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.Transport
 
 /**
@@ -20,7 +20,7 @@
     private val election: Election,
     private val jobStore: JobStore,
     private val clock: Clock,
-    stalls: StallCompensation,
+    lagMonitor: EventLoopLagMonitor,
     recordWriter: RecordWriter,
 ) {
     private val cloud = CloudClient(settings, transport, clock)
@@ -28,7 +28,7 @@
     private val booting = BootingMachines()
     private val hints = RentalHints(clock)
     private val releases = ReleaseQueue(cloud, election, clock, booting)
-    private val bootTimeouts = BootTimeouts(settings, jobStore, clock, stalls, booting, releases)
+    private val bootTimeouts = BootTimeouts(settings, jobStore, clock, lagMonitor, booting, releases)
     private val machineListReader = MachineListReader(cloud, election, clock, bootTimeouts, releases)
     private val provisioner = Provisioner(cloud, election, clock, booting)
     private val pools = PoolSelector(settings, jobStore, booting, provisioner)
--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -5,7 +5,7 @@
 import ledgearch.recovery.RecoveryTuning
 import ledgearch.runtime.Clock
 import ledgearch.runtime.MS_PER_SECOND
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.wire.ListedMachine
 import org.slf4j.LoggerFactory
 
@@ -17,7 +17,7 @@
     settings: Settings,
     private val jobStore: JobStore,
     private val clock: Clock,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     private val booting: BootingMachines,
     private val releases: ReleaseQueue,
 ) {
@@ -62,7 +62,7 @@
         listed: ListedMachine,
     ) {
         val since = unreportedSince.getOrPut(listed.name) { clock.steadyMs }
-        val hadTime = stalls.attentiveMsSince(since) >= AutoscalingTuning.UNREPORTED_TIMEOUT_MS
+        val hadTime = lagMonitor.responsiveMsSince(since) >= AutoscalingTuning.UNREPORTED_TIMEOUT_MS
         if (!hadTime || cluster.isCutOff(listed.zone)) return
         log.info("machine released: it is up and does not report; machine={}", listed.name)
         unreportedSince.remove(listed.name)
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -30,7 +30,7 @@
     private val storeClient = components.storeClient
     private val jobStore = components.jobStore
     private val election = components.election
-    private val stalls = components.stalls
+    private val lagMonitor = components.lagMonitor
     private val leader = components.leader
     private var nextLoadLogAtMs = 0L
 
@@ -57,7 +57,7 @@
     ) {
         clock.steadyMs = steadyMs
         clock.wallMs = wallMs
-        stalls.began()
+        lagMonitor.measureLag()
         for (command in commands) runIsolated { execute(command) }
         runIsolated { jobStore.runDueWork() }
         runIsolated { election.runDueWork() }
@@ -79,7 +79,7 @@
             is OwnerCommand.ApplyLeaderStatus -> components.leaderStatusExchange.apply(command.status)
             is OwnerCommand.HandleStandbyEvent -> standby?.handle(command.event, components.leaderMeshAddress)
             is OwnerCommand.HandlePeerRefusal -> components.nodeAt(command.address)?.let { election.challenge(it) }
-            is OwnerCommand.Tick -> stalls.ticked(command.queuedAtMs)
+            is OwnerCommand.Tick -> lagMonitor.recordTick(command.queuedAtMs)
         }
     }
 
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -16,7 +16,7 @@
 import ledgearch.runtime.Clock
 import ledgearch.runtime.MeteredTransport
 import ledgearch.runtime.Metrics
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.Transport
 import ledgearch.standby.LeaderSnapshot
 import ledgearch.standby.StandbyTuning
@@ -67,10 +67,10 @@
         RecordWriter(storeClient, election, jobStore, clock, settings.deployment.state.safeValueBytes)
 
     /** Tracks when this node was behind with its own work. */
-    val stalls = StallCompensation(clock, metrics)
+    val lagMonitor = EventLoopLagMonitor(clock, metrics)
 
     /** Provisions and releases machines on the leader; reads the machine catalog on every node. */
-    val autoscaler: Autoscaler = Autoscaler(settings, meteredTransport, election, jobStore, clock, stalls, recordWriter)
+    val autoscaler: Autoscaler = Autoscaler(settings, meteredTransport, election, jobStore, clock, lagMonitor, recordWriter)
 
     /** Manages the machines and places tasks while this node leads. */
     val leader =
@@ -84,7 +84,7 @@
             recordWriter,
             autoscaler,
             metrics,
-            stalls,
+            lagMonitor,
         )
 
     /** Handles the users' requests about jobs. */
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -24,7 +24,7 @@
 import ledgearch.runtime.Clock
 import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.Metrics
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.Transport
 import ledgearch.scheduling.Deadlines
 import ledgearch.scheduling.NoRecovery
@@ -54,7 +54,7 @@
     private val recordWriter: RecordWriter,
     private val autoscaler: Autoscaler,
     private val metrics: Metrics,
-    stalls: StallCompensation,
+    lagMonitor: EventLoopLagMonitor,
 ) : Cluster {
     private val term = LeadershipTerm()
     private val machineRegistry = MachineRegistry()
@@ -66,7 +66,7 @@
     /** The zone recovery; null unless it is enabled in the operator settings. */
     override val recovery: ZoneRecovery? = createZoneRecovery(settings, clock)
     private val dispatcher =
-        CommandDispatcher(transport, election, clock, stalls, DispatchLimits.of(settings.deployment), AgentReplies())
+        CommandDispatcher(transport, election, clock, lagMonitor, DispatchLimits.of(settings.deployment), AgentReplies())
     private val attemptControl = AttemptControl(term, dispatcher, clock, metrics)
     private val deadlines =
         Deadlines(settings.deployment.objectives, estimates, clock, jobStore.dependencies::dependentsOf)
@@ -96,7 +96,7 @@
             headroom,
             autoscaler,
             clock,
-            stalls,
+            lagMonitor,
             metrics,
         )
     private val taskStatusHandler =
@@ -154,7 +154,7 @@
             recovery,
             statusHandler,
             clock,
-            stalls,
+            lagMonitor,
         )
 
     /** Receives the changes of jobs from the job store and the dependencies. */
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -6,7 +6,7 @@
 import ledgearch.model.TeamQuotas
 import ledgearch.runtime.Clock
 import ledgearch.runtime.Metrics
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.scheduling.Placer
 import ledgearch.scheduling.SpotReliability
 
@@ -20,7 +20,7 @@
     private val headroom: Headroom,
     private val autoscaler: Autoscaler,
     private val clock: Clock,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     private val metrics: Metrics,
 ) {
     private var isPassRequested = true
@@ -49,7 +49,7 @@
     /** Runs a pass if one was requested or the idle interval is over, and the pacing of passes allows it. */
     fun runDueWork() {
         if (!isPassRequested && clock.steadyMs - lastPassAtMs < ControlTuning.IDLE_PASS_INTERVAL_MS) return
-        if (!stalls.mayPass()) return
+        if (!lagMonitor.tryStartPass()) return
         lastPassAtMs = clock.steadyMs
         isPassRequested = false
         if (areGuaranteesOutdated) {
@@ -58,7 +58,7 @@
             updateOnDemandJobs()
         }
         teams.countUnfound(jobStore.jobs.values)
-        stalls.passed(metrics.timed { placer.runPass(jobStore.jobs.values) })
+        lagMonitor.recordPassDuration(metrics.timed { placer.runPass(jobStore.jobs.values) })
     }
 
     private fun updateOnDemandJobs() =
--- a/src/main/kotlin/ledgearch/runtime/StallCompensation.kt
+++ b/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
@@ -9,7 +9,7 @@
  *
  * It also paces the placement passes, so that they do not increase the lag. Times are ms of [Clock.steadyMs].
  */
-internal class StallCompensation(
+internal class EventLoopLagMonitor(
     private val clock: Clock,
     private val metrics: Metrics,
 ) {
@@ -35,22 +35,22 @@
     private var lastPassDurationMs = 0L
 
     /** Measures the lag at the start of a batch, before the batch evaluates any time-out. */
-    fun began() {
+    fun measureLag() {
         if (tickQueuedAtMs == 0L) return
         val lagMs = clock.steadyMs - tickQueuedAtMs - RuntimeTuning.TICK_MS
         if (lagMs > RuntimeTuning.BEHIND_MS) addStall()
     }
 
     /**
-     * Records the handling of a tick that was queued at [queuedAt] (steady-clock ms); a tick is due every
+     * Records the handling of a tick that was queued at [queuedAtMs] (steady-clock ms); a tick is due every
      * [RuntimeTuning.TICK_MS].
      */
-    fun ticked(queuedAt: Long) {
-        began()
+    fun recordTick(queuedAtMs: Long) {
+        measureLag()
         if (tickHandledAtMs != 0L) metrics.ticked(clock.steadyMs - tickHandledAtMs)
         tickHandledAtMs = clock.steadyMs
-        tickQueuedAtMs = queuedAt
-        began()
+        tickQueuedAtMs = queuedAtMs
+        measureLag()
     }
 
     /** Adds a stall that began when the last tick was queued, or extends the previous stall if they overlap. */
@@ -68,29 +68,29 @@
     /** Whether this node lags, or did so a moment ago. */
     val isLagging: Boolean get() = wasLaggingSince(clock.steadyMs)
 
-    /** Returns whether this node lagged at any time since [time] (steady-clock ms). */
-    fun wasLaggingSince(time: Long): Boolean = stalls.lastOrNull().let { it != null && it.untilMs > time }
+    /** Returns whether this node lagged at any time since [timeMs] (steady-clock ms). */
+    fun wasLaggingSince(timeMs: Long): Boolean = stalls.lastOrNull().let { it != null && it.untilMs > timeMs }
 
     /**
-     * Returns the ms since [time] (steady-clock ms) in which this node did not lag. Only these count as silence of a
+     * Returns the ms since [timeMs] (steady-clock ms) in which this node did not lag. Only these count as silence of a
      * peer.
      */
-    fun attentiveMsSince(time: Long): Long {
+    fun responsiveMsSince(timeMs: Long): Long {
         var laggingMs = 0L
         for (index in stalls.indices.reversed()) {
             val stall = stalls[index]
-            if (stall.untilMs <= time) break
-            laggingMs += minOf(stall.untilMs, clock.steadyMs) - maxOf(stall.fromMs, time)
+            if (stall.untilMs <= timeMs) break
+            laggingMs += minOf(stall.untilMs, clock.steadyMs) - maxOf(stall.fromMs, timeMs)
         }
-        return clock.steadyMs - time - laggingMs
+        return clock.steadyMs - timeMs - laggingMs
     }
 
     /**
-     * Returns the latest time (steady-clock ms) since which this node was free of lag for more than [ms]. It is the
-     * inverse of [attentiveMsSince].
+     * Returns the latest time (steady-clock ms) since which this node was free of lag for more than [durationMs]. It is the
+     * inverse of [responsiveMsSince].
      */
-    fun attentiveSince(ms: Long): Long {
-        var remainingMs = ms
+    fun responsiveSince(durationMs: Long): Long {
+        var remainingMs = durationMs
         var endMs = clock.steadyMs
         for (index in stalls.indices.reversed()) {
             val stall = stalls[index]
@@ -107,7 +107,7 @@
      * apart, which is longer while this node lags and after a long pass: a pass for every batch would keep the node
      * lagging and leave workers without answers.
      */
-    fun mayPass(): Boolean {
+    fun tryStartPass(): Boolean {
         val minIntervalMs = if (isLagging) RuntimeTuning.BEHIND_PASS_MS else RuntimeTuning.PASS_MS
         val lastPassIntervalMs = minOf(lastPassDurationMs * RuntimeTuning.PASS_REST, RuntimeTuning.MOST_PASS_MS)
         val intervalMs = maxOf(minIntervalMs, lastPassIntervalMs)
@@ -116,8 +116,8 @@
         return true
     }
 
-    /** Records that a placement pass took [ms]. */
-    fun passed(ms: Long) {
-        lastPassDurationMs = ms
+    /** Records that a placement pass took [durationMs]. */
+    fun recordPassDuration(durationMs: Long) {
+        lastPassDurationMs = durationMs
     }
 }
--- a/src/test/kotlin/ledgearch/runtime/StallCompensationTest.kt
+++ b/src/test/kotlin/ledgearch/runtime/EventLoopLagMonitorTest.kt
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test
 
 /** Tests the detection of event-loop lag and the silence counted without it. */
-internal class StallCompensationTest {
+internal class EventLoopLagMonitorTest {
     private val clock = Clock()
-    private val stalls = StallCompensation(clock, Metrics(clock) { 0L })
+    private val lagMonitor = EventLoopLagMonitor(clock, Metrics(clock) { 0L })
 
     /** Handles a tick at [ms] that waited in the queue for [waitedMs] ms. */
     private fun handleTick(
@@ -16,7 +16,7 @@
         waitedMs: Long = 0,
     ) {
         clock.steadyMs = ms
-        stalls.ticked(ms - waitedMs)
+        lagMonitor.recordTick(ms - waitedMs)
     }
 
     private fun handleRegularTicks(
@@ -30,33 +30,33 @@
     @Test
     fun `regular ticks do not count as lag`() {
         handleRegularTicks(1_000, 2_000)
-        assertFalse(stalls.isLagging)
-        assertEquals(900, stalls.attentiveMsSince(1_100))
+        assertFalse(lagMonitor.isLagging)
+        assertEquals(900, lagMonitor.responsiveMsSince(1_100))
     }
 
     @Test
     fun `a late tick marks the node as lagging until it has caught up`() {
         handleTick(1_000)
         handleTick(1_000 + RuntimeTuning.TICK_MS + RuntimeTuning.BEHIND_MS + 1)
-        assertTrue(stalls.isLagging)
+        assertTrue(lagMonitor.isLagging)
         clock.steadyMs += RuntimeTuning.CATCH_UP_MS
-        assertFalse(stalls.isLagging)
+        assertFalse(lagMonitor.isLagging)
     }
 
     @Test
     fun `regular ticks that each waited long mark the node as lagging`() {
         handleRegularTicks(1_000, 3_000, waitedMs = 600)
-        assertTrue(stalls.isLagging)
-        assertEquals(0, stalls.attentiveMsSince(1_500))
+        assertTrue(lagMonitor.isLagging)
+        assertEquals(0, lagMonitor.responsiveMsSince(1_500))
     }
 
     @Test
     fun `a missing tick marks the node as lagging before it is handled`() {
         handleTick(1_000)
         clock.steadyMs = 3_000
-        stalls.began()
-        assertTrue(stalls.isLagging)
-        assertTrue(stalls.wasLaggingSince(2_900))
+        lagMonitor.measureLag()
+        assertTrue(lagMonitor.isLagging)
+        assertTrue(lagMonitor.wasLaggingSince(2_900))
     }
 
     @Test
@@ -65,14 +65,14 @@
         handleTick(8_000)
         handleRegularTicks(8_050, 20_000)
         val laggingMs = 8_000 + RuntimeTuning.CATCH_UP_MS - 5_000
-        assertEquals(19_000 - laggingMs, stalls.attentiveMsSince(1_000))
-        assertEquals(20_000 - 8_000 - RuntimeTuning.CATCH_UP_MS, stalls.attentiveMsSince(7_000))
-        assertEquals(10_000, stalls.attentiveMsSince(10_000))
-        assertFalse(stalls.wasLaggingSince(10_000))
+        assertEquals(19_000 - laggingMs, lagMonitor.responsiveMsSince(1_000))
+        assertEquals(20_000 - 8_000 - RuntimeTuning.CATCH_UP_MS, lagMonitor.responsiveMsSince(7_000))
+        assertEquals(10_000, lagMonitor.responsiveMsSince(10_000))
+        assertFalse(lagMonitor.wasLaggingSince(10_000))
     }
 
     @Test
-    fun `attentiveSince is the inverse of attentiveMsSince`() {
+    fun `responsiveSince is the inverse of responsiveMsSince`() {
         handleRegularTicks(1_000, 5_000)
         handleTick(8_000)
         handleRegularTicks(8_050, 12_000)
@@ -80,8 +80,8 @@
         handleRegularTicks(13_550, 20_000)
         for (ms in 0L..14_000L step 137) {
             for (time in 1_000L..20_000L step 89) {
-                val since = stalls.attentiveSince(ms)
-                assertEquals(stalls.attentiveMsSince(time) > ms, time <= since, "$ms ms, since $time: $since")
+                val since = lagMonitor.responsiveSince(ms)
+                assertEquals(lagMonitor.responsiveMsSince(time) > ms, time <= since, "$ms ms, since $time: $since")
             }
         }
     }
