--- a/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
@@ -59,7 +59,7 @@
     private val budget = TokenBucket(callsPerSecond)
 
     /** One more call is allowed now. */
-    val hasBudget: Boolean get() = budget.has(1)
+    val hasBudget: Boolean get() = budget.hasPermits(1)
 
     /** Adds to the budget what the time since the last refill allows. */
     fun refillBudget() = budget.refill(clock.steadyMs)
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -62,20 +62,20 @@
         runIsolated { jobStore.runDueWork() }
         runIsolated { election.runDueWork() }
         runIsolated { components.autoscaler.runDueCatalogWork(election.isLeader) }
-        runIsolated { metrics.spend("api") { components.userApi.runDueWork() } }
+        runIsolated { metrics.measure("api") { components.userApi.runDueWork() } }
         runIsolated { leader.runDueWork() }
         runIsolated { components.leaderStatusExchange.runDueWork() }
         if (standby != null) {
-            runIsolated { metrics.spend("standby") { standby.runDueWork(election.isLeader && leader.isReady) } }
+            runIsolated { metrics.measure("standby") { standby.runDueWork(election.isLeader && leader.isReady) } }
         }
-        runIsolated { metrics.spend("state") { storeClient.sendAllowed() } }
+        runIsolated { metrics.measure("state") { storeClient.sendAllowed() } }
         logTimeSpent()
     }
 
     private fun execute(command: OwnerCommand) {
         when (command) {
             is OwnerCommand.ServeRequest -> components.router.handle(command.request, command.respond)
-            is OwnerCommand.HandleReply -> metrics.spend("answers") { command.onReply(command.reply) }
+            is OwnerCommand.HandleReply -> metrics.measure("answers") { command.onReply(command.reply) }
             is OwnerCommand.ApplyLeaderStatus -> components.leaderStatusExchange.apply(command.status)
             is OwnerCommand.HandleStandbyEvent -> standby?.handle(command.event, components.leaderMeshAddress)
             is OwnerCommand.HandlePeerRefusal -> components.nodeAt(command.address)?.let { election.challenge(it) }
@@ -108,7 +108,7 @@
     fun recordBatch(
         durationUs: Long,
         queueLength: Int,
-    ) = metrics.worked(durationUs, queueLength)
+    ) = metrics.recordBatch(durationUs, queueLength)
 
     /** Returns whether the counts kept of machines, teams and jobs equal a recount; true unless this node leads. */
     fun hasConsistentCounts(): Boolean = !election.isLeader || leader.hasConsistentCounts()
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -221,14 +221,14 @@
         if (term.areAttemptNumbersExhausted) return election.stepDown("the attempt numbers of the term are exhausted")
         reconciliation.runDueWork()
         jobLifecycle.closeCancelled()
-        metrics.spend("failure_detection") { failureDetector.runDueWork() }
+        metrics.measure("failure_detection") { failureDetector.runDueWork() }
         // The failure detector may have stepped down because this node receives almost no heartbeats.
         if (!election.isLeader) return
         placementLoop.updateReliability()
-        metrics.spend("placement") { placementLoop.runDueWork() }
-        metrics.spend("commands") { dispatcher.runDueWork() }
-        metrics.spend("autoscaling") { autoscaler.runDueWork(this) }
-        metrics.spend("records") { recordWriter.runDueWork() }
+        metrics.measure("placement") { placementLoop.runDueWork() }
+        metrics.measure("commands") { dispatcher.runDueWork() }
+        metrics.measure("autoscaling") { autoscaler.runDueWork(this) }
+        metrics.measure("records") { recordWriter.runDueWork() }
     }
 
     /** Applies [heartbeat] and returns the reply to it. */
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -58,11 +58,11 @@
             updateOnDemandJobs()
         }
         teams.countUnfound(jobStore.jobs.values)
-        lagMonitor.recordPassDuration(metrics.timed { placer.runPass(jobStore.jobs.values) })
+        lagMonitor.recordPassDuration(metrics.measureMs { placer.runPass(jobStore.jobs.values) })
     }
 
     private fun updateOnDemandJobs() =
-        metrics.spend("reliability") {
+        metrics.measure("reliability") {
             reliability.chooseOnDemandJobs(
                 jobStore.jobs.values.filter { !it.isBlockedByDependencies },
                 machineRegistry.machines.values,
--- a/src/main/kotlin/ledgearch/control/RequestRouter.kt
+++ b/src/main/kotlin/ledgearch/control/RequestRouter.kt
@@ -26,7 +26,7 @@
         respond: Respond,
     ) {
         val isHeartbeat = request.path == HEARTBEAT_PATH
-        metrics.spend(if (isHeartbeat) "heartbeats" else "requests") {
+        metrics.measure(if (isHeartbeat) "heartbeats" else "requests") {
             when (request.path) {
                 HEALTH_PATH -> respond(healthResponse())
                 HEARTBEAT_PATH -> handleHeartbeat(request, respond)
@@ -64,7 +64,7 @@
     ): Respond {
         val startedAtMs = clock.steadyMs
         return {
-            metrics.answered(requestKind, it.status, startedAtMs)
+            metrics.recordExchange(requestKind, it.status, startedAtMs)
             respond(it)
         }
     }
--- a/src/main/kotlin/ledgearch/recovery/StartPacing.kt
+++ b/src/main/kotlin/ledgearch/recovery/StartPacing.kt
@@ -18,13 +18,13 @@
         val byMachines = machines * RecoveryTuning.STARTS_PER_SECOND_PER_MACHINE
         startsPerSecond = maxOf(byMachines, RecoveryTuning.MIN_STARTS_PER_SECOND)
         for (budget in budgets.values) {
-            budget.perSecond = startsPerSecond
+            budget.permitsPerSecond = startsPerSecond
             budget.refill(nowMs)
         }
     }
 
     /** One more displaced task of [group] may be started now. */
-    fun allows(group: Int): Boolean = group == FIRST_GROUP || budget(group).has(1)
+    fun allows(group: Int): Boolean = group == FIRST_GROUP || budget(group).hasPermits(1)
 
     /** A displaced task of [group] was started. */
     fun started(group: Int) {
--- a/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
+++ b/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
@@ -47,7 +47,7 @@
      */
     fun recordTick(queuedAtMs: Long) {
         measureLag()
-        if (tickHandledAtMs != 0L) metrics.ticked(clock.steadyMs - tickHandledAtMs)
+        if (tickHandledAtMs != 0L) metrics.recordTickGap(clock.steadyMs - tickHandledAtMs)
         tickHandledAtMs = clock.steadyMs
         tickQueuedAtMs = queuedAtMs
         measureLag()
--- a/src/main/kotlin/ledgearch/runtime/LruMap.kt
+++ b/src/main/kotlin/ledgearch/runtime/LruMap.kt
@@ -1,14 +1,14 @@
 package ledgearch.runtime
 
 /**
- * A map of at most [most] entries that evicts the least recently used one; reading an entry counts as use. It is not
+ * A map of at most [maxEntries] entries that evicts the least recently used one; reading an entry counts as use. It is not
  * thread-safe and is used by the owner thread only. A concurrent cache from a library would add a tenth to the start-up
  * time.
  */
 internal class LruMap<K, V>(
-    private val most: Long,
+    private val maxEntries: Long,
 ) : LinkedHashMap<K, V>(INITIAL_CAPACITY, LOAD_FACTOR, ACCESS_ORDER) {
-    override fun removeEldestEntry(eldest: MutableMap.MutableEntry<K, V>): Boolean = size > most
+    override fun removeEldestEntry(eldest: MutableMap.MutableEntry<K, V>): Boolean = size > maxEntries
 
     private companion object {
         const val INITIAL_CAPACITY = 64
--- a/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
+++ b/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
@@ -29,9 +29,9 @@
     ) {
         val peer = peerAt(address)
         if (peer == Peer.STATE && isWatch(target)) return inner.call(address, method, target, body, timeoutMs, done)
-        val startedAt = clock.steadyMs
+        val startedAtMs = clock.steadyMs
         inner.call(address, method, target, body, timeoutMs) { reply ->
-            metrics.answered(peer.label, reply.status, startedAt)
+            metrics.recordExchange(peer.label, reply.status, startedAtMs)
             done(reply)
         }
     }
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -9,12 +9,12 @@
  * Counters, latencies and time spent by the owner thread since the process started, as `GET /metrics` returns them.
  * Operators read the labels; docs/operations.md lists them:
  *
- * - kinds of exchange ([answered]), each with latencies and a counter `KIND.STATUS` (status 0: no answer): incoming
+ * - kinds of exchange ([recordExchange]), each with latencies and a counter `KIND.STATUS` (status 0: no answer): incoming
  *   requests by their purpose (`submit`, `poll`, `cancel` and `heartbeat`), and calls of the owner by their peer
  *   (`state`, `cloud`, `worker`);
  * - events ([count]): `task.started`, `task.preempted`, `task.lost`, `task.exited.CAUSE`, `machine.joined`,
  *   `machine.gone`;
- * - kinds of the owner's work ([spend]), such as `heartbeats`, `requests` (from users), `answers` (replies to its own
+ * - kinds of the owner's work ([measure]), such as `heartbeats`, `requests` (from users), `answers` (replies to its own
  *   calls), `state` (calls to the state service) and `placement`; one kind may include another.
  *
  * Used from the owner thread only. [nanos] is a steady clock in nanoseconds.
@@ -33,19 +33,19 @@
     private val queueLengths = histogram(RuntimeTuning.QUEUE.toLong())
     private val tickGapsMs = histogram(RuntimeTuning.LONGEST_EXCHANGE_MS)
 
-    /** Runs [work] and adds its duration to the time spent on [what]. */
-    inline fun <T> spend(
-        what: String,
+    /** Runs [work] and adds its duration to the time spent on [kind]. */
+    inline fun <T> measure(
+        kind: String,
         work: () -> T,
     ): T {
         val startedNanos = nanos()
         val result = work()
-        spentNanos.merge(what, nanos() - startedNanos, Long::plus)
+        spentNanos.merge(kind, nanos() - startedNanos, Long::plus)
         return result
     }
 
     /** Runs [work] and returns its duration in milliseconds. */
-    inline fun timed(work: () -> Unit): Long {
+    inline fun measureMs(work: () -> Unit): Long {
         val startedNanos = nanos()
         work()
         return (nanos() - startedNanos) / SteadyTime.NANOS_PER_MS
@@ -54,39 +54,39 @@
     /** Returns the milliseconds spent on each kind of work. */
     fun spentMs(): Map<String, Long> = spentNanos.mapValues { it.value / SteadyTime.NANOS_PER_MS }
 
-    /** Adds [by] to the counter of the event [what]. */
+    /** Adds [increment] to the counter of the event [event]. */
     fun count(
-        what: String,
-        by: Long = 1,
+        event: String,
+        increment: Long = 1,
     ) {
-        counters.merge(what, by, Long::plus)
+        counters.merge(event, increment, Long::plus)
     }
 
     /**
-     * Records an exchange of kind [what] that began at [startedAt] (steady-clock ms) and ended with [status]; 0 means
+     * Records an exchange of kind [kind] that began at [startedAtMs] (steady-clock ms) and ended with [status]; 0 means
      * that there was no answer.
      */
-    fun answered(
-        what: String,
+    fun recordExchange(
+        kind: String,
         status: Int,
-        startedAt: Long,
+        startedAtMs: Long,
     ) {
-        count("$what.$status")
-        val latencyMs = (clock.steadyMs - startedAt).coerceIn(0, RuntimeTuning.LONGEST_EXCHANGE_MS)
-        latencies.getOrPut(what) { histogram(RuntimeTuning.LONGEST_EXCHANGE_MS) }.recordValue(latencyMs)
+        count("$kind.$status")
+        val latencyMs = (clock.steadyMs - startedAtMs).coerceIn(0, RuntimeTuning.LONGEST_EXCHANGE_MS)
+        latencies.getOrPut(kind) { histogram(RuntimeTuning.LONGEST_EXCHANGE_MS) }.recordValue(latencyMs)
     }
 
-    /** Records that the owner handled a batch in [micros] microseconds and left [waiting] commands in its queue. */
-    fun worked(
-        micros: Long,
-        waiting: Int,
+    /** Records that the owner handled a batch in [durationUs] microseconds and left [queueLength] commands in its queue. */
+    fun recordBatch(
+        durationUs: Long,
+        queueLength: Int,
     ) {
-        batchDurationsUs.recordValue(micros.coerceIn(0, RuntimeTuning.LONGEST_BATCH_US))
-        queueLengths.recordValue(waiting.toLong().coerceIn(0, RuntimeTuning.QUEUE.toLong()))
+        batchDurationsUs.recordValue(durationUs.coerceIn(0, RuntimeTuning.LONGEST_BATCH_US))
+        queueLengths.recordValue(queueLength.toLong().coerceIn(0, RuntimeTuning.QUEUE.toLong()))
     }
 
     /** Records that a tick was handled [gapMs] after the previous one. */
-    fun ticked(gapMs: Long) = tickGapsMs.recordValue(gapMs.coerceIn(0, RuntimeTuning.LONGEST_EXCHANGE_MS))
+    fun recordTickGap(gapMs: Long) = tickGapsMs.recordValue(gapMs.coerceIn(0, RuntimeTuning.LONGEST_EXCHANGE_MS))
 
     /** Returns the load of the owner thread since the process started. */
     fun ownerLoad() = OwnerLoad(summary(batchDurationsUs), summary(queueLengths), summary(tickGapsMs), spentMs())
@@ -95,12 +95,12 @@
     fun counters(): Map<String, Long> = counters.toSortedMap()
 
     /** Returns the distribution of latencies (ms) by kind of exchange. */
-    fun latencies(): Map<String, Summary> = latencies.toSortedMap().mapValues { (_, histogram) -> summary(histogram) }
+    fun latencies(): Map<String, Distribution> = latencies.toSortedMap().mapValues { (_, histogram) -> summary(histogram) }
 
     private fun histogram(highest: Long) = IntCountsHistogram(highest, RuntimeTuning.HISTOGRAM_DIGITS)
 
     private fun summary(histogram: IntCountsHistogram) =
-        Summary(
+        Distribution(
             count = histogram.totalCount,
             p50 = histogram.getValueAtPercentile(PERCENTILE_50),
             p90 = histogram.getValueAtPercentile(PERCENTILE_90),
@@ -121,15 +121,15 @@
  */
 @Serializable
 internal data class OwnerLoad(
-    @SerialName("batch_us") val batchUs: Summary,
-    @SerialName("queue_length") val queueLength: Summary,
-    @SerialName("tick_gap_ms") val tickGapMs: Summary,
+    @SerialName("batch_us") val batchUs: Distribution,
+    @SerialName("queue_length") val queueLength: Distribution,
+    @SerialName("tick_gap_ms") val tickGapMs: Distribution,
     @SerialName("spent_ms") val spentMs: Map<String, Long>,
 )
 
 /** Percentiles of a distribution, in the unit of the recorded values. */
 @Serializable
-internal data class Summary(
+internal data class Distribution(
     val count: Long,
     val p50: Long,
     val p90: Long,
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -68,10 +68,10 @@
         val waiting = serveByPriority(startable, usable, running)
         if (waiting.isEmpty()) return
         val admitting = if (recovery.isActive) usable.filter { !it.isHeldBack } else usable
-        metrics.spend("preemption") {
+        metrics.measure("preemption") {
             preemption.runPass(waiting, admitting, running, estimates.freedCpusPerSecond(jobs))
         }
-        metrics.spend("queues") { queues.bindWaiting(waiting, usable) }
+        metrics.measure("queues") { queues.bindWaiting(waiting, usable) }
     }
 
     private fun addLatencySensitiveImages(startable: List<Job>) {
@@ -119,7 +119,7 @@
     ) {
         if (jobs.isEmpty()) return
         val assigned =
-            metrics.spend("latency_sensitive") { preemption.makeRoomWhereImageIsPresent(jobs, usable, running) }
+            metrics.measure("latency_sensitive") { preemption.makeRoomWhereImageIsPresent(jobs, usable, running) }
         for (job in jobs) starter.startAnywhere(job, usable, keepPending = assigned[job] ?: 0)
     }
 
--- a/src/main/kotlin/ledgearch/status/MetricsReport.kt
+++ b/src/main/kotlin/ledgearch/status/MetricsReport.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.Serializable
 import ledgearch.recovery.RecoveryReport
 import ledgearch.runtime.OwnerLoad
-import ledgearch.runtime.Summary
+import ledgearch.runtime.Distribution
 import ledgearch.standby.StandbyReport
 
 /** What a controller answers to `GET /metrics`. Counters and distributions are those since its process started. */
@@ -25,7 +25,7 @@
     /** Counts of events, by their name. */
     val counters: Map<String, Long>,
     /** Distributions of latencies (ms), by the kind of exchange. */
-    @SerialName("latency_ms") val latencyMs: Map<String, Summary>,
+    @SerialName("latency_ms") val latencyMs: Map<String, Distribution>,
     /** Null while warm standby is off. */
     val standby: StandbyReport? = null,
     /** Null on a node that does not lead, or while zone recovery is off. */
--- a/src/main/kotlin/ledgearch/store/RequestBudget.kt
+++ b/src/main/kotlin/ledgearch/store/RequestBudget.kt
@@ -31,8 +31,8 @@
         val share = shareOfThisNode()
         val requestRate = if (usesLowerLimits) limits.lowerRps else limits.rps
         val changeRate = if (usesLowerLimits) limits.lowerWriteRps else limits.writeRps
-        requests.perSecond = requestRate * RuntimeTuning.BUDGET_USED * share
-        changes.perSecond = changeRate * RuntimeTuning.BUDGET_USED * share
+        requests.permitsPerSecond = requestRate * RuntimeTuning.BUDGET_USED * share
+        changes.permitsPerSecond = changeRate * RuntimeTuning.BUDGET_USED * share
     }
 
     private fun shareOfThisNode(): Double =
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether one request with [changeCount] changes may be sent now. */
-    fun allows(changeCount: Int): Boolean = requests.has(1) && changes.has(changeCount)
+    fun allows(changeCount: Int): Boolean = requests.hasPermits(1) && changes.hasPermits(changeCount)
 
     /** Takes the tokens for one request with [changeCount] changes. */
     fun spend(changeCount: Int) {
--- a/src/test/kotlin/ledgearch/runtime/LruMapTest.kt
+++ b/src/test/kotlin/ledgearch/runtime/LruMapTest.kt
@@ -7,7 +7,7 @@
 internal class LruMapTest {
     @Test
     fun `evicts the least recently used entry`() {
-        val map = LruMap<String, Int>(most = 2)
+        val map = LruMap<String, Int>(maxEntries = 2)
         map["a"] = 1
         map["b"] = 2
         assertEquals(1, map["a"])
@@ -17,7 +17,7 @@
 
     @Test
     fun `a map without capacity stores no entry`() {
-        val map = LruMap<String, Int>(most = 0)
+        val map = LruMap<String, Int>(maxEntries = 0)
         map["a"] = 1
         assertEquals(null, map["a"])
     }
--- a/src/test/kotlin/ledgearch/simulation/store/StoreRateLimits.kt
+++ b/src/test/kotlin/ledgearch/simulation/store/StoreRateLimits.kt
@@ -25,8 +25,8 @@
     /** From now on, without notice; what is stored stays readable. */
     fun change(to: StateLimits) {
         limits = to
-        requests.perSecond = to.rps
-        writes.perSecond = to.writeRps
+        requests.permitsPerSecond = to.rps
+        writes.permitsPerSecond = to.writeRps
     }
 
     /** The answer to a request that the limits on rates or sizes refuse; otherwise none. */
@@ -48,7 +48,7 @@
     private fun passes(changes: Int): Boolean {
         requests.refill(clock.now)
         writes.refill(clock.now)
-        if (!requests.has(1) || !writes.has(changes)) return false
+        if (!requests.hasPermits(1) || !writes.hasPermits(changes)) return false
         requests.take(1)
         writes.take(changes)
         return true
