--- a/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
@@ -55,7 +55,7 @@
     private val address = settings.outside.cloud
 
     /** Calls that this node plans to make in a second. */
-    val callsPerSecond = settings.deployment.cloud.rps * RuntimeTuning.BUDGET_USED
+    val callsPerSecond = settings.deployment.cloud.rps * RuntimeTuning.USED_RATE_LIMIT_SHARE
     private val budget = TokenBucket(callsPerSecond)
 
     /** One more call is allowed now. */
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -86,7 +86,7 @@
 
     private suspend fun listenWhenReady(server: HttpServer) {
         withTimeoutOrNull(DaemonTuning.LISTEN_WAIT_MS) {
-            while (!controller.isReady) delay(RuntimeTuning.TICK_MS)
+            while (!controller.isReady) delay(RuntimeTuning.TICK_INTERVAL_MS)
         }
         listen(settings.meshAddress, mesh::listen)
         listen(settings.listen, server::start)
@@ -105,14 +105,14 @@
 
     private suspend fun tickForever() {
         while (true) {
-            delay(RuntimeTuning.TICK_MS)
+            delay(RuntimeTuning.TICK_INTERVAL_MS)
             queue.tick()
         }
     }
 
     private suspend fun closeIdleForever(server: HttpServer) {
         while (true) {
-            delay(HttpTuning.POOLED_IDLE_MS / 2)
+            delay(HttpTuning.POOLED_IDLE_TIMEOUT_MS / 2)
             client.closeIdle()
             log.debug(
                 "open sockets: {} incoming, {} outgoing, queued commands: {}",
--- a/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
@@ -12,7 +12,7 @@
  * once. Used from one thread only.
  */
 internal class OwnerQueue {
-    private val urgent = Channel<OwnerCommand>(RuntimeTuning.QUEUE)
+    private val urgent = Channel<OwnerCommand>(RuntimeTuning.QUEUE_CAPACITY)
     private val users = Channel<OwnerCommand>(DaemonTuning.USERS_QUEUE)
 
     /** Commands in both queues, or waiting for room in one. */
--- a/src/main/kotlin/ledgearch/http/ConnectionPool.kt
+++ b/src/main/kotlin/ledgearch/http/ConnectionPool.kt
@@ -10,7 +10,7 @@
 internal class PooledConnection(
     val channel: AsynchronousSocketChannel,
 ) {
-    val reader = MessageReader(HttpTuning.MAX_RESPONSE)
+    val reader = MessageReader(HttpTuning.MAX_RESPONSE_BODY_BYTES)
 
     /** Whether the last exchange completed and the server keeps the connection open. */
     var isReusable = false
@@ -50,7 +50,7 @@
         if (connection.isReusable) putBack(address, connection) else close(connection.channel)
     }
 
-    /** Closes connections that were idle for [HttpTuning.POOLED_IDLE_MS]. */
+    /** Closes connections that were idle for [HttpTuning.POOLED_IDLE_TIMEOUT_MS]. */
     fun closeIdle() {
         val nowMs = SteadyTime.nowMs()
         val queues = idle.values.iterator()
@@ -76,7 +76,7 @@
     private fun isExpired(
         connection: PooledConnection,
         nowMs: Long,
-    ): Boolean = nowMs - connection.idleSince > HttpTuning.POOLED_IDLE_MS
+    ): Boolean = nowMs - connection.idleSince > HttpTuning.POOLED_IDLE_TIMEOUT_MS
 
     private fun putBack(
         address: String,
@@ -115,10 +115,10 @@
         closeExcessIdle()
         var opened: PooledConnection? = null
         try {
-            withTimeoutOrNull(HttpTuning.CONNECT_MS) {
+            withTimeoutOrNull(HttpTuning.CONNECT_TIMEOUT_MS) {
                 channel.connectTo(parseAddress(address))
                 true
-            } ?: throw IOException("no connection to $address within ${HttpTuning.CONNECT_MS} ms")
+            } ?: throw IOException("no connection to $address within ${HttpTuning.CONNECT_TIMEOUT_MS} ms")
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
             opened = PooledConnection(channel)
             return opened
--- a/src/main/kotlin/ledgearch/http/EventLoop.kt
+++ b/src/main/kotlin/ledgearch/http/EventLoop.kt
@@ -20,7 +20,7 @@
  * that waits for it: with a thread pool behind the channel group, each message would pass between threads several
  * times, which costs more than handling it.
  *
- * Timers have a resolution of [HttpTuning.TIMER_STEP_MS]; a clock thread wakes the loop at that interval.
+ * Timers have a resolution of [HttpTuning.TIMER_RESOLUTION_MS]; a clock thread wakes the loop at that interval.
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 internal class EventLoop(
@@ -56,7 +56,7 @@
 
     /**
      * Dispatches work once no socket has events left, but at the latest after polling the sockets for
-     * [HttpTuning.SOCKETS_MS], so that the work gets all messages that have arrived as one batch. One poll accepts at
+     * [HttpTuning.MAX_SOCKET_POLLING_MS], so that the work gets all messages that have arrived as one batch. One poll accepts at
      * most one connection; without repeated polls, long work would delay the accepting of hundreds of clients.
      */
     val afterSockets: CoroutineDispatcher =
@@ -65,7 +65,7 @@
                 context: CoroutineContext,
                 block: Runnable,
             ) {
-                val untilMs = nowMs() + HttpTuning.SOCKETS_MS
+                val untilMs = nowMs() + HttpTuning.MAX_SOCKET_POLLING_MS
                 execute { afterSockets(block, untilMs) }
             }
         }
@@ -165,7 +165,7 @@
      */
     private fun runClock() {
         while (!group.isShutdown) {
-            Thread.sleep(HttpTuning.TIMER_STEP_MS)
+            Thread.sleep(HttpTuning.TIMER_RESOLUTION_MS)
             if (isWakeUpPending.compareAndSet(false, true)) requestWakeUp()
         }
     }
@@ -180,7 +180,7 @@
 
     private fun fireTimers() {
         isWakeUpPending.set(false)
-        val untilMs = nowMs() + HttpTuning.TIMER_STEP_MS / 2
+        val untilMs = nowMs() + HttpTuning.TIMER_RESOLUTION_MS / 2
         while (true) {
             val next = timers.peek() ?: break
             if (next.dueAtMs > untilMs) break
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Closes connections that have been idle for [HttpTuning.POOLED_IDLE_MS]. */
+    /** Closes connections that have been idle for [HttpTuning.POOLED_IDLE_TIMEOUT_MS]. */
     fun closeIdle() = pool.closeIdle()
 
     private suspend fun send(
@@ -67,7 +67,7 @@
         val headBytes = head(address, method, target, bodyBytes).toByteArray(Charsets.ISO_8859_1)
         val message = ByteBuffer.allocate(headBytes.size + (bodyBytes?.size ?: 0)).put(headBytes)
         if (bodyBytes != null) message.put(bodyBytes)
-        connection.channel.writeAll(message.flip(), HttpTuning.WRITE_MS)
+        connection.channel.writeAll(message.flip(), HttpTuning.WRITE_TIMEOUT_MS)
     }
 
     /** Returns the head of a request; without a body if [bodyBytes] is null. */
@@ -78,7 +78,7 @@
         bodyBytes: ByteArray?,
     ): String {
         val head =
-            StringBuilder(HttpTuning.REQUEST_HEAD)
+            StringBuilder(HttpTuning.REQUEST_HEAD_CHARS)
                 .append(method)
                 .append(' ')
                 .append(target)
@@ -96,7 +96,7 @@
 
     private suspend fun receive(connection: PooledConnection): Reply {
         val reader = connection.reader
-        val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER * 2)
+        val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER_BYTES * 2)
         while (true) {
             val head = reader.head()
             val body = if (head != null) reader.body() else null
--- a/src/main/kotlin/ledgearch/http/HttpServer.kt
+++ b/src/main/kotlin/ledgearch/http/HttpServer.kt
@@ -44,7 +44,7 @@
 
     private suspend fun closeExpiredForever() {
         while (true) {
-            delay(HttpTuning.LATE_CALLERS_MS)
+            delay(HttpTuning.DEADLINE_CHECK_INTERVAL_MS)
             connections.closeExpired(SteadyTime.nowMs())
         }
     }
@@ -52,7 +52,7 @@
     private suspend fun acceptForever(server: AsynchronousServerSocketChannel) {
         while (true) {
             if (!connections.makeRoom(SteadyTime.nowMs())) {
-                delay(HttpTuning.ACCEPT_RETRY_MS)
+                delay(HttpTuning.ACCEPT_RETRY_DELAY_MS)
                 continue
             }
             val channel = server.acceptPatiently(log)
@@ -113,7 +113,7 @@
                 .put(headBytes)
                 .put(bodyBytes)
                 .flip()
-        channel.writeAll(message, HttpTuning.WRITE_MS)
+        channel.writeAll(message, HttpTuning.WRITE_TIMEOUT_MS)
     }
 
     private fun head(
@@ -122,7 +122,7 @@
         keepAlive: Boolean,
     ): String {
         val head =
-            StringBuilder(HttpTuning.RESPONSE_HEAD)
+            StringBuilder(HttpTuning.RESPONSE_HEAD_CHARS)
                 .append("HTTP/1.1 ")
                 .append(response.status)
                 .append(' ')
--- a/src/main/kotlin/ledgearch/http/MessageReader.kt
+++ b/src/main/kotlin/ledgearch/http/MessageReader.kt
@@ -10,7 +10,7 @@
 internal class MessageReader(
     private val maxBody: Int,
 ) {
-    private var bytes = ByteArray(HttpTuning.READ_BUFFER)
+    private var bytes = ByteArray(HttpTuning.READ_BUFFER_BYTES)
     private var endIndex = 0
 
     /** Position before which the head does not end. */
@@ -46,10 +46,10 @@
                 return HeadParser.parse(String(bytes, 0, scannedUpTo, Charsets.ISO_8859_1)).also { head = it }
             }
             scannedUpTo++
-            if (scannedUpTo > HttpTuning.MAX_HEAD) {
+            if (scannedUpTo > HttpTuning.MAX_HEAD_BYTES) {
                 throw BadMessage(
                     HttpStatus.HEADER_TOO_LARGE,
-                    "header exceeds the limit of ${HttpTuning.MAX_HEAD} bytes",
+                    "header exceeds the limit of ${HttpTuning.MAX_HEAD_BYTES} bytes",
                 )
             }
         }
@@ -107,8 +107,8 @@
 
     private fun findLineEnd(from: Int): Int? {
         for (at in from until endIndex - 1) if (isLineEnd(at)) return at
-        if (endIndex - from > HttpTuning.MAX_CHUNK_LINE) {
-            throw badMessage("chunk size line exceeds the limit of ${HttpTuning.MAX_CHUNK_LINE} bytes")
+        if (endIndex - from > HttpTuning.MAX_CHUNK_LINE_BYTES) {
+            throw badMessage("chunk size line exceeds the limit of ${HttpTuning.MAX_CHUNK_LINE_BYTES} bytes")
         }
         return null
     }
@@ -120,8 +120,8 @@
         bodyStart = NONE
         chunkStart = NONE
         head = null
-        val isLarge = bytes.size > HttpTuning.READ_BUFFER * HttpTuning.KEPT_BUFFERS
-        if (endIndex == 0 && isLarge) bytes = ByteArray(HttpTuning.READ_BUFFER)
+        val isLarge = bytes.size > HttpTuning.READ_BUFFER_BYTES * HttpTuning.MAX_KEPT_READ_BUFFERS
+        if (endIndex == 0 && isLarge) bytes = ByteArray(HttpTuning.READ_BUFFER_BYTES)
     }
 
     private fun badMessage(problem: String) = BadMessage(HttpStatus.BAD_REQUEST, problem)
--- a/src/main/kotlin/ledgearch/http/Nio.kt
+++ b/src/main/kotlin/ledgearch/http/Nio.kt
@@ -64,7 +64,7 @@
             return acceptNext()
         } catch (e: IOException) {
             log.warn("accept failed: {}", e.message)
-            delay(HttpTuning.ACCEPT_RETRY_MS)
+            delay(HttpTuning.ACCEPT_RETRY_DELAY_MS)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/http/RequestReader.kt
+++ b/src/main/kotlin/ledgearch/http/RequestReader.kt
@@ -9,8 +9,8 @@
     private val connection: Connection,
     private val connections: Connections,
 ) {
-    private val reader = MessageReader(HttpTuning.MAX_BODY)
-    private val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER)
+    private val reader = MessageReader(HttpTuning.MAX_REQUEST_BODY_BYTES)
+    private val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER_BYTES)
 
     /**
      * Returns the next request, or null once the client has closed the connection. Throws [BadMessage] for a malformed
@@ -19,7 +19,7 @@
     suspend fun next(): Request? {
         var hasStarted = !reader.isEmpty
         val startMs = SteadyTime.nowMs()
-        connection.deadlineMs = startMs + if (hasStarted) HttpTuning.SLOW_REQUEST_MS else HttpTuning.IDLE_MS
+        connection.deadlineMs = startMs + if (hasStarted) HttpTuning.REQUEST_READ_TIMEOUT_MS else HttpTuning.IDLE_TIMEOUT_MS
         if (!hasStarted) connections.markIdle(connection, startMs)
         while (true) {
             val head = reader.head()
@@ -35,7 +35,7 @@
             if (!hasStarted) {
                 hasStarted = true
                 connections.markBusy(connection)
-                connection.deadlineMs = SteadyTime.nowMs() + HttpTuning.SLOW_REQUEST_MS
+                connection.deadlineMs = SteadyTime.nowMs() + HttpTuning.REQUEST_READ_TIMEOUT_MS
             }
             reader.append(buffer.array(), count)
         }
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -102,7 +102,7 @@
     /** Reads the final records of dependencies that are neither open nor known to have ended, a few at a time. */
     fun runDueWork() {
         if (dependents.isEmpty() || clock.steadyMs < nextRunAtMs) return
-        nextRunAtMs = clock.steadyMs + RuntimeTuning.TICK_MS
+        nextRunAtMs = clock.steadyMs + RuntimeTuning.TICK_INTERVAL_MS
         for (id in dependents.keys) {
             if (pendingReads >= JobsTuning.MAX_CONCURRENT_DEPENDENCY_READS) return
             val isDue = clock.steadyMs >= (nextReadAtMs[id] ?: Long.MIN_VALUE)
--- a/src/main/kotlin/ledgearch/model/LoadState.kt
+++ b/src/main/kotlin/ledgearch/model/LoadState.kt
@@ -22,9 +22,9 @@
         /** Returns the load state of a machine with [queueLength] bound tasks that have not started. */
         fun of(queueLength: Int): LoadState =
             when {
-                queueLength <= ModelTuning.UNDERLOADED_MAX -> UNDERLOADED
-                queueLength <= ModelTuning.MEDIUM_MAX -> MEDIUM
-                queueLength <= ModelTuning.FULL_MAX -> FULL
+                queueLength <= ModelTuning.MAX_UNDERLOADED_TASKS -> UNDERLOADED
+                queueLength <= ModelTuning.MAX_MEDIUM_TASKS -> MEDIUM
+                queueLength <= ModelTuning.MAX_FULL_TASKS -> FULL
                 else -> OVERLOADED
             }
     }
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -251,7 +251,7 @@
     }
 
     /** Returns whether one more task of [job] fits, by resources and by number of tasks. */
-    fun hasRoom(job: Job): Boolean = attempts.size < ModelTuning.MACHINE_TASKS && free.fits(job)
+    fun hasRoom(job: Job): Boolean = attempts.size < ModelTuning.MAX_TASKS_PER_MACHINE && free.fits(job)
 
     /** Returns whether a task of [job] would fit once all tasks that end by themselves have ended. */
     fun couldFit(job: Job): Boolean {
--- a/src/main/kotlin/ledgearch/model/ModelTuning.kt
+++ b/src/main/kotlin/ledgearch/model/ModelTuning.kt
@@ -3,14 +3,14 @@
 /** Limits of machines and of their queues. */
 internal object ModelTuning {
     /** Keeps a heartbeat, at about 110 bytes per task, below 64 KiB. */
-    const val MACHINE_TASKS = 400
+    const val MAX_TASKS_PER_MACHINE = 400
 
     /** The paper's TH_u: a machine with at most this many bound tasks is underloaded. */
-    const val UNDERLOADED_MAX = 0
+    const val MAX_UNDERLOADED_TASKS = 0
 
     /** The paper's TH_f: a machine with more than TH_u and at most this many bound tasks is at medium load. */
-    const val MEDIUM_MAX = 1
+    const val MAX_MEDIUM_TASKS = 1
 
     /** The paper's TH_v: a machine with more bound tasks is overloaded, and new tasks go to its buddies. */
-    const val FULL_MAX = 2
+    const val MAX_FULL_TASKS = 2
 }
--- a/src/main/kotlin/ledgearch/peers/FollowerLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerLinks.kt
@@ -88,7 +88,7 @@
         followers[follower.id] = follower
         if (streams) scope.launch { awaitHello(follower) }
         try {
-            for (frame in queue) channel.writeAll(ByteBuffer.wrap(frame.toByteArray()), HttpTuning.WRITE_MS)
+            for (frame in queue) channel.writeAll(ByteBuffer.wrap(frame.toByteArray()), HttpTuning.WRITE_TIMEOUT_MS)
         } catch (_: IOException) {
             // The follower went away.
         } finally {
--- a/src/main/kotlin/ledgearch/peers/LeaderLink.kt
+++ b/src/main/kotlin/ledgearch/peers/LeaderLink.kt
@@ -60,7 +60,7 @@
             try {
                 if (connect(channel, address)) {
                     refusals = 0
-                    if (streams) channel.writeAll(StreamFrames.hello.asByteBuffer(), HttpTuning.WRITE_MS)
+                    if (streams) channel.writeAll(StreamFrames.hello.asByteBuffer(), HttpTuning.WRITE_TIMEOUT_MS)
                     receiveFrames(channel, address)
                 }
             } catch (cancellation: CancellationException) {
@@ -88,7 +88,7 @@
         address: String,
     ): Boolean {
         val connected =
-            withTimeoutOrNull(HttpTuning.CONNECT_MS) {
+            withTimeoutOrNull(HttpTuning.CONNECT_TIMEOUT_MS) {
                 channel.connectTo(parseAddress(address))
                 true
             }
@@ -100,7 +100,7 @@
         channel: AsynchronousSocketChannel,
         address: String,
     ) {
-        val chunk = ByteBuffer.allocate(HttpTuning.READ_BUFFER)
+        val chunk = ByteBuffer.allocate(HttpTuning.READ_BUFFER_BYTES)
         val received = Buffer()
         while (true) {
             chunk.clear()
--- a/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
+++ b/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
@@ -3,7 +3,7 @@
 /**
  * Tracks the event-loop lag of this node: the time since the next tick was due to be handled. A tick waits in the same
  * queue as heartbeats and replies, so its lag is their queueing delay, and it also covers the scheduling delay of a
- * process that gets no processor time or is frozen. While the lag is above [RuntimeTuning.BEHIND_MS], and for
+ * process that gets no processor time or is frozen. While the lag is above [RuntimeTuning.LAG_THRESHOLD_MS], and for
  * [RuntimeTuning.CATCH_UP_MS] afterwards, heartbeats and replies may wait here unread. Silence during that time proves
  * nothing about the peers, and a time-out may be caused by this node itself.
  *
@@ -37,13 +37,13 @@
     /** Measures the lag at the start of a batch, before the batch evaluates any time-out. */
     fun measureLag() {
         if (tickQueuedAtMs == 0L) return
-        val lagMs = clock.steadyMs - tickQueuedAtMs - RuntimeTuning.TICK_MS
-        if (lagMs > RuntimeTuning.BEHIND_MS) addStall()
+        val lagMs = clock.steadyMs - tickQueuedAtMs - RuntimeTuning.TICK_INTERVAL_MS
+        if (lagMs > RuntimeTuning.LAG_THRESHOLD_MS) addStall()
     }
 
     /**
      * Records the handling of a tick that was queued at [queuedAtMs] (steady-clock ms); a tick is due every
-     * [RuntimeTuning.TICK_MS].
+     * [RuntimeTuning.TICK_INTERVAL_MS].
      */
     fun recordTick(queuedAtMs: Long) {
         measureLag()
@@ -62,7 +62,7 @@
         } else {
             stalls.addLast(Stall(tickQueuedAtMs, untilMs))
         }
-        while (clock.steadyMs - stalls.first().untilMs > RuntimeTuning.STALLS_KEPT_MS) stalls.removeFirst()
+        while (clock.steadyMs - stalls.first().untilMs > RuntimeTuning.STALL_RETENTION_MS) stalls.removeFirst()
     }
 
     /** Whether this node lags, or did so a moment ago. */
@@ -108,8 +108,8 @@
      * lagging and leave workers without answers.
      */
     fun tryStartPass(): Boolean {
-        val minIntervalMs = if (isLagging) RuntimeTuning.BEHIND_PASS_MS else RuntimeTuning.PASS_MS
-        val lastPassIntervalMs = minOf(lastPassDurationMs * RuntimeTuning.PASS_REST, RuntimeTuning.MOST_PASS_MS)
+        val minIntervalMs = if (isLagging) RuntimeTuning.LAGGING_PASS_INTERVAL_MS else RuntimeTuning.PASS_INTERVAL_MS
+        val lastPassIntervalMs = minOf(lastPassDurationMs * RuntimeTuning.PASS_INTERVAL_FACTOR, RuntimeTuning.MAX_PASS_INTERVAL_MS)
         val intervalMs = maxOf(minIntervalMs, lastPassIntervalMs)
         if (clock.steadyMs - lastPassStartedAtMs < intervalMs) return false
         lastPassStartedAtMs = clock.steadyMs
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -29,9 +29,9 @@
 
     /** Latencies in ms, by kind of exchange. */
     private val latencies = LinkedHashMap<String, IntCountsHistogram>()
-    private val batchDurationsUs = histogram(RuntimeTuning.LONGEST_BATCH_US)
-    private val queueLengths = histogram(RuntimeTuning.QUEUE.toLong())
-    private val tickGapsMs = histogram(RuntimeTuning.LONGEST_EXCHANGE_MS)
+    private val batchDurationsUs = histogram(RuntimeTuning.MAX_RECORDED_BATCH_US)
+    private val queueLengths = histogram(RuntimeTuning.QUEUE_CAPACITY.toLong())
+    private val tickGapsMs = histogram(RuntimeTuning.MAX_RECORDED_LATENCY_MS)
 
     /** Runs [work] and adds its duration to the time spent on [kind]. */
     inline fun <T> measure(
@@ -72,8 +72,8 @@
         startedAtMs: Long,
     ) {
         count("$kind.$status")
-        val latencyMs = (clock.steadyMs - startedAtMs).coerceIn(0, RuntimeTuning.LONGEST_EXCHANGE_MS)
-        latencies.getOrPut(kind) { histogram(RuntimeTuning.LONGEST_EXCHANGE_MS) }.recordValue(latencyMs)
+        val latencyMs = (clock.steadyMs - startedAtMs).coerceIn(0, RuntimeTuning.MAX_RECORDED_LATENCY_MS)
+        latencies.getOrPut(kind) { histogram(RuntimeTuning.MAX_RECORDED_LATENCY_MS) }.recordValue(latencyMs)
     }
 
     /** Records that the owner handled a batch in [durationUs] microseconds and left [queueLength] commands in its queue. */
@@ -81,12 +81,12 @@
         durationUs: Long,
         queueLength: Int,
     ) {
-        batchDurationsUs.recordValue(durationUs.coerceIn(0, RuntimeTuning.LONGEST_BATCH_US))
-        queueLengths.recordValue(queueLength.toLong().coerceIn(0, RuntimeTuning.QUEUE.toLong()))
+        batchDurationsUs.recordValue(durationUs.coerceIn(0, RuntimeTuning.MAX_RECORDED_BATCH_US))
+        queueLengths.recordValue(queueLength.toLong().coerceIn(0, RuntimeTuning.QUEUE_CAPACITY.toLong()))
     }
 
     /** Records that a tick was handled [gapMs] after the previous one. */
-    fun recordTickGap(gapMs: Long) = tickGapsMs.recordValue(gapMs.coerceIn(0, RuntimeTuning.LONGEST_EXCHANGE_MS))
+    fun recordTickGap(gapMs: Long) = tickGapsMs.recordValue(gapMs.coerceIn(0, RuntimeTuning.MAX_RECORDED_LATENCY_MS))
 
     /** Returns the load of the owner thread since the process started. */
     fun ownerLoad() = OwnerLoad(summary(batchDurationsUs), summary(queueLengths), summary(tickGapsMs), spentMs())
@@ -97,7 +97,7 @@
     /** Returns the distribution of latencies (ms) by kind of exchange. */
     fun latencies(): Map<String, Distribution> = latencies.toSortedMap().mapValues { (_, histogram) -> summary(histogram) }
 
-    private fun histogram(highest: Long) = IntCountsHistogram(highest, RuntimeTuning.HISTOGRAM_DIGITS)
+    private fun histogram(highest: Long) = IntCountsHistogram(highest, RuntimeTuning.HISTOGRAM_SIGNIFICANT_DIGITS)
 
     private fun summary(histogram: IntCountsHistogram) =
         Distribution(
--- a/src/main/kotlin/ledgearch/runtime/RuntimeTuning.kt
+++ b/src/main/kotlin/ledgearch/runtime/RuntimeTuning.kt
@@ -3,31 +3,31 @@
 /** Limits and intervals of the owner thread and its queue. */
 internal object RuntimeTuning {
     /** Commands. A full queue suspends the connections and so applies backpressure to their clients. */
-    const val QUEUE = 1024
+    const val QUEUE_CAPACITY = 1024
 
     /** A twentieth of the shortest wait that users ask for. */
-    const val TICK_MS = 50L
+    const val TICK_INTERVAL_MS = 50L
 
     /**
      * Share of a service's rate limits that all nodes together plan to use; the rest allows for clock differences and
      * bursts.
      */
-    const val BUDGET_USED = 0.9
+    const val USED_RATE_LIMIT_SHARE = 0.9
 
     /** Longer than any request is waited for; longer latencies are recorded as this value. */
-    const val LONGEST_EXCHANGE_MS = 60_000L
+    const val MAX_RECORDED_LATENCY_MS = 60_000L
 
     /** Longer batches are recorded as this value; by then the service has already stopped responding. */
-    const val LONGEST_BATCH_US = 60_000_000L
+    const val MAX_RECORDED_BATCH_US = 60_000_000L
 
     /** Significant digits of recorded values: a precision of 1%. */
-    const val HISTOGRAM_DIGITS = 2
+    const val HISTOGRAM_SIGNIFICANT_DIGITS = 2
 
     /**
      * Event-loop lag above which the node counts as lagging. A message is queued for the owner thread about four times
      * on its way in and out, so the answer to a probe is then late by about the time-out of the probe.
      */
-    const val BEHIND_MS = 200L
+    const val LAG_THRESHOLD_MS = 200L
 
     /**
      * Time after a stall during which the node still counts as lagging, so that messages waiting in its sockets are
@@ -36,20 +36,20 @@
     const val CATCH_UP_MS = 1_000L
 
     /** Longer than any period of silence that is evaluated. */
-    const val STALLS_KEPT_MS = 180_000L
+    const val STALL_RETENTION_MS = 180_000L
 
     /** Minimum interval between two placement passes; users' limit for the start of a task is one second. */
-    const val PASS_MS = 40L
+    const val PASS_INTERVAL_MS = 40L
 
     /** Minimum interval between two placement passes while the node is lagging. */
-    const val BEHIND_PASS_MS = 200L
+    const val LAGGING_PASS_INTERVAL_MS = 200L
 
     /**
      * Minimum interval as a multiple of the duration of the last pass, which limits placement to a third of the owner
      * thread's time.
      */
-    const val PASS_REST = 3
+    const val PASS_INTERVAL_FACTOR = 3
 
     /** Upper bound of the interval, however long the passes take. */
-    const val MOST_PASS_MS = 1_000L
+    const val MAX_PASS_INTERVAL_MS = 1_000L
 }
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -43,7 +43,7 @@
             machine.startsPausedUntilMs = clock.steadyMs + StandbyTuning.RETURNING_HINT_MS
             machine.isReturningHint = true
         }
-        hint.images.take(ModelTuning.MACHINE_TASKS).forEach { useImage(machine, it) }
+        hint.images.take(ModelTuning.MAX_TASKS_PER_MACHINE).forEach { useImage(machine, it) }
     }
 
     /** The machines in the order in which they are probed: most attempts first. */
--- a/src/main/kotlin/ledgearch/store/RequestBudget.kt
+++ b/src/main/kotlin/ledgearch/store/RequestBudget.kt
@@ -31,8 +31,8 @@
         val share = shareOfThisNode()
         val requestRate = if (usesLowerLimits) limits.lowerRps else limits.rps
         val changeRate = if (usesLowerLimits) limits.lowerWriteRps else limits.writeRps
-        requests.permitsPerSecond = requestRate * RuntimeTuning.BUDGET_USED * share
-        changes.permitsPerSecond = changeRate * RuntimeTuning.BUDGET_USED * share
+        requests.permitsPerSecond = requestRate * RuntimeTuning.USED_RATE_LIMIT_SHARE * share
+        changes.permitsPerSecond = changeRate * RuntimeTuning.USED_RATE_LIMIT_SHARE * share
     }
 
     private fun shareOfThisNode(): Double =
--- a/src/test/kotlin/ledgearch/http/MessageReaderTest.kt
+++ b/src/test/kotlin/ledgearch/http/MessageReaderTest.kt
@@ -55,7 +55,7 @@
         bytes: ByteArray,
         cutAt: Int,
     ): String {
-        val reader = MessageReader(HttpTuning.MAX_BODY)
+        val reader = MessageReader(HttpTuning.MAX_REQUEST_BODY_BYTES)
         val bodies = ArrayList<String>()
         try {
             for (part in listOf(
--- a/src/test/kotlin/ledgearch/runtime/EventLoopLagMonitorTest.kt
+++ b/src/test/kotlin/ledgearch/runtime/EventLoopLagMonitorTest.kt
@@ -24,7 +24,7 @@
         untilMs: Long,
         waitedMs: Long = 0,
     ) {
-        for (ms in fromMs..untilMs step RuntimeTuning.TICK_MS) handleTick(ms, waitedMs)
+        for (ms in fromMs..untilMs step RuntimeTuning.TICK_INTERVAL_MS) handleTick(ms, waitedMs)
     }
 
     @Test
@@ -37,7 +37,7 @@
     @Test
     fun `a late tick marks the node as lagging until it has caught up`() {
         handleTick(1_000)
-        handleTick(1_000 + RuntimeTuning.TICK_MS + RuntimeTuning.BEHIND_MS + 1)
+        handleTick(1_000 + RuntimeTuning.TICK_INTERVAL_MS + RuntimeTuning.LAG_THRESHOLD_MS + 1)
         assertTrue(lagMonitor.isLagging)
         clock.steadyMs += RuntimeTuning.CATCH_UP_MS
         assertFalse(lagMonitor.isLagging)
