--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -116,8 +116,8 @@
             client.closeIdle()
             log.debug(
                 "open sockets: {} incoming, {} outgoing, queued commands: {}",
-                server.open,
-                client.open,
+                server.openCount,
+                client.openCount,
                 queue.waiting,
             )
         }
--- a/src/main/kotlin/ledgearch/http/ConnectionPool.kt
+++ b/src/main/kotlin/ledgearch/http/ConnectionPool.kt
@@ -33,7 +33,7 @@
     private var idleCount = 0
 
     /** Number of connections that are open or being opened. */
-    var open = 0
+    var openCount = 0
         private set
 
     /**
@@ -92,7 +92,7 @@
     }
 
     private fun closeExcessIdle() {
-        while (open > maxOpen && idleCount > 0) {
+        while (openCount > maxOpen && idleCount > 0) {
             val (address, queue) = idle.entries.first()
             if (queue.isNotEmpty()) closeLeastRecentlyUsed(queue)
             if (queue.isEmpty()) idle.remove(address)
@@ -105,13 +105,13 @@
     }
 
     private fun close(channel: AsynchronousSocketChannel) {
-        open--
+        openCount--
         channel.closeQuietly()
     }
 
     private suspend fun open(address: String): PooledConnection {
         val channel = AsynchronousSocketChannel.open(group)
-        open++
+        openCount++
         closeExcessIdle()
         var opened: PooledConnection? = null
         try {
--- a/src/main/kotlin/ledgearch/http/Connections.kt
+++ b/src/main/kotlin/ledgearch/http/Connections.kt
@@ -5,7 +5,7 @@
     val socket: AutoCloseable,
 ) {
     /** Whether the client is to stay connected, as workers are; decided by its last request. */
-    var isKept = false
+    var isLongLived = false
 
     /** Time in ms since which the connection has been waiting for a request. */
     var idleSinceMs = 0L
@@ -19,16 +19,16 @@
 
 /**
  * Tracks the open connections of a server, at most [maxOpen]. When that many are open, an idle one is closed to make
- * room: hundreds of workers may connect at once while users and dead clients still hold their sockets. A kept
- * connection is closed only after more than [staleMs] idle ms. Used from one thread only; times are ms of [SteadyTime].
+ * room: hundreds of workers may connect at once while users and dead clients still hold their sockets. A
+ * long-lived connection is closed only after more than [minEvictionIdleMs] idle ms. Used from one thread only; times are ms of [SteadyTime].
  */
 internal class Connections(
     private val maxOpen: Int,
-    private val staleMs: Long,
+    private val minEvictionIdleMs: Long,
 ) {
-    /** Connections that wait for a request and are not kept, longest idle first. */
+    /** Connections that wait for a request and are not long-lived, longest idle first. */
     private val idle = LinkedHashSet<Connection>()
-    private val idleKept = LinkedHashSet<Connection>()
+    private val idleLongLived = LinkedHashSet<Connection>()
     private val all = LinkedHashSet<Connection>()
 
     /** Number of open connections. */
@@ -47,13 +47,13 @@
     ) {
         connection.idleSinceMs = nowMs
         if (!connection.isOpen) return
-        if (connection.isKept) idleKept.add(connection) else idle.add(connection)
+        if (connection.isLongLived) idleLongLived.add(connection) else idle.add(connection)
     }
 
     /** Marks [connection] as busy: a request has begun. */
     fun markBusy(connection: Connection) {
         idle.remove(connection)
-        idleKept.remove(connection)
+        idleLongLived.remove(connection)
     }
 
     /** Closes [connection] unless it is closed already. */
@@ -71,14 +71,14 @@
     /** Returns whether one more connection may be opened, after closing an idle one if necessary. */
     fun makeRoom(nowMs: Long): Boolean {
         if (openCount < maxOpen) return true
-        val replaced = idle.firstOrNull() ?: staleIdleKept(nowMs) ?: return false
+        val replaced = idle.firstOrNull() ?: evictableLongLived(nowMs) ?: return false
         close(replaced)
         return true
     }
 
-    private fun staleIdleKept(nowMs: Long): Connection? =
-        idleKept.firstOrNull()?.takeIf {
+    private fun evictableLongLived(nowMs: Long): Connection? =
+        idleLongLived.firstOrNull()?.takeIf {
             nowMs - it.idleSinceMs >
-                staleMs
+                minEvictionIdleMs
         }
 }
--- a/src/main/kotlin/ledgearch/http/HeadParser.kt
+++ b/src/main/kotlin/ledgearch/http/HeadParser.kt
@@ -13,7 +13,7 @@
 
 /** Parses the head of a message. Header fields that are not evaluated are skipped without a copy. */
 internal object HeadParser {
-    /** Parses [text], a head without its final empty line. Throws [BadMessage] if it is malformed. */
+    /** Parses [text], a head without its final empty line. Throws [MalformedMessageException] if it is malformed. */
     fun parse(text: String): Head {
         val startLine = text.substringBefore(LINE_END)
         val fields = Fields(closes = startLine.endsWith("HTTP/1.0"))
@@ -64,7 +64,7 @@
             }
             val parsedLength =
                 value.toIntOrNull()
-                    ?: throw BadMessage(
+                    ?: throw MalformedMessageException(
                         HttpStatus.PAYLOAD_TOO_LARGE,
                         "Content-Length exceeds the limit of ${Int.MAX_VALUE} bytes",
                     )
@@ -76,7 +76,7 @@
 
         private fun readEncoding(value: String) {
             if (!value.equals("chunked", ignoreCase = true)) {
-                throw BadMessage(HttpStatus.NOT_IMPLEMENTED, "Transfer-Encoding other than chunked is not supported")
+                throw MalformedMessageException(HttpStatus.NOT_IMPLEMENTED, "Transfer-Encoding other than chunked is not supported")
             }
             chunked = true
         }
@@ -88,7 +88,7 @@
         }
     }
 
-    private fun badMessage(problem: String) = BadMessage(HttpStatus.BAD_REQUEST, problem)
+    private fun badMessage(problem: String) = MalformedMessageException(HttpStatus.BAD_REQUEST, problem)
 
     private const val LINE_END = "\r\n"
     private const val CONTENT_LENGTH = "content-length"
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -16,7 +16,7 @@
     private val pool = ConnectionPool(group, maxOpen)
 
     /** Number of connections that are open or being opened. */
-    val open: Int get() = pool.open
+    val openCount: Int get() = pool.openCount
 
     /**
      * Sends one request and returns the reply, within [timeoutMs]. It never retries, since only the caller can tell
@@ -42,7 +42,7 @@
             throw e
         } catch (_: IOException) {
             return Reply.NONE
-        } catch (_: BadMessage) {
+        } catch (_: MalformedMessageException) {
             return Reply.NONE
         } catch (e: RuntimeException) {
             // The address is malformed or can't be resolved at present.
@@ -116,5 +116,5 @@
         startLine
             .split(' ')
             .getOrNull(1)
-            ?.toIntOrNull() ?: throw BadMessage(HttpStatus.BAD_REQUEST, "status line without a numeric status")
+            ?.toIntOrNull() ?: throw MalformedMessageException(HttpStatus.BAD_REQUEST, "status line without a numeric status")
 }
--- a/src/main/kotlin/ledgearch/http/HttpServer.kt
+++ b/src/main/kotlin/ledgearch/http/HttpServer.kt
@@ -15,23 +15,23 @@
 
 /**
  * Serves HTTP/1.1 on one address with one coroutine per connection and at most [maxConnections] connections. When that
- * many are open, the longest idle one is closed for a new one; a connection whose last request satisfies [isKept] is
- * closed only after [staleMs] idle ms. If none can be closed, no connection is accepted, so that clients wait in the
+ * many are open, the longest idle one is closed for a new one; a connection whose last request satisfies [isLongLived] is
+ * closed only after [minEvictionIdleMs] idle ms. If none can be closed, no connection is accepted, so that clients wait in the
  * kernel's short accept queue.
  */
 internal class HttpServer(
     private val scope: CoroutineScope,
     private val group: AsynchronousChannelGroup,
     private val maxConnections: Int,
-    private val isKept: (Request) -> Boolean = { false },
-    private val staleMs: Long = 0,
+    private val isLongLived: (Request) -> Boolean = { false },
+    private val minEvictionIdleMs: Long = 0,
     private val handler: suspend (Request) -> Response,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.http")
-    private val connections = Connections(maxConnections, staleMs)
+    private val connections = Connections(maxConnections, minEvictionIdleMs)
 
     /** Number of open connections. */
-    val open get() = connections.openCount
+    val openCount get() = connections.openCount
 
     /**
      * Binds to [address] at once, which throws [IOException] if it is in use, then accepts connections until cancelled.
@@ -55,7 +55,7 @@
                 delay(HttpTuning.ACCEPT_RETRY_DELAY_MS)
                 continue
             }
-            val channel = server.acceptPatiently(log)
+            val channel = server.acceptWithRetries(log)
             val connection = Connection(channel)
             connections.add(connection)
             scope.launch { serveAndClose(channel, connection) }
@@ -88,12 +88,12 @@
             val request =
                 try {
                     requests.next() ?: return
-                } catch (e: BadMessage) {
+                } catch (e: MalformedMessageException) {
                     log.debug("malformed request: {}", e.message)
                     send(channel, Response(e.status, """{"error":"${e.message}"}"""), keepAlive = false)
                     return
                 }
-            connection.isKept = isKept(request)
+            connection.isLongLived = isLongLived(request)
             val response = handler(request)
             send(channel, response, request.keepAlive)
             if (!request.keepAlive) return
--- a/src/main/kotlin/ledgearch/http/MessageReader.kt
+++ b/src/main/kotlin/ledgearch/http/MessageReader.kt
@@ -5,7 +5,7 @@
 /**
  * An incremental HTTP/1.1 reader with one growing buffer. Bytes are appended in pieces of any size; [head] and [body]
  * return null until enough bytes have arrived. The buffer is limited by the head limit and by [maxBody] bytes for the
- * body. All functions throw [BadMessage] if a message is malformed or exceeds a limit.
+ * body. All functions throw [MalformedMessageException] if a message is malformed or exceeds a limit.
  */
 internal class MessageReader(
     private val maxBody: Int,
@@ -47,7 +47,7 @@
             }
             scannedUpTo++
             if (scannedUpTo > HttpTuning.MAX_HEAD_BYTES) {
-                throw BadMessage(
+                throw MalformedMessageException(
                     HttpStatus.HEADER_TOO_LARGE,
                     "header exceeds the limit of ${HttpTuning.MAX_HEAD_BYTES} bytes",
                 )
@@ -124,9 +124,9 @@
         if (endIndex == 0 && isLarge) bytes = ByteArray(HttpTuning.READ_BUFFER_BYTES)
     }
 
-    private fun badMessage(problem: String) = BadMessage(HttpStatus.BAD_REQUEST, problem)
+    private fun badMessage(problem: String) = MalformedMessageException(HttpStatus.BAD_REQUEST, problem)
 
-    private fun bodyTooLarge() = BadMessage(HttpStatus.PAYLOAD_TOO_LARGE, "body exceeds the limit of $maxBody bytes")
+    private fun bodyTooLarge() = MalformedMessageException(HttpStatus.PAYLOAD_TOO_LARGE, "body exceeds the limit of $maxBody bytes")
 
     private companion object {
         const val NONE = -1
--- a/src/main/kotlin/ledgearch/http/Messages.kt
+++ b/src/main/kotlin/ledgearch/http/Messages.kt
@@ -33,7 +33,7 @@
  * Thrown for a malformed message; [status] is the status to answer with. It has no stack trace, since clients can cause
  * it at will.
  */
-internal class BadMessage(
+internal class MalformedMessageException(
     val status: Int,
     message: String,
 ) : Exception(message, null, false, false)
--- a/src/main/kotlin/ledgearch/http/Nio.kt
+++ b/src/main/kotlin/ledgearch/http/Nio.kt
@@ -58,7 +58,7 @@
  * Waits for the next connection and returns it. A failure, such as a lack of free sockets, is logged to [log] and the
  * accept is retried after a pause.
  */
-internal suspend fun AsynchronousServerSocketChannel.acceptPatiently(log: Logger): AsynchronousSocketChannel {
+internal suspend fun AsynchronousServerSocketChannel.acceptWithRetries(log: Logger): AsynchronousSocketChannel {
     while (true) {
         try {
             return acceptNext()
--- a/src/main/kotlin/ledgearch/http/RequestReader.kt
+++ b/src/main/kotlin/ledgearch/http/RequestReader.kt
@@ -13,7 +13,7 @@
     private val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER_BYTES)
 
     /**
-     * Returns the next request, or null once the client has closed the connection. Throws [BadMessage] for a malformed
+     * Returns the next request, or null once the client has closed the connection. Throws [MalformedMessageException] for a malformed
      * request.
      */
     suspend fun next(): Request? {
@@ -53,7 +53,7 @@
     }
 
     private fun invalidRequestLine() =
-        BadMessage(HttpStatus.BAD_REQUEST, "request line is not METHOD TARGET VERSION with HTTP/1.x")
+        MalformedMessageException(HttpStatus.BAD_REQUEST, "request line is not METHOD TARGET VERSION with HTTP/1.x")
 
     private companion object {
         /** Method, target and version. */
--- a/src/main/kotlin/ledgearch/peers/FollowerLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerLinks.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.launch
 import ledgearch.http.HttpTuning
-import ledgearch.http.acceptPatiently
+import ledgearch.http.acceptWithRetries
 import ledgearch.http.closeQuietly
 import ledgearch.http.listenOn
 import ledgearch.http.readSome
@@ -51,7 +51,7 @@
         val server = listenOn(address, group)
         scope.launch {
             while (true) {
-                val channel = server.acceptPatiently(log)
+                val channel = server.acceptWithRetries(log)
                 if (followers.size >= PeerTuning.MAX_FOLLOWERS) {
                     channel.closeQuietly()
                 } else {
--- a/src/test/kotlin/ledgearch/http/ConnectionsTest.kt
+++ b/src/test/kotlin/ledgearch/http/ConnectionsTest.kt
@@ -8,13 +8,13 @@
 /** Tests which connection is closed for a new one when the limit is reached. */
 internal class ConnectionsTest {
     private val closed = ArrayList<String>()
-    private val connections = Connections(maxOpen = 3, staleMs = 1000)
+    private val connections = Connections(maxOpen = 3, minEvictionIdleMs = 1000)
 
     private fun open(
         name: String,
-        kept: Boolean = false,
+        longLived: Boolean = false,
     ) = Connection { closed.add(name) }.also {
-        it.isKept = kept
+        it.isLongLived = longLived
         connections.add(it)
     }
 
@@ -50,8 +50,8 @@
     }
 
     @Test
-    fun `closes kept connections only once they are stale`() {
-        val workers = listOf("w1", "w2").map { open(it, kept = true) }
+    fun `closes long-lived connections only after the minimum idle time`() {
+        val workers = listOf("w1", "w2").map { open(it, longLived = true) }
         val user = open("u")
         connections.markIdle(workers[0], 0)
         connections.markIdle(workers[1], 100)
--- a/src/test/kotlin/ledgearch/http/HttpClientTest.kt
+++ b/src/test/kotlin/ledgearch/http/HttpClientTest.kt
@@ -34,7 +34,7 @@
     @Test
     fun `failed calls leave no connection open`() {
         repeat(3) { call("127.0.0.1:99999") }
-        assertEquals(0, client.open)
+        assertEquals(0, client.openCount)
     }
 
     private companion object {
--- a/src/test/kotlin/ledgearch/http/MessageReaderTest.kt
+++ b/src/test/kotlin/ledgearch/http/MessageReaderTest.kt
@@ -65,7 +65,7 @@
                 reader.append(part, part.size)
                 while (true) bodies.add(reader.body() ?: break)
             }
-        } catch (refused: BadMessage) {
+        } catch (refused: MalformedMessageException) {
             return "bad ${refused.status}"
         }
         return if (bodies.isEmpty()) {
