--- a/src/main/kotlin/ledgearch/http/Connections.kt
+++ b/src/main/kotlin/ledgearch/http/Connections.kt
@@ -19,8 +19,9 @@
 
 /**
  * Tracks the open connections of a server, at most [maxOpen]. When that many are open, an idle one is closed to make
- * room: hundreds of workers may connect at once while users and dead clients still hold their sockets. A
- * long-lived connection is closed only after more than [minEvictionIdleMs] idle ms. Used from one thread only; times are ms of [SteadyTime].
+ * room: hundreds of workers may connect at once while users and dead clients still hold their sockets. A long-lived
+ * connection is closed only after more than [minEvictionIdleMs] idle ms. Used from one thread only; times are ms of
+ * [SteadyTime].
  */
 internal class Connections(
     private val maxOpen: Int,
--- a/src/main/kotlin/ledgearch/http/EventLoop.kt
+++ b/src/main/kotlin/ledgearch/http/EventLoop.kt
@@ -56,8 +56,9 @@
 
     /**
      * Dispatches work once no socket has events left, but at the latest after polling the sockets for
-     * [HttpTuning.MAX_SOCKET_POLLING_MS], so that the work gets all messages that have arrived as one batch. One poll accepts at
-     * most one connection; without repeated polls, long work would delay the accepting of hundreds of clients.
+     * [HttpTuning.MAX_SOCKET_POLLING_MS], so that the work gets all messages that have arrived as one batch. One poll
+     * accepts at most one connection; without repeated polls, long work would delay the accepting of hundreds of
+     * clients.
      */
     val afterSockets: CoroutineDispatcher =
         object : CoroutineDispatcher() {
--- a/src/main/kotlin/ledgearch/http/HeadParser.kt
+++ b/src/main/kotlin/ledgearch/http/HeadParser.kt
@@ -76,7 +76,10 @@
 
         private fun readEncoding(value: String) {
             if (!value.equals("chunked", ignoreCase = true)) {
-                throw MalformedMessageException(HttpStatus.NOT_IMPLEMENTED, "Transfer-Encoding other than chunked is not supported")
+                throw MalformedMessageException(
+                    HttpStatus.NOT_IMPLEMENTED,
+                    "Transfer-Encoding other than chunked is not supported",
+                )
             }
             chunked = true
         }
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -116,5 +116,6 @@
         startLine
             .split(' ')
             .getOrNull(1)
-            ?.toIntOrNull() ?: throw MalformedMessageException(HttpStatus.BAD_REQUEST, "status line without a numeric status")
+            ?.toIntOrNull()
+            ?: throw MalformedMessageException(HttpStatus.BAD_REQUEST, "status line without a numeric status")
 }
--- a/src/main/kotlin/ledgearch/http/HttpServer.kt
+++ b/src/main/kotlin/ledgearch/http/HttpServer.kt
@@ -15,9 +15,9 @@
 
 /**
  * Serves HTTP/1.1 on one address with one coroutine per connection and at most [maxConnections] connections. When that
- * many are open, the longest idle one is closed for a new one; a connection whose last request satisfies [isLongLived] is
- * closed only after [minEvictionIdleMs] idle ms. If none can be closed, no connection is accepted, so that clients wait in the
- * kernel's short accept queue.
+ * many are open, the longest idle one is closed for a new one; a connection whose last request satisfies [isLongLived]
+ * is closed only after [minEvictionIdleMs] idle ms. If none can be closed, no connection is accepted, so that clients
+ * wait in the kernel's short accept queue.
  */
 internal class HttpServer(
     private val scope: CoroutineScope,
--- a/src/main/kotlin/ledgearch/http/HttpTuning.kt
+++ b/src/main/kotlin/ledgearch/http/HttpTuning.kt
@@ -14,7 +14,9 @@
     /** Initial buffer of a connection. Nearly every message fits, and a thousand idle users need little memory. */
     const val READ_BUFFER_BYTES = 2 * 1024
 
-    /** A buffer larger than this multiple of [READ_BUFFER_BYTES] is replaced by an initial one once its message is read. */
+    /**
+     * A buffer larger than this multiple of [READ_BUFFER_BYTES] is replaced by an initial one once its message is read.
+     */
     const val MAX_KEPT_READ_BUFFERS = 4
 
     /** Line before a chunk: its size and any extensions, which no known peer sends. */
--- a/src/main/kotlin/ledgearch/http/MessageReader.kt
+++ b/src/main/kotlin/ledgearch/http/MessageReader.kt
@@ -126,7 +126,8 @@
 
     private fun badMessage(problem: String) = MalformedMessageException(HttpStatus.BAD_REQUEST, problem)
 
-    private fun bodyTooLarge() = MalformedMessageException(HttpStatus.PAYLOAD_TOO_LARGE, "body exceeds the limit of $maxBody bytes")
+    private fun bodyTooLarge() =
+        MalformedMessageException(HttpStatus.PAYLOAD_TOO_LARGE, "body exceeds the limit of $maxBody bytes")
 
     private companion object {
         const val NONE = -1
--- a/src/main/kotlin/ledgearch/http/RequestReader.kt
+++ b/src/main/kotlin/ledgearch/http/RequestReader.kt
@@ -13,13 +13,14 @@
     private val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER_BYTES)
 
     /**
-     * Returns the next request, or null once the client has closed the connection. Throws [MalformedMessageException] for a malformed
-     * request.
+     * Returns the next request, or null once the client has closed the connection. Throws [MalformedMessageException]
+     * for a malformed request.
      */
     suspend fun next(): Request? {
         var hasStarted = !reader.isEmpty
         val startMs = SteadyTime.nowMs()
-        connection.deadlineMs = startMs + if (hasStarted) HttpTuning.REQUEST_READ_TIMEOUT_MS else HttpTuning.IDLE_TIMEOUT_MS
+        connection.deadlineMs =
+            startMs + if (hasStarted) HttpTuning.REQUEST_READ_TIMEOUT_MS else HttpTuning.IDLE_TIMEOUT_MS
         if (!hasStarted) connections.markIdle(connection, startMs)
         while (true) {
             val head = reader.head()
--- a/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
+++ b/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Returns the latest time (steady-clock ms) since which this node was free of lag for more than [durationMs]. It is the
-     * inverse of [responsiveMsSince].
+     * Returns the latest time (steady-clock ms) since which this node was free of lag for more than [durationMs]. It is
+     * the inverse of [responsiveMsSince].
      */
     fun responsiveSince(durationMs: Long): Long {
         var remainingMs = durationMs
@@ -109,7 +109,8 @@
      */
     fun tryStartPass(): Boolean {
         val minIntervalMs = if (isLagging) RuntimeTuning.LAGGING_PASS_INTERVAL_MS else RuntimeTuning.PASS_INTERVAL_MS
-        val lastPassIntervalMs = minOf(lastPassDurationMs * RuntimeTuning.PASS_INTERVAL_FACTOR, RuntimeTuning.MAX_PASS_INTERVAL_MS)
+        val lastPassIntervalMs =
+            minOf(lastPassDurationMs * RuntimeTuning.PASS_INTERVAL_FACTOR, RuntimeTuning.MAX_PASS_INTERVAL_MS)
         val intervalMs = maxOf(minIntervalMs, lastPassIntervalMs)
         if (clock.steadyMs - lastPassStartedAtMs < intervalMs) return false
         lastPassStartedAtMs = clock.steadyMs
--- a/src/main/kotlin/ledgearch/runtime/LruMap.kt
+++ b/src/main/kotlin/ledgearch/runtime/LruMap.kt
@@ -1,9 +1,9 @@
 package ledgearch.runtime
 
 /**
- * A map of at most [maxEntries] entries that evicts the least recently used one; reading an entry counts as use. It is not
- * thread-safe and is used by the owner thread only. A concurrent cache from a library would add a tenth to the start-up
- * time.
+ * A map of at most [maxEntries] entries that evicts the least recently used one; reading an entry counts as use. It is
+ * not thread-safe and is used by the owner thread only. A concurrent cache from a library would add a tenth to the
+ * start-up time.
  */
 internal class LruMap<K, V>(
     private val maxEntries: Long,
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -9,9 +9,9 @@
  * Counters, latencies and time spent by the owner thread since the process started, as `GET /metrics` returns them.
  * Operators read the labels; docs/operations.md lists them:
  *
- * - kinds of exchange ([recordExchange]), each with latencies and a counter `KIND.STATUS` (status 0: no answer): incoming
- *   requests by their purpose (`submit`, `poll`, `cancel` and `heartbeat`), and calls of the owner by their peer
- *   (`state`, `cloud`, `worker`);
+ * - kinds of exchange ([recordExchange]), each with latencies and a counter `KIND.STATUS` (status 0: no answer):
+ *   incoming requests by their purpose (`submit`, `poll`, `cancel` and `heartbeat`), and calls of the owner by their
+ *   peer (`state`, `cloud`, `worker`);
  * - events ([count]): `task.started`, `task.preempted`, `task.lost`, `task.exited.CAUSE`, `machine.joined`,
  *   `machine.gone`;
  * - kinds of the owner's work ([measure]), such as `heartbeats`, `requests` (from users), `answers` (replies to its own
@@ -76,7 +76,9 @@
         latencies.getOrPut(kind) { histogram(RuntimeTuning.MAX_RECORDED_LATENCY_MS) }.recordValue(latencyMs)
     }
 
-    /** Records that the owner handled a batch in [durationUs] microseconds and left [queueLength] commands in its queue. */
+    /**
+     * Records that the owner handled a batch in [durationUs] microseconds and left [queueLength] commands in its queue.
+     */
     fun recordBatch(
         durationUs: Long,
         queueLength: Int,
@@ -95,7 +97,8 @@
     fun counters(): Map<String, Long> = counters.toSortedMap()
 
     /** Returns the distribution of latencies (ms) by kind of exchange. */
-    fun latencies(): Map<String, Distribution> = latencies.toSortedMap().mapValues { (_, histogram) -> summary(histogram) }
+    fun latencies(): Map<String, Distribution> =
+        latencies.toSortedMap().mapValues { (_, histogram) -> summary(histogram) }
 
     private fun histogram(highest: Long) = IntCountsHistogram(highest, RuntimeTuning.HISTOGRAM_SIGNIFICANT_DIGITS)
 
--- a/src/main/kotlin/ledgearch/runtime/TokenBucket.kt
+++ b/src/main/kotlin/ledgearch/runtime/TokenBucket.kt
@@ -1,8 +1,8 @@
 package ledgearch.runtime
 
 /**
- * A token bucket that refills at [permitsPerSecond] permits per second and holds one second's worth, the largest burst. It is
- * full at first, and its time advances only with [refill].
+ * A token bucket that refills at [permitsPerSecond] permits per second and holds one second's worth, the largest burst.
+ * It is full at first, and its time advances only with [refill].
  */
 internal class TokenBucket(
     /** Permits per second; a change takes effect at the next [refill]. */
--- a/src/test/kotlin/ledgearch/http/EventLoopTest.kt
+++ b/src/test/kotlin/ledgearch/http/EventLoopTest.kt
@@ -63,7 +63,10 @@
     @Test
     fun `clients do not delay the owner's batch beyond the limit`() {
         val readings = AtomicLong()
-        val served = servedBeforeBatch { readings.incrementAndGet() * (HttpTuning.MAX_SOCKET_POLLING_MS + 1) * NANOS_PER_MS }
+        val served =
+            servedBeforeBatch {
+                readings.incrementAndGet() * (HttpTuning.MAX_SOCKET_POLLING_MS + 1) * NANOS_PER_MS
+            }
         assertTrue(served < CLIENTS, "$served clients were served first")
     }
 
