--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -71,10 +71,10 @@
     fun probe(machine: Machine) = probes.probe(machine)
 
     /** Sends pending commands, and renews the token to fence unanswered starts. */
-    fun drive() {
+    fun runDueWork() {
         if (!queue.isEmpty) sendPending()
-        unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedToken != 0L } }
-        if (unacknowledged.any { !it.unreachable }) election.renewToken()
+        unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedStartToken != 0L } }
+        if (unacknowledged.any { !it.isUnreachable }) election.renewToken()
     }
 
     private fun sendPending() {
@@ -89,13 +89,13 @@
         val commands = pendingCommands(machine)
         if (commands.isEmpty()) return
         val started = commands.filter { it.kind == CommandKind.START }.mapNotNull { machine.attempts.get(it.attempt) }
-        started.forEach { it.startInFlight = true }
-        machine.commandInFlight = true
+        started.forEach { it.isStartInFlight = true }
+        machine.isCommandInFlight = true
         requestsInFlight++
         val token = election.token
         val sentAtMs = clock.steadyMs
         client.send(machine, commands, AgentTuning.COMMAND_TIMEOUT_MS) { status ->
-            machine.commandInFlight = false
+            machine.isCommandInFlight = false
             requestsInFlight--
             endStarts(machine, started, token, isAnswered = status != null)
             // A time-out while this node lagged may be this node's own and says nothing about the machine.
@@ -116,9 +116,9 @@
         isAnswered: Boolean,
     ) {
         for (attempt in started) {
-            attempt.startInFlight = false
-            if (!isAnswered && machine.token <= token && listener.isRegistered(machine)) {
-                attempt.unacknowledgedToken = token
+            attempt.isStartInFlight = false
+            if (!isAnswered && machine.highestSeenToken <= token && listener.isRegistered(machine)) {
+                attempt.unacknowledgedStartToken = token
                 unacknowledged.add(machine)
             }
         }
--- a/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchQueue.kt
@@ -43,27 +43,27 @@
     fun sendable(): List<Machine> = pending.filter(::isSendable)
 
     private fun isSendable(machine: Machine) =
-        !machine.commandInFlight &&
-            !machine.unreachable &&
-            machine.durable &&
-            machine.confirmed &&
-            !machine.releaseRequested
+        !machine.isCommandInFlight &&
+            !machine.isUnreachable &&
+            machine.isDurable &&
+            machine.isConfirmed &&
+            !machine.isReleaseRequested
 
     /** Marks [machine] as reachable, and queues it if it was not, so that lost commands are sent again. */
     fun markReachable(machine: Machine) {
-        machine.probesFailed = 0
-        machine.probeAnswered()
-        if (machine.unreachable) enqueue(machine)
-        machine.unreachable = false
-        machine.unreachableSince = 0L
+        machine.consecutiveFailedProbes = 0
+        machine.recordProbeReply()
+        if (machine.isUnreachable) enqueue(machine)
+        machine.isUnreachable = false
+        machine.unreachableSinceMs = 0L
         unreachable.remove(machine)
     }
 
     /** Marks [machine] as unreachable: it gets nothing new until it is reached again. */
     fun markUnreachable(machine: Machine) {
         if (!listener.isRegistered(machine)) return
-        machine.unreachable = true
-        if (machine.unreachableSince == 0L) machine.unreachableSince = clock.steadyMs
+        machine.isUnreachable = true
+        if (machine.unreachableSinceMs == 0L) machine.unreachableSinceMs = clock.steadyMs
         unreachable.add(machine)
     }
 }
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -41,35 +41,36 @@
     fun clear() = zones.clear()
 
     /** Checks all machines when a check is due. */
-    fun drive() {
+    fun runDueWork() {
         if (clock.steadyMs < nextCheckAtMs) return
         nextCheckAtMs = clock.steadyMs + AgentTuning.CHECK_INTERVAL_MS
         silence.update()
         val healedZones = zones.update(machines.values, ::isReporting)
         recovery?.look(machines.values, zones::contains, ::isReporting)
-        for (machine in machines.values) machine.overdue = silence.isOverdue(machine)
+        for (machine in machines.values) machine.isHeartbeatOverdue = silence.isOverdue(machine)
         if (healedZones.isNotEmpty()) machines.values.filter { it.zone in healedZones }.forEach(::resetFailures)
         releaseMissing()
         releaseUnreachable()
         checkOverdue()
     }
 
-    private fun isReporting(machine: Machine) = (machine.confirmed || !machine.inherited) && !silence.isSilent(machine)
+    private fun isReporting(machine: Machine) =
+        (machine.isConfirmed || !machine.isInherited) && !silence.isSilent(machine)
 
     /**
      * Disregards most of what [machine] left unanswered while its zone was partitioned. One failed probe stays counted,
      * since the machine itself has yet to reply.
      */
     private fun resetFailures(machine: Machine) {
-        machine.probesFailed = minOf(machine.probesFailed, 1)
-        machine.probeAt = clock.steadyMs
-        if (machine.unreachableSince != 0L) machine.unreachableSince = clock.steadyMs
+        machine.consecutiveFailedProbes = minOf(machine.consecutiveFailedProbes, 1)
+        machine.nextProbeAtMs = clock.steadyMs
+        if (machine.unreachableSinceMs != 0L) machine.unreachableSinceMs = clock.steadyMs
     }
 
     private fun releaseMissing() {
         // While a zone is partitioned, the filter below also records which of its confirmed machines are kept.
         if (zones.isEmpty && machines.values.none(missingMachines::isCandidate)) return
-        for (machine in missingMachines.findAmong(machines.values.filter { it.inherited && !zones.shouldKeep(it) })) {
+        for (machine in missingMachines.findAmong(machines.values.filter { it.isInherited && !zones.shouldKeep(it) })) {
             log.warn("recorded machine released: it answers no probe; machine={}", machine.name)
             releaser.release(machine)
         }
@@ -83,7 +84,7 @@
         val candidates = dispatcher.unreachableMachines.filter(::isLongUnreachable)
         val areMostUnreachable = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MAJORITY_SHARE
         for (machine in candidates) {
-            val unreachableMs = clock.steadyMs - machine.unreachableSince
+            val unreachableMs = clock.steadyMs - machine.unreachableSinceMs
             // If most machines are unreachable, the fault may be a temporary one of this node.
             if (areMostUnreachable && unreachableMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS) continue
             log.warn(
@@ -96,24 +97,24 @@
     }
 
     private fun isLongUnreachable(machine: Machine) =
-        !machine.releasing &&
+        !machine.isReleasing &&
             !zones.shouldKeep(machine) &&
-            machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE &&
-            stalls.attentiveMsSince(machine.unreachableSince) > lostMs
+            machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE &&
+            stalls.attentiveMsSince(machine.unreachableSinceMs) > lostMs
 
     private fun checkOverdue() {
-        val active = machines.values.filter { !it.releasing }
+        val active = machines.values.filter { !it.isReleasing }
         if (stepDownIfIsolated(active)) return
         val contacts by lazy(LazyThreadSafetyMode.NONE) { LastContacts(active) }
         val isOneWayFaultLikely =
             active.count { onlyAnswersCommands(it) } > active.size * RecoveryTuning.MAJORITY_SHARE
-        for (machine in dispatcher.unreachableMachines) if (!machine.releasing) dispatcher.probe(machine)
+        for (machine in dispatcher.unreachableMachines) if (!machine.isReleasing) dispatcher.probe(machine)
         for (machine in machines.values.toList()) {
             if (!silence.isOverdue(machine)) {
                 if (isPreemptionDue(machine)) releaseIfPreempted(machine)
                 continue
             }
-            if (machine.confirmed && !machine.releasing) dispatcher.probe(machine)
+            if (machine.isConfirmed && !machine.isReleasing) dispatcher.probe(machine)
             // The contacts are sorted only if a machine needs them.
             if (!silence.isLost(machine) && !(failsProbes(machine) && isIsolatedFailure(machine, contacts))) continue
             releaseUnlessKept(machine, isOneWayFaultLikely)
@@ -135,12 +136,12 @@
 
     /** Returns whether the announced preemption time of [machine] is over and nothing was heard from it since. */
     private fun isPreemptionDue(machine: Machine) =
-        machine.confirmed && machine.preemptionAt != 0L && machine.lastHeardAt < machine.preemptionAt &&
-            clock.steadyMs > machine.preemptionAt + AgentTuning.PREEMPTION_MARGIN_MS
+        machine.isConfirmed && machine.preemptionAtMs != 0L && machine.lastMessageAtMs < machine.preemptionAtMs &&
+            clock.steadyMs > machine.preemptionAtMs + AgentTuning.PREEMPTION_MARGIN_MS
 
     private fun releaseIfPreempted(machine: Machine) {
         dispatcher.probe(machine)
-        if (machine.probesFailed == 0 || machine.releasing) return
+        if (machine.consecutiveFailedProbes == 0 || machine.isReleasing) return
         log.info("machine released: the cloud has preempted it; machine={}", machine.name)
         releaser.release(machine)
     }
@@ -149,7 +150,7 @@
         machine: Machine,
         isOneWayFaultLikely: Boolean,
     ) {
-        if (machine.releasing || zones.shouldKeep(machine) ||
+        if (machine.isReleasing || zones.shouldKeep(machine) ||
             (isOneWayFaultLikely && onlyAnswersCommands(machine))
         ) {
             return
@@ -157,7 +158,7 @@
         log.warn(
             "machine released: it sends no heartbeats; machine={} ms={}",
             machine.name,
-            clock.steadyMs - machine.lastHeartbeatAt,
+            clock.steadyMs - machine.lastHeartbeatAtMs,
         )
         releaser.release(machine)
     }
@@ -167,13 +168,14 @@
      * for most machines, the fault may be this node's, and they are kept for [AgentTuning.ONE_WAY_FAULT_GRACE_MS].
      */
     private fun onlyAnswersCommands(machine: Machine) =
-        machine.confirmed && machine.probesFailed == 0 && !machine.unreachable &&
-            machine.lastHeardAt > machine.lastHeartbeatAt &&
+        machine.isConfirmed && machine.consecutiveFailedProbes == 0 && !machine.isUnreachable &&
+            machine.lastMessageAtMs > machine.lastHeartbeatAtMs &&
             silence.isSilent(machine) &&
-            clock.steadyMs - machine.lastHeartbeatAt < AgentTuning.ONE_WAY_FAULT_GRACE_MS
+            clock.steadyMs - machine.lastHeartbeatAtMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS
 
     private fun failsProbes(machine: Machine) =
-        !machine.releasing && machine.confirmed && machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE
+        !machine.isReleasing && machine.isConfirmed &&
+            machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE
 
     /**
      * Returns whether most machines, and one in the zone of [machine], were heard since its heartbeat was due. The
@@ -183,7 +185,7 @@
         machine: Machine,
         contacts: LastContacts,
     ): Boolean {
-        val dueAtMs = machine.lastHeardAt + dueMs
+        val dueAtMs = machine.lastMessageAtMs + dueMs
         return contacts.times.countAfter(dueAtMs) > contacts.times.size * RecoveryTuning.MAJORITY_SHARE &&
             contacts.hasAnyAfter(dueAtMs, machine.zone)
     }
@@ -192,11 +194,11 @@
     private class LastContacts(
         machines: List<Machine>,
     ) {
-        val times = SortedTimes(machines.map { it.lastHeardAt })
+        val times = SortedTimes(machines.map { it.lastMessageAtMs })
         private val lastByZoneMs =
             machines
                 .groupingBy { it.zone }
-                .fold(Long.MIN_VALUE) { lastMs, machine -> maxOf(lastMs, machine.lastHeardAt) }
+                .fold(Long.MIN_VALUE) { lastMs, machine -> maxOf(lastMs, machine.lastMessageAtMs) }
 
         fun hasAnyAfter(
             timeMs: Long,
--- a/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
@@ -35,7 +35,7 @@
 
     /** The machine gets nothing more and is released. */
     fun add(machine: Machine) {
-        machine.releasing = true
+        machine.isReleasing = true
         pending.add(machine.name)
     }
 
@@ -46,11 +46,11 @@
     }
 
     /** Releases the next machines, if there are any and the budget of calls allows it. */
-    fun drive(cluster: Cluster) {
+    fun runDueWork(cluster: Cluster) {
         if (isCalling || pending.isEmpty() || clock.steadyMs < retryAt || !cloud.hasBudget) return
         val names = pending.take(AutoscalingTuning.MACHINES_PER_RELEASE)
         isCalling = true
-        names.forEach { cluster.machines[it]?.releaseRequested = true }
+        names.forEach { cluster.machines[it]?.isReleaseRequested = true }
         val token = election.token
         cloud.release(names) { answer -> onAnswer(cluster, names, token, answer) }
     }
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -59,14 +59,14 @@
         clock.wallMs = wallMs
         stalls.began()
         for (command in commands) runIsolated { execute(command) }
-        runIsolated { jobStore.drive() }
-        runIsolated { election.drive() }
-        runIsolated { components.autoscaler.driveCatalog(election.isLeader) }
-        runIsolated { metrics.spend("api") { components.userApi.drive() } }
-        runIsolated { leader.drive() }
-        runIsolated { components.leaderStatusExchange.drive() }
+        runIsolated { jobStore.runDueWork() }
+        runIsolated { election.runDueWork() }
+        runIsolated { components.autoscaler.runDueCatalogWork(election.isLeader) }
+        runIsolated { metrics.spend("api") { components.userApi.runDueWork() } }
+        runIsolated { leader.runDueWork() }
+        runIsolated { components.leaderStatusExchange.runDueWork() }
         if (standby != null) {
-            runIsolated { metrics.spend("standby") { standby.drive(election.isLeader && leader.isReady) } }
+            runIsolated { metrics.spend("standby") { standby.runDueWork(election.isLeader && leader.isReady) } }
         }
         runIsolated { metrics.spend("state") { storeClient.sendAllowed() } }
         logTimeSpent()
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -47,14 +47,14 @@
     }
 
     /** Runs a pass if one was requested or the idle interval is over, and the pacing of passes allows it. */
-    fun drive() {
+    fun runDueWork() {
         if (!isPassRequested && clock.steadyMs - lastPassAtMs < ControlTuning.IDLE_PASS_INTERVAL_MS) return
         if (!stalls.mayPass()) return
         lastPassAtMs = clock.steadyMs
         isPassRequested = false
         if (areGuaranteesOutdated) {
             areGuaranteesOutdated = false
-            teams.countGuarantees(jobStore.jobs.values)
+            teams.updateGuarantees(jobStore.jobs.values)
             updateOnDemandJobs()
         }
         teams.countUnfound(jobStore.jobs.values)
@@ -64,7 +64,7 @@
     private fun updateOnDemandJobs() =
         metrics.spend("reliability") {
             reliability.chooseOnDemandJobs(
-                jobStore.jobs.values.filter { !it.waitsForOthers },
+                jobStore.jobs.values.filter { !it.isBlockedByDependencies },
                 machineRegistry.machines.values,
                 headroom.onDemandCpus(autoscaler.bootS()),
             )
--- a/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
+++ b/src/main/kotlin/ledgearch/jobs/JobDependencies.kt
@@ -48,7 +48,7 @@
 
     /** The number of reads of final records that are pending. */
     private var pendingReads = 0
-    private var nextDriveAtMs = Long.MIN_VALUE
+    private var nextRunAtMs = Long.MIN_VALUE
 
     /** Adds [job], which is open on this node from now on. */
     fun addJob(job: Job) {
@@ -100,9 +100,9 @@
     }
 
     /** Reads the final records of dependencies that are neither open nor known to have ended, a few at a time. */
-    fun drive() {
-        if (dependents.isEmpty() || clock.steadyMs < nextDriveAtMs) return
-        nextDriveAtMs = clock.steadyMs + RuntimeTuning.TICK_MS
+    fun runDueWork() {
+        if (dependents.isEmpty() || clock.steadyMs < nextRunAtMs) return
+        nextRunAtMs = clock.steadyMs + RuntimeTuning.TICK_MS
         for (id in dependents.keys) {
             if (pendingReads >= JobsTuning.MAX_CONCURRENT_DEPENDENCY_READS) return
             val isDue = clock.steadyMs >= (nextReadAtMs[id] ?: Long.MIN_VALUE)
@@ -130,7 +130,7 @@
     fun dependentsOf(job: Job): Collection<Job> = dependents[job.id].orEmpty()
 
     private fun isCancelled(id: String) =
-        finalRecordOf(id)?.state == JobState.CANCELLED || openJobs[id]?.dependencyCancelled == true
+        finalRecordOf(id)?.state == JobState.CANCELLED || openJobs[id]?.hasCancelledDependency == true
 
     /** Removes the dependency [id], which is done, from [job]. */
     private fun removeDependency(
@@ -138,8 +138,8 @@
         id: String,
     ) {
         job.unfinishedDependencies.remove(id)
-        if (job.waitsForOthers) return
-        job.readyAt = clock.wallMs
+        if (job.isBlockedByDependencies) return
+        job.readyAtMs = clock.wallMs
         listener.onDependenciesDone(job)
     }
 
@@ -148,8 +148,8 @@
         val toCancel = ArrayDeque(listOf(first))
         while (toCancel.isNotEmpty()) {
             val job = toCancel.removeFirst()
-            if (job.dependencyCancelled) continue
-            job.dependencyCancelled = true
+            if (job.hasCancelledDependency) continue
+            job.hasCancelledDependency = true
             listener.onDependencyCancelled(job)
             dependents[job.id]?.let(toCancel::addAll)
         }
@@ -167,8 +167,8 @@
         while (toVisit.isNotEmpty()) {
             val id = toVisit.removeFirst()
             val job = openJobs[id] ?: continue
-            val highestOfDependents = dependents[id]?.minOfOrNull { it.priority } ?: job.ownPriority
-            val priority = minOf(job.ownPriority, highestOfDependents)
+            val highestOfDependents = dependents[id]?.minOfOrNull { it.priority } ?: job.submittedPriority
+            val priority = minOf(job.submittedPriority, highestOfDependents)
             if (priority == job.priority) continue
             listener.onPriorityChanged(job, priority)
             toVisit.addAll(job.unfinishedDependencies)
--- a/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
+++ b/src/main/kotlin/ledgearch/recovery/DisplacedWork.kt
@@ -29,17 +29,17 @@
     /** [attempt] is gone with its machine. */
     fun lost(attempt: TaskAttempt) {
         val job = attempt.job ?: return
-        if (job.closed || job.record.cancelRequested || job.finished.get(attempt.index)) return
+        if (job.isClosed || job.record.cancelRequested || job.finishedTasks.get(attempt.index)) return
         displaced(job).waitingTasks.add(attempt.index)
     }
 
     /** All tasks of [job] that wait: a leader that took over after the loss can't tell which of them ran before. */
     fun allWaitingOf(job: Job) {
-        var index = job.nextPending() ?: return
+        var index = job.nextPendingTask() ?: return
         val waitingTasks = displaced(job).waitingTasks
         while (true) {
             waitingTasks.add(index)
-            index = job.nextPending(index + 1) ?: return
+            index = job.nextPendingTask(index + 1) ?: return
         }
     }
 
@@ -61,7 +61,7 @@
 
     /** Forgets jobs that are over. */
     fun removeClosed() {
-        if (jobs.isNotEmpty()) jobs.keys.removeIf { it.closed || it.record.cancelRequested || it.complete }
+        if (jobs.isNotEmpty()) jobs.keys.removeIf { it.isClosed || it.record.cancelRequested || it.isComplete }
     }
 
     /** Displaced tasks that wait, by the names of the groups in their order; groups with none are left out. */
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -7,9 +7,9 @@
 import ledgearch.runtime.Metrics
 
 /**
- * Places the pending tasks of jobs, more urgent priorities first: on a machine with room if there is one; otherwise
- * room is made by preemption if that is allowed ([Preemption]), and the tasks are bound to the queues of machines
- * ([QueueBinder]) or wait unbound. [startTask] starts the task with a given index on a machine.
+ * Places the pending tasks of jobs, more urgent priorities first. A task starts on a machine with room. Where there is
+ * none, room is made by preemption if that is allowed ([Preemption]), and the task is bound to the queue of a machine
+ * ([QueueBinder]) or waits unbound. [startTask] starts the task with a given index on a machine.
  */
 internal class Placer(
     private val machines: Map<String, Machine>,
@@ -38,7 +38,9 @@
     /** Removes all tasks of [job], which is over, from the queues. */
     fun removeFromQueues(job: Job) = queues.unbindAll(job)
 
-    /** Called when machines have joined, changed or left; tasks bound to the queue of [removed] wait unbound again. */
+    /**
+     * Updates the queues after machines joined, changed or left; tasks bound to that of [removed] wait unbound again.
+     */
     fun updateMachines(removed: Machine? = null) = queues.updateMachines(removed)
 
     /** Clears all state that is kept only while this node leads. */
@@ -55,7 +57,7 @@
      * Starts the pending tasks of [jobs], preempts other tasks for them or binds them to queues, as far as possible.
      */
     fun runPass(jobs: Collection<Job>) {
-        val startable = jobs.filter { it.startable(clock.steadyMs) }
+        val startable = jobs.filter { it.isStartable(clock.steadyMs) }
         recovery.updateWaiting(startable)
         if (startable.isEmpty()) return
         val allUsable = machines.values.filter { isUsable(it) }
@@ -65,7 +67,7 @@
         val running = jobs.filter { it.attempts.isNotEmpty() }
         val waiting = serveByPriority(startable, usable, running)
         if (waiting.isEmpty()) return
-        val admitting = if (recovery.isActive) usable.filter { !it.heldBack } else usable
+        val admitting = if (recovery.isActive) usable.filter { !it.isHeldBack } else usable
         metrics.spend("preemption") {
             preemption.runPass(waiting, admitting, running, estimates.freedCpusPerSecond(jobs))
         }
@@ -130,13 +132,13 @@
         startable: List<Job>,
         usable: List<Machine>,
     ): Set<Machine> {
-        val starved = startable.filter { it.attempts.isEmpty() && ranking.isStarved(it) }.sortedBy { it.readyAt }
+        val starved = startable.filter { it.attempts.isEmpty() && ranking.isStarved(it) }.sortedBy { it.readyAtMs }
         val reserved = HashSet<Machine>()
         for (job in starved) {
             val unreserved = excluding(reserved, usable)
             val part = maxOf(1, job.pendingCount / SchedulingTuning.STARVED_JOB_PARTS)
             starter.startAnywhere(job, unreserved, keepPending = job.pendingCount - part)
-            job.attempts.values.forEach { it.exemptFromPreemption = true }
+            job.attempts.values.forEach { it.isExemptFromPreemption = true }
             val mayReserve = job.attempts.isEmpty() && teams.allows(job)
             if (mayReserve && reserved.size < SchedulingTuning.MAX_RESERVED_MACHINES) {
                 reservations.reserve(job, unreserved)?.let { reserved.add(it) }
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
@@ -10,12 +10,13 @@
     private val recovery: RecoveryPolicy,
 ) {
     /**
-     * Returns whether [job] may claim its team's guaranteed share by now and [tasks] more of its tasks are within it.
+     * Returns whether [job] has waited long enough to claim its team's guaranteed share and [tasks] more of its tasks
+     * are within it.
      */
     fun mayClaimGuarantee(
         job: Job,
         tasks: Int,
-    ): Boolean = ranking.mayClaimGuarantee(job) && teams.mayClaim(job, tasks)
+    ): Boolean = ranking.mayClaimGuarantee(job) && teams.mayClaimGuarantee(job, tasks)
 
     /**
      * Returns whether [job] may preempt tasks of [victim]: those of a lower priority and, if [claimsGuarantee], the
@@ -32,11 +33,12 @@
         return claimsGuarantee && victim.priority == job.priority && isSurplusOfOtherTeam(job, victim)
     }
 
-    /** Returns whether [victim] runs beyond the guaranteed share of a team other than that of [job]. */
+    /** Returns whether tasks of [victim], which is not a service, are surplus of a team other than that of [job]. */
     private fun isSurplusOfOtherTeam(
         job: Job,
         victim: Job,
-    ): Boolean = !victim.guaranteed && victim.spec.team != job.spec.team && !victim.isService && teams.canSpare(victim)
+    ): Boolean =
+        !victim.isGuaranteed && victim.spec.team != job.spec.team && !victim.isService && teams.canSpare(victim)
 
     /**
      * Returns whether [job], whose team has used up its quota, may preempt tasks of [victim] to free some of it:
--- a/src/main/kotlin/ledgearch/scheduling/QueueBinder.kt
+++ b/src/main/kotlin/ledgearch/scheduling/QueueBinder.kt
@@ -39,7 +39,9 @@
         boundQueues.remove(job)?.forEach { it.unbind(job) }
     }
 
-    /** Called when machines have joined, changed or left; tasks bound to the queue of [removed] wait unbound again. */
+    /**
+     * Updates the queues after machines joined, changed or left; tasks bound to that of [removed] wait unbound again.
+     */
     fun updateMachines(removed: Machine?) {
         preferredLists = null
         if (removed == null) return
@@ -75,7 +77,7 @@
     ) {
         var openQueues = usable.count { it.queue.loadState != LoadState.OVERLOADED }
         val preferred =
-            preferredLists ?: PreferredLists(machines.values.filter { it.inService }).also { preferredLists = it }
+            preferredLists ?: PreferredLists(machines.values.filter { it.isInService }).also { preferredLists = it }
         // Jobs with the same constraints as one that could not be bound completely wait for the next pass.
         val exhausted = HashSet<PlacementConstraints>()
         for (job in waiting) {
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -40,8 +40,8 @@
         val hint = machines[machine.name] ?: return
         machine.incarnationHint = hint.incarnation.coerceAtLeast(0)
         if (hint.returning) {
-            machine.refusedUntil = clock.steadyMs + StandbyTuning.RETURNING_HINT_MS
-            machine.returningHint = true
+            machine.startsPausedUntilMs = clock.steadyMs + StandbyTuning.RETURNING_HINT_MS
+            machine.isReturningHint = true
         }
         hint.images.take(ModelTuning.MACHINE_TASKS).forEach { useImage(machine, it) }
     }
@@ -72,8 +72,8 @@
     ) {
         // Written so that a NaN is out of range.
         if (!(image.gigabytes >= 0.0) || image.gigabytes.isInfinite()) return
-        machine.touchImage(image.name, image.gigabytes)
-        if (image.fetched && image.name in machine.images) machine.fetched.add(image.name)
+        machine.recordImageUse(image.name, image.gigabytes)
+        if (image.fetched && image.name in machine.imageSizesGb) machine.fetchedImages.add(image.name)
     }
 
     private fun useRunTime(
@@ -93,7 +93,7 @@
         clock: Clock,
     ) {
         val job = jobStore.jobs[hint.job] ?: return
-        job.lastStartAt = maxOf(job.lastStartAt, minOf(hint.lastStartAt, clock.wallMs))
+        job.lastStartAtMs = maxOf(job.lastStartAtMs, minOf(hint.lastStartAt, clock.wallMs))
     }
 
     private fun useRentedMachine(
