--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -6,8 +6,8 @@
 import ledgearch.recovery.RecoveryTuning
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
-import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.EventLoopLagMonitor
+import ledgearch.runtime.MS_PER_SECOND
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -4,8 +4,8 @@
 import ledgearch.jobs.JobStore
 import ledgearch.recovery.RecoveryTuning
 import ledgearch.runtime.Clock
-import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.EventLoopLagMonitor
+import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.wire.ListedMachine
 import org.slf4j.LoggerFactory
 
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -14,9 +14,9 @@
 import ledgearch.peers.Mesh
 import ledgearch.persistence.RecordWriter
 import ledgearch.runtime.Clock
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.MeteredTransport
 import ledgearch.runtime.Metrics
-import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.Transport
 import ledgearch.standby.LeaderSnapshot
 import ledgearch.standby.StandbyTuning
@@ -70,7 +70,8 @@
     val lagMonitor = EventLoopLagMonitor(clock, metrics)
 
     /** Provisions and releases machines on the leader; reads the machine catalog on every node. */
-    val autoscaler: Autoscaler = Autoscaler(settings, meteredTransport, election, jobStore, clock, lagMonitor, recordWriter)
+    val autoscaler: Autoscaler =
+        Autoscaler(settings, meteredTransport, election, jobStore, clock, lagMonitor, recordWriter)
 
     /** Manages the machines and places tasks while this node leads. */
     val leader =
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -22,9 +22,9 @@
 import ledgearch.persistence.RecordWriter
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.Metrics
-import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.Transport
 import ledgearch.scheduling.Deadlines
 import ledgearch.scheduling.NoRecovery
@@ -66,7 +66,14 @@
     /** The zone recovery; null unless it is enabled in the operator settings. */
     override val recovery: ZoneRecovery? = createZoneRecovery(settings, clock)
     private val dispatcher =
-        CommandDispatcher(transport, election, clock, lagMonitor, DispatchLimits.of(settings.deployment), AgentReplies())
+        CommandDispatcher(
+            transport,
+            election,
+            clock,
+            lagMonitor,
+            DispatchLimits.of(settings.deployment),
+            AgentReplies(),
+        )
     private val attemptControl = AttemptControl(term, dispatcher, clock, metrics)
     private val deadlines =
         Deadlines(settings.deployment.objectives, estimates, clock, jobStore.dependencies::dependentsOf)
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -5,8 +5,8 @@
 import ledgearch.jobs.JobStore
 import ledgearch.model.TeamQuotas
 import ledgearch.runtime.Clock
-import ledgearch.runtime.Metrics
 import ledgearch.runtime.EventLoopLagMonitor
+import ledgearch.runtime.Metrics
 import ledgearch.scheduling.Placer
 import ledgearch.scheduling.SpotReliability
 
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -186,7 +186,13 @@
     ) {
         val isLeadershipInDoubt = Keys.leadership(0) in failedKeys
         val delayMs =
-            if (failedKeys.isEmpty() || isLeadershipInDoubt) StoreTuning.RETRY_DELAY_MS else RuntimeTuning.TICK_INTERVAL_MS
+            if (failedKeys.isEmpty() ||
+                isLeadershipInDoubt
+            ) {
+                StoreTuning.RETRY_DELAY_MS
+            } else {
+                RuntimeTuning.TICK_INTERVAL_MS
+            }
         retryAtMs = clock.steadyMs + delayMs
         if (isLeadershipInDoubt) election.verifyLeadership(sentToken)
         val conflictTerm = term
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -98,7 +98,9 @@
 
     /** Returns the distribution of latencies (ms) by kind of exchange. */
     fun latencies(): Map<String, Distribution> =
-        latencies.toSortedMap().mapValues { (_, histogram) -> summary(histogram) }
+        latencies.toSortedMap().mapValues { (_, histogram) ->
+            summary(histogram)
+        }
 
     private fun histogram(highest: Long) = IntCountsHistogram(highest, RuntimeTuning.HISTOGRAM_SIGNIFICANT_DIGITS)
 
--- a/src/main/kotlin/ledgearch/status/MetricsReport.kt
+++ b/src/main/kotlin/ledgearch/status/MetricsReport.kt
@@ -3,8 +3,8 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 import ledgearch.recovery.RecoveryReport
-import ledgearch.runtime.OwnerLoad
 import ledgearch.runtime.Distribution
+import ledgearch.runtime.OwnerLoad
 import ledgearch.standby.StandbyReport
 
 /** What a controller answers to `GET /metrics`. Counters and distributions are those since its process started. */
