--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.model.Machine
 import ledgearch.runtime.Clock
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 
 /** Probes agents with empty command requests, which carry the leader's token; agents reply with their status. */
 internal class AgentProbes(
@@ -11,7 +11,7 @@
     private val maxConcurrentProbes: Int,
     /** Longest time between two heartbeats of a healthy agent. */
     private val maxHeartbeatIntervalMs: Long,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     private val clock: Clock,
     private val listener: AgentReplyListener,
 ) {
@@ -27,19 +27,23 @@
      * command to the machine is in flight, before its next probe is due, or while too many probes are in flight.
      */
     fun probe(machine: Machine) {
-        if (machine.commandInFlight || clock.steadyMs < machine.probeAt || probesInFlight >= maxConcurrentProbes) return
-        if (!machine.confirmed && isHeartbeatExpected(machine)) return
+        if (machine.isCommandInFlight || clock.steadyMs < machine.nextProbeAtMs ||
+            probesInFlight >= maxConcurrentProbes
+        ) {
+            return
+        }
+        if (!machine.isConfirmed && isHeartbeatExpected(machine)) return
         send(machine)
     }
 
     private fun send(machine: Machine) {
-        machine.commandInFlight = true
-        machine.probeAt = clock.steadyMs + intervalMs(machine.probesFailed)
+        machine.isCommandInFlight = true
+        machine.nextProbeAtMs = clock.steadyMs + intervalMs(machine.consecutiveFailedProbes)
         probesInFlight++
         val sentAtMs = clock.steadyMs
         val incarnation = machine.incarnation
-        client.send(machine, emptyList(), intervalMs(machine.probesFailed + 1)) { status ->
-            machine.commandInFlight = false
+        client.send(machine, emptyList(), intervalMs(machine.consecutiveFailedProbes + 1)) { status ->
+            machine.isCommandInFlight = false
             probesInFlight--
             if (status == null) {
                 recordFailure(machine, sentAtMs)
@@ -48,14 +52,14 @@
             if (listener.isRegistered(machine)) listener.onReply(machine, status)
             // An agent rejects a token sent for another incarnation than its own. Its reply contains the right
             // incarnation, so the token is sent again at once.
-            if (listener.isRegistered(machine) && !machine.confirmed && machine.incarnation != incarnation) {
+            if (listener.isRegistered(machine) && !machine.isConfirmed && machine.incarnation != incarnation) {
                 resend(machine)
             }
         }
     }
 
     private fun resend(machine: Machine) {
-        if (!machine.commandInFlight) send(machine)
+        if (!machine.isCommandInFlight) send(machine)
     }
 
     /** Counts an unanswered probe; one that timed out while this node lagged does not count as a failure. */
@@ -63,10 +67,10 @@
         machine: Machine,
         sentAtMs: Long,
     ) {
-        machine.probeUnanswered(sentAtMs)
-        if (stalls.wasLaggingSince(sentAtMs)) return
-        machine.probesFailed++
-        if (!machine.confirmed) queue.markUnreachable(machine)
+        machine.recordUnansweredProbe(sentAtMs)
+        if (lagMonitor.wasLaggingSince(sentAtMs)) return
+        machine.consecutiveFailedProbes++
+        if (!machine.isConfirmed) queue.markUnreachable(machine)
     }
 
     /** Returns the time until the next probe, which grows with failures: a partition can silence hundreds of agents. */
@@ -82,8 +86,8 @@
      * heartbeats. A machine that was being returned is not waited for, since it is most likely gone.
      */
     private fun isHeartbeatExpected(machine: Machine) =
-        stalls.isLagging &&
-            machine.inherited &&
-            !machine.returningHint &&
-            clock.steadyMs - machine.knownSince < maxHeartbeatIntervalMs
+        lagMonitor.isLagging &&
+            machine.isInherited &&
+            !machine.isReturningHint &&
+            clock.steadyMs - machine.knownSinceMs < maxHeartbeatIntervalMs
 }
--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -4,7 +4,7 @@
 import ledgearch.model.Machine
 import ledgearch.model.TaskAttempt
 import ledgearch.runtime.Clock
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.Transport
 import ledgearch.wire.CommandKind
 import ledgearch.wire.TaskCommand
@@ -17,7 +17,7 @@
     transport: Transport,
     private val election: Election,
     private val clock: Clock,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     private val limits: DispatchLimits,
     private val listener: AgentReplyListener,
 ) {
@@ -29,7 +29,7 @@
             queue,
             limits.maxConcurrentProbes,
             limits.maxHeartbeatIntervalMs,
-            stalls,
+            lagMonitor,
             clock,
             listener,
         )
@@ -73,8 +73,8 @@
     /** Sends pending commands, and renews the token to fence unanswered starts. */
     fun runDueWork() {
         if (!queue.isEmpty) sendPending()
-        unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedToken != 0L } }
-        if (unacknowledged.any { !it.unreachable }) election.renewToken()
+        unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedStartToken != 0L } }
+        if (unacknowledged.any { !it.isUnreachable }) election.renewToken()
     }
 
     private fun sendPending() {
@@ -89,17 +89,17 @@
         val commands = pendingCommands(machine)
         if (commands.isEmpty()) return
         val started = commands.filter { it.kind == CommandKind.START }.mapNotNull { machine.attempts.get(it.attempt) }
-        started.forEach { it.startInFlight = true }
-        machine.commandInFlight = true
+        started.forEach { it.isStartInFlight = true }
+        machine.isCommandInFlight = true
         requestsInFlight++
         val token = election.token
         val sentAtMs = clock.steadyMs
         client.send(machine, commands, AgentTuning.COMMAND_TIMEOUT_MS) { status ->
-            machine.commandInFlight = false
+            machine.isCommandInFlight = false
             requestsInFlight--
             endStarts(machine, started, token, isAnswered = status != null)
             // A time-out while this node lagged may be this node's own and says nothing about the machine.
-            if (status == null && !stalls.wasLaggingSince(sentAtMs)) queue.markUnreachable(machine)
+            if (status == null && !lagMonitor.wasLaggingSince(sentAtMs)) queue.markUnreachable(machine)
             if (status != null && listener.isRegistered(machine)) listener.onReply(machine, status)
             if (commands.size == AgentTuning.MAX_COMMANDS_PER_MESSAGE) enqueue(machine)
         }
@@ -116,9 +116,9 @@
         isAnswered: Boolean,
     ) {
         for (attempt in started) {
-            attempt.startInFlight = false
-            if (!isAnswered && machine.token <= token && listener.isRegistered(machine)) {
-                attempt.unacknowledgedToken = token
+            attempt.isStartInFlight = false
+            if (!isAnswered && machine.highestSeenToken <= token && listener.isRegistered(machine)) {
+                attempt.unacknowledgedStartToken = token
                 unacknowledged.add(machine)
             }
         }
--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -6,7 +6,7 @@
 import ledgearch.model.Machine
 import ledgearch.persistence.RecordWriter
 import ledgearch.runtime.Clock
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.Transport
 
 /**
@@ -20,7 +20,7 @@
     private val election: Election,
     private val jobStore: JobStore,
     private val clock: Clock,
-    stalls: StallCompensation,
+    lagMonitor: EventLoopLagMonitor,
     recordWriter: RecordWriter,
 ) {
     private val cloud = CloudClient(settings, transport, clock)
@@ -28,7 +28,7 @@
     private val bootingMachines = BootingMachines()
     private val rentalHints = RentalHints(clock)
     private val releaseQueue = ReleaseQueue(cloud, election, clock, bootingMachines)
-    private val bootTimeouts = BootTimeouts(settings, jobStore, clock, stalls, bootingMachines, releaseQueue)
+    private val bootTimeouts = BootTimeouts(settings, jobStore, clock, lagMonitor, bootingMachines, releaseQueue)
     private val machineListReader = MachineListReader(cloud, election, clock, bootTimeouts, releaseQueue)
     private val provisioner = Provisioner(cloud, election, clock, bootingMachines)
     private val poolSelector = PoolSelector(settings, jobStore, bootingMachines, provisioner)
--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -4,8 +4,8 @@
 import ledgearch.jobs.JobStore
 import ledgearch.recovery.RecoveryTuning
 import ledgearch.runtime.Clock
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.MS_PER_SECOND
-import ledgearch.runtime.StallCompensation
 import ledgearch.wire.ListedMachine
 import org.slf4j.LoggerFactory
 
@@ -17,7 +17,7 @@
     settings: Settings,
     private val jobStore: JobStore,
     private val clock: Clock,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     private val bootingMachines: BootingMachines,
     private val releaseQueue: ReleaseQueue,
 ) {
@@ -54,15 +54,15 @@
     }
 
     /**
-     * Called when the cloud lists [listed], which has sent no heartbeat, as up. If its worker reaches no controller, the
-     * machine is of no use, and it is released sooner than one that boots.
+     * Called when the cloud lists [listed], which has sent no heartbeat, as up. If its worker reaches no controller,
+     * the machine is of no use, and it is released sooner than one that boots.
      */
     fun onListedAsUp(
         cluster: Cluster,
         listed: ListedMachine,
     ) {
         val sinceMs = unreportedSinceMs.getOrPut(listed.name) { clock.steadyMs }
-        val hadTimeToReport = stalls.attentiveMsSince(sinceMs) >= AutoscalingTuning.UNREPORTED_TIMEOUT_MS
+        val hadTimeToReport = lagMonitor.responsiveMsSince(sinceMs) >= AutoscalingTuning.UNREPORTED_TIMEOUT_MS
         if (!hadTimeToReport || cluster.isCutOff(listed.zone)) return
         log.info("machine queued for release: it is up but sends no heartbeat; machine={}", listed.name)
         unreportedSinceMs.remove(listed.name)
@@ -82,7 +82,9 @@
         }
     }
 
-    /** Returns whether the machine is up in a partitioned zone: its first heartbeat shows that the partition is over. */
+    /**
+     * Returns whether the machine is up in a partitioned zone: its first heartbeat shows that the partition is over.
+     */
     private fun isProbeMachine(
         cluster: Cluster,
         name: String,
--- a/src/main/kotlin/ledgearch/autoscaling/BootingMachines.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootingMachines.kt
@@ -21,8 +21,8 @@
     fun entries(): List<Map.Entry<String, BootingMachine>> = machines.entries.toList()
 
     /**
-     * Adds the machine [name] unless it is already known to [cluster]: it may have joined and run tasks before the reply
-     * to its request arrived.
+     * Adds the machine [name] unless it is already known to [cluster]: it may have joined and run tasks before the
+     * reply to its request arrived.
      */
     fun add(
         cluster: Cluster,
--- a/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
@@ -45,8 +45,8 @@
 }
 
 /**
- * Client of the cloud with a budget for its rate limit. Callers check [hasBudget] before the first call of an operation;
- * the client itself delays no call. Each callback is called once, on the owner thread.
+ * Client of the cloud with a budget for its rate limit. Callers check [hasBudget] before the first call of an
+ * operation; the client itself delays no call. Each callback is called once, on the owner thread.
  */
 internal class CloudClient(
     settings: Settings,
@@ -57,11 +57,11 @@
     private val address = settings.outside.cloud
 
     /** Calls per second that this node plans to make at most. */
-    val callsPerSecond = settings.deployment.cloud.rps * RuntimeTuning.BUDGET_USED
+    val callsPerSecond = settings.deployment.cloud.rps * RuntimeTuning.USED_RATE_LIMIT_SHARE
     private val budget = TokenBucket(callsPerSecond)
 
     /** Whether the budget allows one more call now. */
-    val hasBudget: Boolean get() = budget.has(1)
+    val hasBudget: Boolean get() = budget.hasPermits(1)
 
     /** Adds the calls that the time since the last refill allows. */
     fun refillBudget() = budget.refill(clock.steadyMs)
--- a/src/main/kotlin/ledgearch/autoscaling/Demand.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Demand.kt
@@ -62,8 +62,8 @@
         ): List<Job> {
             val startable =
                 jobs
-                    .filter { it.startable(clock.steadyMs) }
-                    .sortedWith(compareBy({ it.priority }, { it.readyAt }))
+                    .filter { it.isStartable(clock.steadyMs) }
+                    .sortedWith(compareBy({ it.priority }, { it.readyAtMs }))
             val recovery = cluster.recovery ?: return startable
             return recovery.reorder(listOf(startable)).single()
         }
--- a/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
@@ -51,7 +51,9 @@
         }
     }
 
-    /** Returns the time to the next reading of the list; a long list must leave calls for provisioning and releasing. */
+    /**
+     * Returns the time to the next reading of the list; a long list must leave calls for provisioning and releasing.
+     */
     private fun intervalMs(pageCount: Int): Long {
         val calls = pageCount * AutoscalingTuning.CALLS_PER_LIST_PAGE
         val callsMs = (calls * MS_PER_SECOND / cloud.callsPerSecond).toLong()
--- a/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
@@ -59,7 +59,7 @@
         bootingMachines.hasNoneIn(zone) &&
             plannedCounts.keys.none { it.zone == zone } &&
             provisioner.hasNoPendingRequestIn(zone) &&
-            cluster.machines.values.none { it.zone == zone && !it.releasing }
+            cluster.machines.values.none { it.zone == zone && !it.isReleasing }
 
     /** Returns whether [pool] is much more expensive than the cheapest pool that [job] may use. */
     fun isExpensive(
--- a/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
@@ -35,7 +35,7 @@
 
     /** Queues [machine] for release; no more tasks are placed on it. */
     fun add(machine: Machine) {
-        machine.releasing = true
+        machine.isReleasing = true
         pendingNames.add(machine.name)
     }
 
@@ -50,7 +50,7 @@
         if (isCallPending || pendingNames.isEmpty() || clock.steadyMs < retryAtMs || !cloud.hasBudget) return
         val names = pendingNames.take(AutoscalingTuning.MAX_MACHINES_PER_RELEASE)
         isCallPending = true
-        names.forEach { cluster.machines[it]?.releaseRequested = true }
+        names.forEach { cluster.machines[it]?.isReleaseRequested = true }
         val token = election.token
         cloud.release(names) { result -> onResult(cluster, names, token, result) }
     }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -31,7 +31,9 @@
         onDemandLoad.observe(jobStore.jobs.values.sumOf { onDemandCpus(cluster, it) })
     }
 
-    /** Returns the processors of the attempts of [job] if it may not or should not run on spot machines, otherwise 0. */
+    /**
+     * Returns the processors of the attempts of [job] if it may not or should not run on spot machines, otherwise 0.
+     */
     private fun onDemandCpus(
         cluster: Cluster,
         job: Job,
@@ -56,8 +58,8 @@
     /** Returns draining machines to service, so that they are used before any is provisioned. */
     private fun cancelDraining(cluster: Cluster) {
         for (machine in cluster.machines.values) {
-            if (machine.draining && !machine.releasing) {
-                machine.draining = false
+            if (machine.isDraining && !machine.isReleasing) {
+                machine.isDraining = false
                 cluster.changed()
             }
         }
@@ -65,10 +67,10 @@
 
     /** Queues empty machines for release that are draining or quarantined, and moves replicas off quarantined ones. */
     fun releaseEmpty(cluster: Cluster) {
-        val inService = cluster.machines.values.filter { it.inService }
+        val inService = cluster.machines.values.filter { it.isInService }
         for (machine in cluster.machines.values.toList()) {
             val shouldMoveReplicas =
-                machine.quarantined && machine.confirmed && cluster.replicas.canMoveReplicas(machine, inService)
+                machine.isQuarantined && machine.isConfirmed && cluster.replicas.canMoveReplicas(machine, inService)
             if (shouldMoveReplicas) cluster.replicas.moveReplicas(machine)
             if (isEmptyAndLeaving(machine)) {
                 log.info(
@@ -81,8 +83,8 @@
     }
 
     private fun isEmptyAndLeaving(machine: Machine): Boolean =
-        (machine.quarantined || machine.draining) &&
-            machine.attempts.isEmpty() && machine.confirmed && !machine.releasing
+        (machine.isQuarantined || machine.isDraining) &&
+            machine.attempts.isEmpty() && machine.isConfirmed && !machine.isReleasing
 
     /**
      * Drains machines, the most expensive first, if there has been no demand for a while and as long as the remaining
@@ -103,11 +105,11 @@
         cluster: Cluster,
         freedCpusPerSecond: Double,
     ): Boolean {
-        val inService = cluster.machines.values.filter { it.inService }
+        val inService = cluster.machines.values.filter { it.isInService }
         val capacityCpus = inService.sumOf { it.machineType.vcpus }
         val headroomCpus = cluster.headroom.cpus(freedCpusPerSecond, poolSelector.shortestBootS())
         val machine = mostExpensiveUnneeded(cluster, inService, capacityCpus, headroomCpus) ?: return false
-        machine.draining = true
+        machine.isDraining = true
         log.info(
             "machine is drained: peak load {} of {} processors, headroom {}; machine={}",
             load.cpus.toInt(),
@@ -120,8 +122,8 @@
     }
 
     /**
-     * Returns the most expensive machine of [inService] that is not needed and can be emptied, or null if there is none.
-     * Of machines with the same price it is the least used.
+     * Returns the most expensive machine of [inService] that is not needed and can be emptied, or null if there is
+     * none. Of machines with the same price it is the least used.
      */
     private fun mostExpensiveUnneeded(
         cluster: Cluster,
@@ -132,7 +134,7 @@
         val onDemandCapacityCpus = inService.sumOf { if (it.spot) 0.0 else it.machineType.vcpus }
         val onDemandCountByZone = inService.filter { !it.spot }.groupingBy { it.zone }.eachCount()
         return inService
-            .filter { clock.steadyMs - it.knownSince > AutoscalingTuning.MIN_SERVICE_MS }
+            .filter { clock.steadyMs - it.knownSinceMs > AutoscalingTuning.MIN_SERVICE_MS }
             .filter { capacityCpus - it.machineType.vcpus >= load.cpus + headroomCpus }
             .filter { it.spot || onDemandCapacityCpus - it.machineType.vcpus >= onDemandLoad.cpus }
             .filter { it.spot || (onDemandCountByZone[it.zone] ?: 0) > 1 }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Returns whether processors that running tasks free may be expected to serve [job]. They have not served a job that
-     * has starved for [SchedulingTuning.STARVATION_MS].
+     * Returns whether processors that running tasks free may be expected to serve [job]. They have not served a job
+     * that has starved for [SchedulingTuning.STARVATION_MS].
      */
     private fun mayUseFreedCpus(job: Job): Boolean =
         !job.isService && job.spec.vcpus > 0 && job.unservedMs(clock.wallMs) <= SchedulingTuning.STARVATION_MS
@@ -59,7 +59,9 @@
         return servedCount
     }
 
-    /** Returns the processors that are freed before the job's start objective is missed or a new machine could be up. */
+    /**
+     * Returns the processors that are freed before the job's start objective is missed or a new machine could be up.
+     */
     private fun cpusFreedInTime(demand: Demand): Double {
         val bootS = poolSelector.shortestBootS()
         // If only expensive machines can be provisioned, everything freed before one could be up is counted.
--- a/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
@@ -56,7 +56,7 @@
         if (machine == null || isLateDuplicate(machine, heartbeat)) return HeartbeatResult.NO_COMMANDS
         // Every other reply may renew the agent's lease. This includes a machine being released: until the release
         // is done its tasks may run there and must be stopped like any others.
-        machine.lastAnsweredAt = clock.steadyMs
+        machine.lastReplyAtMs = clock.steadyMs
         statusHandler.apply(machine, heartbeat, StatusSource.HEARTBEAT)
         if (heartbeat.incarnation != machine.incarnation || !failover.isReady) return HeartbeatResult.NO_COMMANDS
         return HeartbeatResult.of(collectCommands(machine, heartbeat))
@@ -74,7 +74,7 @@
         for (command in commands) {
             if (command.kind != CommandKind.START) continue
             val attempt = machine.attempts.get(command.attempt) ?: continue
-            attempt.sentInReplyTo = maxOf(attempt.sentInReplyTo, heartbeat.sequence)
+            attempt.startHeartbeatSequence = maxOf(attempt.startHeartbeatSequence, heartbeat.sequence)
         }
         return commands
     }
@@ -93,7 +93,7 @@
     ): Boolean {
         if (heartbeat.incarnation != machine.incarnation) return heartbeat.incarnation < machine.incarnation
         if (heartbeat.sequence != machine.heartbeatSequence) return heartbeat.sequence < machine.heartbeatSequence
-        return clock.steadyMs - machine.heartbeatFirstSeenAt > ControlTuning.HEARTBEAT_REPLY_TIMEOUT_MS
+        return clock.steadyMs - machine.heartbeatFirstSeenAtMs > ControlTuning.HEARTBEAT_REPLY_TIMEOUT_MS
     }
 
     /** Applies the [status] with which the agent of [machine] replied to a direct command. */
@@ -111,7 +111,7 @@
      * machine is gone.
      */
     fun handleStateLoss(machine: Machine) {
-        if (machine.releasing) return
+        if (machine.isReleasing) return
         log.warn("machine released: its agent restarted without its state; machine={}", machine.name)
         autoscaler.release(machine)
     }
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -18,36 +18,36 @@
     /** Whether the cloud may preempt the machine at short notice; otherwise it is an on-demand machine. */
     val spot: Boolean,
     /** Steady-clock ms at which the machine became known. */
-    val knownSince: Long,
+    val knownSinceMs: Long,
     private val teams: TeamQuotas,
 ) {
     // --- Membership of the block -----------------------------------------------------------------------------------
 
     /** Whether the state service holds the record that assigns the machine to the block. */
-    var durable = false
+    var isDurable = false
 
     /** Whether an earlier leader recorded the machine; until it is confirmed, any task of an older job may be on it. */
-    var inherited = false
+    var isInherited = false
 
     /** Whether the worker has confirmed the current leader's token, so that [attempts] is complete. */
-    var confirmed = false
+    var isConfirmed = false
         private set
 
-    private val isUnconfirmed: Boolean get() = inherited && !confirmed
+    private val isUnconfirmed: Boolean get() = isInherited && !isConfirmed
 
     /** Adds the machine to the block and counts it for the teams. */
-    fun joined() {
+    fun join() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, 1)
     }
 
     /** Records that the worker has confirmed the current leader's token. */
     fun confirm() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
-        confirmed = true
+        isConfirmed = true
     }
 
     /** Removes the machine from the teams' counts; its attempts must have been detached. */
-    fun left() {
+    fun leave() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
     }
 
@@ -66,119 +66,121 @@
     val commandIncarnation: Long get() = if (incarnation != 0L) incarnation else maxOf(incarnationHint, 1L)
 
     /** Sequence number of the worker's newest message in this incarnation, a heartbeat or an answer to a command. */
-    var sequence = 0L
+    var lastSequence = 0L
 
     /** Sequence number of the worker's newest heartbeat in this incarnation. */
     var heartbeatSequence = 0L
 
     /** Steady-clock ms at which the heartbeat [heartbeatSequence] was first received. */
-    var heartbeatFirstSeenAt = 0L
+    var heartbeatFirstSeenAtMs = 0L
 
     /**
      * Steady-clock ms after which that heartbeat was sent: a worker sends the next heartbeat once the previous one was
      * answered.
      */
-    var heartbeatSentAfter = 0L
+    var heartbeatSentAfterMs = 0L
 
     /** Highest token that the worker is known to have seen. */
-    var token = 0L
+    var highestSeenToken = 0L
 
     /** Steady-clock ms of the last message from the worker. */
-    var lastHeardAt = knownSince
+    var lastMessageAtMs = knownSinceMs
 
     /** Steady-clock ms of the last answer to the worker that may have renewed its lease. */
-    var lastAnsweredAt = 0L
+    var lastReplyAtMs = 0L
 
     /**
      * Steady-clock ms of the last heartbeat. Only the answer to a heartbeat renews the lease; direct commands do not.
      */
-    var lastHeartbeatAt = knownSince
+    var lastHeartbeatAtMs = knownSinceMs
 
     /** Whether the next heartbeat is overdue; a task that is started now may end when the lease expires. */
-    var overdue = false
+    var isHeartbeatOverdue = false
 
     // --- Commands and probes ---------------------------------------------------------------------------------------
 
     /** Whether a direct command or a probe awaits its answer; no other is sent meanwhile. */
-    var commandInFlight = false
+    var isCommandInFlight = false
 
     /** Latency in ms of the last answered direct command. */
-    var answerMs = 0L
+    var lastCommandReplyMs = 0L
 
     /** Whether the last message could not be delivered; the machine gets no new tasks before it is reached again. */
-    var unreachable = false
+    var isUnreachable = false
 
     /** Steady-clock ms since which no message has reached the machine, or 0. */
-    var unreachableSince = 0L
+    var unreachableSinceMs = 0L
 
     /** Steady-clock ms before which no probe is sent. */
-    var probeAt = 0L
+    var nextProbeAtMs = 0L
 
     /**
      * Number of consecutive unanswered probes, without those whose answers this node may have been too slow to read.
      */
-    var probesFailed = 0
+    var consecutiveFailedProbes = 0
 
     /** Number of all consecutive unanswered probes. */
-    var probesUnanswered = 0
+    var consecutiveUnansweredProbes = 0
         private set
 
     /** Steady-clock ms at which the first of those probes was sent; 0 without any. */
-    var unansweredSince = 0L
+    var unansweredSinceMs = 0L
         private set
 
-    /** Records that the probe sent at [sentAt] (steady-clock ms) was not answered. */
-    fun probeUnanswered(sentAt: Long) {
-        if (probesUnanswered++ == 0) unansweredSince = sentAt
+    /** Records that the probe sent at [sentAtMs] (steady-clock ms) was not answered. */
+    fun recordUnansweredProbe(sentAtMs: Long) {
+        if (consecutiveUnansweredProbes++ == 0) unansweredSinceMs = sentAtMs
     }
 
     /** Records that the worker has answered a probe. */
-    fun probeAnswered() {
-        probesUnanswered = 0
-        unansweredSince = 0L
+    fun recordProbeReply() {
+        consecutiveUnansweredProbes = 0
+        unansweredSinceMs = 0L
     }
 
     // --- Departure and restrictions --------------------------------------------------------------------------------
 
     /** Steady-clock ms at which the cloud preempts the spot machine, or 0. */
-    var preemptionAt = 0L
+    var preemptionAtMs = 0L
 
     /** Whether, according to a replica of the last leader's state, the machine was being returned to the cloud. */
-    var returningHint = false
+    var isReturningHint = false
 
     /**
      * Whether the machine is held back while its zone is readmitted in steps; it gets new tasks only if they can't
      * wait.
      */
-    var heldBack = false
+    var isHeldBack = false
 
     /**
      * Whether the machine is quarantined because tasks fail on it: no task is started, and it is drained and returned.
      */
-    var quarantined = false
+    var isQuarantined = false
 
     /**
      * Whether the machine is not needed at present: it is drained and returned unless new tasks are placed on it first.
      */
-    var draining = false
+    var isDraining = false
 
     /** Whether the machine is being returned to the cloud. */
-    var releasing = false
+    var isReleasing = false
 
     /** Whether the cloud has been asked to take the machine back. */
-    var releaseRequested = false
+    var isReleaseRequested = false
 
     /** Steady-clock ms before which no task is started, since the worker refused a task or a task failed. */
-    var refusedUntil = Long.MIN_VALUE
+    var startsPausedUntilMs = Long.MIN_VALUE
 
     /** Ids of the jobs whose tasks failed consecutively. */
-    val errorJobs = LinkedHashSet<String>()
+    val failedJobIds = LinkedHashSet<String>()
 
     /** Number of consecutive task failures. */
-    var consecutiveErrors = 0
+    var consecutiveFailures = 0
 
     /** Whether the machine accepts tasks and is not known to be leaving or failing. */
-    val inService: Boolean get() = confirmed && !releasing && !quarantined && !draining && !overdue && probesFailed == 0
+    val isInService: Boolean get() =
+        isConfirmed && !isReleasing && !isQuarantined && !isDraining && !isHeartbeatOverdue &&
+            consecutiveFailedProbes == 0
 
     // --- Attempts and resources ------------------------------------------------------------------------------------
 
@@ -194,78 +196,84 @@
     val usedCpus: Double get() = machineType.vcpus - free.cpus
 
     /** Number of attempts that wait for their image. */
-    var fetching = 0
+    var fetchingCount = 0
         private set
 
     /** Adds [attempt], which may be on the machine from now on. */
     fun attach(attempt: TaskAttempt) {
         attempts.put(attempt.number, attempt)
-        attempt.attached = true
-        count(attempt, 1)
+        attempt.isAttached = true
+        adjustCounts(attempt, 1)
     }
 
     /** Removes [attempt], which is proven not to be on the machine any more. */
     fun detach(attempt: TaskAttempt) {
-        if (!attempt.attached) return
+        if (!attempt.isAttached) return
         attempts.remove(attempt.number)
-        count(attempt, -1)
-        attempt.attached = false
+        adjustCounts(attempt, -1)
+        attempt.isAttached = false
     }
 
     /** Applies [change] to [attempt] and updates the counts that depend on it. */
-    inline fun updateCounted(
+    inline fun updateCounts(
         attempt: TaskAttempt,
         change: () -> Unit,
     ) {
-        if (attempt.attached) count(attempt, -1)
+        if (attempt.isAttached) adjustCounts(attempt, -1)
         change()
-        if (attempt.attached) count(attempt, 1)
+        if (attempt.isAttached) adjustCounts(attempt, 1)
     }
 
     /**
      * Adds [attempt] to the counts with [sign] 1, or removes it with -1. The counts are maintained incrementally
      * because recounting the whole block for each heartbeat would cost too much.
      */
-    fun count(
+    fun adjustCounts(
         attempt: TaskAttempt,
         sign: Int,
     ) {
-        if (attempt.exited) return
-        if (waitsForImage(attempt)) fetching += sign
+        if (attempt.isExited) return
+        if (waitsForImage(attempt)) fetchingCount += sign
         if (attempt.state == AttemptState.RUNNING) attempt.job?.let { it.runningCount += sign }
-        if (sign > 0) free.take(attempt.job) else free.give(attempt.job)
-        teams.count(attempt, sign)
+        if (sign > 0) free.take(attempt.job) else free.release(attempt.job)
+        teams.adjustUsage(attempt, sign)
     }
 
     private fun waitsForImage(attempt: TaskAttempt): Boolean =
         attempt.state == AttemptState.FETCHING || attempt.state == AttemptState.ASSIGNED
 
     /** Returns whether the counts equal a recount. */
-    fun countsHold(): Boolean {
+    fun hasConsistentCounts(): Boolean {
         val recount = FreeResources(machineType)
-        val present = attempts.values.filter { !it.exited }
+        val present = attempts.values.filter { !it.isExited }
         present.forEach { recount.take(it.job) }
-        return free.isAbout(recount) && fetching == present.count { waitsForImage(it) }
+        return free.approximatelyEquals(recount) && fetchingCount == present.count { waitsForImage(it) }
     }
 
     /** Returns whether one more task of [job] fits, by resources and by number of tasks. */
-    fun hasRoom(job: Job): Boolean = attempts.size < ModelTuning.MACHINE_TASKS && free.fits(job)
+    fun hasRoom(job: Job): Boolean = attempts.size < ModelTuning.MAX_TASKS_PER_MACHINE && free.fits(job)
 
     /** Returns whether a task of [job] would fit once all tasks that end by themselves have ended. */
-    fun couldTake(job: Job): Boolean {
+    fun couldFit(job: Job): Boolean {
         val free = FreeResources(machineType)
-        for (attempt in attempts.values) if (!attempt.exited && attempt.job?.isService != false) free.take(attempt.job)
+        for (attempt in attempts.values) {
+            if (!attempt.isExited &&
+                attempt.job?.isService != false
+            ) {
+                free.take(attempt.job)
+            }
+        }
         return free.fits(job)
     }
 
     /** Returns a copy of the free resources. */
-    fun roomLeft(): FreeResources = free.copy()
+    fun copyFreeResources(): FreeResources = free.copy()
 
-    /** Returns how many more tasks of [job] fit, at most [most]. */
+    /** Returns how many more tasks of [job] fit, at most [maxTasks]. */
     fun roomFor(
         job: Job,
-        most: Int,
-    ): Int = free.count(job, most)
+        maxTasks: Int,
+    ): Int = free.countFitting(job, maxTasks)
 
     /** Returns whether tasks of [job] may run on this machine by its type, zone and kind. */
     fun allows(job: Job): Boolean = job.allows(machineType, zone, spot)
@@ -273,48 +281,48 @@
     // --- Images ----------------------------------------------------------------------------------------------------
 
     /** Images that are on the machine or being fetched, with their size in gigabytes, in the order of last use. */
-    val images = LinkedHashMap<String, Double>()
+    val imageSizesGb = LinkedHashMap<String, Double>()
 
     /** Images that are known to be on the machine because a task that needs them has run here. */
-    val fetched = HashSet<String>()
+    val fetchedImages = HashSet<String>()
 
-    /** Returns whether the image is on the machine: [IMAGE_PRESENT], [IMAGE_COMING] or [IMAGE_ABSENT]. */
+    /** Returns whether the image is on the machine: [IMAGE_PRESENT], [IMAGE_FETCHING] or [IMAGE_ABSENT]. */
     fun imageDistance(image: String): Int =
         when (image) {
-            !in images -> IMAGE_ABSENT
-            in fetched -> IMAGE_PRESENT
-            else -> IMAGE_COMING
+            !in imageSizesGb -> IMAGE_ABSENT
+            in fetchedImages -> IMAGE_PRESENT
+            else -> IMAGE_FETCHING
         }
 
     /**
      * Records a use of [image], which has [gb] gigabytes, and removes the least recently used images as long as the
      * disk is too small for all.
      */
-    fun touchImage(
+    fun recordImageUse(
         image: String,
         gb: Double,
     ) {
-        images.remove(image)
-        images[image] = gb
-        var total = images.values.sum()
-        val oldest = images.entries.iterator()
-        while (total > machineType.diskGb && images.size > 1 && oldest.hasNext()) {
+        imageSizesGb.remove(image)
+        imageSizesGb[image] = gb
+        var total = imageSizesGb.values.sum()
+        val oldest = imageSizesGb.entries.iterator()
+        while (total > machineType.diskGb && imageSizesGb.size > 1 && oldest.hasNext()) {
             val (name, size) = oldest.next()
             total -= size
-            fetched.remove(name)
+            fetchedImages.remove(name)
             oldest.remove()
         }
     }
 
     companion object {
         /** Tolerance for comparing sums of decimal amounts. */
-        const val ROUNDING = 1e-6
+        const val TOLERANCE = 1e-6
 
         /** The image is on the machine. */
         const val IMAGE_PRESENT = 0
 
         /** The image is being fetched. */
-        const val IMAGE_COMING = 1
+        const val IMAGE_FETCHING = 1
 
         /** The image is neither on the machine nor being fetched. */
         const val IMAGE_ABSENT = 2
--- a/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreemptionRules.kt
@@ -16,7 +16,7 @@
     fun mayClaimGuarantee(
         job: Job,
         tasks: Int,
-    ): Boolean = ranking.mayClaimGuarantee(job) && teams.mayClaim(job, tasks)
+    ): Boolean = ranking.mayClaimGuarantee(job) && teams.mayClaimGuarantee(job, tasks)
 
     /**
      * Returns whether [job] may preempt tasks of [victim]: those of a lower priority and, if [claimsGuarantee], the
@@ -37,7 +37,8 @@
     private fun isSurplusOfOtherTeam(
         job: Job,
         victim: Job,
-    ): Boolean = !victim.guaranteed && victim.spec.team != job.spec.team && !victim.isService && teams.canSpare(victim)
+    ): Boolean =
+        !victim.isGuaranteed && victim.spec.team != job.spec.team && !victim.isService && teams.canSpare(victim)
 
     /**
      * Returns whether [job], whose team has used up its quota, may preempt tasks of [victim] to free some of it:
--- a/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
@@ -21,7 +21,7 @@
     private class Destination(
         val machine: Machine,
     ) {
-        val free: FreeResources = machine.roomLeft()
+        val free: FreeResources = machine.copyFreeResources()
     }
 
     /**
@@ -33,7 +33,7 @@
         machine: Machine,
         machines: List<Machine>,
     ): Boolean {
-        val replicas = machine.attempts.values.filter { it.job?.isService == true && !it.exited }
+        val replicas = machine.attempts.values.filter { it.job?.isService == true && !it.isExited }
         if (replicas.isEmpty()) return true
         val destinations = machines.filter { it !== machine && isUsable(it) }.map { Destination(it) }
         return replicas.all { replica ->
@@ -46,8 +46,8 @@
 
     private fun hasSettled(replica: TaskAttempt): Boolean =
         replica.state == AttemptState.RUNNING &&
-            clock.steadyMs - replica.runningSince > SchedulingTuning.MIN_REPLICA_RUN_MS &&
-            replica.stop == StopMode.NONE
+            clock.steadyMs - replica.runningSinceMs > SchedulingTuning.MIN_REPLICA_RUN_MS &&
+            replica.stopMode == StopMode.NONE
 
     private fun destinationFor(
         job: Job,
--- a/src/test/kotlin/ledgearch/http/MessageReaderTest.kt
+++ b/src/test/kotlin/ledgearch/http/MessageReaderTest.kt
@@ -55,7 +55,7 @@
         bytes: ByteArray,
         cutAt: Int,
     ): String {
-        val reader = MessageReader(HttpTuning.MAX_BODY)
+        val reader = MessageReader(HttpTuning.MAX_REQUEST_BODY_BYTES)
         val bodies = ArrayList<String>()
         try {
             for (part in listOf(
@@ -65,7 +65,7 @@
                 reader.append(part, part.size)
                 while (true) bodies.add(reader.body() ?: break)
             }
-        } catch (refused: BadMessage) {
+        } catch (refused: MalformedMessageException) {
             return "bad ${refused.status}"
         }
         return if (bodies.isEmpty()) {
