--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -3,7 +3,7 @@
 import ledgearch.election.Election
 import ledgearch.model.Machine
 import ledgearch.recovery.RecoveryTuning
-import ledgearch.runtime.StallCompensation
+import ledgearch.runtime.EventLoopLagMonitor
 
 /**
  * Finds inherited machines that are most likely gone already. Every older job waits for each of them, so they are
@@ -12,35 +12,35 @@
  */
 internal class MissingMachines(
     private val election: Election,
-    private val stalls: StallCompensation,
+    private val lagMonitor: EventLoopLagMonitor,
     /** Time within which every healthy agent sends a heartbeat. */
     private val heartbeatWindowMs: Long,
 ) {
     /** Returns whether [machine] may be missing; without any such machine [findAmong] finds none. */
-    fun isCandidate(machine: Machine): Boolean = machine.inherited && isUnconfirmed(machine)
+    fun isCandidate(machine: Machine): Boolean = machine.isInherited && isUnconfirmed(machine)
 
     /** Returns the missing machines of [inherited], which holds no machine that is kept during a partition. */
     fun findAmong(inherited: List<Machine>): List<Machine> {
         if (inherited.none(::isUnconfirmed)) return emptyList()
-        val confirmedCount = inherited.count { it.confirmed }
+        val confirmedCount = inherited.count { it.isConfirmed }
         if (!areEnoughConfirmed(confirmedCount, inherited.size)) return emptyList()
         val areMostConfirmed = confirmedCount > inherited.size * RecoveryTuning.MAJORITY_SHARE
         val heartbeats = ConfirmedHeartbeats(inherited)
         return inherited.filter { isUnconfirmed(it) && isMissing(it, heartbeats, areMostConfirmed) }
     }
 
-    private fun isUnconfirmed(machine: Machine) = !machine.confirmed && !machine.releasing
+    private fun isUnconfirmed(machine: Machine) = !machine.isConfirmed && !machine.isReleasing
 
     private fun isMissing(
         machine: Machine,
         heartbeats: ConfirmedHeartbeats,
         areMostConfirmed: Boolean,
     ): Boolean {
-        if (machine.probesFailed >= AgentTuning.FAILED_PROBES_FOR_RELEASE) return true
+        if (machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE) return true
         return areMostConfirmed && (wasBeingReturned(machine) || haveOthersReportedSince(machine, heartbeats))
     }
 
-    private fun wasBeingReturned(machine: Machine) = machine.returningHint && machine.probesUnanswered > 0
+    private fun wasBeingReturned(machine: Machine) = machine.isReturningHint && machine.consecutiveUnansweredProbes > 0
 
     /**
      * Returns whether most other machines sent heartbeats after [machine] was first probed without a reply. While this
@@ -52,9 +52,9 @@
         machine: Machine,
         heartbeats: ConfirmedHeartbeats,
     ): Boolean {
-        if (machine.probesUnanswered < AgentTuning.FAILED_PROBES_FOR_RELEASE) return false
-        if (machine.heartbeatFirstSeenAt > machine.unansweredSince) return false
-        return heartbeats.areMostSentAfter(machine.unansweredSince)
+        if (machine.consecutiveUnansweredProbes < AgentTuning.FAILED_PROBES_FOR_RELEASE) return false
+        if (machine.heartbeatFirstSeenAtMs > machine.unansweredSinceMs) return false
+        return heartbeats.areMostSentAfter(machine.unansweredSinceMs)
     }
 
     /**
@@ -67,7 +67,7 @@
     ) = confirmedCount > totalCount * RecoveryTuning.MAJORITY_SHARE ||
         (
             confirmedCount > totalCount * AgentTuning.MIN_REPORTING_SHARE &&
-                stalls.attentiveMsSince(election.electedAtMs) > heartbeatWindowMs
+                lagMonitor.responsiveMsSince(election.electedAtMs) > heartbeatWindowMs
         )
 
     /** When the confirmed machines of [inherited] sent their last heartbeats; sorted once, on first use. */
@@ -75,7 +75,7 @@
         private val inherited: List<Machine>,
     ) {
         private val sentAfterMs by lazy(LazyThreadSafetyMode.NONE) {
-            SortedTimes(inherited.filter { it.confirmed }.map { it.heartbeatSentAfter })
+            SortedTimes(inherited.filter { it.isConfirmed }.map { it.heartbeatSentAfterMs })
         }
 
         /** Returns whether most of all inherited machines, confirmed or not, sent a heartbeat after [timeMs]. */
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -48,25 +48,25 @@
         for (report in reports) {
             val known = machine.attempts.get(report.attempt)
             val attempt = known ?: adopt(machine, report)
-            attempt.lastListedSequence = machine.sequence
+            attempt.lastListedSequence = machine.lastSequence
             update(attempt, report)
             // The agent may still send its heartbeats to an earlier leader, so the stop is sent directly.
-            if (known == null && attempt.stop != StopMode.NONE && !attempt.exited) dispatcher.enqueue(machine)
+            if (known == null && attempt.stopMode != StopMode.NONE && !attempt.isExited) dispatcher.enqueue(machine)
         }
         removeUnlisted(machine)
     }
 
     private fun removeUnlisted(machine: Machine) {
-        if (machine.attempts.values.all { it.lastListedSequence == machine.sequence }) return
+        if (machine.attempts.values.all { it.lastListedSequence == machine.lastSequence }) return
         for (attempt in machine.attempts.values.toList()) {
-            if (attempt.lastListedSequence != machine.sequence && !mayStillStart(attempt)) remove(attempt)
+            if (attempt.lastListedSequence != machine.lastSequence && !mayStillStart(attempt)) remove(attempt)
         }
     }
 
     /** Returns whether [attempt] may start later; its start is sent repeatedly until the agent lists it. */
     private fun mayStillStart(attempt: TaskAttempt): Boolean {
-        if (attempt.reported) return false
-        return attempt.stop == StopMode.NONE || !attempt.settled(attempt.machine.heartbeatSequence)
+        if (attempt.isReported) return false
+        return attempt.stopMode == StopMode.NONE || !attempt.isSettled(attempt.machine.heartbeatSequence)
     }
 
     /**
@@ -80,14 +80,15 @@
         val id = report.taskId.substringBefore('/')
         val index = report.taskId.substringAfter('/', "").toIntOrNull() ?: NO_INDEX
         val job = jobStore.jobs[id]?.takeIf { index in 0 until it.spec.taskCount && !it.attempts.containsKey(index) }
-        val attempt = TaskAttempt(job, report.taskId, index, report.attempt, machine, clock.steadyMs, inherited = true)
+        val attempt =
+            TaskAttempt(job, report.taskId, index, report.attempt, machine, clock.steadyMs, isInherited = true)
         machine.attach(attempt)
         if (job == null) {
-            attempt.stop = StopMode.AT_ONCE
+            attempt.stopMode = StopMode.AT_ONCE
         } else {
-            if (job.finished.get(index)) attempt.stop = StopMode.AT_ONCE
-            job.place(attempt)
-            if (job.record.cancelRequested) attempt.stop = StopMode.AT_ONCE
+            if (job.finishedTasks.get(index)) attempt.stopMode = StopMode.AT_ONCE
+            job.addAttempt(attempt)
+            if (job.record.cancelRequested) attempt.stopMode = StopMode.AT_ONCE
         }
         return attempt
     }
@@ -96,13 +97,13 @@
         attempt: TaskAttempt,
         report: TaskReport,
     ) {
-        val isFirstReport = !attempt.reported
-        attempt.reported = true
+        val isFirstReport = !attempt.isReported
+        attempt.isReported = true
         when (report.state) {
             TaskState.FETCHING -> markFetching(attempt, isFirstReport)
             TaskState.RUNNING -> if (attempt.state != AttemptState.RUNNING) markRunning(attempt)
             TaskState.SAVING -> attempt.state = AttemptState.SAVING
-            TaskState.EXITED -> if (!attempt.exited) markExited(attempt, report.cause)
+            TaskState.EXITED -> if (!attempt.isExited) markExited(attempt, report.cause)
             TaskState.UNRECOGNIZED -> Unit
         }
     }
@@ -112,13 +113,13 @@
         isFirstReport: Boolean,
     ) {
         val job = attempt.job
-        if (isFirstReport && job != null) attempt.machine.touchImage(job.spec.image, job.spec.imageGb)
+        if (isFirstReport && job != null) attempt.machine.recordImageUse(job.spec.image, job.spec.imageGb)
         attempt.state = AttemptState.FETCHING
     }
 
     private fun markRunning(attempt: TaskAttempt) {
         val machine = attempt.machine
-        attempt.runningSince = clock.steadyMs
+        attempt.runningSinceMs = clock.steadyMs
         attempt.state = AttemptState.RUNNING
         log.debug(
             "attempt started running; task={} attempt={} machine={}",
@@ -127,9 +128,9 @@
             machine.name,
         )
         val job = attempt.job ?: return
-        machine.touchImage(job.spec.image, job.spec.imageGb)
+        machine.recordImageUse(job.spec.image, job.spec.imageGb)
         // Latency-sensitive tasks are placed on machines that have their image.
-        if (machine.fetched.add(job.spec.image)) listener.onPlacementChanged()
+        if (machine.fetchedImages.add(job.spec.image)) listener.onPlacementChanged()
     }
 
     private fun markExited(
@@ -138,7 +139,7 @@
     ) {
         val machine = attempt.machine
         attempt.state = AttemptState.EXITED
-        attempt.cause = cause
+        attempt.exitCause = cause
         listener.onPlacementChanged()
         metrics.count("task.exited.${cause?.text}")
         log.debug(
@@ -150,13 +151,28 @@
         )
         val job = attempt.job ?: return
         when (cause) {
-            ExitCause.DONE -> finishTask(attempt, job)
-            ExitCause.ERROR -> failures.recordFailure(machine, job)
-            ExitCause.FULL, ExitCause.BUSY -> machine.refusedUntil = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
-            ExitCause.UNKNOWN_TASK -> job.notBefore = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
-            ExitCause.STOPPED, ExitCause.UNRECOGNIZED, null -> Unit
+            ExitCause.DONE -> {
+                finishTask(attempt, job)
+            }
+
+            ExitCause.ERROR -> {
+                failures.recordFailure(machine, job)
+            }
+
+            ExitCause.FULL, ExitCause.BUSY -> {
+                machine.startsPausedUntilMs =
+                    clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
+            }
+
+            ExitCause.UNKNOWN_TASK -> {
+                job.pausedUntilMs = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
+            }
+
+            ExitCause.STOPPED, ExitCause.UNRECOGNIZED, null -> {
+                Unit
+            }
         }
-        job.free(attempt)
+        job.removeAttempt(attempt)
     }
 
     private fun finishTask(
@@ -166,18 +182,18 @@
         failures.recordSuccess(attempt.machine, job)
         if (job.isService) return
         if (isRunTimeKnown(attempt, job)) {
-            estimates.recordRunTime(job, (clock.steadyMs - attempt.runningSince) / MS_PER_SECOND)
+            estimates.recordRunTime(job, (clock.steadyMs - attempt.runningSinceMs) / MS_PER_SECOND)
         }
-        job.finish(attempt.index)
-        if (!job.closed) recordWriter.writeFinishedTasks(job)
-        if (job.complete) recordWriter.closeJob(job, JobState.DONE)
+        job.markFinished(attempt.index)
+        if (!job.isClosed) recordWriter.writeFinishedTasks(job)
+        if (job.isComplete) recordWriter.closeJob(job, JobState.DONE)
     }
 
     /** Returns whether this leader saw [attempt] from its start, and no checkpoint of an earlier one shortened it. */
     private fun isRunTimeKnown(
         attempt: TaskAttempt,
         job: Job,
-    ) = attempt.runningSince > 0 && !attempt.inherited && job.spec.checkpointIntervalS == 0.0
+    ) = attempt.runningSinceMs > 0 && !attempt.isInherited && job.spec.checkpointIntervalS == 0.0
 
     /** Removes all attempts of [machine] once none of them can run or start there any more. */
     fun removeAll(machine: Machine) {
@@ -188,7 +204,7 @@
 
     /** Removes [attempt], which provably neither runs nor can start on its machine any more. */
     private fun remove(attempt: TaskAttempt) {
-        if (!attempt.exited) {
+        if (!attempt.isExited) {
             metrics.count("task.lost")
             log.debug(
                 "attempt lost; task={} attempt={} machine={}",
@@ -196,10 +212,10 @@
                 attempt.number,
                 attempt.machine.name,
             )
-            if (attempt.stop == StopMode.NONE) listener.onAttemptLost(attempt)
+            if (attempt.stopMode == StopMode.NONE) listener.onAttemptLost(attempt)
         }
         attempt.machine.detach(attempt)
-        attempt.job?.free(attempt)
+        attempt.job?.removeAttempt(attempt)
         listener.onPlacementChanged()
     }
 
--- a/src/main/kotlin/ledgearch/api/DependencyAdmission.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyAdmission.kt
@@ -48,7 +48,7 @@
     private fun isCancelled(
         id: String,
         submission: Submission,
-    ) = finalRecordOf(id, submission) != null || jobStore.jobs[id]?.dependencyCancelled == true
+    ) = finalRecordOf(id, submission) != null || jobStore.jobs[id]?.hasCancelledDependency == true
 
     private fun finalRecordOf(
         id: String,
--- a/src/main/kotlin/ledgearch/api/DependencyFreshness.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyFreshness.kt
@@ -21,7 +21,7 @@
      * without a change of its own record, so this node's view must show all of them as open and be recent.
      */
     fun mayReportOpen(job: Job): Boolean {
-        if (!job.waitsForOthers) return true
-        return !job.dependencyCancelled && isViewFresh && jobStore.dependencies.areDependenciesOpen(job)
+        if (!job.isBlockedByDependencies) return true
+        return !job.hasCancelledDependency && isViewFresh && jobStore.dependencies.areDependenciesOpen(job)
     }
 }
--- a/src/main/kotlin/ledgearch/api/UserApi.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -62,7 +62,7 @@
     fun onJobClosed(id: String) = cancellations.onJobClosed(id)
 
     /** Rejects the requests that have timed out, then sends the transactions that are due. */
-    fun drive() {
+    fun runDueWork() {
         submissions.rejectExpired()
         polls.rejectExpired()
         cancellations.rejectExpired()
--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -48,16 +48,16 @@
         if (status.incarnation > machine.incarnation) beginIncarnation(machine, status.incarnation)
         // First message of an incarnation. The agent's lease began with the incarnation, before this message and
         // without a reply from this node.
-        if (machine.sequence == 0L) machine.lastAnsweredAt = clock.steadyMs
+        if (machine.lastSequence == 0L) machine.lastReplyAtMs = clock.steadyMs
         val isCurrent = countsAsCurrent(machine, status, source)
         if (source == StatusSource.HEARTBEAT) updateHeartbeatTimes(machine, status, isCurrent)
-        if (status.sequence <= machine.sequence) return
-        machine.sequence = status.sequence
-        if (isCurrent) machine.lastHeardAt = clock.steadyMs
-        if (!machine.unreachable && machine.confirmed) machine.probesFailed = 0
+        if (status.sequence <= machine.lastSequence) return
+        machine.lastSequence = status.sequence
+        if (isCurrent) machine.lastMessageAtMs = clock.steadyMs
+        if (!machine.isUnreachable && machine.isConfirmed) machine.consecutiveFailedProbes = 0
         preemptionNotices.update(machine, status)
         updateToken(machine, status.token)
-        if (!machine.confirmed) {
+        if (!machine.isConfirmed) {
             if (!confirmsToken(machine, status, source)) return
             machineConfirmation.confirm(machine)
         }
@@ -73,7 +73,7 @@
         machine: Machine,
         status: Heartbeat,
         source: StatusSource,
-    ) = source != StatusSource.HEARTBEAT || machine.confirmed || status.token >= term.firstToken
+    ) = source != StatusSource.HEARTBEAT || machine.isConfirmed || status.token >= term.firstToken
 
     private fun updateHeartbeatTimes(
         machine: Machine,
@@ -82,11 +82,11 @@
     ) {
         if (heartbeat.sequence <= machine.heartbeatSequence) return
         machine.heartbeatSequence = heartbeat.sequence
-        machine.heartbeatSentAfter = machine.heartbeatFirstSeenAt
-        machine.heartbeatFirstSeenAt = clock.steadyMs
+        machine.heartbeatSentAfterMs = machine.heartbeatFirstSeenAtMs
+        machine.heartbeatFirstSeenAtMs = clock.steadyMs
         if (isCurrent) {
-            machine.lastHeardAt = clock.steadyMs
-            machine.lastHeartbeatAt = clock.steadyMs
+            machine.lastMessageAtMs = clock.steadyMs
+            machine.lastHeartbeatAtMs = clock.steadyMs
         }
     }
 
@@ -95,11 +95,15 @@
         machine: Machine,
         token: Long,
     ) {
-        if (token <= machine.token) return
-        machine.token = token
-        if (token == election.token && machine.confirmed) dispatcher.markReachable(machine)
+        if (token <= machine.highestSeenToken) return
+        machine.highestSeenToken = token
+        if (token == election.token && machine.isConfirmed) dispatcher.markReachable(machine)
         for (attempt in machine.attempts.values) {
-            if (attempt.unacknowledgedToken in 1 until machine.token) attempt.unacknowledgedToken = 0
+            if (attempt.unacknowledgedStartToken in
+                1 until machine.highestSeenToken
+            ) {
+                attempt.unacknowledgedStartToken = 0
+            }
         }
     }
 
@@ -112,7 +116,7 @@
         status: Heartbeat,
         source: StatusSource,
     ) = status.token >= term.firstToken && failover.isReady &&
-        (source != StatusSource.HEARTBEAT || machine.inherited)
+        (source != StatusSource.HEARTBEAT || machine.isInherited)
 
     /** Begins [incarnation] of the agent of [machine] and ends all attempts of the previous one. */
     private fun beginIncarnation(
@@ -129,7 +133,7 @@
         }
         taskStatusHandler.removeAll(machine)
         machine.incarnation = incarnation
-        machine.sequence = 0
+        machine.lastSequence = 0
         machine.heartbeatSequence = 0
         placementLoop.requestPass()
     }
--- a/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -27,7 +27,7 @@
     private var joinedCountAtLastPublish = 0
 
     /** On the leader, publishes once per interval the changed progress, or all of it when a peer has joined. */
-    fun drive() {
+    fun runDueWork() {
         if (!election.isLeader || clock.steadyMs < nextPublishAtMs) return
         nextPublishAtMs = clock.steadyMs + ControlTuning.PUBLISH_INTERVAL_MS
         val hasNewPeer = mesh.joined != joinedCountAtLastPublish
@@ -44,7 +44,7 @@
 
     /** Applies the [status] that the leader published. */
     fun apply(status: LeaderStatus) {
-        status.progress.forEach { jobStore.jobs[it.job]?.lastProgress = it }
+        status.progress.forEach { jobStore.jobs[it.jobId]?.lastProgress = it }
         if (status.served == false) healthCheck.recordLeaderOutage()
         if (!election.isLeader) leader.recovery?.heard(status.zones)
     }
--- a/src/main/kotlin/ledgearch/http/ConnectionPool.kt
+++ b/src/main/kotlin/ledgearch/http/ConnectionPool.kt
@@ -10,7 +10,7 @@
 internal class PooledConnection(
     val channel: AsynchronousSocketChannel,
 ) {
-    val reader = MessageReader(HttpTuning.MAX_RESPONSE)
+    val reader = MessageReader(HttpTuning.MAX_RESPONSE_BODY_BYTES)
 
     /** Whether the last exchange completed and the server keeps the connection open. */
     var isReusable = false
@@ -33,7 +33,7 @@
     private var idleCount = 0
 
     /** Number of connections that are open or being opened. */
-    var open = 0
+    var openCount = 0
         private set
 
     /**
@@ -50,7 +50,7 @@
         if (connection.isReusable) putBack(address, connection) else close(connection.channel)
     }
 
-    /** Closes connections that were idle for [HttpTuning.POOLED_IDLE_MS]. */
+    /** Closes connections that were idle for [HttpTuning.POOLED_IDLE_TIMEOUT_MS]. */
     fun closeIdle() {
         val nowMs = SteadyTime.nowMs()
         val queues = idle.values.iterator()
@@ -76,7 +76,7 @@
     private fun isExpired(
         connection: PooledConnection,
         nowMs: Long,
-    ): Boolean = nowMs - connection.idleSince > HttpTuning.POOLED_IDLE_MS
+    ): Boolean = nowMs - connection.idleSince > HttpTuning.POOLED_IDLE_TIMEOUT_MS
 
     private fun putBack(
         address: String,
@@ -92,7 +92,7 @@
     }
 
     private fun closeExcessIdle() {
-        while (open > maxOpen && idleCount > 0) {
+        while (openCount > maxOpen && idleCount > 0) {
             val (address, queue) = idle.entries.first()
             if (queue.isNotEmpty()) closeLeastRecentlyUsed(queue)
             if (queue.isEmpty()) idle.remove(address)
@@ -105,20 +105,20 @@
     }
 
     private fun close(channel: AsynchronousSocketChannel) {
-        open--
+        openCount--
         channel.closeQuietly()
     }
 
     private suspend fun open(address: String): PooledConnection {
         val channel = AsynchronousSocketChannel.open(group)
-        open++
+        openCount++
         closeExcessIdle()
         var opened: PooledConnection? = null
         try {
-            withTimeoutOrNull(HttpTuning.CONNECT_MS) {
+            withTimeoutOrNull(HttpTuning.CONNECT_TIMEOUT_MS) {
                 channel.connectTo(parseAddress(address))
                 true
-            } ?: throw IOException("no connection to $address within ${HttpTuning.CONNECT_MS} ms")
+            } ?: throw IOException("no connection to $address within ${HttpTuning.CONNECT_TIMEOUT_MS} ms")
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
             opened = PooledConnection(channel)
             return opened
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -16,7 +16,7 @@
     private val pool = ConnectionPool(group, maxOpen)
 
     /** Number of connections that are open or being opened. */
-    val open: Int get() = pool.open
+    val openCount: Int get() = pool.openCount
 
     /**
      * Sends one request and returns the reply, within [timeoutMs]. It never retries, since only the caller can tell
@@ -42,7 +42,7 @@
             throw e
         } catch (_: IOException) {
             return Reply.NONE
-        } catch (_: BadMessage) {
+        } catch (_: MalformedMessageException) {
             return Reply.NONE
         } catch (e: RuntimeException) {
             // The address is malformed or can't be resolved at present.
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Closes connections that have been idle for [HttpTuning.POOLED_IDLE_MS]. */
+    /** Closes connections that have been idle for [HttpTuning.POOLED_IDLE_TIMEOUT_MS]. */
     fun closeIdle() = pool.closeIdle()
 
     private suspend fun send(
@@ -67,7 +67,7 @@
         val headBytes = head(address, method, target, bodyBytes).toByteArray(Charsets.ISO_8859_1)
         val message = ByteBuffer.allocate(headBytes.size + (bodyBytes?.size ?: 0)).put(headBytes)
         if (bodyBytes != null) message.put(bodyBytes)
-        connection.channel.writeAll(message.flip(), HttpTuning.WRITE_MS)
+        connection.channel.writeAll(message.flip(), HttpTuning.WRITE_TIMEOUT_MS)
     }
 
     /** Returns the head of a request; without a body if [bodyBytes] is null. */
@@ -78,7 +78,7 @@
         bodyBytes: ByteArray?,
     ): String {
         val head =
-            StringBuilder(HttpTuning.REQUEST_HEAD)
+            StringBuilder(HttpTuning.REQUEST_HEAD_CHARS)
                 .append(method)
                 .append(' ')
                 .append(target)
@@ -96,7 +96,7 @@
 
     private suspend fun receive(connection: PooledConnection): Reply {
         val reader = connection.reader
-        val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER * 2)
+        val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER_BYTES * 2)
         while (true) {
             val head = reader.head()
             val body = if (head != null) reader.body() else null
@@ -116,5 +116,6 @@
         startLine
             .split(' ')
             .getOrNull(1)
-            ?.toIntOrNull() ?: throw BadMessage(HttpStatus.BAD_REQUEST, "status line without a numeric status")
+            ?.toIntOrNull()
+            ?: throw MalformedMessageException(HttpStatus.BAD_REQUEST, "status line without a numeric status")
 }
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -36,22 +36,22 @@
     val isService: Boolean = spec.kind == JobKind.SERVICE
 
     /** Priority that the job was submitted with. */
-    val ownPriority: Priority = spec.priority
+    val submittedPriority: Priority = spec.priority
 
     /** Priority that scheduling uses: the highest among the job's own and those of the open jobs that depend on it. */
-    var priority: Priority = ownPriority
+    var priority: Priority = submittedPriority
 
     /** Ids of the jobs that must finish before this one starts and are not known to have finished. */
     val unfinishedDependencies = LinkedHashSet<String>()
 
     /** Whether a direct or indirect dependency was cancelled: this job then never starts and is cancelled too. */
-    var dependencyCancelled = false
+    var hasCancelledDependency = false
 
     /** Wall-clock ms from which the waiting time counts: the submission, or the end of the last dependency. */
-    var readyAt = record.submittedAtMs
+    var readyAtMs = record.submittedAtMs
 
     /** Whether the job waits for dependencies, or one of them was cancelled. */
-    val waitsForOthers: Boolean get() = dependencyCancelled || unfinishedDependencies.isNotEmpty()
+    val isBlockedByDependencies: Boolean get() = hasCancelledDependency || unfinishedDependencies.isNotEmpty()
 
     /** On a follower, the progress last received from the leader; on the leader, the progress last sent. */
     var lastProgress: JobProgress? = null
@@ -74,25 +74,25 @@
     val writtenChunks = BitSet()
 
     /** Steady-clock ms at which finished tasks were last written. */
-    var progressAt = Long.MIN_VALUE / 2
+    var progressWrittenAtMs = Long.MIN_VALUE / 2
 
     /** Whether the final record is being written. */
-    var closing = false
+    var isClosing = false
 
     /** Whether the final record is durable. */
-    var closed = false
+    var isClosed = false
 
     // --- Tasks, on the leader only ---------------------------------------------------------------------------------
 
     /** Indices of the finished tasks, durable or not. */
-    val finished = BitSet()
+    val finishedTasks = BitSet()
 
-    /** Size of [finished]. */
+    /** Size of [finishedTasks]. */
     var finishedCount = 0
         private set
 
     /** Indices of the tasks whose completion is durable. */
-    val recorded = BitSet()
+    val recordedTasks = BitSet()
 
     /** Indices of the tasks that are finished or may be on a machine. */
     private val takenTasks = BitSet()
@@ -101,29 +101,29 @@
     /** Current attempt of each task that may be on a machine, by task index. */
     val attempts = Int2ObjectOpenHashMap<TaskAttempt>()
 
-    /** Number of running attempts, maintained by [Machine.count]. */
+    /** Number of running attempts, maintained by [Machine.adjustCounts]. */
     var runningCount = 0
 
     /** Number of tasks that wait to be started. */
     val pendingCount: Int get() = spec.taskCount - takenCount
 
     /** Whether all tasks are finished; always false for a service. */
-    val complete: Boolean get() = !isService && finishedCount == spec.taskCount
+    val isComplete: Boolean get() = !isService && finishedCount == spec.taskCount
 
     /**
      * Whether no machine that the current leader has not confirmed can hold a task of this job: the job was accepted
      * under this leader, or every recorded machine has been confirmed since.
      */
-    var accountedFor = false
+    var isAccountedFor = false
 
     /** Run times of the finished tasks that the current leader saw from start to end. */
-    val runTime = RunTime()
+    val meanRunTime = MeanRunTime()
 
     /** Returns the first pending task at or after [from], or null if there is none. */
-    fun nextPending(from: Int = 0): Int? = takenTasks.nextClearBit(from).takeIf { it < spec.taskCount }
+    fun nextPendingTask(from: Int = 0): Int? = takenTasks.nextClearBit(from).takeIf { it < spec.taskCount }
 
     /** Makes [attempt] the current attempt of its task, which is then no longer pending. */
-    fun place(attempt: TaskAttempt) {
+    fun addAttempt(attempt: TaskAttempt) {
         attempts.put(attempt.index, attempt)
         markTaken(attempt.index)
     }
@@ -131,10 +131,10 @@
     /**
      * Removes [attempt], whose task is on no machine any more; the task becomes pending again unless it is finished.
      */
-    fun free(attempt: TaskAttempt) {
+    fun removeAttempt(attempt: TaskAttempt) {
         if (attempts.get(attempt.index) !== attempt) return
         attempts.remove(attempt.index)
-        if (!finished.get(attempt.index) && takenTasks.get(attempt.index)) {
+        if (!finishedTasks.get(attempt.index) && takenTasks.get(attempt.index)) {
             takenTasks.clear(attempt.index)
             takenCount--
         }
@@ -147,9 +147,9 @@
     }
 
     /** Marks the task [index] as finished. */
-    fun finish(index: Int) {
-        if (finished.get(index)) return
-        finished.set(index)
+    fun markFinished(index: Int) {
+        if (finishedTasks.get(index)) return
+        finishedTasks.set(index)
         finishedCount++
         markTaken(index)
     }
@@ -159,55 +159,56 @@
         ranges: String,
         chunk: Int,
     ) {
-        TaskRanges.decode(ranges, finished, spec.taskCount)
-        takenTasks.or(finished)
+        TaskRanges.decode(ranges, finishedTasks, spec.taskCount)
+        takenTasks.or(finishedTasks)
         takenCount = takenTasks.cardinality()
-        finishedCount = finished.cardinality()
-        recorded.or(finished)
+        finishedCount = finishedTasks.cardinality()
+        recordedTasks.or(finishedTasks)
         writtenChunks.set(chunk)
     }
 
     // --- Scheduling ------------------------------------------------------------------------------------------------
 
     /** Whether the job, together with the earlier jobs of its team, fits into the team's guaranteed share. */
-    var guaranteed = false
+    var isGuaranteed = false
 
     /** Steady-clock ms before which no task is started, after failures that the job itself caused. */
-    var notBefore = Long.MIN_VALUE
+    var pausedUntilMs = Long.MIN_VALUE
 
     /** Wall-clock ms at which this leader last started a task of the job; 0 before the first start. */
-    var lastStartAt = 0L
+    var lastStartAtMs = 0L
 
     /** Names of the machines on which its tasks failed, since the last task that succeeded. */
-    val errorMachines = HashSet<String>()
+    val failedMachineNames = HashSet<String>()
 
     /** Number of consecutive pauses of the job because its tasks failed on several machines. */
-    var failedAttempts = 0
+    var consecutivePauses = 0
 
     /** Returns the ms since a task of the job was last started, or since it could have been. */
-    fun unservedMs(wallMs: Long): Long = wallMs - maxOf(lastStartAt, readyAt)
+    fun unservedMs(wallMs: Long): Long = wallMs - maxOf(lastStartAtMs, readyAtMs)
 
     /** Returns whether the job has tasks that wait only for free resources; [nowMs] is on the steady clock. */
-    fun startable(nowMs: Long): Boolean =
-        accountedFor && !waitsForOthers && !closing && !record.cancelRequested && pendingCount > 0 && nowMs >= notBefore
+    fun isStartable(nowMs: Long): Boolean =
+        isAccountedFor && !isBlockedByDependencies && !isClosing && !record.cancelRequested && pendingCount > 0 &&
+            nowMs >= pausedUntilMs
 
     /** Clears all state that only a leader has. */
-    fun forgetLeaderState() {
-        finished.clear()
+    fun clearLeaderState() {
+        finishedTasks.clear()
         finishedCount = 0
-        recorded.clear()
+        recordedTasks.clear()
         writtenChunks.clear()
         takenTasks.clear()
         takenCount = 0
         runningCount = 0
         attempts.clear()
-        accountedFor = false
-        closing = false
-        notBefore = Long.MIN_VALUE
-        progressAt = Long.MIN_VALUE / 2
-        lastStartAt = 0L
-        errorMachines.clear()
-        failedAttempts = 0
-        runTime.clear()
+        isAccountedFor = false
+        isClosing = false
+        pausedUntilMs = Long.MIN_VALUE
+        progressWrittenAtMs = Long.MIN_VALUE / 2
+        lastStartAtMs = 0L
+        failedMachineNames.clear()
+        consecutivePauses = 0
+        meanRunTime.clear()
     }
 }
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -103,7 +103,7 @@
     fun writeCatalog(record: CatalogRecord) = catalogWrite.put(record)
 
     /** Writes the next batch if there are pending writes and no other transaction is pending. */
-    fun drive() {
+    fun runDueWork() {
         if (isWritePending || !election.isLeader || clock.steadyMs < retryAtMs) return
         val entries = collectEntries()
         if (entries.isNotEmpty()) write(entries)
@@ -186,7 +186,13 @@
     ) {
         val isLeadershipInDoubt = Keys.leadership(0) in failedKeys
         val delayMs =
-            if (failedKeys.isEmpty() || isLeadershipInDoubt) StoreTuning.RETRY_DELAY_MS else RuntimeTuning.TICK_MS
+            if (failedKeys.isEmpty() ||
+                isLeadershipInDoubt
+            ) {
+                StoreTuning.RETRY_DELAY_MS
+            } else {
+                RuntimeTuning.TICK_INTERVAL_MS
+            }
         retryAtMs = clock.steadyMs + delayMs
         if (isLeadershipInDoubt) election.verifyLeadership(sentToken)
         val conflictTerm = term
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -57,7 +57,7 @@
      * Starts the pending tasks of [jobs], preempts other tasks for them or binds them to queues, as far as possible.
      */
     fun runPass(jobs: Collection<Job>) {
-        val startable = jobs.filter { it.startable(clock.steadyMs) }
+        val startable = jobs.filter { it.isStartable(clock.steadyMs) }
         recovery.updateWaiting(startable)
         if (startable.isEmpty()) return
         val allUsable = machines.values.filter { isUsable(it) }
@@ -67,11 +67,11 @@
         val running = jobs.filter { it.attempts.isNotEmpty() }
         val waiting = serveByPriority(startable, usable, running)
         if (waiting.isEmpty()) return
-        val admitting = if (recovery.isActive) usable.filter { !it.heldBack } else usable
-        metrics.spend("preemption") {
+        val admitting = if (recovery.isActive) usable.filter { !it.isHeldBack } else usable
+        metrics.measure("preemption") {
             preemption.runPass(waiting, admitting, running, estimates.freedCpusPerSecond(jobs))
         }
-        metrics.spend("queues") { queues.bindWaiting(waiting, usable) }
+        metrics.measure("queues") { queues.bindWaiting(waiting, usable) }
     }
 
     private fun addLatencySensitiveImages(startable: List<Job>) {
@@ -119,7 +119,7 @@
     ) {
         if (jobs.isEmpty()) return
         val assigned =
-            metrics.spend("latency_sensitive") { preemption.makeRoomWhereImageIsPresent(jobs, usable, running) }
+            metrics.measure("latency_sensitive") { preemption.makeRoomWhereImageIsPresent(jobs, usable, running) }
         for (job in jobs) starter.startAnywhere(job, usable, keepPending = assigned[job] ?: 0)
     }
 
@@ -132,13 +132,13 @@
         startable: List<Job>,
         usable: List<Machine>,
     ): Set<Machine> {
-        val starved = startable.filter { it.attempts.isEmpty() && ranking.isStarved(it) }.sortedBy { it.readyAt }
+        val starved = startable.filter { it.attempts.isEmpty() && ranking.isStarved(it) }.sortedBy { it.readyAtMs }
         val reserved = HashSet<Machine>()
         for (job in starved) {
             val unreserved = excluding(reserved, usable)
             val part = maxOf(1, job.pendingCount / SchedulingTuning.STARVED_JOB_PARTS)
             starter.startAnywhere(job, unreserved, keepPending = job.pendingCount - part)
-            job.attempts.values.forEach { it.exemptFromPreemption = true }
+            job.attempts.values.forEach { it.isExemptFromPreemption = true }
             val mayReserve = job.attempts.isEmpty() && teams.allows(job)
             if (mayReserve && reserved.size < SchedulingTuning.MAX_RESERVED_MACHINES) {
                 reservations.reserve(job, unreserved)?.let { reserved.add(it) }
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -76,7 +76,7 @@
     fun sortByRank(jobs: List<Job>): List<Job> =
         jobs
             .map { RankedJob(it, countMissedIfStartedNow(it), costCpuS(it)) }
-            .sortedWith(compareBy({ !it.job.guaranteed }, { it.missedObjectives }, { it.costCpuS }, { it.job.id }))
+            .sortedWith(compareBy({ !it.job.isGuaranteed }, { it.missedObjectives }, { it.costCpuS }, { it.job.id }))
             .map { it.job }
 
     /** Returns how many of its objectives [job] would miss even if it started now. */
@@ -112,7 +112,7 @@
     }
 
     /** Returns the seconds since [job] became ready to start. */
-    private fun waitedS(job: Job): Double = (clock.wallMs - job.readyAt) / MS_PER_SECOND
+    private fun waitedS(job: Job): Double = (clock.wallMs - job.readyAtMs) / MS_PER_SECOND
 
     private fun imageFetchS(job: Job): Double = job.spec.imageGb * SchedulingTuning.IMAGE_FETCH_S_PER_GB
 
@@ -123,7 +123,7 @@
     ): Int {
         var missed = 0
         finishWithinS[job.spec.jobClass]?.forEach { if (endS > it) missed++ }
-        val wallEndS = job.readyAt / MS_PER_SECOND + endS
+        val wallEndS = job.readyAtMs / MS_PER_SECOND + endS
         deadlines.latestEndsS(job).forEach { if (wallEndS > it) missed++ }
         return missed
     }
