--- a/src/main/kotlin/ledgearch/agents/TaskCommands.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskCommands.kt
@@ -45,7 +45,7 @@
             if (attempt.stopMode ==
                 StopMode.CHECKPOINT_FIRST
             ) {
-                attempt.job?.spec?.checkpointS ?: NO_GRACE_S
+                attempt.job?.spec?.checkpointSaveS ?: NO_GRACE_S
             } else {
                 NO_GRACE_S
             }
--- a/src/main/kotlin/ledgearch/api/SubmissionField.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionField.kt
@@ -18,9 +18,9 @@
     const val ALLOWS_SPOT = "borrowed"
     const val IMAGE = "recipe"
     const val IMAGE_GB = "sizeGb"
-    const val ESTIMATED_RUN_S = "cookS"
+    const val ESTIMATED_RUN_TIME_S = "cookS"
     const val CHECKPOINT_INTERVAL_S = "stirS"
-    const val CHECKPOINT_S = "plateS"
+    const val CHECKPOINT_SAVE_S = "plateS"
     const val DEADLINE_S = "serveS"
     const val DEPENDS_ON = "awaits"
 }
--- a/src/main/kotlin/ledgearch/api/SubmittedJob.kt
+++ b/src/main/kotlin/ledgearch/api/SubmittedJob.kt
@@ -36,9 +36,9 @@
                 allowsSpot = fields.boolean(SubmissionField.ALLOWS_SPOT),
                 image = fields.string(SubmissionField.IMAGE),
                 imageGb = fields.nonNegativeNumber(SubmissionField.IMAGE_GB),
-                estimatedRunS = fields.nonNegativeNumber(SubmissionField.ESTIMATED_RUN_S),
+                estimatedRunTimeS = fields.nonNegativeNumber(SubmissionField.ESTIMATED_RUN_TIME_S),
                 checkpointIntervalS = fields.nonNegativeNumber(SubmissionField.CHECKPOINT_INTERVAL_S),
-                checkpointS = fields.nonNegativeNumber(SubmissionField.CHECKPOINT_S),
+                checkpointSaveS = fields.nonNegativeNumber(SubmissionField.CHECKPOINT_SAVE_S),
                 deadlineS = fields.nonNegativeNumberOrNull(SubmissionField.DEADLINE_S),
                 dependsOn = dependenciesOrNull(),
             )
@@ -60,7 +60,7 @@
     }
 
     companion object {
-        /** Parses [body] and checks the job's id. Throws [MalformedSubmission] if it is not an object with a valid id. */
+        /** Parses [body]. Throws [MalformedSubmission] if it is not a JSON object with a valid job id. */
         fun parse(body: String): SubmittedJob {
             if (nestingDepth(body) > ApiTuning.MAX_SUBMISSION_DEPTH) {
                 throw MalformedSubmission("the body is nested more than ${ApiTuning.MAX_SUBMISSION_DEPTH} levels deep")
--- a/src/main/kotlin/ledgearch/api/TypedFields.kt
+++ b/src/main/kotlin/ledgearch/api/TypedFields.kt
@@ -12,9 +12,9 @@
 import ledgearch.wire.WireEnumSerializer
 
 /**
- * Reads the fields of a JSON object by name and type. Every function throws a [MalformedSubmission] that names the field
- * if the value has another type or is out of range. Functions whose name ends in `OrNull` return null for a field that
- * is absent or null; the others throw.
+ * Reads the fields of a JSON object by name and type. Every function throws a [MalformedSubmission] with the name of the
+ * field if the value has another type or is out of range. Functions whose name ends in `OrNull` return null for a field
+ * that is absent or null; the others throw.
  */
 internal class TypedFields(
     private val json: JsonObject,
@@ -37,7 +37,7 @@
         name: String,
         values: WireEnumSerializer<E>,
     ): E where E : Enum<E>, E : WireEnum =
-        values.of(string(name)) ?: throw MalformedSubmission("$name: must be one of ${values.texts}")
+        values.fromText(string(name)) ?: throw MalformedSubmission("$name: must be one of ${values.texts}")
 
     /** Returns a boolean. */
     fun boolean(name: String): Boolean {
--- a/src/main/kotlin/ledgearch/control/AttemptControl.kt
+++ b/src/main/kotlin/ledgearch/control/AttemptControl.kt
@@ -66,7 +66,7 @@
         secondsLeft: Double,
     ): Boolean {
         val spec = attempt.job?.spec ?: return false
-        return spec.checkpointIntervalS > 0 && spec.checkpointS < secondsLeft
+        return spec.checkpointIntervalS > 0 && spec.checkpointSaveS < secondsLeft
     }
 
     /** Stops all attempts of [job] without a checkpoint. */
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -60,7 +60,7 @@
             job.spec.jobClass,
             job.spec.vcpus,
             job.spec.team,
-            job.spec.estimatedRunS,
+            job.spec.estimatedRunTimeS,
             job.spec.image,
             job.spec.imageGb,
         )
--- a/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
+++ b/src/main/kotlin/ledgearch/scheduling/RunTimeEstimates.kt
@@ -34,12 +34,12 @@
         runTimeS: Double,
     ) {
         job.meanRunTime.add(runTimeS)
-        if (job.spec.estimatedRunS <= 0 || runTimeS <= 0) return
+        if (job.spec.estimatedRunTimeS <= 0 || runTimeS <= 0) return
         // Every job has the same weight, however many tasks it has.
         val taskWeight = 1.0 / job.spec.taskCount
         val mean = runningMeanErrors.getOrPut(job.spec.jobClass) { RunningMeanError() }
         mean.weight = minOf(mean.weight + taskWeight, SchedulingTuning.MAX_MEAN_ERROR_JOBS)
-        val deviation = ln(runTimeS / job.spec.estimatedRunS) - mean.logRatio
+        val deviation = ln(runTimeS / job.spec.estimatedRunTimeS) - mean.logRatio
         mean.logRatio += deviation * minOf(1.0, taskWeight / mean.weight)
     }
 
@@ -65,9 +65,9 @@
     /** Returns the estimated run time of a task of [job] in seconds. */
     fun expectedRunTimeS(job: Job): Double {
         if (job.meanRunTime.taskCount > 0) return job.meanRunTime.seconds
-        val mean = runningMeanErrors[job.spec.jobClass] ?: return job.spec.estimatedRunS
+        val mean = runningMeanErrors[job.spec.jobClass] ?: return job.spec.estimatedRunTimeS
         // The prior, that owners are right on average, has the weight of one job.
-        return job.spec.estimatedRunS * exp(mean.logRatio * mean.weight / (mean.weight + 1.0))
+        return job.spec.estimatedRunTimeS * exp(mean.logRatio * mean.weight / (mean.weight + 1.0))
     }
 
     /** Returns the processors that the running tasks of [jobs] are expected to free per second. */
--- a/src/main/kotlin/ledgearch/wire/Cloud.kt
+++ b/src/main/kotlin/ledgearch/wire/Cloud.kt
@@ -3,10 +3,10 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A machine type of the cloud's catalog. */
+/** A machine type in the cloud's catalog. */
 @Serializable
 data class MachineType(
-    /** The type's name, unique in the catalog. */
+    /** Unique in the catalog. */
     @SerialName("label") val name: String,
     /** Virtual processors of one machine. */
     val vcpus: Double,
@@ -14,9 +14,9 @@
     val accelerators: Double = 0.0,
     /** Memory of one machine (GB). */
     val memoryGb: Double,
-    /** Disk for images (GB). */
+    /** Disk space for images on one machine (GB). */
     @SerialName("localGb") val diskGb: Double = 0.0,
-    /** Nominal speed of image fetches (GB per second); fetches at the same time may share it. */
+    /** Nominal speed of image fetches (GB per second); concurrent fetches may share it. */
     val fetchGbPerS: Double = 0.1,
     /** Price of an on-demand machine, per hour. */
     @SerialName("hourly") val onDemandPrice: Double = 0.0,
@@ -31,46 +31,46 @@
 /** All machine types that the cloud offers. */
 @Serializable
 data class Catalog(
-    /** The types, in the cloud's order. */
+    /** The machine types in the cloud's order. */
     @SerialName("racks") val machineTypes: List<MachineType>,
 )
 
-/** A request for new machines; a repeat with the same [idempotencyKey] rents nothing more. */
+/** A request for new machines; repeating it with the same [idempotencyKey] rents no more machines. */
 @Serializable
 data class RentalRequest(
-    /** Names the request; never used for another one, by any node. */
+    /** Identifies the request; no node ever uses it for another one. */
     @SerialName("booking") val idempotencyKey: String,
     /** The machine type's name. */
     @SerialName("rack") val machineType: String,
     /** The zone's name. */
     @SerialName("hall") val zone: String,
-    /** Rents spot machines, not on-demand ones. */
+    /** Whether to rent spot machines instead of on-demand ones. */
     @SerialName("borrowed") val spot: Boolean,
-    /** Machines wanted, at most 50; the answer may name fewer. */
+    /** Number of machines, at most 50; the reply may name fewer. */
     @SerialName("howMany") val count: Int,
 )
 
-/** Names of machines: the answer to a rental, and the body of a release. */
+/** Names of machines: the reply to a rental, and the body of a release. */
 @Serializable
 data class MachineNames(
-    /** The machines' names; at most 100 in a release. */
+    /** At most 100 in a release. */
     @SerialName("stoves") val machines: List<String> = emptyList(),
 )
 
-/** A machine as the cloud lists it. */
+/** A machine in the cloud's list. */
 @Serializable
 data class ListedMachine(
-    /** The machine's name; names rise in the order of creation. */
+    /** The machine's name; the order of names is the order of creation. */
     @SerialName("ref") val name: String,
-    /** Host and port of the machine's worker; null where the list names none. */
+    /** HOST:PORT of the machine's worker; null if the list has none. */
     val endpoint: String? = null,
     /** The machine type's name. */
     @SerialName("rack") val machineType: String,
     /** The zone's name. */
     @SerialName("hall") val zone: String,
-    /** It is a spot machine. */
+    /** Whether it is a spot machine. */
     @SerialName("borrowed") val spot: Boolean = false,
-    /** Its state at the time that the list describes. */
+    /** The state at the time that the list describes. */
     @SerialName("status") val state: MachineState,
     /** Time from the rental request to the time that the list describes (seconds). */
     @SerialName("heldS") val ageS: Double = 0.0,
@@ -81,27 +81,27 @@
 enum class MachineState(
     override val text: String,
 ) : WireEnum {
-    /** Rented and not up yet; charged already. */
+    /** Rented and already charged, but not up yet. */
     BOOTING("booting"),
 
-    /** Up; also listed for a while after it has died. */
+    /** Up; a machine that is lost is still listed as running for a while. */
     RUNNING("running"),
 
-    /** It stopped on its own and stays listed until it is deleted. */
+    /** Stopped on its own; listed until it is released. */
     FAILED("failed"),
 
-    /** A state of a later version of the cloud. */
+    /** Any other state, from a newer version of the cloud. */
     UNRECOGNIZED("?"),
     ;
 
     internal object Serializer : WireEnumSerializer<MachineState>("MachineState", entries, UNRECOGNIZED)
 }
 
-/** One page of the list of machines. */
+/** A page of the cloud's list of machines. */
 @Serializable
 data class MachineList(
-    /** The machines, in the order of their names. */
+    /** The machines in the order of their names. */
     @SerialName("stoves") val machines: List<ListedMachine> = emptyList(),
-    /** Further machines follow the last one. */
+    /** Whether more machines follow the last one. */
     val hasNext: Boolean = false,
 )
--- a/src/main/kotlin/ledgearch/wire/State.kt
+++ b/src/main/kotlin/ledgearch/wire/State.kt
@@ -11,60 +11,60 @@
     val key: String,
     /** The stored JSON. */
     @SerialName("v") val value: JsonElement? = null,
-    /** The store's revision of the key's last change. */
+    /** The revision of the key's last change. */
     @SerialName("stamp") val modRevision: Long = 0,
-    /** The lease that the key is attached to, and is removed with; null: none. */
+    /** The lease with which the key is removed; null if there is none. */
     @SerialName("permit") val leaseId: Long? = null,
 )
 
-/** One page of keys in their order, read at [revision]. */
+/** A page of keys, read at [revision]. */
 @Serializable
 data class KeyPage(
-    /** The keys with their values, in key order. */
+    /** The keys with their values in key order. */
     val pairs: List<KeyValue> = emptyList(),
-    /** Further keys follow the last one. */
+    /** Whether more keys follow the last one. */
     val hasNext: Boolean = false,
-    /** The store's revision that the page shows. */
+    /** The revision that the page shows. */
     @SerialName("edition") val revision: Long,
 )
 
-/** What a transaction compares: the key's last change was at [modRevision]; 0: the key does not exist. */
+/** A condition of a transaction: the last change of [key] was at [modRevision], or the key does not exist. */
 @Serializable
 data class Condition(
     /** The key to compare. */
     val key: String,
-    /** The revision that its last change must have; 0: it must not exist. */
+    /** The required revision of the last change; 0 if the key must not exist. */
     @SerialName("stamp") val modRevision: Long,
 )
 
-/** Either a put (with its value) or a remove. */
+/** A change in a transaction: either a put with its value or a remove. */
 @Serializable
 data class Change(
-    /** The key to write; null in a remove. */
+    /** The key to put; null in a remove. */
     val put: String? = null,
-    /** The value to write. */
+    /** The value to put; null in a remove. */
     @SerialName("v") val value: JsonElement? = null,
-    /** The lease that the written key is attached to; null detaches it. */
+    /** The lease to attach the key to; null detaches it from any lease. */
     @SerialName("permit") val leaseId: Long? = null,
     /** The key to remove; null in a put. */
     val remove: String? = null,
 )
 
-/** Changes that are made together if all conditions hold, and else not at all. */
+/** Changes that are all made if all conditions hold, and otherwise not at all. */
 @Serializable
 data class Transaction(
-    /** All of them must hold; none always does. */
+    /** The conditions, which must all hold; an empty list always holds. */
     @SerialName("if") val conditions: List<Condition>,
-    /** Made at one revision; an empty list only compares. */
+    /** The changes, made at one revision; if empty, the transaction only compares. */
     @SerialName("then") val changes: List<Change>,
 )
 
-/** The answer to a transaction: its revision, or the keys whose condition did not hold. */
+/** The reply to a transaction: its revision, or the keys whose conditions did not hold. */
 @Serializable
 data class TransactionReply(
-    /** The store's revision with the changes, or at the comparison that failed. */
+    /** The revision of the changes, or that of the failed comparison. */
     @SerialName("edition") val revision: Long = 0,
-    /** Keys whose condition did not hold; empty: the transaction was committed. */
+    /** The keys whose conditions did not hold; empty if the transaction was committed. */
     val failed: List<String> = emptyList(),
 )
 
@@ -75,21 +75,21 @@
     @SerialName("lifeMs") val ttlMs: Long,
 )
 
-/** A lease that was granted. */
+/** The reply to a request for a lease. */
 @Serializable
 data class LeaseReply(
-    /** Names the lease in renewals and in [Change.leaseId]. */
+    /** Identifies the lease in renewals and in [Change.leaseId]. */
     @SerialName("permit") val leaseId: Long,
 )
 
-/** One change of a watched key: either a put (with its value) or a remove. */
+/** A change of a watched key: either a put with its value or a remove. */
 @Serializable
 data class WatchEvent(
-    /** The key that was written; null for a remove. */
+    /** The key that was put; null for a remove. */
     val put: String? = null,
-    /** The value that was written. */
+    /** The value that was put; null for a remove. */
     @SerialName("v") val value: JsonElement? = null,
-    /** The store's revision of this change. */
+    /** The revision of this change. */
     @SerialName("stamp") val modRevision: Long = 0,
     /** The key that was removed; null for a put. */
     val remove: String? = null,
@@ -98,8 +98,8 @@
 /** All changes of watched keys up to [revision]. */
 @Serializable
 data class WatchReply(
-    /** The store's revision up to which [events] is complete: the next watch begins after it. */
+    /** The revision up to which [events] is complete; the next watch begins after it. */
     @SerialName("edition") val revision: Long,
-    /** The changes, in their order. */
+    /** The changes in the order in which they were made. */
     @SerialName("news") val events: List<WatchEvent> = emptyList(),
 )
--- a/src/main/kotlin/ledgearch/wire/WireEnum.kt
+++ b/src/main/kotlin/ledgearch/wire/WireEnum.kt
@@ -8,15 +8,15 @@
 import kotlinx.serialization.encoding.Decoder
 import kotlinx.serialization.encoding.Encoder
 
-/** A value that the protocol names by a fixed text. */
+/** An enum value that the protocol represents by a fixed text. */
 interface WireEnum {
-    /** The protocol's word, as it stands on the wire and in stored records. */
+    /** The text on the wire and in stored records. */
     val text: String
 }
 
 /**
- * Reads and writes an enum by the protocol's texts. A text that this version does not know becomes [unrecognized];
- * where there is no such value, reading throws [SerializationException], so that nothing is ever written back changed.
+ * Serializes the values of an enum as the protocol's texts. Any other text is decoded as [unrecognized]; if that is
+ * null, decoding throws a [SerializationException], so that a value is never written back changed.
  */
 open class WireEnumSerializer<E>(
     name: String,
@@ -27,11 +27,11 @@
 
     override val descriptor: SerialDescriptor = PrimitiveSerialDescriptor("ledgearch.wire.$name", PrimitiveKind.STRING)
 
-    /** The texts of all values, in their order. */
+    /** The texts of all values in the order of the enum. */
     val texts: Set<String> get() = byText.keys
 
-    /** The value that [text] stands for, or null. */
-    fun of(text: String): E? = byText[text]
+    /** Returns the value that has [text], or null if there is none. */
+    fun fromText(text: String): E? = byText[text]
 
     override fun serialize(
         encoder: Encoder,
@@ -40,6 +40,6 @@
 
     override fun deserialize(decoder: Decoder): E {
         val text = decoder.decodeString()
-        return byText[text] ?: unrecognized ?: throw SerializationException("$text is none of $texts")
+        return byText[text] ?: unrecognized ?: throw SerializationException("$text must be one of $texts")
     }
 }
--- a/src/main/kotlin/ledgearch/wire/WireJson.kt
+++ b/src/main/kotlin/ledgearch/wire/WireJson.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.json.Json
 
-/** The one JSON format of every interface: unknown fields ignored, nulls and defaults left out. */
+/** The JSON format of all interfaces: ignores unknown fields and omits nulls and default values. */
 val WireJson: Json =
     Json {
         ignoreUnknownKeys = true
--- a/src/main/kotlin/ledgearch/wire/Workers.kt
+++ b/src/main/kotlin/ledgearch/wire/Workers.kt
@@ -3,18 +3,18 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** One task attempt on a machine, as its worker reports it. */
+/** A task attempt on a machine, as the worker reports it. */
 @Serializable
 data class TaskReport(
-    /** Job and task, as `job-000412/3`. */
+    /** The job's id and the task's index, such as `job-000412/3`. */
     @SerialName("portion") val taskId: String,
     /** The attempt's number. */
     @SerialName("try") val attempt: Long,
     /** The attempt's state on its machine. */
     @SerialName("status") val state: TaskState,
-    /** Why it ended; null while it has not. */
+    /** Why the attempt ended; null before its end. */
     val cause: ExitCause? = null,
-    /** Its progress was saved as it was stopped. */
+    /** Whether a checkpoint was saved when the attempt was stopped. */
     val saved: Boolean = false,
 )
 
@@ -23,19 +23,19 @@
 enum class TaskState(
     override val text: String,
 ) : WireEnum {
-    /** Waits for its image. */
+    /** Waits for the image. */
     FETCHING("fetching"),
 
-    /** Has its image and runs. */
+    /** Has the image and runs. */
     RUNNING("running"),
 
-    /** Has got a stop command and saves a checkpoint. */
+    /** Has received a stop command and is saving a checkpoint. */
     SAVING("saving"),
 
-    /** Ended, or never started; reported until it is cleared. */
+    /** Has ended or was never started; reported until it is cleared. */
     EXITED("exited"),
 
-    /** A state of a later version of the worker. */
+    /** Any other state, from a newer version of the worker. */
     UNRECOGNIZED("?"),
     ;
 
@@ -53,19 +53,19 @@
     /** Stopped by a command. */
     STOPPED("halted"),
 
-    /** Failed by itself: mostly the machine is faulty, or the job was submitted with a mistake. */
+    /** Failed on its own, usually because of a faulty machine or an error in the submission. */
     ERROR("error"),
 
-    /** Start refused: the machine has too little left. */
+    /** Start refused: the machine lacks free resources. */
     FULL("full"),
 
     /** Start refused: another attempt of the task is on this machine. */
     BUSY("busy"),
 
-    /** Start refused: the worker knows of no such task. */
+    /** Start refused: the worker does not recognize the task. */
     UNKNOWN_TASK("unknown"),
 
-    /** A cause of a later version of the worker. */
+    /** Any other cause, from a newer version of the worker. */
     UNRECOGNIZED("?"),
     ;
 
@@ -73,30 +73,30 @@
 }
 
 /**
- * A worker's heartbeat with its status, also the body of the answers of `/orders` and `/show`. Of two messages the one
- * with the larger ([incarnation], [sequence]) is the newer.
+ * The status of a machine: the body of its worker's heartbeats and of the replies to `/orders` and `/show`. Of two
+ * messages, the one with the larger ([incarnation], [sequence]) is newer.
  */
 @Serializable
 data class Heartbeat(
     /** The machine's name. */
     @SerialName("stove") val machine: String,
-    /** Host and port at which the worker takes commands. */
+    /** HOST:PORT at which the worker receives commands. */
     val endpoint: String,
     /** The machine type's name. */
     @SerialName("rack") val machineType: String,
     /** The zone's name. */
     @SerialName("hall") val zone: String,
-    /** It is a spot machine. */
+    /** Whether it is a spot machine. */
     @SerialName("borrowed") val spot: Boolean = false,
-    /** Starts at 1 and rises each time that the worker's lease expires and it forgets its tasks. */
+    /** Starts at 1 and increases each time the worker's lease expires, when the worker discards its tasks. */
     @SerialName("shift") val incarnation: Long,
-    /** Rises with every heartbeat and every answer of the worker. */
+    /** Increases with every heartbeat and every reply of the worker. */
     @SerialName("ticket") val sequence: Long,
     /** The highest fencing token that the worker has seen. */
     @SerialName("baton") val token: Long = 0,
-    /** Seconds until the cloud takes a spot machine away; null without a notice. */
+    /** Seconds until the cloud preempts the spot machine; null if there is no preemption notice. */
     @SerialName("recallS") val preemptionNoticeS: Double? = null,
-    /** All task attempts on the machine, exited ones too until they are cleared. */
+    /** All task attempts on the machine, including exited ones until they are cleared. */
     @SerialName("portions") val tasks: List<TaskReport> = emptyList(),
 )
 
@@ -105,23 +105,23 @@
 data class TaskCommand(
     /** What to do. */
     @SerialName("verb") val kind: CommandKind,
-    /** Job and task, as `job-000412/3`. */
+    /** The job's id and the task's index, such as `job-000412/3`. */
     @SerialName("portion") val taskId: String,
     /** The attempt's number. */
     @SerialName("try") val attempt: Long,
-    /** Time to save before the task is ended (seconds), for [CommandKind.STOP]. */
+    /** For [CommandKind.STOP]: time to save a checkpoint before the attempt is ended (seconds). */
     @SerialName("cooldownS") val gracePeriodS: Double? = null,
 )
 
-/** The kinds of commands to workers; each may be repeated, but a start after a clear starts once more. */
+/** The kind of a command to a worker. Commands may be repeated, but a start after a clear starts the attempt again. */
 @Serializable(with = CommandKind.Serializer::class)
 enum class CommandKind(
     override val text: String,
 ) : WireEnum {
-    /** Starts the attempt unless the worker holds it already, in any state. */
+    /** Starts the attempt unless the worker already has it in any state. */
     START("start"),
 
-    /** Stops the attempt; one that is saving already is ended if the grace period is 0. */
+    /** Stops the attempt; if it is saving a checkpoint already, a grace period of 0 ends it. */
     STOP("halt"),
 
     /** Removes an exited attempt from the heartbeats. */
@@ -131,29 +131,29 @@
     internal object Serializer : WireEnumSerializer<CommandKind>("CommandKind", entries)
 }
 
-/** The answer to a heartbeat; the worker drops one with a lower token than it has seen. */
+/** The reply to a heartbeat; the worker ignores a reply with a lower token than it has seen. */
 @Serializable
 data class HeartbeatReply(
     /** The leader's fencing token. */
     @SerialName("baton") val token: Long,
-    /** Executed in their order. */
+    /** The commands, executed in this order. */
     @SerialName("orders") val commands: List<TaskCommand>,
 )
 
-/** Commands sent straight to a worker; executed only if token and incarnation match. */
+/** Commands sent directly to a worker; executed only if [token] and [incarnation] are valid. */
 @Serializable
 data class CommandRequest(
     /** The leader's fencing token; must not be lower than the highest that the worker has seen. */
     @SerialName("baton") val token: Long,
-    /** Must be the worker's own. */
+    /** Must be the current incarnation of the worker. */
     @SerialName("shift") val incarnation: Long,
-    /** Executed in their order. */
+    /** The commands, executed in this order. */
     @SerialName("orders") val commands: List<TaskCommand>,
 )
 
-/** The answer of a controller that does not lead, with the one that does if it is known. */
+/** The reply of a controller that is not the leader, with the leader if it is known. */
 @Serializable
 data class Redirect(
-    /** Name of the controller that leads; null: not known. */
+    /** Name of the leader; null if it is unknown. */
     @SerialName("chef") val leader: String? = null,
 )
--- a/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
@@ -207,9 +207,9 @@
                 allowsSpot = true,
                 image = "image-1",
                 imageGb = 3.5,
-                estimatedRunS = 600.0,
+                estimatedRunTimeS = 600.0,
                 checkpointIntervalS = 30.0,
-                checkpointS = 5.0,
+                checkpointSaveS = 5.0,
                 deadlineS = 90.5,
             )
 
@@ -225,7 +225,7 @@
                 memoryGb = 2.0,
                 image = "image-1",
                 imageGb = 1.0,
-                estimatedRunS = 20.0,
+                estimatedRunTimeS = 20.0,
             )
 
         val FULL_MACHINE_TYPE =
--- a/src/test/kotlin/ledgearch/scheduling/SpotReliabilityTest.kt
+++ b/src/test/kotlin/ledgearch/scheduling/SpotReliabilityTest.kt
@@ -41,7 +41,7 @@
                     image = "i",
                     imageGb = 1.0,
                     allowsSpot = true,
-                    estimatedRunS = 20.0,
+                    estimatedRunTimeS = 20.0,
                     deadlineS = 30.0,
                 ),
                 submittedAtMs = 0,
--- a/src/test/kotlin/ledgearch/simulation/JobSpecWords.kt
+++ b/src/test/kotlin/ledgearch/simulation/JobSpecWords.kt
@@ -23,9 +23,12 @@
         allowsSpot = options["spot"] == "yes",
         image = options["image"] ?: "i",
         imageGb = options["gb"]?.toDouble() ?: 0.3,
-        estimatedRunS = options["run"]?.toDouble() ?: 10.0,
+        estimatedRunTimeS = options["run"]?.toDouble() ?: 10.0,
         dependsOn = options["depends-on"]?.split(','),
     )
 }
 
-private fun priorityOf(text: String) = checkNotNull(Priority.Serializer.of(text)) { "no priority is called $text" }
+private fun priorityOf(text: String) =
+    checkNotNull(Priority.Serializer.fromText(text)) {
+        "no priority is called $text"
+    }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ProductionWorkload.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ProductionWorkload.kt
@@ -133,7 +133,7 @@
             allowsSpot = random.nextBoolean(),
             image = "i",
             imageGb = 0.3,
-            estimatedRunS = 2.0 + random.nextInt(MOST_RUN_S),
+            estimatedRunTimeS = 2.0 + random.nextInt(MOST_RUN_S),
             dependsOn = dependsOn.ifEmpty { null },
         )
 
