--- a/src/main/kotlin/ledgearch/recovery/FlapPenalty.kt
+++ b/src/main/kotlin/ledgearch/recovery/FlapPenalty.kt
@@ -4,27 +4,28 @@
 import kotlin.math.ln
 
 /**
- * Flap damping of one zone, as routers do it with routes (RFC 2439): each loss of the zone adds one to a penalty that
- * halves with every [RecoveryTuning.FLAP_HALF_LIFE_MS]. From [RecoveryTuning.FLAP_SUPPRESS_PENALTY] on the zone stays
- * out of new placement until the penalty is below [RecoveryTuning.FLAP_REUSE_PENALTY]. The penalty has an upper bound,
- * so that this takes a bounded time however often a zone flaps. All times are steady ms.
+ * Flap damping of one zone, like that of routes (RFC 2439): each loss of the zone adds one to a penalty that halves
+ * every [RecoveryTuning.FLAP_HALF_LIFE_MS]. When it reaches [RecoveryTuning.FLAP_SUPPRESS_THRESHOLD], the zone is
+ * suppressed, so that it gets no new tasks, until the penalty is below [RecoveryTuning.FLAP_REUSE_THRESHOLD]. The
+ * penalty is limited, which bounds the suppression however often the zone flaps. All times are steady-clock ms.
  */
 internal class FlapPenalty {
-    /** The penalty at [changedAt], from which it has decayed since. */
+    /** The penalty at [changedAtMs], before the decay since then. */
     private var penalty = 0.0
-    private var changedAt = 0L
+    private var changedAtMs = 0L
 
-    /** The zone stays out of new placement. */
+    /** Whether the zone gets no new tasks. */
     var isSuppressed = false
         private set
 
-    /** The penalty at [nowMs], in losses. */
-    fun at(nowMs: Long): Double = penalty * exp(-ln(2.0) * (nowMs - changedAt) / RecoveryTuning.FLAP_HALF_LIFE_MS)
+    /** Returns the penalty at [nowMs], in losses. */
+    fun valueAt(nowMs: Long): Double =
+        penalty * exp(-ln(2.0) * (nowMs - changedAtMs) / RecoveryTuning.FLAP_HALF_LIFE_MS)
 
-    /** The zone was lost once more. */
-    fun lost(nowMs: Long) = set(at(nowMs) + 1.0, nowMs)
+    /** Adds a loss of the zone. */
+    fun addLoss(nowMs: Long) = set(valueAt(nowMs) + 1.0, nowMs)
 
-    /** Goes on with the [penalty] that another leader knew of. */
+    /** Continues with the [penalty] that another leader published. */
     fun restore(
         penalty: Double,
         nowMs: Long,
@@ -35,12 +36,12 @@
         nowMs: Long,
     ) {
         penalty = newPenalty.coerceIn(0.0, RecoveryTuning.FLAP_MAX_PENALTY)
-        changedAt = nowMs
-        if (penalty >= RecoveryTuning.FLAP_SUPPRESS_PENALTY) isSuppressed = true
+        changedAtMs = nowMs
+        if (penalty >= RecoveryTuning.FLAP_SUPPRESS_THRESHOLD) isSuppressed = true
     }
 
-    /** Lets the zone back once the penalty has decayed far enough. */
+    /** Ends the suppression once the penalty has decayed far enough. */
     fun update(nowMs: Long) {
-        if (at(nowMs) < RecoveryTuning.FLAP_REUSE_PENALTY) isSuppressed = false
+        if (valueAt(nowMs) < RecoveryTuning.FLAP_REUSE_THRESHOLD) isSuppressed = false
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryOrder.kt
@@ -4,14 +4,14 @@
 import ledgearch.model.Job
 
 /**
- * The operators' order in which displaced work is placed again: a job belongs to the first group that its class and
- * team match. Groups are known by their index in this order, 0 being the first to be placed. Without any group the
- * serving order stays as it is.
+ * The operators' order in which displaced jobs are placed again: a job belongs to the first group that its class and
+ * team match. Groups are identified by their index in this order; 0 is placed first. Without groups the serving order
+ * does not change.
  */
 internal class RecoveryOrder(
     groups: List<RecoveryGroup>,
 ) {
-    /** Which jobs one group matches; an empty list of patterns matches all. */
+    /** Matches the jobs of one group; an empty list of patterns matches every name. */
     private class GroupMatcher(
         group: RecoveryGroup,
     ) {
@@ -33,22 +33,22 @@
 
     private val matchers = groups.map(::GroupMatcher)
 
-    /** The group of what no other group matches: the one marked so, or else one more after all others. */
+    /** The group of jobs that no other group matches: the one marked as default, or one more after all others. */
     private val defaultGroup = groups.indexOfFirst { it.default }.let { if (it < 0) groups.size else it }
 
-    /** Names of the groups, and one more for what no group matches where none is the default. */
-    val names: List<String> =
+    /** The names of the groups, with one more for jobs that no group matches if no group is the default. */
+    val groupNames: List<String> =
         groups.mapIndexed { index, group -> group.name ?: "group ${index + 1}" } +
             if (defaultGroup == groups.size) listOf("others") else emptyList()
 
-    /** The operators have stated an order. */
-    val isStated: Boolean = groups.isNotEmpty()
+    /** Whether the operators have configured an order. */
+    val isConfigured: Boolean = groups.isNotEmpty()
 
-    /** Groups found so far: there are few classes and teams, and many jobs. */
-    private val groupsFound = HashMap<ClassAndTeam, Int>()
+    /** Cache of groups; there are few classes and teams but many jobs. */
+    private val groupCache = HashMap<ClassAndTeam, Int>()
 
-    /** The index of the group of [job] in the order. */
-    fun groupOf(job: Job): Int = groupsFound.getOrPut(ClassAndTeam(job.spec.jobClass, job.spec.team)) { findGroup(job) }
+    /** Returns the index of the group of [job] in the order. */
+    fun groupOf(job: Job): Int = groupCache.getOrPut(ClassAndTeam(job.spec.jobClass, job.spec.team)) { findGroup(job) }
 
     private fun findGroup(job: Job): Int {
         val index = matchers.indices.firstOrNull { it != defaultGroup && matchers[it].matches(job) }
@@ -56,30 +56,30 @@
     }
 
     /**
-     * Jobs by levels of priority, each in serving order: those that [displaced] picks change places among themselves,
-     * by their groups. All others keep their places, and so do the displaced ones taken together.
+     * Returns the jobs of [levels], one list per priority in serving order, with the jobs that [isDisplaced] accepts
+     * sorted by group within the positions that they have together. All other jobs keep their positions.
      */
-    fun arrange(
+    fun reorder(
         levels: List<List<Job>>,
-        displaced: (Job) -> Boolean,
+        isDisplaced: (Job) -> Boolean,
     ): List<List<Job>> {
-        if (!isStated) return levels
+        if (!isConfigured) return levels
         val inGroupOrder =
             levels
                 .flatten()
-                .filter(displaced)
+                .filter(isDisplaced)
                 .sortedBy(::groupOf)
                 .iterator()
-        return levels.map { level -> level.map { if (displaced(it)) inGroupOrder.next() else it } }
+        return levels.map { level -> level.map { if (isDisplaced(it)) inGroupOrder.next() else it } }
     }
 }
 
-/** A name in which `*` stands for any characters. */
+/** A pattern for names in which `*` matches any characters. */
 internal class NamePattern(
     pattern: String,
 ) {
     private val regex = Regex(pattern.split('*').joinToString(".*") { Regex.escape(it) })
 
-    /** The whole of [name] fits the pattern. */
+    /** Returns whether the pattern matches the whole of [name]. */
     fun matches(name: String): Boolean = regex.matches(name)
 }
--- a/src/main/kotlin/ledgearch/recovery/RecoveryReport.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryReport.kt
@@ -3,28 +3,28 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** The recovery from lost zones, as `GET /metrics` and the command line's status show it. */
+/** The recovery from lost zones as shown by `GET /metrics` and the `status` command. */
 @Serializable
 internal data class RecoveryReport(
     val zones: List<ZoneReport>,
-    /** Tasks that a lost zone displaced and that wait to be started again, by group. */
+    /** Number of displaced tasks that wait to be started again, by group. */
     val displaced: Map<String, Int>,
-    /** Zones lost since this controller leads. */
+    /** Number of losses of zones since this controller became leader. */
     @SerialName("zones_lost") val zonesLost: Long,
 )
 
-/** The state of one zone, as `GET /metrics` and the command line's status show it. */
+/** The state of one zone as shown by `GET /metrics` and the `status` command. */
 @Serializable
 internal data class ZoneReport(
     val zone: String,
     /** The name of a [ZoneState] in lower case. */
     val state: String,
-    /** Why it is in this state, for people. */
+    /** The reason for the state, as text for operators. */
     val why: String,
-    /** ms since it is in this state. */
+    /** Time in this state in ms. */
     @SerialName("for_ms") val forMs: Long,
-    /** Losses, less what has decayed. */
+    /** The flap penalty: the number of losses, which decays with time. */
     val penalty: Double,
-    /** Share of its machines that may take new work. */
+    /** Share of its machines that get new tasks. */
     @SerialName("admitted_share") val admittedShare: Double,
 )
--- a/src/main/kotlin/ledgearch/recovery/ReturnRamp.kt
+++ b/src/main/kotlin/ledgearch/recovery/ReturnRamp.kt
@@ -1,52 +1,52 @@
 package ledgearch.recovery
 
 /**
- * The share of a returning zone's machines that may take new work. It rises step by step; a failure seen meanwhile
- * takes one step back and makes the next wait longer. All times are steady ms.
+ * The share of a returning zone's machines that get new tasks. It rises step by step; a machine failure takes it back
+ * by one step and delays the next. All times are steady-clock ms.
  */
 internal class ReturnRamp {
-    /** Index of the present step in [RecoveryTuning.RAMP_SHARES]. */
+    /** Index of the current step in [RecoveryTuning.RAMP_SHARES]. */
     private var step = 0
-    private var nextStepAt = 0L
+    private var nextStepAtMs = 0L
 
-    /** Until then a failure counts as one with the failure before. */
-    private var sameFailureUntil = 0L
+    /** Time before which a failure counts together with the previous one. */
+    private var sameFailureUntilMs = 0L
 
-    /** Share of the zone's machines that may take new work. */
+    /** Share of the zone's machines that get new tasks. */
     val share: Double get() = RecoveryTuning.RAMP_SHARES[step]
 
-    /** All machines of the zone may take new work. */
-    val isOver: Boolean get() = step == RecoveryTuning.RAMP_SHARES.lastIndex
+    /** Whether all machines of the zone get new tasks. */
+    val isComplete: Boolean get() = step == RecoveryTuning.RAMP_SHARES.lastIndex
 
-    /** Begins with the first step. */
+    /** Starts with the first step. */
     fun begin(nowMs: Long) = beginAt(0.0, nowMs)
 
-    /** Goes on from the step that admits [admitted] (a share) of the machines. */
+    /** Starts with the last step whose share is at most [admittedShare]. */
     fun beginAt(
-        admitted: Double,
+        admittedShare: Double,
         nowMs: Long,
     ) {
-        step = RecoveryTuning.RAMP_SHARES.indexOfLast { it <= admitted + ROUNDING }.coerceAtLeast(0)
-        nextStepAt = nowMs + RecoveryTuning.RAMP_STEP_MS
+        step = RecoveryTuning.RAMP_SHARES.indexOfLast { it <= admittedShare + SHARE_TOLERANCE }.coerceAtLeast(0)
+        nextStepAtMs = nowMs + RecoveryTuning.RAMP_STEP_MS
     }
 
-    /** A machine of the zone failed again. Several at one time count as one failure. */
-    fun failed(nowMs: Long) {
-        if (nowMs < sameFailureUntil) return
-        sameFailureUntil = nowMs + RecoveryTuning.RAMP_STEP_MS
+    /** Goes back one step after a machine failure. Failures within one step interval count as one. */
+    fun onMachineFailed(nowMs: Long) {
+        if (nowMs < sameFailureUntilMs) return
+        sameFailureUntilMs = nowMs + RecoveryTuning.RAMP_STEP_MS
         step = (step - 1).coerceAtLeast(0)
-        nextStepAt = nowMs + RecoveryTuning.RAMP_SLOWED_MS
+        nextStepAtMs = nowMs + RecoveryTuning.RAMP_STEP_AFTER_FAILURE_MS
     }
 
     /** Takes the next step if it is due. */
-    fun look(nowMs: Long) {
-        if (isOver || nowMs < nextStepAt) return
+    fun update(nowMs: Long) {
+        if (isComplete || nowMs < nextStepAtMs) return
         step++
-        nextStepAt = nowMs + RecoveryTuning.RAMP_STEP_MS
+        nextStepAtMs = nowMs + RecoveryTuning.RAMP_STEP_MS
     }
 
     private companion object {
-        /** Shares come from another controller in thousandths. */
-        const val ROUNDING = 0.001
+        /** Controllers send shares in thousandths. */
+        const val SHARE_TOLERANCE = 0.001
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/WaitingTimes.kt
+++ b/src/main/kotlin/ledgearch/recovery/WaitingTimes.kt
@@ -2,33 +2,33 @@
 
 import ledgearch.model.Job
 
-/** Since when each open job has waited for room without a start, as far as this leader saw it during a recovery. */
+/** The times for which jobs have waited without the start of a task, measured by this leader during a recovery. */
 internal class WaitingTimes {
-    /** Steady ms by job. */
-    private val waitingSince = HashMap<Job, Long>()
+    /** Steady-clock ms at which the wait of each job began. */
+    private val waitingSinceMs = HashMap<Job, Long>()
 
-    fun clear() = waitingSince.clear()
+    fun clear() = waitingSinceMs.clear()
 
-    /** [waiting] are all the jobs that wait at [nowMs] (steady ms). */
+    /** Updates the waits at [nowMs] (steady-clock ms), given all [waiting] jobs. */
     fun update(
         waiting: Collection<Job>,
         nowMs: Long,
     ) {
-        if (waitingSince.isNotEmpty()) waitingSince.keys.retainAll(waiting.toSet())
-        waiting.forEach { waitingSince.putIfAbsent(it, nowMs) }
+        if (waitingSinceMs.isNotEmpty()) waitingSinceMs.keys.retainAll(waiting.toSet())
+        waiting.forEach { waitingSinceMs.putIfAbsent(it, nowMs) }
     }
 
-    /** A task of [job] was started: its waiting begins anew. */
-    fun started(
+    /** Restarts the wait of [job] when one of its tasks was started. */
+    fun onTaskStarted(
         job: Job,
         nowMs: Long,
     ) {
-        waitingSince.replace(job, nowMs)
+        waitingSinceMs.replace(job, nowMs)
     }
 
-    /** ms for which [job] has waited, 0 if it does not wait. */
+    /** Returns the time in ms for which [job] has waited, or 0 if it does not wait. */
     fun waitedMs(
         job: Job,
         nowMs: Long,
-    ): Long = waitingSince[job]?.let { nowMs - it } ?: 0L
+    ): Long = waitingSinceMs[job]?.let { nowMs - it } ?: 0L
 }
--- a/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
@@ -1,8 +1,8 @@
 package ledgearch.recovery
 
 /**
- * The state machine of one zone: up, suspect, lost, returning, up. It decides on load only and proves nothing. All
- * times are steady ms.
+ * The state machine of one zone: up, suspect, lost, returning, up. It only controls which machines get new tasks and
+ * does not prove that any machine or attempt is gone. All times are steady-clock ms.
  */
 internal class ZoneHealth(
     val zone: String,
@@ -13,18 +13,18 @@
     var state = ZoneState.UP
         private set
 
-    /** Why it is in this state, for people. */
+    /** The reason for the state, as text for operators. */
     var reason = "heard"
         private set
 
-    /** When the state last changed. */
-    var since = 0L
+    /** Time of the last change of the state. */
+    var stateSinceMs = 0L
         private set
 
-    /** Too many losses of late: nothing new goes there until the penalty has decayed. */
+    /** Whether the zone was lost too often and gets no new tasks until its penalty has decayed. */
     val isSuppressed: Boolean get() = state == ZoneState.RETURNING && penalty.isSuppressed
 
-    /** The share of its machines that may take new work. */
+    /** Share of its machines that get new tasks. */
     val admittedShare: Double
         get() =
             when {
@@ -33,102 +33,114 @@
                 else -> 1.0
             }
 
-    /** The penalty for its losses at [nowMs], in losses. */
-    fun penalty(nowMs: Long): Double = penalty.at(nowMs)
+    /** Returns the flap penalty at [nowMs], in losses. */
+    fun penalty(nowMs: Long): Double = penalty.valueAt(nowMs)
 
-    /** Moves on by what is [seen] at [nowMs]; returns whether the state changed. */
-    fun look(
-        seen: ZoneObservation,
+    /** Updates the state by the [observation] made at [nowMs], and returns whether the state changed. */
+    fun update(
+        observation: ZoneObservation,
         nowMs: Long,
     ): Boolean {
         penalty.update(nowMs)
-        val before = state
+        val previousState = state
         when (state) {
-            ZoneState.UP, ZoneState.SUSPECT -> updateWhileServing(seen, nowMs)
-            ZoneState.LOST -> if (!seen.partitioned) beginReturn(nowMs)
-            ZoneState.RETURNING -> updateWhileReturning(seen, nowMs)
+            ZoneState.UP, ZoneState.SUSPECT -> updateWhileServing(observation, nowMs)
+            ZoneState.LOST -> if (!observation.isPartitioned) beginReturn(nowMs)
+            ZoneState.RETURNING -> updateWhileReturning(observation, nowMs)
         }
-        return state != before
+        return state != previousState
     }
 
     private fun updateWhileServing(
-        seen: ZoneObservation,
+        observation: ZoneObservation,
         nowMs: Long,
     ) {
-        val heard = "${seen.heard} of ${seen.machines} machines heard"
+        val counts = "${observation.reportingCount} of ${observation.machineCount} machines heard"
         when {
-            seen.partitioned -> {
-                lose(heard, nowMs)
+            observation.isPartitioned -> {
+                lose(counts, nowMs)
             }
 
-            state == ZoneState.UP && isFailing(seen) -> {
-                enter(ZoneState.SUSPECT, heard, nowMs)
+            state == ZoneState.UP && isFailing(observation) -> {
+                enter(ZoneState.SUSPECT, counts, nowMs)
             }
 
-            // Recovers at a higher share than it became suspect at, so that it does not change to and fro.
-            state == ZoneState.SUSPECT && seen.heardShare >= RecoveryTuning.UP_FROM_SHARE -> {
-                enter(ZoneState.UP, heard, nowMs)
+            // The threshold is higher than the one for suspicion, so that the state does not oscillate.
+            state == ZoneState.SUSPECT && observation.reportingShare >= RecoveryTuning.UP_FROM_REPORTING_SHARE -> {
+                enter(ZoneState.UP, counts, nowMs)
             }
         }
     }
 
-    private fun isFailing(seen: ZoneObservation) =
-        seen.anyZoneWell &&
-            seen.machines >= RecoveryTuning.MIN_ZONE_MACHINES &&
-            seen.heardShare < RecoveryTuning.SUSPECT_BELOW_SHARE
+    private fun isFailing(observation: ZoneObservation) =
+        observation.isAnyZoneHealthy &&
+            observation.machineCount >= RecoveryTuning.MIN_ZONE_MACHINES &&
+            observation.reportingShare < RecoveryTuning.SUSPECT_BELOW_REPORTING_SHARE
 
     private fun updateWhileReturning(
-        seen: ZoneObservation,
+        observation: ZoneObservation,
         nowMs: Long,
     ) {
         when {
-            seen.partitioned || isSilent(seen) -> lose("lost again, none of ${seen.machines} machines heard", nowMs)
-            penalty.isSuppressed -> ramp.begin(nowMs)
-            ramp.isOver -> enter(ZoneState.UP, "all its machines are admitted", nowMs)
-            else -> ramp.look(nowMs)
+            observation.isPartitioned || isSilent(observation) -> {
+                lose("lost again, none of ${observation.machineCount} machines heard", nowMs)
+            }
+
+            penalty.isSuppressed -> {
+                ramp.begin(nowMs)
+            }
+
+            ramp.isComplete -> {
+                enter(ZoneState.UP, "all its machines are admitted", nowMs)
+            }
+
+            else -> {
+                ramp.update(nowMs)
+            }
         }
     }
 
-    /** Too few of its machines may be left for the detection of partitioned zones, but none of them is heard. */
-    private fun isSilent(seen: ZoneObservation) = seen.anyZoneWell && seen.machines > 0 && seen.heard == 0
+    /** Returns whether no machine reports; the zone may have too few machines left to count as partitioned. */
+    private fun isSilent(observation: ZoneObservation) =
+        observation.isAnyZoneHealthy && observation.machineCount > 0 && observation.reportingCount == 0
 
     private fun lose(
-        why: String,
+        newReason: String,
         nowMs: Long,
     ) {
-        penalty.lost(nowMs)
-        enter(ZoneState.LOST, why, nowMs)
+        penalty.addLoss(nowMs)
+        enter(ZoneState.LOST, newReason, nowMs)
     }
 
     private fun beginReturn(nowMs: Long) {
         ramp.begin(nowMs)
-        val why = if (penalty.isSuppressed) "held back, it was lost too often" else "heard again"
-        enter(ZoneState.RETURNING, why, nowMs)
+        val newReason = if (penalty.isSuppressed) "held back, it was lost too often" else "heard again"
+        enter(ZoneState.RETURNING, newReason, nowMs)
     }
 
     private fun enter(
-        next: ZoneState,
-        why: String,
+        newState: ZoneState,
+        newReason: String,
         nowMs: Long,
     ) {
-        state = next
-        reason = why
-        since = nowMs
+        state = newState
+        reason = newReason
+        stateSinceMs = nowMs
     }
 
-    /** A machine of the zone failed; while the zone returns, that slows the ramp. */
-    fun machineFailed(nowMs: Long) {
-        if (state == ZoneState.RETURNING) ramp.failed(nowMs)
+    /** Slows the ramp of a returning zone after a failure of one of its machines. */
+    fun onMachineFailed(nowMs: Long) {
+        if (state == ZoneState.RETURNING) ramp.onMachineFailed(nowMs)
     }
 
-    /** Goes on where the leader before was, by what it last told. */
+    /** Continues from the last [status] that the previous leader published. */
     fun restore(
-        known: ZoneStatus,
+        status: ZoneStatus,
         nowMs: Long,
     ) {
-        penalty.restore(known.penalty, nowMs)
-        if (known.state == ZoneState.UP) return
-        ramp.beginAt(known.admittedShare, nowMs)
-        enter(known.state, "as the leader before told", nowMs)
+        penalty.restore(status.penalty, nowMs)
+        if (status.state == ZoneState.UP) return
+        ramp.beginAt(status.admittedShare, nowMs)
+        enter(status.state, "as the leader before told", nowMs)
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/ZoneObservation.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneObservation.kt
@@ -1,16 +1,16 @@
 package ledgearch.recovery
 
-/** What is heard of the machines of one zone at one time. */
+/** How many machines of one zone report at one time, and whether their silence is evidence of a fault in the zone. */
 internal data class ZoneObservation(
-    /** Machines of the zone that are not being released. */
-    val machines: Int,
-    /** Those of them that are heard. */
-    val heard: Int,
-    /** It is cut off by the detection of partitioned zones. */
-    val partitioned: Boolean,
-    /** Most machines of some zone are heard, so that what is missing here is not this node's own fault. */
-    val anyZoneWell: Boolean,
+    /** Number of machines of the zone that are not being released. */
+    val machineCount: Int,
+    /** Number of these machines that report. */
+    val reportingCount: Int,
+    /** Whether the zone is partitioned. */
+    val isPartitioned: Boolean,
+    /** Whether most machines of any zone report, so that the silence of others is not caused by this node. */
+    val isAnyZoneHealthy: Boolean,
 ) {
-    /** Share of the machines that are heard, 1 where there are none. */
-    val heardShare: Double get() = if (machines == 0) 1.0 else heard.toDouble() / machines
+    /** Share of the machines that report; 1 if there are no machines. */
+    val reportingShare: Double get() = if (machineCount == 0) 1.0 else reportingCount.toDouble() / machineCount
 }
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -10,50 +10,51 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Recovery from the loss of zones, on the leader: the state of each zone, the order in which displaced work is placed
- * again, and the gradual return. Everything here decides on order, pace and preference; what is gone is proven as ever,
- * and no job waits for the return of a zone for longer than [RecoveryTuning.LONG_WAIT_MS].
+ * The recovery from the loss of zones on the leader: the state of each zone, the order in which displaced tasks are
+ * placed again, and the gradual return of a zone. It changes only the order, rate and place of starts, and does not
+ * decide whether a machine or attempt is gone. No job waits for the return of a zone for longer than
+ * [RecoveryTuning.LONG_WAIT_MS].
  */
 internal class ZoneRecovery(
     settings: ZoneRecoverySettings,
     private val clock: Clock,
-    /** ms. Within this time a new leader finds out which zones are cut off. */
+    /** Time in ms within which a new leader detects partitioned zones. */
     detectionMs: Long,
 ) : RecoveryPolicy {
     private val log = LoggerFactory.getLogger("ledgearch.recovery")
     private val order = RecoveryOrder(settings.order)
-    private val displaced = DisplacedWork(order)
-    private val pacing = StartPacing()
+    private val displacedTasks = DisplacedTasks(order)
+    private val startRateLimiter = StartRateLimiter()
     private val waitingTimes = WaitingTimes()
     private val zones = ZoneTracker(clock, detectionMs)
 
-    /** The first group that has attempts in a lost zone which are not proven gone yet. */
+    /** The first group with attempts in a lost zone that are not proven gone yet. */
     private var firstUnprovenGroup = NO_GROUP
 
-    /** What a leader, this node or another, last told, and at what steady ms. */
-    private var lastTold: List<ZoneStatus> = emptyList()
-    private var lastToldAt = 0L
+    /** The last statuses published by a leader, this node or another, and their steady-clock ms. */
+    private var lastStatuses: List<ZoneStatus> = emptyList()
+    private var lastStatusesAtMs = 0L
 
-    override val isActive: Boolean get() = anyUnsettled || !displaced.isEmpty
+    override val isActive: Boolean get() = anyUnsettled || !displacedTasks.isEmpty
 
-    /** Some zone is lost or not back as it was: what stands idle now may be needed. */
-    val anyUnsettled: Boolean get() = zones.anyUnsettled
+    /** Whether any zone is not up, so that machines which are idle now may be needed. */
+    val anyUnsettled: Boolean get() = zones.hasUnsettledZone
 
     // --- Terms ------------------------------------------------------------------------------------------------
 
-    /** This node leads under a new term. It goes on where the leader before was, if it heard of that lately. */
+    /** Begins a term of this node, and continues from the statuses of the previous leader if they are recent. */
     fun begin() {
         clear()
         zones.begin()
-        if (clock.steadyMs - lastToldAt > RecoveryTuning.ZONE_STATUS_VALID_MS) return
-        zones.restore(lastTold)
+        if (clock.steadyMs - lastStatusesAtMs > RecoveryTuning.ZONE_STATUS_TTL_MS) return
+        zones.restore(lastStatuses)
         if (anyUnsettled) {
-            val unsettled = lastTold.filter { it.state != ZoneState.UP }
-            log.info("recovery goes on where the leader before was; zone={}", unsettled)
+            val unsettled = lastStatuses.filter { it.state != ZoneState.UP }
+            log.info("recovery continues from the zone statuses of the previous leader; zone={}", unsettled)
         }
     }
 
-    /** This node leads no more. */
+    /** Ends the term of this node. */
     fun end() {
         if (!zones.isEmpty) heard(statuses())
         clear()
@@ -61,41 +62,41 @@
 
     private fun clear() {
         zones.clear()
-        displaced.clear()
-        pacing.clear()
+        displacedTasks.clear()
+        startRateLimiter.clear()
         waitingTimes.clear()
         firstUnprovenGroup = NO_GROUP
     }
 
-    /** Takes note of what the leader tells of its zones. */
+    /** Records the zone [statuses] that a leader has published. */
     fun heard(statuses: List<ZoneStatus>) {
-        lastTold = statuses
-        lastToldAt = clock.steadyMs
+        lastStatuses = statuses
+        lastStatusesAtMs = clock.steadyMs
     }
 
-    /** What the other controllers are told of the zones, while there is something to tell. */
+    /** Returns the zone statuses to publish to the other controllers: zones that are not up or have a penalty. */
     fun statuses(): List<ZoneStatus> = zones.statuses()
 
-    // --- The state of zones -----------------------------------------------------------------------------------
+    // --- State of the zones -----------------------------------------------------------------------------------
 
-    /** Moves the recovery on by what is heard of all [machines]; the leader calls it time and again. */
+    /** Updates the recovery by which of all [machines] report. Called at every check of the failure detector. */
     fun look(
         machines: Collection<Machine>,
         isPartitioned: (String) -> Boolean,
-        isHeard: (Machine) -> Boolean,
+        isReporting: (Machine) -> Boolean,
     ) {
-        val byZone = machines.filter { !it.isReleasing }.groupBy { it.zone }
-        zones.observe(byZone, isPartitioned, isHeard)
-        firstUnprovenGroup = if (order.isStated) firstUnprovenGroup(byZone) else NO_GROUP
-        displaced.removeClosed()
-        if (!anyUnsettled && !displaced.anyWaiting) displaced.clear()
-        if (isActive) pacing.update(machines.count { it.isInService }, clock.steadyMs)
+        val machinesByZone = machines.filter { !it.isReleasing }.groupBy { it.zone }
+        zones.update(machinesByZone, isPartitioned, isReporting)
+        firstUnprovenGroup = if (order.isConfigured) firstUnprovenGroup(machinesByZone) else NO_GROUP
+        displacedTasks.removeEnded()
+        if (!anyUnsettled && !displacedTasks.hasWaitingTasks) displacedTasks.clear()
+        if (isActive) startRateLimiter.update(machines.count { it.isInService }, clock.steadyMs)
     }
 
-    private fun firstUnprovenGroup(byZone: Map<String, List<Machine>>): Int {
+    private fun firstUnprovenGroup(machinesByZone: Map<String, List<Machine>>): Int {
         val jobs = HashSet<Job>()
-        for ((zone, members) in byZone) {
-            if (isLost(zone)) members.forEach { addJobsOn(it, jobs) }
+        for ((zone, machines) in machinesByZone) {
+            if (isLost(zone)) machines.forEach { addJobsOn(it, jobs) }
         }
         return jobs.minOfOrNull(order::groupOf) ?: NO_GROUP
     }
@@ -109,31 +110,34 @@
         }
     }
 
-    /** Next to nothing is heard of [zone] while most of another is heard. */
+    /** Returns whether [zone] is lost: almost none of its machines report while most of another zone do. */
     fun isLost(zone: String): Boolean = zones.stateOf(zone) == ZoneState.LOST
 
-    /** Machines of [zone] get nothing new until its penalty has decayed, so none is provisioned there either. */
+    /** Returns whether [zone] gets no new tasks, and so no new machines either, until its penalty has decayed. */
     fun isSuppressed(zone: String): Boolean = zones.isSuppressed(zone)
 
-    /** [machine] is given up. */
-    fun machineFailed(machine: Machine) = zones.machineFailed(machine.zone)
+    /** Called when [machine] is released because it failed. */
+    fun machineFailed(machine: Machine) = zones.onMachineFailed(machine.zone)
 
-    // --- Displaced work ---------------------------------------------------------------------------------------
+    // --- Displaced tasks --------------------------------------------------------------------------------------
 
-    /** [attempt] is gone from its machine, not by its own end. */
+    /** Called when [attempt] was lost with its machine, rather than having ended. */
     fun lost(attempt: TaskAttempt) {
-        if (zones.stateOf(attempt.machine.zone) != ZoneState.UP) displaced.lost(attempt)
+        if (zones.stateOf(attempt.machine.zone) != ZoneState.UP) displacedTasks.add(attempt)
     }
 
-    /** Every recorded machine is confirmed: what waits of [older] jobs may have been displaced before this term. */
+    /**
+     * Called when every recorded machine is confirmed: the loss may have displaced tasks of [older] jobs before the
+     * term.
+     */
     fun confirmed(older: Collection<Job>) {
-        if (anyUnsettled) older.filter { it.isStartable(clock.steadyMs) }.forEach(displaced::allWaitingOf)
+        if (anyUnsettled) older.filter { it.isStartable(clock.steadyMs) }.forEach(displacedTasks::addPendingTasks)
     }
 
     // --- Placement --------------------------------------------------------------------------------------------
 
     override fun reorder(levels: List<List<Job>>) =
-        if (displaced.isEmpty) levels else order.arrange(levels, displaced::isWaiting)
+        if (displacedTasks.isEmpty) levels else order.reorder(levels, displacedTasks::isWaiting)
 
     override fun updateWaiting(waiting: Collection<Job>) {
         if (isActive) waitingTimes.update(waiting, clock.steadyMs) else waitingTimes.clear()
@@ -147,7 +151,7 @@
         return !isPaced(job) || mayFetchFor(machine, job)
     }
 
-    /** The machine has the image of [job], or fetches it, or few enough others. */
+    /** Returns whether [machine] has or fetches the image of [job], or may fetch it besides its other fetches. */
     private fun mayFetchFor(
         machine: Machine,
         job: Job,
@@ -156,40 +160,48 @@
 
     override fun mayStart(job: Job): Boolean {
         if (!isPaced(job)) return true
-        val group = displaced.groupOf(job) ?: return true
-        return pacing.allows(group) && !waitsForProofs(job, group)
+        val group = displacedTasks.groupOf(job) ?: return true
+        return startRateLimiter.allows(group) && !waitsForEarlierGroup(job, group)
     }
 
     /**
-     * The machines of a lost zone are proven lost one after the other, within about a report interval. Room that is
-     * left is not given to a group while an earlier one is to come.
+     * Returns whether [group] waits for an earlier group. The machines of a lost zone are proven lost one after another
+     * within about a heartbeat interval; tasks of the earlier group on them may still need the free resources.
      */
-    private fun waitsForProofs(
+    private fun waitsForEarlierGroup(
         job: Job,
         group: Int,
-    ) = firstUnprovenGroup < group && waitedMs(job) < RecoveryTuning.WAIT_FOR_EARLIER_GROUP_MS
+    ) = firstUnprovenGroup < group && waitedMs(job) < RecoveryTuning.MAX_WAIT_FOR_EARLIER_GROUP_MS
 
     override fun hasOwnLimits(job: Job) = isActive && (isPaced(job) || mayUseHeldBack(job))
 
-    /** Displaced work of the first group is never paced, and no other once it has waited for long. */
+    /**
+     * Returns whether starts of [job] are limited: it is displaced, not in the first group, and has not waited long.
+     */
     private fun isPaced(job: Job): Boolean {
-        val group = displaced.groupOf(job) ?: return false
-        return group != StartPacing.FIRST_GROUP && displaced.isWaiting(job) && !hasWaitedLong(job)
+        val group = displacedTasks.groupOf(job) ?: return false
+        return group != StartRateLimiter.FIRST_GROUP && displacedTasks.isWaiting(job) && !hasWaitedLong(job)
     }
 
-    /** Rules outrank the ramp: work that has waited long, or can keep apart in no other zone, is not held back. */
+    /**
+     * Returns whether [job] may use machines that are held back: the rules on waiting and zone spread outrank the ramp.
+     */
     private fun mayUseHeldBack(job: Job) = hasWaitedLong(job) || needsAnotherZone(job)
 
     private fun hasWaitedLong(job: Job) = waitedMs(job) > RecoveryTuning.LONG_WAIT_MS
 
     private fun waitedMs(job: Job) = waitingTimes.waitedMs(job, clock.steadyMs)
 
-    /** Spread leaves it no zone whose machines are all admitted. A zone that is suppressed is not used for this. */
+    /**
+     * Returns whether the zone spread of [job] permits no zone whose machines are all admitted, but one that is
+     * returning and not suppressed.
+     */
     private fun needsAnotherZone(job: Job): Boolean {
         if (!job.spec.spreadZones) return false
         val spread = ZoneSpread(job)
-        val open = zones.all.filter { spread.allows(it.zone) && it.state != ZoneState.LOST }
-        return open.isNotEmpty() && open.none { it.admittedShare >= 1.0 } && open.any { !it.isSuppressed }
+        val permitted = zones.all.filter { spread.allows(it.zone) && it.state != ZoneState.LOST }
+        return permitted.isNotEmpty() && permitted.none { it.admittedShare >= 1.0 } &&
+            permitted.any { !it.isSuppressed }
     }
 
     override fun onTaskStarted(
@@ -197,32 +209,32 @@
         index: Int,
     ) {
         if (!isActive) return
-        waitingTimes.started(job, clock.steadyMs)
-        if (displaced.isWaiting(job)) displaced.groupOf(job)?.let(pacing::started)
-        displaced.started(job, index)
+        waitingTimes.onTaskStarted(job, clock.steadyMs)
+        if (displacedTasks.isWaiting(job)) displacedTasks.groupOf(job)?.let(startRateLimiter::recordStart)
+        displacedTasks.onTaskStarted(job, index)
     }
 
     override fun protectsFromPreemption(
         victim: Job,
         job: Job,
     ): Boolean {
-        if (!order.isStated || displaced.isEmpty) return false
+        if (!order.isConfigured || displacedTasks.isEmpty) return false
         if (waitedMs(job) > RecoveryTuning.PREEMPTION_PROTECTION_MS) return false
-        val group = displaced.groupOf(job) ?: return false
-        val victimGroup = displaced.groupOf(victim) ?: return false
+        val group = displacedTasks.groupOf(job) ?: return false
+        val victimGroup = displacedTasks.groupOf(victim) ?: return false
         return victimGroup < group
     }
 
     override fun preemptionDiscountCpuS(job: Job): Double =
-        (displaced.groupOf(job) ?: 0) * RecoveryTuning.STOP_DISCOUNT_PER_GROUP
+        (displacedTasks.groupOf(job) ?: 0) * RecoveryTuning.PREEMPTION_DISCOUNT_PER_GROUP_CPU_S
 
     // --- Report -----------------------------------------------------------------------------------------------
 
-    /** What operators are shown. */
-    fun report() = RecoveryReport(zones.reports(), displaced.waitingByGroup(), zones.zonesLost)
+    /** Returns the report for operators. */
+    fun report() = RecoveryReport(zones.reports(), displacedTasks.waitingByGroup(), zones.zonesLost)
 
     private companion object {
-        /** After all groups. */
+        /** Index after all groups. */
         const val NO_GROUP = Int.MAX_VALUE
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/ZoneState.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneState.kt
@@ -1,26 +1,26 @@
 package ledgearch.recovery
 
-/** The states of a zone, as recovery sees it. */
-@Suppress("MagicNumber") // Each state is the name of its code.
+/** The states of a zone in the recovery. */
+@Suppress("MagicNumber") // Each entry names its code.
 internal enum class ZoneState(
-    /** What controllers tell each other; a code never changes its meaning. */
+    /** The code in status frames between controllers; its meaning never changes. */
     val code: Int,
 ) {
-    /** New work goes there as anywhere. */
+    /** The zone gets new tasks like any other. */
     UP(0),
 
-    /** Fewer of its machines are heard than should be; nothing is held back, but what is lost there counts. */
+    /** Too few of its machines report. No machine is held back, but tasks lost there count as displaced. */
     SUSPECT(1),
 
-    /** Next to none of its machines is heard while those of another zone are. */
+    /** Almost none of its machines report while most of another zone do. */
     LOST(2),
 
-    /** It is heard again; its machines are admitted for new work step by step. */
+    /** Its machines report again and are admitted to new tasks step by step. */
     RETURNING(3),
     ;
 
     companion object {
-        /** The state with this [code], or null: another version of the controller may know more states. */
+        /** Returns the state with [code], or null if another version of the controller has added it. */
         fun of(code: Int): ZoneState? = entries.firstOrNull { it.code == code }
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/ZoneStatus.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneStatus.kt
@@ -1,11 +1,11 @@
 package ledgearch.recovery
 
-/** What a leader tells the other controllers of one zone, so that the next leader goes on from there. */
+/** The status of one zone that a leader sends to the other controllers, so that the next leader continues from it. */
 internal data class ZoneStatus(
     val zone: String,
     val state: ZoneState,
-    /** Losses, less what has decayed ([FlapPenalty]). */
+    /** The [FlapPenalty] of the zone: the number of losses, which decays with time. */
     val penalty: Double,
-    /** Share of the zone's machines that may take new work. */
+    /** Share of the zone's machines that get new tasks. */
     val admittedShare: Double,
 )
--- a/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
@@ -6,42 +6,42 @@
 import kotlin.math.ceil
 
 /**
- * The state of each zone, on the leader: what is heard of its machines moves it on, and the share that it admits
- * decides which of its machines are held back.
+ * Tracks the state of each zone on the leader by the machines that report, and holds back the machines that exceed the
+ * admitted share of their zone.
  */
 internal class ZoneTracker(
     private val clock: Clock,
-    /** ms. Within this time a new leader finds out which zones are cut off. */
+    /** Time in ms within which a new leader detects partitioned zones. */
     private val detectionMs: Long,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.recovery")
     private val zones = LinkedHashMap<String, ZoneHealth>()
 
-    /** Steady ms at which this node's term began. */
-    private var beganAt = 0L
+    /** Steady-clock ms at which the term of this node began. */
+    private var termBeganAtMs = 0L
 
-    /** Zones lost in this term. */
+    /** Number of losses of zones in this term. */
     var zonesLost = 0L
         private set
 
     val isEmpty: Boolean get() = zones.isEmpty()
 
-    /** Every zone that had a machine in this term. */
+    /** The zones that had a machine in this term or were restored. */
     val all: Collection<ZoneHealth> get() = zones.values
 
-    /** Some zone is lost or not back as it was. */
-    val anyUnsettled: Boolean get() = zones.values.any { it.state != ZoneState.UP }
+    /** Whether any zone is not up. */
+    val hasUnsettledZone: Boolean get() = zones.values.any { it.state != ZoneState.UP }
 
-    private val isDetecting: Boolean get() = clock.steadyMs - beganAt < detectionMs
+    private val isDetecting: Boolean get() = clock.steadyMs - termBeganAtMs < detectionMs
 
-    /** This node's term begins now. */
+    /** Begins a term of this node. */
     fun begin() {
-        beganAt = clock.steadyMs
+        termBeganAtMs = clock.steadyMs
     }
 
-    /** Goes on where the leader before was. */
-    fun restore(known: List<ZoneStatus>) {
-        for (status in known) health(status.zone).restore(status, clock.steadyMs)
+    /** Continues from the [statuses] of the previous leader. */
+    fun restore(statuses: List<ZoneStatus>) {
+        for (status in statuses) healthOf(status.zone).restore(status, clock.steadyMs)
     }
 
     fun clear() {
@@ -49,89 +49,98 @@
         zonesLost = 0
     }
 
-    /** The state of [zone]; one that has not been seen is up. */
+    /** Returns the state of [zone]; an unknown zone is up. */
     fun stateOf(zone: String): ZoneState = zones[zone]?.state ?: ZoneState.UP
 
-    /** Nothing new goes to [zone] until its penalty has decayed. */
+    /** Returns whether [zone] gets no new tasks until its penalty has decayed. */
     fun isSuppressed(zone: String): Boolean = zones[zone]?.isSuppressed == true
 
-    /** A machine of [zone] failed. */
-    fun machineFailed(zone: String) {
-        zones[zone]?.machineFailed(clock.steadyMs)
+    /** Called when a machine of [zone] has failed. */
+    fun onMachineFailed(zone: String) {
+        zones[zone]?.onMachineFailed(clock.steadyMs)
     }
 
-    /** Moves all zones on by what is heard of the machines, given [byZone], and holds machines back accordingly. */
-    fun observe(
-        byZone: Map<String, List<Machine>>,
+    /** Updates all zones by the machines that report, and holds machines back accordingly. */
+    fun update(
+        machinesByZone: Map<String, List<Machine>>,
         isPartitioned: (String) -> Boolean,
-        isHeard: (Machine) -> Boolean,
+        isReporting: (Machine) -> Boolean,
     ) {
-        byZone.keys.forEach(::health)
-        val heard = byZone.mapValues { (_, members) -> members.count(isHeard) }
-        val anyWell =
-            byZone.any { (zone, members) ->
-                heard.getValue(zone) >
-                    members.size * RecoveryTuning.MAJORITY_SHARE
+        machinesByZone.keys.forEach(::healthOf)
+        val reportingCounts = machinesByZone.mapValues { (_, machines) -> machines.count(isReporting) }
+        val isAnyZoneHealthy =
+            machinesByZone.any { (zone, machines) ->
+                reportingCounts.getValue(zone) >
+                    machines.size * RecoveryTuning.MAJORITY_SHARE
             }
         for (health in zones.values) {
-            val heardThere = heard[health.zone] ?: 0
-            val isCutOff = isPartitioned(health.zone) || staysLost(health, heardThere)
-            val seen =
-                ZoneObservation(byZone[health.zone]?.size ?: 0, heardThere, isCutOff, anyWell && !isDetecting)
-            if (health.look(seen, clock.steadyMs)) onStateChanged(health)
+            val reportingCount = reportingCounts[health.zone] ?: 0
+            val countsAsPartitioned = isPartitioned(health.zone) || staysLost(health, reportingCount)
+            val observation =
+                ZoneObservation(
+                    machinesByZone[health.zone]?.size ?: 0,
+                    reportingCount,
+                    countsAsPartitioned,
+                    isAnyZoneHealthy && !isDetecting,
+                )
+            if (health.update(observation, clock.steadyMs)) onStateChanged(health)
         }
-        for ((zone, members) in byZone) holdBack(zones.getValue(zone), members)
+        for ((zone, machines) in machinesByZone) holdBack(zones.getValue(zone), machines)
     }
 
-    private fun health(zone: String) = zones.getOrPut(zone) { ZoneHealth(zone) }
+    private fun healthOf(zone: String) = zones.getOrPut(zone) { ZoneHealth(zone) }
 
     /**
-     * A new leader that was told of the loss does not take the zone for heard before it could find out itself. Where no
-     * machine of the zone is left that could be heard, the zone is given the time that any zone that is cut off gets.
+     * Returns whether a lost zone stays lost although it is not detected as partitioned. On a new leader it does so
+     * until the leader can have detected it. If no machine reports, perhaps since none is left, it does so for the
+     * grace period of a partitioned zone.
      */
     private fun staysLost(
         health: ZoneHealth,
-        heard: Int,
+        reportingCount: Int,
     ) = health.state == ZoneState.LOST &&
-        (isDetecting || (heard == 0 && clock.steadyMs - health.since < RecoveryTuning.ZONE_OUTAGE_GRACE_MS))
+        (
+            isDetecting ||
+                (reportingCount == 0 && clock.steadyMs - health.stateSinceMs < RecoveryTuning.ZONE_OUTAGE_GRACE_MS)
+        )
 
     private fun onStateChanged(health: ZoneHealth) {
         if (health.state == ZoneState.LOST) zonesLost++
-        log.info("zone is {}: {}; zone={}", health.state.name.lowercase(), health.reason, health.zone)
+        log.info("zone state changed to {}: {}; zone={}", health.state.name.lowercase(), health.reason, health.zone)
     }
 
-    /** The machines that are admitted are the first by name, so that the next leader admits the same. */
+    /** Holds back all but the first machines by name, so that the next leader admits the same ones. */
     private fun holdBack(
         health: ZoneHealth,
-        members: List<Machine>,
+        machines: List<Machine>,
     ) {
         val share = health.admittedShare
-        if (share >= 1.0) return members.forEach { it.isHeldBack = false }
-        val admitted = ceil(members.size * share).toInt()
-        members.sortedBy { it.name }.forEachIndexed { index, machine -> machine.isHeldBack = index >= admitted }
+        if (share >= 1.0) return machines.forEach { it.isHeldBack = false }
+        val admittedCount = ceil(machines.size * share).toInt()
+        machines.sortedBy { it.name }.forEachIndexed { index, machine -> machine.isHeldBack = index >= admittedCount }
     }
 
-    /** What the other controllers are told, while there is something to tell. */
+    /** Returns the statuses to publish to the other controllers: zones that are not up or have a penalty. */
     fun statuses(): List<ZoneStatus> =
         zones.values
-            .filter { it.state != ZoneState.UP || it.penalty(clock.steadyMs) >= MIN_PENALTY_TOLD }
+            .filter { it.state != ZoneState.UP || it.penalty(clock.steadyMs) >= MIN_PUBLISHED_PENALTY }
             .map { ZoneStatus(it.zone, it.state, it.penalty(clock.steadyMs), it.admittedShare) }
 
-    /** What operators are shown. */
+    /** Returns the reports of all zones for operators. */
     fun reports(): List<ZoneReport> =
         zones.values.map {
             ZoneReport(
                 zone = it.zone,
                 state = it.state.name.lowercase(),
                 why = it.reason,
-                forMs = clock.steadyMs - it.since,
+                forMs = clock.steadyMs - it.stateSinceMs,
                 penalty = it.penalty(clock.steadyMs),
                 admittedShare = it.admittedShare,
             )
         }
 
     private companion object {
-        /** Losses. A smaller penalty changes nothing any more. */
-        const val MIN_PENALTY_TOLD = 0.05
+        /** In losses; a smaller penalty has no effect. */
+        const val MIN_PUBLISHED_PENALTY = 0.05
     }
 }
--- a/src/test/kotlin/ledgearch/recovery/FlapPenaltyTest.kt
+++ b/src/test/kotlin/ledgearch/recovery/FlapPenaltyTest.kt
@@ -4,18 +4,18 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** When repeated losses hold a zone back. */
+/** Tests when repeated losses suppress a zone. */
 internal class FlapPenaltyTest {
     @Test
-    fun `one loss does not hold a zone back, a second one soon after it does, a late one does not`() {
+    fun `a second loss suppresses a zone only soon after the first`() {
         val penalty = FlapPenalty()
-        penalty.lost(0)
+        penalty.addLoss(0)
         assertFalse(penalty.isSuppressed)
-        penalty.lost(10_000)
+        penalty.addLoss(10_000)
         assertTrue(penalty.isSuppressed)
-        val calm = FlapPenalty()
-        calm.lost(0)
-        calm.lost(60_000)
-        assertFalse(calm.isSuppressed)
+        val lateSecondLoss = FlapPenalty()
+        lateSecondLoss.addLoss(0)
+        lateSecondLoss.addLoss(60_000)
+        assertFalse(lateSecondLoss.isSuppressed)
     }
 }
