--- a/src/test/kotlin/ledgearch/simulation/scenarios/AnswerExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/AnswerExpectations.kt
@@ -6,7 +6,7 @@
 import ledgearch.simulation.jobSpecOf
 import ledgearch.wire.JobSpec
 
-/** What users and others are answered. */
+/** Expectations on the replies of controllers. */
 internal class AnswerExpectations(
     simulation: Simulation,
     step: Step,
@@ -17,7 +17,7 @@
             "up" to ::up,
             "submission" to ::submission,
             "answer" to ::answer,
-            "prompt-answer" to ::answerAtOnce,
+            "prompt-answer" to ::promptAnswer,
         )
 
     private fun up() {
@@ -26,49 +26,52 @@
         }
     }
 
-    /** submission NODE STATUS JOB ...: as of `submit`; `without=FIELD` leaves one out, `FIELD:JSON` sets one. */
+    /**
+     * `submission NODE STATUS JOB WORDS`: submits a job to the controller and checks the status of the reply. The words
+     * are those of `submit`; `without=FIELD` removes a field and `FIELD:JSON` sets one.
+     */
     private fun submission() {
-        val asked = simulation.clock.now
+        val sentAtMs = simulation.clock.now
         val description = words.drop(4)
         if (words[3] == "201") invariants.submit(jobSpecOf(listOf(words[4]) + description.filter { ':' !in it }))
         simulation.users.submitOnce(words[4], body(description), words[2]) { status ->
-            compare("answer of ${words[2]} to $description", status, status == words[3].toInt())
-            compareAtOnce(asked)
+            compare("reply of ${words[2]} to $description", status, status == words[3].toInt())
+            compareDelay(sentAtMs)
         }
     }
 
-    /** answer METHOD TARGET STATUS [BODY] */
+    /** `answer METHOD TARGET STATUS [BODY]`: checks the status of a reply. */
     private fun answer() {
         simulation.ask(words[2], words[3], words.getOrNull(5), null) {
-            compare("answer to ${words[2]} ${words[3]}", it.status, it.status == words[4].toInt())
+            compare("reply to ${words[2]} ${words[3]}", it.status, it.status == words[4].toInt())
         }
     }
 
-    /** prompt-answer METHOD TARGET STATUS [BODY] [at=NODE] */
-    private fun answerAtOnce() {
-        val asked = simulation.clock.now
+    /** `prompt-answer METHOD TARGET STATUS [BODY] [at=NODE]`: checks the status and the delay of a reply. */
+    private fun promptAnswer() {
+        val sentAtMs = simulation.clock.now
         val (node, body) = words.drop(5).partition { it.startsWith("at=") }
         simulation.ask(words[2], words[3], body.firstOrNull(), node.firstOrNull()?.substringAfter('=')) {
-            compare("answer to ${words[2]} ${words[3]}", it.status, it.status == words[4].toInt())
-            compareAtOnce(asked)
+            compare("reply to ${words[2]} ${words[3]}", it.status, it.status == words[4].toInt())
+            compareDelay(sentAtMs)
         }
     }
 
-    private fun compareAtOnce(asked: Long) {
-        val took = simulation.clock.now - asked
-        compare("answered at once", "$took ms", took <= AT_ONCE_MS)
+    private fun compareDelay(sentAtMs: Long) {
+        val delayMs = simulation.clock.now - sentAtMs
+        compare("reply within $MAX_PROMPT_REPLY_MS ms", "$delayMs ms", delayMs <= MAX_PROMPT_REPLY_MS)
     }
 
-    /** The submission as JSON, without and with fields as its words say. */
+    /** Returns the submission as JSON, with fields removed and set as [description] says. */
     private fun body(description: List<String>): String {
         val (fields, words) = description.partition { ':' in it }
         val submission = Users.SUBMISSION.encodeToJsonElement(JobSpec.serializer(), jobSpecOf(words)) as JsonObject
-        val without = description.filter { it.startsWith("without=") }.map { it.substringAfter('=') }
-        val set = fields.joinToString("") { ",\"${it.substringBefore(':')}\":${it.substringAfter(':')}" }
-        return JsonObject(submission - without.toSet()).toString().dropLast(1) + set + "}"
+        val removedFields = description.filter { it.startsWith("without=") }.map { it.substringAfter('=') }
+        val setFields = fields.joinToString("") { ",\"${it.substringBefore(':')}\":${it.substringAfter(':')}" }
+        return JsonObject(submission - removedFields.toSet()).toString().dropLast(1) + setFields + "}"
     }
 
     private companion object {
-        const val AT_ONCE_MS = 300L
+        const val MAX_PROMPT_REPLY_MS = 300L
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/CloudSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/CloudSteps.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.simulation.Simulation
 
-/** The cloud: how machines come and go. */
+/** Steps on the cloud: outages, boot times and machines that it reclaims. */
 internal class CloudSteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
@@ -12,24 +12,24 @@
             "cloud-down" to { simulation.cloud.down = true },
             "cloud-up" to { simulation.cloud.down = false },
             "never-boots" to { step -> simulation.cloud.bootsNever = step.words[1].toInt() },
-            "reclaim" to { step -> simulation.reclaim(host(step.words[1])) },
+            "reclaim" to { step -> simulation.reclaim(machineName(step.words[1])) },
             "reclaim-first" to ::reclaimFirst,
             "reclaim-last" to ::reclaimLast,
         )
 
-    /** boot-time MS: so long machines take to come up. */
+    /** `boot-time MS`: sets how long machines take to boot. */
     private fun setBootTime(step: Step) {
         simulation.cloud.bootMs = step.words[1].toLong()
     }
 
-    /** reclaim-first COUNT: the first ones, without notice. */
+    /** `reclaim-first COUNT`: reclaims the machines with the lowest numbers without notice. */
     private fun reclaimFirst(step: Step) {
         simulation.cloud.names
             .take(step.words[1].toInt())
             .forEach(simulation::reclaim)
     }
 
-    /** reclaim-last COUNT: the last ones, without notice. */
+    /** `reclaim-last COUNT`: reclaims the machines with the highest numbers without notice. */
     private fun reclaimLast(step: Step) {
         simulation.cloud.names
             .toList()
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ClusterExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ClusterExpectations.kt
@@ -3,7 +3,7 @@
 import ledgearch.simulation.Simulation
 import ledgearch.simulation.leader
 
-/** Which machines there are, and who leads. */
+/** Expectations on the machines and on the leader. */
 internal class ClusterExpectations(
     simulation: Simulation,
     step: Step,
@@ -15,7 +15,7 @@
             "spot-machines" to ::spotMachines,
             "quarantined" to ::quarantined,
             "removed" to ::removed,
-            "leader" to ::ledBy,
+            "leader" to ::checkLeader,
         )
 
     private fun machines() {
@@ -37,8 +37,8 @@
         compare("removed ${words[2]}", true, words[2] !in simulation.cloud.names)
     }
 
-    /** leader NODE|any|not-NODE */
-    private fun ledBy() {
+    /** `leader NODE|any|not-NODE`: compares the name in the leadership record. */
+    private fun checkLeader() {
         val actual = leader(simulation)
         val expected = words[2]
         val holds =
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ControllerSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ControllerSteps.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.simulation.Simulation
 
-/** Processes of controllers that end, start, freeze and are slow. */
+/** Steps that crash, start, freeze and slow down controllers. */
 internal class ControllerSteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
@@ -17,7 +17,7 @@
             "slow-node" to ::slowDown,
         )
 
-    /** slow-node NODE|all MS until S: each command takes so long, and the others wait meanwhile. */
+    /** `slow-node NODE|all MS until S`: makes each command take so long that later ones queue up. */
     private fun slowDown(step: Step) {
         val nodes = if (step.words[1] == "all") simulation.nodes else listOf(node(step.words[1]))
         nodes.forEach { it.slowDown(step.words[2].toLong(), step.milliseconds(4)) }
@@ -31,7 +31,7 @@
         simulation.nodes.forEach { if (!it.up) it.start() }
     }
 
-    /** restart-node NODE after S: its process ends, and is there again a moment later. */
+    /** `restart-node NODE after S`: crashes the process and starts it again after the delay. */
     private fun restart(step: Step) {
         val node = node(step.words[1])
         node.crash()
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ExpectationFamily.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ExpectationFamily.kt
@@ -2,7 +2,10 @@
 
 import ledgearch.simulation.Simulation
 
-/** Expectations of one kind, by the second word of an `expect` [step]; what does not hold is added to [failures]. */
+/**
+ * Base class of groups of expectations. The second word of an `expect` [step] selects the check; a check that does not
+ * hold adds a message to [failures].
+ */
 internal abstract class ExpectationFamily(
     protected val simulation: Simulation,
     protected val step: Step,
@@ -12,7 +15,7 @@
     protected val invariants = simulation.invariants
     protected val store = simulation.store
 
-    /** What carries out each check, by its name. */
+    /** The check functions by the word that selects them. */
     abstract val checks: Map<String, () -> Unit>
 
     protected fun compare(
--- a/src/test/kotlin/ledgearch/simulation/scenarios/Expectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Expectations.kt
@@ -2,12 +2,12 @@
 
 import ledgearch.simulation.Simulation
 
-/** What the `expect` steps of a scenario expect of the [simulation]; what does not hold is added to [failures]. */
+/** Checks the `expect` steps of a scenario and adds a message to [failures] for each that does not hold. */
 internal class Expectations(
     private val simulation: Simulation,
     private val failures: MutableList<String>,
 ) {
-    /** Compares as the second word says; when that is a job, its state. */
+    /** Runs the check that the second word selects. Any other word is the name of a job, whose state is compared. */
     fun check(step: Step) {
         val states = StateExpectations(simulation, step, failures)
         val families =
--- a/src/test/kotlin/ledgearch/simulation/scenarios/JobExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/JobExpectations.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.simulation.Simulation
 
-/** What is known of jobs and their tasks. */
+/** Expectations on the starts, completions and failures of jobs and tasks. */
 internal class JobExpectations(
     simulation: Simulation,
     step: Step,
@@ -41,7 +41,7 @@
     }
 
     private fun decisions() {
-        val count = invariants.lastAttempt and COUNTER_OF_ATTEMPT
+        val count = invariants.lastAttempt and ATTEMPT_COUNTER_MASK
         compare("decisions at most ${words[2]}", count, count <= words[2].toInt())
     }
 
@@ -60,7 +60,7 @@
     }
 
     private companion object {
-        /** The bits of an attempt's number that count decisions. */
-        const val COUNTER_OF_ATTEMPT = 0xFFFFFFFL
+        /** Bits of an attempt number that hold the counter within a term. */
+        const val ATTEMPT_COUNTER_MASK = 0xFFFFFFFL
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/JobSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/JobSteps.kt
@@ -3,7 +3,7 @@
 import ledgearch.simulation.Simulation
 import ledgearch.simulation.jobSpecOf
 
-/** Submissions and cancellations of jobs. */
+/** Steps that submit and cancel jobs. */
 internal class JobSteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
@@ -17,14 +17,15 @@
             "cancel-many" to ::cancelMany,
         )
 
-    /** submit JOB WORDS: with at=NODE, at that controller. */
+    /** `submit JOB WORDS`: submits a job; `at=NODE` selects the controller. */
     private fun submit(step: Step) {
         val node = step.words.firstOrNull { it.startsWith("at=") }?.substringAfter('=')
         simulation.users.submit(jobSpecOf(step.words.drop(1)), node?.let(::nodeName))
     }
 
     /**
-     * submit-many COUNT EVERY-MS ...: jobs numbered from 1000; with depends-on=previous, each awaits the one before.
+     * `submit-many COUNT EVERY-MS WORDS`: submits jobs numbered from 1000. With `depends-on=previous` each one awaits
+     * the job before it.
      */
     private fun submitMany(step: Step) {
         val words = step.words
@@ -36,7 +37,10 @@
         }
     }
 
-    /** submit-invalid JOB JSON: a job that can't run or lacks a field, with no spaces; it must never be accepted. */
+    /**
+     * `submit-invalid JOB JSON`: submits a job that cannot run or lacks a field and must never be accepted. The JSON
+     * has no spaces.
+     */
     private fun submitInvalid(step: Step) {
         val (_, job, json) = step.words
         simulation.invariants.submittedInvalid(job)
@@ -44,24 +48,24 @@
         simulation.ask("POST", "/work", json) { simulation.invariants.submitAnswered(job, it.status, null, askedAt) }
     }
 
-    /** pipelines COUNT EVERY-MS MIDDLE ...: numbered from 5000, each of MIDDLE + 2 jobs. */
+    /** `pipelines COUNT EVERY-MS MIDDLE WORDS`: submits pipelines of MIDDLE + 2 jobs, numbered from 5000. */
     private fun submitPipelines(step: Step) {
         val words = step.words
         repeat(words[1].toInt()) { i ->
             simulation.clock.after(i * words[2].toLong()) {
                 Pipelines
-                    .diamond(FIRST_OF_PIPELINES, i, words[3].toInt(), words.drop(4))
+                    .diamond(FIRST_PIPELINE_JOB, i, words[3].toInt(), words.drop(4))
                     .forEach { simulation.submit(jobSpecOf(it)) }
             }
         }
     }
 
-    /** cancel JOB [at NODE] */
+    /** `cancel JOB [at NODE]`: cancels a job; `at NODE` selects the controller. */
     private fun cancel(step: Step) {
         simulation.users.cancel(step.words[1], step.words.getOrNull(3)?.let(::nodeName))
     }
 
-    /** cancel-many COUNT EVERY-MS STEP: every STEP-th of the jobs numbered from 1000. */
+    /** `cancel-many COUNT EVERY-MS STEP`: cancels every STEP-th of the jobs numbered from 1000. */
     private fun cancelMany(step: Step) {
         val words = step.words
         repeat(words[1].toInt()) { i ->
@@ -72,6 +76,6 @@
     }
 
     private companion object {
-        const val FIRST_OF_PIPELINES = 5000
+        const val FIRST_PIPELINE_JOB = 5000
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/MachineSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/MachineSteps.kt
@@ -3,15 +3,15 @@
 import ledgearch.simulation.FakeWorker
 import ledgearch.simulation.Simulation
 
-/** Machines and their workers. */
+/** Steps that hang, restart and end machines and plant defects in their workers. */
 internal class MachineSteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
     override val actions =
         mapOf<String, (Step) -> Unit>(
-            "hang" to { step -> simulation.workers[host(step.words[1])]?.hanging = true },
+            "hang" to { step -> simulation.workers[machineName(step.words[1])]?.hanging = true },
             "hang-first" to ::hangFirst,
-            "resume" to { step -> simulation.workers[host(step.words[1])]?.hanging = false },
+            "resume" to { step -> simulation.workers[machineName(step.words[1])]?.hanging = false },
             "fail-starts" to { step -> worker(step).failsStarts = true },
             "restart-machine" to { step -> worker(step).restart() },
             "preemption-notice" to ::announcePreemption,
@@ -20,9 +20,9 @@
             "plant-falsely-done" to { step -> plant(step) { worker, attempt -> worker.falselyDone.add(attempt) } },
         )
 
-    private fun worker(step: Step) = simulation.workers.getValue(host(step.words[1]))
+    private fun worker(step: Step) = simulation.workers.getValue(machineName(step.words[1]))
 
-    /** hang-first COUNT until S: the first ones, then they go on. */
+    /** `hang-first COUNT until S`: hangs the machines with the lowest numbers. */
     private fun hangFirst(step: Step) {
         val hosts = simulation.cloud.names.take(step.words[1].toInt())
         hosts.mapNotNull { simulation.workers[it] }.forEach { worker ->
@@ -31,27 +31,33 @@
         }
     }
 
-    /** plant-... TASK: a defect of the worker that has the task, to see that the checks notice it. */
+    /**
+     * `plant-hidden TASK`, `plant-falsely-done TASK`: plants a defect in the worker that has the task, to test that the
+     * invariants detect it.
+     */
     private fun plant(
         step: Step,
-        defect: (FakeWorker, Long) -> Unit,
+        plantDefect: (FakeWorker, Long) -> Unit,
     ) {
         val taskId = step.words[1]
-        val worker = simulation.workers.getValue(host("@$taskId"))
+        val worker = simulation.workers.getValue(machineName("@$taskId"))
         worker.tasks.values
             .filter { it.taskId == taskId }
-            .forEach { defect(worker, it.attempt) }
+            .forEach { plantDefect(worker, it.attempt) }
     }
 
-    /** preemption-notice MACHINE S: the cloud takes it back so much later. */
+    /**
+     * `preemption-notice MACHINE S`: announces in heartbeats that the machine is preempted after S. The notice alone
+     * ends nothing.
+     */
     private fun announcePreemption(step: Step) {
         worker(step).preemptionAt = simulation.clock.now + step.milliseconds(2)
     }
 
-    /** fail-machine MACHINE: it ends; the cloud knows of it half a minute later. */
+    /** `fail-machine MACHINE`: ends the machine. The cloud lists it as failed half a minute later. */
     private fun failMachine(step: Step) {
-        val host = host(step.words[1])
-        simulation.workers.getValue(host).alive = false
-        simulation.cloud.died(host)
+        val name = machineName(step.words[1])
+        simulation.workers.getValue(name).alive = false
+        simulation.cloud.died(name)
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/NetworkSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/NetworkSteps.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.simulation.Simulation
 
-/** Messages that are lost, late or repeated. */
+/** Steps that lose, delay or repeat messages. */
 internal class NetworkSteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
@@ -19,31 +19,40 @@
             "refuse-connections" to ::refuseConnections,
         )
 
-    /** cut NODE HOSTS until S lost|hold: messages between them are lost, or held till the end of that. */
+    /**
+     * `cut NODE HOSTS until S lost|hold`: partitions the controller from the hosts. Messages are lost, or held until
+     * the partition ends.
+     */
     private fun cut(step: Step) {
         val words = step.words
         simulation.network.cut(nodeName(words[1]), words[2], step.milliseconds(4), words[5] == "hold")
     }
 
-    /** lose-incoming MACHINE until S: its heartbeats arrive, but nothing reaches it. */
+    /** `lose-incoming MACHINE until S`: delivers the heartbeats of the machine and loses all that is sent to it. */
     private fun loseIncoming(step: Step) {
-        simulation.network.cut("nodes", host(step.words[1]), step.milliseconds(3), hold = false, oneWay = true)
+        simulation.network.cut("nodes", machineName(step.words[1]), step.milliseconds(3), hold = false, oneWay = true)
     }
 
-    /** lose-commands MACHINE: answers to its heartbeats reach it, direct commands do not. */
+    /** `lose-commands MACHINE`: delivers replies to heartbeats to the machine and loses direct commands. */
     private fun loseCommands(step: Step) {
-        simulation.network.withoutCommands.add(host(step.words[1]))
+        simulation.network.withoutCommands.add(machineName(step.words[1]))
     }
 
-    /** lose-heartbeat-answers MACHINE: its heartbeats arrive, their answers are lost, direct commands reach it. */
+    /**
+     * `lose-heartbeat-answers MACHINE`: loses the replies to heartbeats of the machine. Its heartbeats and direct
+     * commands are delivered.
+     */
     private fun loseHeartbeatAnswers(step: Step) {
-        simulation.heartbeats.unanswered.add(host(step.words[1]))
+        simulation.heartbeats.unanswered.add(machineName(step.words[1]))
     }
 
-    /** lose-heartbeats MACHINE|zone-ZONE|COUNT [until S]: heartbeats reach nobody, direct commands reach machines. */
+    /**
+     * `lose-heartbeats MACHINE|zone-ZONE|COUNT [until S]`: loses heartbeats and delivers direct commands. COUNT selects
+     * the machines with the lowest numbers.
+     */
     private fun loseHeartbeats(step: Step) {
         val word = step.words[1]
-        val hosts = word.toIntOrNull()?.let { simulation.cloud.names.take(it) } ?: listOf(host(word))
+        val hosts = word.toIntOrNull()?.let { simulation.cloud.names.take(it) } ?: listOf(machineName(word))
         if (step.words.size > 2) {
             simulation.heartbeats.lose(hosts, step.milliseconds(3))
         } else {
@@ -51,27 +60,33 @@
         }
     }
 
-    /**
-     * slow A B until S MS [oneway]: messages between them, or only from the first to the second, take so much longer.
-     */
+    /** `slow A B until S MS [oneway]`: delays messages between the hosts, or only those from A to B. */
     private fun slow(step: Step) {
         val words = step.words
         val oneWay = words.getOrNull(6) == "oneway"
-        simulation.network.slow(pattern(words[1]), pattern(words[2]), step.milliseconds(4), words[5].toLong(), oneWay)
+        simulation.network.slow(
+            hostPattern(words[1]),
+            hostPattern(words[2]),
+            step.milliseconds(4),
+            words[5].toLong(),
+            oneWay,
+        )
     }
 
-    /** replay-heartbeats SHARE: copies of that share reach every controller when the next leader is elected. */
+    /**
+     * `replay-heartbeats SHARE`: sends copies of that share of the heartbeats to all controllers at the next election.
+     */
     private fun replayHeartbeats(step: Step) {
         simulation.heartbeats.keptShare = step.words[1].toDouble()
     }
 
-    /** duplicate-heartbeats SHARE within S: of that share from now on a copy comes up to so much later. */
+    /** `duplicate-heartbeats SHARE within S`: repeats that share of the heartbeats after a delay of up to S. */
     private fun duplicateHeartbeats(step: Step) {
         simulation.heartbeats.duplicated = step.words[1].toDouble()
         simulation.heartbeats.duplicateDelayMs = step.milliseconds(3)
     }
 
-    /** refuse-connections NODE until S: it refuses connections of other controllers. */
+    /** `refuse-connections NODE until S`: makes the controller refuse connections of other controllers. */
     private fun refuseConnections(step: Step) {
         val node = node(step.words[1])
         node.isRefusing = true
--- a/src/test/kotlin/ledgearch/simulation/scenarios/Pipelines.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Pipelines.kt
@@ -1,41 +1,42 @@
 package ledgearch.simulation.scenarios
 
-/** The words of `submit` for jobs that await each other. */
+/** Builds the words of `submit` for jobs that depend on each other. */
 internal object Pipelines {
     private const val PREVIOUS = "depends-on=previous"
 
     /**
-     * The words of the job at [index] of a row numbered from [first]: `depends-on=previous` names the one before, if
-     * any.
+     * Returns the words of the job at [index] of a series numbered from [seriesStart], with `depends-on=previous`
+     * replaced by the name of the job before it. The first job of the series depends on none.
      */
     fun ofChain(
         words: List<String>,
-        first: Int,
+        seriesStart: Int,
         index: Int,
     ): List<String> =
         when {
             PREVIOUS !in words -> words
             index == 0 -> words - PREVIOUS
-            else -> words - PREVIOUS + "depends-on=job-${first + index - 1}"
+            else -> words - PREVIOUS + "depends-on=job-${seriesStart + index - 1}"
         }
 
     /**
-     * One job, [middle] jobs that await it, and an urgent one that awaits these; all else is best effort. The pipeline
-     * is the one at [index] of a row numbered from [first].
+     * Returns the words of a first job, [middleCount] jobs that depend on it, and an urgent job that depends on these.
+     * All but the last are best effort. [index] is the position of the pipeline in a series numbered from
+     * [seriesStart].
      */
     fun diamond(
-        first: Int,
+        seriesStart: Int,
         index: Int,
-        middle: Int,
+        middleCount: Int,
         words: List<String>,
     ): List<List<String>> {
-        val begin = first + index * (middle + 2)
-        val middles = (1..middle).map { "job-${begin + it}" }
+        val firstNumber = seriesStart + index * (middleCount + 2)
+        val middleNames = (1..middleCount).map { "job-${firstNumber + it}" }
         val bestEffort = words + "priority=best_effort"
-        val first = listOf("job-$begin") + bestEffort
-        val between = middles.map { listOf(it) + bestEffort + "depends-on=job-$begin" }
-        val dependsOnMiddles = "depends-on=" + middles.joinToString(",")
-        val last = listOf("job-${begin + middle + 1}") + words + "priority=urgent" + dependsOnMiddles
-        return listOf(first) + between + listOf(last)
+        val firstJob = listOf("job-$firstNumber") + bestEffort
+        val middleJobs = middleNames.map { listOf(it) + bestEffort + "depends-on=job-$firstNumber" }
+        val dependsOnMiddle = "depends-on=" + middleNames.joinToString(",")
+        val lastJob = listOf("job-${firstNumber + middleCount + 1}") + words + "priority=urgent" + dependsOnMiddle
+        return listOf(firstJob) + middleJobs + listOf(lastJob)
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/PlantedDefectTest.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/PlantedDefectTest.kt
@@ -4,22 +4,22 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Defects planted in a worker or a stream violate an invariant with the real scheduler; the audit must notice. */
+/** Checks with the real scheduler that defects planted in a worker or a stream are reported as violations. */
 internal class PlantedDefectTest {
-    private fun findings(steps: String): List<String> {
+    private fun auditViolations(steps: String): List<String> {
         val text = "nodes 1\nmachines a*2 b*2\n$steps"
         return Scenario(text).play().filter { "audit: " in it }
     }
 
     private fun assertFound(
         rule: String,
-        findings: List<String>,
-    ) = assertTrue(findings.any { " $rule: " in it }, "$rule is not among $findings")
+        auditViolations: List<String>,
+    ) = assertTrue(auditViolations.any { " $rule: " in it }, "$rule is not among $auditViolations")
 
     @Test
-    fun `a task that a worker hides goes on after its job was called cancelled`() {
-        val found =
-            findings(
+    fun `a task hidden by its worker is reported when it runs after its job was cancelled`() {
+        val violations =
+            auditViolations(
                 """
                 2 submit job-1 run=200
                 10 plant-hidden job-1/0
@@ -27,13 +27,13 @@
                 70 expect job-1 cancelled
                 """.trimIndent(),
             )
-        assertFound("ran_cancelled", found)
+        assertFound("ran_cancelled", violations)
     }
 
     @Test
-    fun `a replica that a worker hides is known to nobody once it was started anew`() {
-        val found =
-            findings(
+    fun `a task hidden by its worker is reported as a duplicate and as an orphan once it was restarted`() {
+        val violations =
+            auditViolations(
                 """
                 2 submit job-1 service=yes priority=prod
                 2 submit job-2 service=yes priority=prod team=blue tasks=10
@@ -42,14 +42,14 @@
                 100 expect everyone-served
                 """.trimIndent(),
             )
-        assertFound("ran_twice", found)
-        assertFound("orphaned", found)
+        assertFound("ran_twice", violations)
+        assertFound("orphaned", violations)
     }
 
     @Test
-    fun `a task that a worker falsely reports as done lets a dependent start too early`() {
-        val found =
-            findings(
+    fun `a dependent that starts because a worker falsely reported a task as done is reported`() {
+        val violations =
+            auditViolations(
                 """
                 2 submit job-1 run=200
                 3 submit job-2 depends-on=job-1 run=5
@@ -57,20 +57,20 @@
                 40 expect job-2 done
                 """.trimIndent(),
             )
-        assertFound("too_early", found)
+        assertFound("too_early", violations)
     }
 
     @Test
-    fun `a stream that leaves out a record makes a replica that differs from its leader`() {
-        assertTrue(streamed("stream planted 0.5 until 40").any { "the replica of term" in it })
+    fun `a replica that differs from its leader because its stream omitted a record is reported`() {
+        assertTrue(violationsWithStream("stream planted 0.5 until 40").any { "the replica of term" in it })
     }
 
     @Test
-    fun `a stream without a defect makes replicas that equal their leader`() {
-        assertEquals(emptyList<String>(), streamed(""))
+    fun `a stream without a defect causes no violation`() {
+        assertEquals(emptyList<String>(), violationsWithStream(""))
     }
 
-    private fun streamed(fault: String): List<String> {
+    private fun violationsWithStream(fault: String): List<String> {
         val steps = if (fault.isEmpty()) "" else "10 $fault\n"
         val text =
             "nodes 3\nstandby n1 n2 n3\nmachines a*2 b*2\n" + steps +
@@ -79,9 +79,9 @@
     }
 
     @Test
-    fun `without a defect nothing is found`() {
-        val found =
-            findings(
+    fun `workers without a defect cause no violation`() {
+        val violations =
+            auditViolations(
                 """
                 2 submit job-1 run=20
                 2 submit job-3 service=yes priority=prod
@@ -90,6 +90,6 @@
                 100 expect job-2 done
                 """.trimIndent(),
             )
-        assertTrue(found.isEmpty(), found.toString())
+        assertTrue(violations.isEmpty(), violations.toString())
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ProductionSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ProductionSteps.kt
@@ -4,7 +4,7 @@
 import ledgearch.simulation.faults.ContestedRenewals
 import ledgearch.wire.JobState
 
-/** Load and faults of production size, and the checks that follow once all faults are over. */
+/** Steps for load and faults of production size, and the audit after the last fault. */
 internal class ProductionSteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
@@ -23,28 +23,31 @@
             "list-lag" to { step -> simulation.cloud.listLagMs = step.milliseconds(1) },
         )
 
-    /** past-jobs COUNT done|cancelled: so many jobs were over before. */
+    /** `past-jobs COUNT done|cancelled`: records jobs that ended before the simulation began. */
     private fun addPastJobs(step: Step) {
         workload.addPastJobs(step.words[1].toInt(), JobState.valueOf(step.words[2].uppercase()))
     }
 
-    /** workload COUNT EVERY-MS: so many jobs, chains, diamonds and services. */
+    /** `workload COUNT EVERY-MS`: submits groups of jobs: arrays, chains, diamonds and services. */
     private fun submit(step: Step) {
         workload.submit(step.words[1].toInt(), step.words[2].toLong())
     }
 
-    /** delay-batches NODE MS until S: it handles commands in batches, so much later. */
+    /** `delay-batches NODE MS until S`: makes the controller execute its commands in batches, each after this delay. */
     private fun delayBatches(step: Step) {
         node(step.words[1]).delayBatches(step.words[2].toLong(), step.milliseconds(4))
     }
 
-    /** late-commands SHARE until S: that share of direct commands is executed 2 to 16 s later, unanswered. */
+    /** `late-commands SHARE until S`: executes that share of direct commands 2 to 16 s late and loses the replies. */
     private fun delayCommands(step: Step) {
         simulation.network.lateCommands = step.words[1].toDouble()
         simulation.clock.at(step.milliseconds(3)) { simulation.network.lateCommands = 0.0 }
     }
 
-    /** contested-renewals COUNT every S: another controller claims leadership while the leader renews its token. */
+    /**
+     * `contested-renewals COUNT every S`: makes another controller likely to claim the leadership while the leader
+     * renews its token.
+     */
     private fun contestRenewals(step: Step) =
         repeat(step.words[1].toInt()) { index ->
             simulation.clock.after(index * step.milliseconds(3)) { renewals.contest() }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ProductionWorkload.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ProductionWorkload.kt
@@ -10,8 +10,8 @@
 import kotlin.random.Random
 
 /**
- * Jobs as they come in production, drawn from the simulation's seed: single arrays, chains and diamonds that are
- * submitted one after another, jobs that name earlier ones in any state, services, and cancellations.
+ * Submits jobs as in production, drawn from the simulation's seed: single arrays, chains and diamonds submitted one job
+ * after another, jobs that depend on earlier ones in any state, services, and cancellations.
  */
 internal class ProductionWorkload(
     private val simulation: Simulation,
@@ -20,28 +20,28 @@
     private val random: Random get() = simulation.random
     private val users get() = simulation.users
 
-    /** Arrays that were submitted or that were over before, and may be named by later jobs. */
+    /** Arrays that later jobs may depend on: submitted ones and past ones. */
     private val arrays = ArrayList<String>()
     private val usedNumbers = HashSet<Int>()
 
-    /** [count] jobs that were over before the simulation began: the state service holds their final records. */
+    /** Adds [count] jobs that ended before the simulation began. The state service holds their final records. */
     fun addPastJobs(
         count: Int,
         state: JobState,
     ) = repeat(count) {
         val job = newName()
         simulation.store.write("w/d/$job", """{"st":"${state.text}","n":1}""")
-        simulation.invariants.wasOverBefore(array(emptyList()).copy(id = job, taskCount = 1), state)
+        simulation.invariants.wasOverBefore(arraySpec(emptyList()).copy(id = job, taskCount = 1), state)
         arrays.add(job)
     }
 
-    /** So many groups of jobs, one every [everyMs]. */
+    /** Submits [count] groups of jobs, one every [everyMs]. */
     fun submit(
         count: Int,
         everyMs: Long,
     ) = repeat(count) { i -> clock.after(i * everyMs) { submitGroup() } }
 
-    /** Every accepted job that is not over for its user is asked about once in [everyMs]. */
+    /** Polls every accepted job that no reply has reported as ended, once in each [everyMs]. */
     fun pollOpen(everyMs: Long) {
         val open = simulation.invariants.everyoneAccepted.filter { !simulation.invariants.isToldOver(it) }
         for (job in open) clock.after(random.nextLong(everyMs)) { users.poll(job) { _, _ -> } }
@@ -50,37 +50,37 @@
 
     private fun submitGroup() {
         when (random.nextInt(100)) {
-            in 0 until 35 -> submitOne(emptyList())
+            in 0 until 35 -> submitArray(emptyList())
             in 35 until 60 -> submitChain(2 + random.nextInt(4))
             in 60 until 75 -> submitDiamond(2 + random.nextInt(4))
-            in 75 until 92 -> submitOne(earlierJobs(1 + random.nextInt(3)))
+            in 75 until 92 -> submitArray(earlierJobs(1 + random.nextInt(3)))
             else -> submitService()
         }
     }
 
-    private fun submitOne(dependsOn: List<String>): String {
-        val spec = array(dependsOn)
+    private fun submitArray(dependsOn: List<String>): String {
+        val spec = arraySpec(dependsOn)
         send(spec)
         return spec.id
     }
 
     private fun submitChain(length: Int) {
         var previous = emptyList<String>()
-        repeat(length) { previous = listOf(submitOne(previous)) }
+        repeat(length) { previous = listOf(submitArray(previous)) }
     }
 
     private fun submitDiamond(width: Int) {
-        val first = submitOne(emptyList())
-        val middle = List(width) { submitOne(listOf(first)) }
-        val last = array(middle).copy(priority = Priority.URGENT)
-        // Some users submit the last job only when the others may be over.
-        val delayMs = if (random.nextBoolean()) 0L else random.nextLong(MOST_DELAY_MS)
+        val first = submitArray(emptyList())
+        val middle = List(width) { submitArray(listOf(first)) }
+        val last = arraySpec(middle).copy(priority = Priority.URGENT)
+        // Some users submit the last job only when the others may have ended.
+        val delayMs = if (random.nextBoolean()) 0L else random.nextLong(MAX_DELAY_MS)
         clock.after(delayMs) { send(last) }
     }
 
     private fun submitService() {
         val spec =
-            array(emptyList()).copy(
+            arraySpec(emptyList()).copy(
                 kind = JobKind.SERVICE,
                 priority = Priority.PRODUCTION,
                 taskCount = 2 + random.nextInt(8),
@@ -97,9 +97,9 @@
         if (random.nextInt(100) < CANCELLED_PERCENT) cancelLater(spec.id)
     }
 
-    /** Users cancel what was accepted; to them a 404 would be the end of it. */
+    /** Cancels the job once it is accepted: before that a 404 reply would end the cancellation. */
     private fun cancelLater(job: String) {
-        clock.after(random.nextLong(MOST_DELAY_MS)) { whenAccepted(job) { cancel(job) } }
+        clock.after(random.nextLong(MAX_DELAY_MS)) { whenAccepted(job) { cancel(job) } }
     }
 
     private fun cancel(job: String) = users.cancel(job, patienceMs = Users.LONG_PATIENCE_MS)
@@ -117,47 +117,47 @@
 
     private fun earlierJobs(count: Int): List<String> {
         if (arrays.isEmpty()) return emptyList()
-        return List(count) { arrays[arrays.size - 1 - random.nextInt(minOf(arrays.size, RECENT))] }.distinct()
+        return List(count) { arrays[arrays.size - 1 - random.nextInt(minOf(arrays.size, RECENT_JOBS))] }.distinct()
     }
 
-    private fun array(dependsOn: List<String>) =
+    private fun arraySpec(dependsOn: List<String>) =
         JobSpec(
             id = newName(),
             jobClass = "batch",
             team = if (random.nextBoolean()) "red" else "blue",
             kind = JobKind.ARRAY,
             priority = listOf(Priority.URGENT, Priority.NORMAL, Priority.BEST_EFFORT)[random.nextInt(3)],
-            taskCount = 1 + random.nextInt(if (random.nextInt(LARGE_ONE_IN) == 0) MOST_TASKS else MOST_TASKS_OF_SMALL),
+            taskCount = 1 + random.nextInt(if (random.nextInt(LARGE_ONE_IN) == 0) MAX_TASKS else MAX_TASKS_OF_SMALL),
             vcpus = 1.0 + random.nextInt(2),
             memoryGb = 1.0,
             allowsSpot = random.nextBoolean(),
             image = "i",
             imageGb = 0.3,
-            estimatedRunS = 2.0 + random.nextInt(MOST_RUN_S),
+            estimatedRunS = 2.0 + random.nextInt(MAX_RUN_S),
             dependsOn = dependsOn.ifEmpty { null },
         )
 
-    /** Names come in no order. */
+    /** Returns an unused name with a random number. */
     private fun newName(): String {
         while (true) {
-            val number = FIRST_NUMBER + random.nextInt(NUMBERS)
+            val number = FIRST_NUMBER + random.nextInt(NUMBER_COUNT)
             if (usedNumbers.add(number)) return "job-$number"
         }
     }
 
     private companion object {
         const val FIRST_NUMBER = 100_000
-        const val NUMBERS = 900_000
-        const val MOST_TASKS = 120
-        const val MOST_TASKS_OF_SMALL = 12
+        const val NUMBER_COUNT = 900_000
+        const val MAX_TASKS = 120
+        const val MAX_TASKS_OF_SMALL = 12
 
-        /** One array in so many is large. */
+        /** One array in five is large. */
         const val LARGE_ONE_IN = 5
-        const val MOST_RUN_S = 40
-        const val MOST_DELAY_MS = 90_000L
+        const val MAX_RUN_S = 40
+        const val MAX_DELAY_MS = 90_000L
         const val CANCELLED_PERCENT = 10
 
-        /** A job names one of so many that were submitted last. */
-        const val RECENT = 300
+        /** A job depends on some of the 300 arrays added last. */
+        const val RECENT_JOBS = 300
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
@@ -13,8 +13,9 @@
 import ledgearch.simulation.invariants.Milestones
 
 /**
- * A scenario in a text file. A line is a time in seconds, a step and its words; `#` begins a comment. Steps of the
- * simulation change it; `expect` steps must hold at their time. The invariants are checked throughout.
+ * Runs a scenario given as text. A line with a time in seconds is a step, any other line an option; `#` begins a
+ * comment. `expect` steps check the state at their time, all other steps change the simulation. The invariants are
+ * checked throughout.
  */
 internal class Scenario(
     text: String,
@@ -26,7 +27,7 @@
 
     init {
         text.lineSequence().forEachIndexed { i, line -> read(i + 1, line) }
-        require(steps.any { it.name == "expect" }) { "a scenario must expect something" }
+        require(steps.any { it.name == "expect" }) { "a scenario needs at least one expect step" }
     }
 
     private fun read(
@@ -48,11 +49,11 @@
         }
     }
 
-    /** How much has happened, once it was played. */
+    /** Counts of jobs, starts, terms and machines, set by [play]. */
     var summary = ""
         private set
 
-    /** What went wrong; empty when all is well. */
+    /** Runs the scenario and returns the expectations and invariants that did not hold. */
     fun play(): List<String> {
         val simulation = newSimulation()
         val actions = actionsIn(simulation)
@@ -60,7 +61,7 @@
         simulation.invariants.auditSampler.begin()
         simulation.nodes.forEach { it.start() }
         steps.forEach { step -> simulation.clock.at(step.at) { execute(step, actions) } }
-        simulation.clock.runUntil(steps.maxOf { it.at } + LAST_ANSWERS_MS)
+        simulation.clock.runUntil(steps.maxOf { it.at } + LAST_REPLIES_MS)
         summary = simulation.invariants.summary
         return failures + simulation.invariants.violations
     }
@@ -69,7 +70,7 @@
         Simulation(simulationOptions()).also {
             it.network.loss = options["loss"]?.toDouble() ?: 0.0
             it.cloud.capacity = options["capacity"]?.toInt() ?: 0
-            options["zone-capacity"]?.let { most -> it.cloud.zoneCapacity = most.toInt() }
+            options["zone-capacity"]?.let { maxMachines -> it.cloud.zoneCapacity = maxMachines.toInt() }
         }
 
     private fun simulationOptions() =
@@ -82,11 +83,11 @@
             cpu = options["cpu"]?.toDouble() ?: 1.0,
             limits = stateLimits(),
             leaseMs = options["lease-ms"]?.toLong() ?: LEASE_MS,
-            // final-states-kept COUNT: so many final states a controller remembers.
+            // final-states-kept COUNT: final records that a controller caches.
             finalStatesKept = options["final-states-kept"]?.toLong() ?: ControlTuning.FINAL_RECORD_CACHE_SIZE,
-            // announced-limits LIMITS: what the settings announce, as `value-kb=2 txn-ops=5 write-rps=18 rps=100`.
+            // announced-limits LIMITS: limits that the settings announce, such as `value-kb=2 txn-ops=5 rps=100`.
             nextLimits = options["announced-limits"]?.let { ScenarioLimits.next(it.split(' ')) },
-            // standby NODES: those have warm standby, as `n1 n2`.
+            // standby NODES: controllers with warm standby, such as `n1 n2`.
             standbyNodes = options["standby"].orEmpty().split(' ').toSet(),
         )
 
@@ -97,7 +98,10 @@
             zoneRecovery = zoneRecovery(),
         )
 
-    /** zone-recovery GROUPS: classes of each group, as `lobby | slips,web | *`; without groups, today's order. */
+    /**
+     * `zone-recovery GROUPS`: enables zone recovery with the classes of each group, such as `lobby | slips,web | *`.
+     * Without groups the order of recovery stays the default.
+     */
     private fun zoneRecovery(): ZoneRecoverySettings {
         val groups = options["zone-recovery"] ?: return ZoneRecoverySettings()
         val classes = groups.split('|').map { it.trim() }.filter { it.isNotEmpty() }
@@ -109,7 +113,7 @@
         return ScenarioLimits.of(named)
     }
 
-    /** machines PLACES: a+spot*20 is so many spot machines in zone a. */
+    /** `machines PLACES`: `a+spot*20` stands for 20 spot machines in zone a. */
     private fun addMachines(simulation: Simulation) {
         val places = options["machines"].orEmpty().split(' ').filter { it.isNotEmpty() }
         for (place in places) {
@@ -119,7 +123,7 @@
         }
     }
 
-    /** What carries out each step in the [simulation], by the step's name. */
+    /** Returns the actions of all steps in the [simulation], by the name of the step. */
     private fun actionsIn(simulation: Simulation): Map<String, (Step) -> Unit> {
         val families =
             listOf(
@@ -138,7 +142,7 @@
         actions["expect"] = Expectations(simulation, failures)::check
         actions["when"] = { step -> await(step, simulation, actions) }
         actions["watch-starvation"] = { watchStarvation(simulation) }
-        actions["random-faults"] = { step -> drawFaults(step, simulation) }
+        actions["random-faults"] = { step -> injectRandomFaults(step, simulation) }
         return actions
     }
 
@@ -154,26 +158,29 @@
         }
     }
 
-    /** when JOB accepted|ended|cancelled after S STEP ...: so long after that was first so. */
+    /** `when JOB accepted|ended|cancelled after S STEP`: runs the step S after the job first reached that state. */
     private fun await(
         step: Step,
         simulation: Simulation,
         actions: Map<String, (Step) -> Unit>,
     ) {
         val kind = Milestones.Kind.valueOf(step.words[2].uppercase())
-        val awaiting = Step(step.line, step.at, step.words.drop(5))
+        val deferredStep = Step(step.line, step.at, step.words.drop(5))
         simulation.invariants.milestones.await(step.words[1], kind) {
-            simulation.clock.after(step.milliseconds(4)) { execute(awaiting, actions) }
+            simulation.clock.after(step.milliseconds(4)) { execute(deferredStep, actions) }
         }
     }
 
-    /** watch-starvation: no fault is left, and nobody may wait long beside fitting room. */
+    /** `watch-starvation`: checks from now on that no job waits long while a suitable machine has room. */
     private fun watchStarvation(simulation: Simulation) {
         simulation.invariants.watchWaiting()
     }
 
-    /** random-faults COUNT every S [with-chains] [production]: so many times two or three faults drawn together. */
-    private fun drawFaults(
+    /**
+     * `random-faults COUNT every S [with-chains] [production]`: injects two or three random faults together, COUNT
+     * times.
+     */
+    private fun injectRandomFaults(
         step: Step,
         simulation: Simulation,
     ) {
@@ -183,13 +190,13 @@
     }
 
     private companion object {
-        /** How often workers send heartbeats, unless a scenario says otherwise. */
+        /** Default interval of heartbeats. */
         const val HEARTBEAT_MS = 3_000L
 
-        /** How long a controller's lease lasts, unless a scenario says otherwise. */
+        /** Default duration of a worker's lease. */
         const val LEASE_MS = 14_000L
 
-        /** So long after the last step the clock goes on, for answers that are still under way. */
-        const val LAST_ANSWERS_MS = 25_000L
+        /** Time that the simulation continues after the last step, for pending replies. */
+        const val LAST_REPLIES_MS = 25_000L
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ScenarioTest.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ScenarioTest.kt
@@ -10,7 +10,7 @@
 import kotlin.io.path.nameWithoutExtension
 import kotlin.io.path.readText
 
-/** Plays every scenario file against the real controllers and fakes of all around them. */
+/** Runs every scenario file with real controllers and fakes of all that surrounds them. */
 internal class ScenarioTest {
     @TestFactory
     fun `every scenario meets its expectations and breaks no invariant`(): List<DynamicTest> {
@@ -34,7 +34,10 @@
         }
     }
 
-    /** For a search by hand: `-Dseeds=40-59` plays each scenario with those seeds in place of its own. */
+    /**
+     * Returns the seeds of the property `-Dseeds=40-59`, which replace the seed of each scenario, or null for that
+     * seed.
+     */
     private fun seeds(): List<Long?> =
         System.getProperty("seeds")?.split('-')?.let { (it.first().toLong()..it.last().toLong()).toList() }
             ?: listOf(null)
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StandbyExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StandbyExpectations.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.simulation.Simulation
 
-/** Replicas and decision streams. */
+/** Expectations on replicas and decision streams. */
 internal class StandbyExpectations(
     simulation: Simulation,
     step: Step,
@@ -17,14 +17,14 @@
             "streams-dropped" to ::streamsDropped,
         )
 
-    /** replica NODE current|none */
+    /** `replica NODE current|none`: checks whether the controller has a current replica. */
     private fun replica() {
         val node = simulation.nodes.first { it.name == words[2] }
         val state = if (node.standby?.replica?.isCurrent == true) "current" else "none"
         compare("replica ${words[2]} ${words[3]}", state, state == words[3])
     }
 
-    /** compared COUNT: so often at least a replica was compared with the leader's state. */
+    /** `compared COUNT`: checks that replicas were compared with the leader's state at least COUNT times. */
     private fun compared() {
         val count = simulation.replicaInvariant.compared
         compare("compared ${words[2]}", count, count >= words[2].toInt())
@@ -35,7 +35,7 @@
         compare("stream-faults ${words[2]}", count, count >= words[2].toInt())
     }
 
-    /** replicas-dropped COUNT: by all nodes together at least. */
+    /** `replicas-dropped COUNT`: checks that all controllers together dropped at least COUNT replicas. */
     private fun replicasDropped() {
         val count = simulation.nodes.sumOf { it.standby?.report(false)?.replicasDropped ?: 0 }
         compare("replicas-dropped ${words[2]}", count, count >= words[2].toLong())
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StandbySteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StandbySteps.kt
@@ -3,17 +3,17 @@
 import ledgearch.simulation.Simulation
 import ledgearch.simulation.faults.StreamFaults
 
-/** Faults of decision streams between controllers. */
+/** Steps that inject faults into the decision streams between controllers. */
 internal class StandbySteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
     override val actions =
         mapOf<String, (Step) -> Unit>(
-            "stream" to ::disturb,
+            "stream" to ::injectFault,
         )
 
-    /** stream KIND SHARE until S: so many of the frames suffer that fault of [StreamFaults]. */
-    private fun disturb(step: Step) {
+    /** `stream KIND SHARE until S`: injects a fault of [StreamFaults] into that share of the frames. */
+    private fun injectFault(step: Step) {
         val words = step.words
         simulation.streams.add(
             StreamFaults.Kind.valueOf(words[1].uppercase()),
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StateExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StateExpectations.kt
@@ -3,14 +3,14 @@
 import ledgearch.simulation.Simulation
 import ledgearch.wire.JobState
 
-/** Which states of jobs users are told. */
+/** Expectations on the states of jobs in replies to polls. */
 internal class StateExpectations(
     simulation: Simulation,
     step: Step,
     failures: MutableList<String>,
 ) : ExpectationFamily(simulation, step, failures) {
-    /** What a user was told of a job: its state, or the status of an answer that tells no state. */
-    private class Answer(
+    /** A reply to a poll, with the state of the job unless the status is an error. */
+    private class PollReply(
         val status: Int,
         val state: JobState?,
     ) {
@@ -26,17 +26,17 @@
 
     private fun everyoneKnown() {
         invariants.everyoneAccepted.forEach { job ->
-            expectAnswer(job, simulation.clock.now + FORGOTTEN_MS) {
-                compare("everyone known", "no answer for $job", false)
+            expectKnown(job, simulation.clock.now + FORGOTTEN_AFTER_MS) {
+                compare("everyone known", "no reply with status 200 for $job", false)
             }
         }
     }
 
     /**
-     * Every accepted job is done, or its replicas all run; where a user asked for its end, or for that of a job that
-     * it needs, it may be cancelled. `everyone-served over S`: the questions are spread over so long, and about jobs
-     * that are over for their users nobody asks: what they were told is checked by the invariants already, and each
-     * answer about one that a controller has forgotten takes two readings.
+     * `everyone-served [over S]`: checks that every accepted job is done or a service with all its replicas running. A
+     * job may be cancelled if a user requested that for it or for one of its dependencies. With `over S` the polls are
+     * spread over that time and omit jobs that a reply has reported as ended: the invariants have checked those, and a
+     * poll of a job that a controller no longer caches takes two reads.
      */
     private fun everyoneServed() {
         val isSpread = words.size > 2
@@ -46,18 +46,21 @@
     }
 
     private fun expectServed(job: String) =
-        expectState(job, TRIES, { isServed(job, it) }) {
-            compare("everyone served", "$job: ${it.text}${missing(job)}", false)
+        expectState(job, MAX_TRIES, { isServed(job, it) }) {
+            compare("everyone served", "$job: ${it.text}${progressOf(job)}", false)
         }
 
-    private fun missing(job: String): String {
+    private fun progressOf(job: String): String {
         val tasks = invariants.submitted.getValue(job).taskCount
-        val mark = ", cancellation asked, marked ${store.field("w/j/$job", "cancel")}"
-        val asked = if (invariants.isCancelled(job)) mark else ""
-        return ", ${invariants.completedOf(job)} of $tasks completed, ${simulation.running(job)} running$asked"
+        val requested = ", cancellation requested, recorded as ${store.field("w/j/$job", "cancel")}"
+        val cancellation = if (invariants.isCancelled(job)) requested else ""
+        return ", ${invariants.completedOf(job)} of $tasks completed, ${simulation.running(job)} running$cancellation"
     }
 
-    /** cancelled-everywhere FIRST COUNT: every controller calls each of so many jobs numbered from there cancelled. */
+    /**
+     * `cancelled-everywhere FIRST COUNT`: checks that every controller reports COUNT jobs, numbered from FIRST, as
+     * cancelled.
+     */
     private fun cancelledEverywhere() {
         repeat(words[3].toInt()) { i ->
             val job = "job-${words[2].toInt() + i}"
@@ -68,54 +71,57 @@
     private fun expectCancelled(
         job: String,
         node: String,
-    ) = expectState(job, TRIES, { it.state == JobState.CANCELLED }, node) {
+    ) = expectState(job, MAX_TRIES, { it.state == JobState.CANCELLED }, node) {
         compare("$job cancelled at $node", it.text, false)
     }
 
-    /** JOB STATE, or the status of an answer that tells no state. */
+    /** `JOB STATE`: compares the state of the job, or the status of a reply without a state. */
     fun checkJobState() {
         val expected = JobState.entries.firstOrNull { it.name.lowercase() == words[2] }?.text ?: words[2]
-        expectState(words[1], TRIES, { it.text == expected }) { compare("${words[1]} ${words[2]}", it.text, false) }
+        expectState(words[1], MAX_TRIES, { it.text == expected }) { compare("${words[1]} ${words[2]}", it.text, false) }
     }
 
-    /** Polls [job] about every 5 s, as users do, until it is answered or forgotten. */
-    private fun expectAnswer(
+    /** Polls [job] until a reply has status 200; calls [onForgotten] if none came before [untilMs]. */
+    private fun expectKnown(
         job: String,
-        until: Long,
-        forgotten: () -> Unit,
+        untilMs: Long,
+        onForgotten: () -> Unit,
     ) {
         simulation.poll(job) { status, _ ->
             if (status == 200) return@poll
-            if (simulation.clock.now > until) {
-                forgotten()
+            if (simulation.clock.now > untilMs) {
+                onForgotten()
             } else {
-                simulation.clock.after(POLL_MS) { expectAnswer(job, until, forgotten) }
+                simulation.clock.after(POLL_INTERVAL_MS) { expectKnown(job, untilMs, onForgotten) }
             }
         }
     }
 
-    /** A poll that gets no answer is repeated, as users do. */
+    /**
+     * Polls [job] and repeats a poll without a state, unless the job is unknown (404). Calls [onMismatch] for a reply
+     * that does not match.
+     */
     private fun expectState(
         job: String,
         tries: Int,
-        isRight: (Answer) -> Boolean,
+        matches: (PollReply) -> Boolean,
         node: String? = null,
-        wrong: (Answer) -> Unit,
+        onMismatch: (PollReply) -> Unit,
     ) {
         simulation.poll(job, node) { status, state ->
-            val answer = Answer(status, state)
+            val reply = PollReply(status, state)
             when {
-                isRight(answer) -> Unit
-                state == null && status != 404 && tries > 1 -> expectState(job, tries - 1, isRight, node, wrong)
-                else -> wrong(answer)
+                matches(reply) -> Unit
+                state == null && status != 404 && tries > 1 -> expectState(job, tries - 1, matches, node, onMismatch)
+                else -> onMismatch(reply)
             }
         }
     }
 
     private fun isServed(
         job: String,
-        answer: Answer,
-    ) = when (answer.state) {
+        reply: PollReply,
+    ) = when (reply.state) {
         JobState.DONE -> true
         JobState.CANCELLED -> invariants.mayBeCancelled(job)
         JobState.PENDING, JobState.RUNNING -> invariants.runsFully(job)
@@ -123,10 +129,10 @@
     }
 
     private companion object {
-        const val TRIES = 4
+        const val MAX_TRIES = 4
 
-        /** ms. A job with no question answered for so long is forgotten. */
-        const val FORGOTTEN_MS = 75_000L
-        const val POLL_MS = 5_000L
+        /** A job whose polls all fail for so long counts as forgotten. */
+        const val FORGOTTEN_AFTER_MS = 75_000L
+        const val POLL_INTERVAL_MS = 5_000L
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/Step.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Step.kt
@@ -1,6 +1,6 @@
 package ledgearch.simulation.scenarios
 
-/** One line of a scenario: at [at] ms, the step that its [words] name. */
+/** A step of a scenario: the [words] of a line with a time. */
 internal class Step(
     val line: Int,
     val at: Long,
@@ -8,7 +8,7 @@
 ) {
     val name get() = words[0]
 
-    /** A word that is a number of seconds, in ms. */
+    /** Returns the word at [index], a number of seconds, in ms. */
     fun milliseconds(index: Int) = (words[index].toDouble() * MS_PER_SECOND).toLong()
 
     companion object {
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StepFamily.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StepFamily.kt
@@ -4,21 +4,21 @@
 import ledgearch.simulation.leader
 import ledgearch.wire.TaskState
 
-/** Steps of one kind, by name, and how their words name controllers and machines of the [simulation]. */
+/** Base class of groups of steps, with functions that resolve words to controllers and machines of the [simulation]. */
 internal abstract class StepFamily(
     protected val simulation: Simulation,
 ) {
-    /** What carries out each step, by the step's name. */
+    /** The actions by the name of the step. */
     abstract val actions: Map<String, (Step) -> Unit>
 
-    /** A controller's name: as it is written, or that of the leader. */
+    /** Returns the name of a controller; `leader` stands for the current leader. */
     protected fun nodeName(word: String) = if (word == LEADER) leader(simulation) else word
 
-    /** The controller that a word names. */
+    /** Returns the controller that [word] names. */
     protected fun node(word: String) = simulation.nodes.first { it.name == nodeName(word) }
 
-    /** A machine's name, or the machine on which a task is: `@job-1/0`. */
-    protected fun host(word: String): String {
+    /** Returns the name of a machine; `@job-1/0` stands for the machine that has this task. */
+    protected fun machineName(word: String): String {
         if (!word.startsWith("@")) return word
         val taskId = word.drop(1)
         return simulation.workers.values
@@ -26,13 +26,13 @@
             ?.name ?: "nowhere"
     }
 
-    /** A kind of hosts, a controller or a machine. */
-    protected fun pattern(word: String) = if (word == LEADER) leader(simulation) else host(word)
+    /** Returns the host pattern of a network fault: a controller, a machine or a kind of hosts. */
+    protected fun hostPattern(word: String) = if (word == LEADER) leader(simulation) else machineName(word)
 
     protected companion object {
         const val LEADER = "leader"
 
-        /** The number of the first job of steps that submit, cancel or poll many. */
+        /** Number of the first job of the steps that submit, cancel or poll many jobs. */
         const val FIRST_OF_MANY = 1000
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StoreExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StoreExpectations.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.simulation.Simulation
 
-/** What the store holds and has refused. */
+/** Expectations on the keys in the state service and on the requests that it refused. */
 internal class StoreExpectations(
     simulation: Simulation,
     step: Step,
@@ -27,19 +27,19 @@
         compare("keys ${words[2]} at most ${words[3]}", count, count <= words[3].toInt())
     }
 
-    /** values-over PREFIX BYTES COUNT */
+    /** `values-over PREFIX BYTES COUNT`: checks the number of values above that size. */
     private fun valuesOver() {
         val count = store.keysUnder(words[2]).count { store.text(it).length > words[3].toInt() }
         compare("values ${words[2]} over ${words[3]} ${words[4]}", count, count == words[4].toInt())
     }
 
-    /** too-large COUNT: transactions refused for their size. */
+    /** `too-large COUNT`: checks the number of transactions refused because of their size. */
     private fun tooLarge() {
         val count = store.rateLimits.tooLarge
         compare("too large ${words[2]}", count, count == words[2].toInt())
     }
 
-    /** too-many COUNT: requests refused for their rate, at most. */
+    /** `too-many COUNT`: checks that at most COUNT requests were refused because of the rate limits. */
     private fun tooMany() {
         val count = store.rateLimits.tooMany
         compare("too many at most ${words[2]}", count, count <= words[2].toInt())
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StoreSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StoreSteps.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.simulation.Simulation
 
-/** What the state service does and refuses. */
+/** Steps that write to the state service, inject faults into it and change its limits. */
 internal class StoreSteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
@@ -26,54 +26,54 @@
             "change-limits" to ::changeLimits,
         )
 
-    /** write KEY JSON: with no spaces. */
+    /** `write KEY JSON`: writes a value as another client would. The JSON has no spaces. */
     private fun write(step: Step) {
         store.write(step.words[1], step.words[2])
     }
 
-    /** refuse-node NODE until S: the state service refuses this controller alone. */
+    /** `refuse-node NODE until S`: makes the state service refuse the requests of this controller. */
     private fun refuseNode(step: Step) {
         store.refuse(nodeName(step.words[1]), step.milliseconds(3))
     }
 
-    /** late-writes SHARE until S: no answer, and executed 2 to 12 s later. */
+    /** `late-writes SHARE until S`: executes that share of the writes 2 to 12 s late and loses the replies. */
     private fun delayWrites(step: Step) {
         store.faults.lateShare = step.words[1].toDouble()
         simulation.clock.at(step.milliseconds(3)) { store.faults.lateShare = 0.0 }
     }
 
-    /** unanswered-writes SHARE until S: executed at once, only the answer is lost. */
+    /** `unanswered-writes SHARE until S`: executes that share of the writes at once and loses the replies. */
     private fun loseAnswersToWrites(step: Step) {
         store.faults.unansweredShare = step.words[1].toDouble()
         simulation.clock.at(step.milliseconds(3)) { store.faults.unansweredShare = 0.0 }
     }
 
-    /** late-writes-under PREFIX by S until S: what changes such a key gets no answer, and is executed so much later. */
+    /** `late-writes-under PREFIX by S until S`: executes writes to such keys late and loses the replies. */
     private fun delayWritesUnder(step: Step) {
         store.faults.delayWritesUnder(step.words[1], step.milliseconds(3), step.milliseconds(5))
     }
 
-    /** lose-watch-answers NODE until S: what its watches would tell is lost. */
+    /** `lose-watch-answers NODE until S`: loses the replies to this controller's watches. */
     private fun loseWatchAnswers(step: Step) {
         store.faults.loseWatchAnswers(nodeName(step.words[1]), step.milliseconds(3))
     }
 
-    /** slow-writes MS: transactions that write are executed at once and answered so much later. */
+    /** `slow-writes MS`: executes transactions that write at once and delays the replies. */
     private fun slowWrites(step: Step) {
         store.faults.slowMs = step.words[1].toLong()
     }
 
-    /** slow-comparisons MS: those that only compare are. */
+    /** `slow-comparisons MS`: delays the replies to transactions that only compare. */
     private fun slowComparisons(step: Step) {
         store.faults.slowCompareMs = step.words[1].toLong()
     }
 
-    /** announce-limits LIMITS: the settings of controllers that start from now on announce them. */
+    /** `announce-limits LIMITS`: announces the limits in the settings of controllers that start from now on. */
     private fun announceLimits(step: Step) {
         simulation.nextLimits = ScenarioLimits.next(step.words.drop(1))
     }
 
-    /** change-limits LIMITS: the state service has them from now on. */
+    /** `change-limits LIMITS`: changes the limits of the state service. */
     private fun changeLimits(step: Step) {
         store.rateLimits.change(ScenarioLimits.of(ScenarioLimits.next(step.words.drop(1))))
     }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/UserSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/UserSteps.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.simulation.Simulation
 
-/** What users ask beside submissions, and when they cancel. */
+/** Steps that poll jobs, and that cancel running or ending ones. */
 internal class UserSteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
@@ -15,34 +15,34 @@
             "cancel-now" to ::cancelNow,
         )
 
-    /** poll-many COUNT EVERY-MS TIMES: each of so many jobs numbered from 1000. */
+    /** `poll-many COUNT EVERY-MS TIMES`: polls each of the jobs numbered from 1000. */
     private fun pollMany(step: Step) {
         val words = step.words
-        repeat(words[3].toInt()) { time ->
-            simulation.clock.after(time * words[2].toLong()) {
+        repeat(words[3].toInt()) { round ->
+            simulation.clock.after(round * words[2].toLong()) {
                 repeat(words[1].toInt()) { i -> simulation.poll("job-${FIRST_OF_MANY + i}") { _, _ -> } }
             }
         }
     }
 
-    /** poll-rapidly JOB for S: all controllers are asked again and again within milliseconds, submissions repeated. */
+    /** `poll-rapidly JOB for S`: polls all controllers every few ms and repeats the submission at times. */
     private fun pollRapidly(step: Step) {
         simulation.users.pollRapidly(step.words[1], step.milliseconds(3))
     }
 
-    /** rapid-polls SHARE: of the jobs that are accepted, end or are cancelled, all controllers are asked rapidly. */
+    /** `rapid-polls SHARE`: polls that share of jobs rapidly when they are accepted, end or are cancelled. */
     private fun setRapidPolls(step: Step) {
         simulation.users.rapidPolls = step.words[1].toDouble()
     }
 
-    /** cancel-at-end SHARE: of the jobs that end, some are cancelled at that moment. */
+    /** `cancel-at-end SHARE`: cancels that share of jobs at the moment when they end. */
     private fun cancelAtEnd(step: Step) {
         simulation.users.cancelsAtEnd = step.words[1].toDouble()
     }
 
-    /** cancel-now COUNT [hang S]: of those that run; some of their machines hang so long. */
+    /** `cancel-now COUNT [hang S]`: cancels running jobs. With `hang S` some of their machines hang for so long. */
     private fun cancelNow(step: Step) {
-        val hangsMs = if (step.words.size > 3) step.milliseconds(3) else 0L
-        simulation.users.cancelNow(step.words[1].toInt(), hangsMs)
+        val hangMs = if (step.words.size > 3) step.milliseconds(3) else 0L
+        simulation.users.cancelNow(step.words[1].toInt(), hangMs)
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ZoneExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ZoneExpectations.kt
@@ -3,7 +3,7 @@
 import ledgearch.simulation.Simulation
 import ledgearch.simulation.leader
 
-/** States of zones, and what a lost zone does to jobs. */
+/** Expectations on the states of zones and on the recovery from a zone's loss. */
 internal class ZoneExpectations(
     simulation: Simulation,
     step: Step,
@@ -26,32 +26,35 @@
 
     private fun zoneReport() = leaderRecovery()?.zones?.firstOrNull { it.zone == words[2] }
 
-    /** zone ZONE up|suspect|lost|returning: by its leader. */
+    /** `zone ZONE up|suspect|lost|returning`: compares the state that the leader reports. */
     private fun zoneState() {
         val state = zoneReport()?.state ?: "unknown"
         compare("zone ${words[2]} ${words[3]}", state, state == words[3])
     }
 
-    /** admitted ZONE LEAST MOST: share of its machines that may take new work. */
+    /** `admitted ZONE MIN MAX`: checks the share of the zone's machines that may take new work. */
     private fun admitted() {
         val share = zoneReport()?.admittedShare ?: -1.0
         compare("admitted ${words[2]}", share, share in words[3].toDouble()..words[4].toDouble())
     }
 
-    /** starts-in ZONE at most COUNT, since the scenario began. */
+    /** `starts-in ZONE at most COUNT`: checks the number of task starts in the zone since the scenario began. */
     private fun startsIn() {
         val count = invariants.placementTimes.startsIn(words[2])
         compare("starts in ${words[2]} at most ${words[5]}", count, count <= words[5].toInt())
     }
 
-    /** fully-running-before JOB OTHER: all tasks of the one ran together sooner again than all of the other. */
+    /**
+     * `fully-running-before JOB OTHER`: checks that all tasks of JOB last came to run together before those of OTHER
+     * did.
+     */
     private fun fullyRunningBefore() {
         val (first, second) = words.slice(2..3).map { invariants.placementTimes.fullyRunningAt(it) }
         val holds = first != null && (second == null || first < second)
         compare("${words[2]} fully running before ${words[3]}", "$first and $second ms", holds)
     }
 
-    /** displaced GROUP COUNT: tasks of the group that wait to be started again, at the least. */
+    /** `displaced GROUP COUNT`: checks that at least COUNT tasks of the group wait to be restarted. */
     private fun displaced() {
         val count = leaderRecovery()?.displaced?.get(words[2]) ?: 0
         compare("displaced ${words[2]} ${words[3]}", count, count >= words[3].toInt())
