--- a/src/main/kotlin/ledgearch/cli/SocketTransport.kt
+++ b/src/main/kotlin/ledgearch/cli/SocketTransport.kt
@@ -19,11 +19,11 @@
         target: String,
         body: String?,
         timeoutMs: Long,
-        done: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     ) {
         scope.launch {
             val reply = client.call(address, method, target, body, timeoutMs)
-            queue.put(OwnerCommand.HandleReply(reply, done))
+            queue.put(OwnerCommand.HandleReply(reply, onReply))
         }
     }
 }
--- a/src/main/kotlin/ledgearch/http/HeadParser.kt
+++ b/src/main/kotlin/ledgearch/http/HeadParser.kt
@@ -6,7 +6,7 @@
     /** Length of the body in bytes; 0 if the head gives none. */
     val contentLength: Int,
     /** Whether the body is chunked; [contentLength] has no meaning then. */
-    val chunked: Boolean,
+    val isChunked: Boolean,
     /** Whether the sender closes the connection after this message. */
     val closesConnection: Boolean,
 )
@@ -21,7 +21,7 @@
         while (lineStart < text.length) {
             val lineEnd = text.indexOf(LINE_END, lineStart).let { if (it < 0) text.length else it }
             val colon = text.indexOf(':', lineStart)
-            if (colon <= lineStart || colon >= lineEnd) throw badMessage("header line without a field name and colon")
+            if (colon <= lineStart || colon >= lineEnd) throw malformedMessage("header line without a field name and colon")
             fields.read(text, lineStart, colon, lineEnd)
             lineStart = lineEnd + LINE_END.length
         }
@@ -33,7 +33,7 @@
         private var closes: Boolean,
     ) {
         private var length: Int? = null
-        private var chunked = false
+        private var isChunked = false
 
         /** Reads the field whose name is in [text] from [from] to [colon] and whose value ends before [lineEnd]. */
         fun read(
@@ -60,7 +60,7 @@
 
         private fun readLength(value: String) {
             if (value.isEmpty() || !value.all { it in '0'..'9' }) {
-                throw badMessage("Content-Length is not a decimal number")
+                throw malformedMessage("Content-Length is not a decimal number")
             }
             val parsedLength =
                 value.toIntOrNull()
@@ -69,7 +69,7 @@
                         "Content-Length exceeds the limit of ${Int.MAX_VALUE} bytes",
                     )
             if (length != null && length != parsedLength) {
-                throw badMessage("Content-Length is given twice with different values: $length and $parsedLength")
+                throw malformedMessage("Content-Length is given twice with different values: $length and $parsedLength")
             }
             length = parsedLength
         }
@@ -81,17 +81,17 @@
                     "Transfer-Encoding other than chunked is not supported",
                 )
             }
-            chunked = true
+            isChunked = true
         }
 
         fun head(startLine: String): Head {
             // The two give different ends of the message where they disagree, so a message with both is ambiguous.
-            if (chunked && length != null) throw badMessage("both Content-Length and Transfer-Encoding are given")
-            return Head(startLine, length ?: 0, chunked, closes)
+            if (isChunked && length != null) throw malformedMessage("both Content-Length and Transfer-Encoding are given")
+            return Head(startLine, length ?: 0, isChunked, closes)
         }
     }
 
-    private fun badMessage(problem: String) = MalformedMessageException(HttpStatus.BAD_REQUEST, problem)
+    private fun malformedMessage(problem: String) = MalformedMessageException(HttpStatus.BAD_REQUEST, problem)
 
     private const val LINE_END = "\r\n"
     private const val CONTENT_LENGTH = "content-length"
--- a/src/main/kotlin/ledgearch/http/HttpTuning.kt
+++ b/src/main/kotlin/ledgearch/http/HttpTuning.kt
@@ -5,7 +5,7 @@
     /** Limit of the protocol for a request body. */
     const val MAX_REQUEST_BODY_BYTES = 64 * 1024
 
-    /** A full page of keys has 512 KiB, and the answer to a watch has no bound; a larger response is dropped. */
+    /** A full page of keys has 512 KiB, and the reply to a watch has no bound; a larger response is dropped. */
     const val MAX_RESPONSE_BODY_BYTES = 16 * 1024 * 1024
 
     /** All header lines of a message together; the protocol needs a few hundred bytes. */
@@ -33,7 +33,10 @@
      */
     const val ACCEPT_BACKLOG = 128
 
-    /** Pause after a failed accept: a twentieth of the shortest wait that users ask for. */
+    /**
+     * Pause before the next accept when one failed or no connection could be opened: a twentieth of the shortest wait
+     * that users ask for.
+     */
     const val ACCEPT_RETRY_DELAY_MS = 50L
 
     /**
--- a/src/main/kotlin/ledgearch/http/MessageReader.kt
+++ b/src/main/kotlin/ledgearch/http/MessageReader.kt
@@ -4,11 +4,11 @@
 
 /**
  * An incremental HTTP/1.1 reader with one growing buffer. Bytes are appended in pieces of any size; [head] and [body]
- * return null until enough bytes have arrived. The buffer is limited by the head limit and by [maxBody] bytes for the
- * body. All functions throw [MalformedMessageException] if a message is malformed or exceeds a limit.
+ * return null until enough bytes have arrived. The buffer is limited by the head limit and by [maxBodyBytes] bytes for
+ * the body. All functions throw [MalformedMessageException] if a message is malformed or exceeds a limit.
  */
 internal class MessageReader(
-    private val maxBody: Int,
+    private val maxBodyBytes: Int,
 ) {
     private var bytes = ByteArray(HttpTuning.READ_BUFFER_BYTES)
     private var endIndex = 0
@@ -59,8 +59,8 @@
     /** Returns the body and removes the message from the buffer, or returns null until the message is complete. */
     fun body(): String? {
         val head = head() ?: return null
-        if (head.chunked) return chunkedBody()
-        if (head.contentLength > maxBody) throw bodyTooLarge()
+        if (head.isChunked) return chunkedBody()
+        if (head.contentLength > maxBodyBytes) throw bodyTooLarge()
         val bodyEnd = bodyStart + head.contentLength
         if (endIndex < bodyEnd) return null
         val text = String(bytes, bodyStart, head.contentLength, Charsets.UTF_8)
@@ -77,12 +77,12 @@
         while (true) {
             val lineEnd = findLineEnd(chunkStart) ?: return null
             val size = chunkSize(lineEnd)
-            if (chunks.size() + size > maxBody) throw bodyTooLarge()
+            if (chunks.size() + size > maxBodyBytes) throw bodyTooLarge()
             val contentStart = lineEnd + LINE_END_BYTES
             val contentEnd = contentStart + size
             val nextChunkStart = contentEnd + LINE_END_BYTES
             if (endIndex < nextChunkStart) return null
-            if (!isLineEnd(contentEnd)) throw badMessage("chunk does not end with a line end")
+            if (!isLineEnd(contentEnd)) throw malformedMessage("chunk does not end with a line end")
             if (size == 0) {
                 consume(nextChunkStart)
                 // Decoded as a whole, because a character may begin in one chunk and end in the next.
@@ -100,7 +100,7 @@
                 .substringBefore(';')
                 .trim()
         if (digits.isEmpty() || !digits.all { it in HEX_DIGITS }) {
-            throw badMessage("chunk size is not a hexadecimal number")
+            throw malformedMessage("chunk size is not a hexadecimal number")
         }
         return digits.toIntOrNull(HEX_RADIX) ?: throw bodyTooLarge()
     }
@@ -108,7 +108,7 @@
     private fun findLineEnd(from: Int): Int? {
         for (at in from until endIndex - 1) if (isLineEnd(at)) return at
         if (endIndex - from > HttpTuning.MAX_CHUNK_LINE_BYTES) {
-            throw badMessage("chunk size line exceeds the limit of ${HttpTuning.MAX_CHUNK_LINE_BYTES} bytes")
+            throw malformedMessage("chunk size line exceeds the limit of ${HttpTuning.MAX_CHUNK_LINE_BYTES} bytes")
         }
         return null
     }
@@ -124,10 +124,10 @@
         if (endIndex == 0 && isLarge) bytes = ByteArray(HttpTuning.READ_BUFFER_BYTES)
     }
 
-    private fun badMessage(problem: String) = MalformedMessageException(HttpStatus.BAD_REQUEST, problem)
+    private fun malformedMessage(problem: String) = MalformedMessageException(HttpStatus.BAD_REQUEST, problem)
 
     private fun bodyTooLarge() =
-        MalformedMessageException(HttpStatus.PAYLOAD_TOO_LARGE, "body exceeds the limit of $maxBody bytes")
+        MalformedMessageException(HttpStatus.PAYLOAD_TOO_LARGE, "body exceeds the limit of $maxBodyBytes bytes")
 
     private companion object {
         const val NONE = -1
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -26,7 +26,7 @@
     /** The specification that the user submitted. */
     val spec: JobSpec get() = record.spec
 
-    /** Unique among all jobs. */
+    /** Id, unique among all jobs. */
     val id: String get() = spec.id
 
     /**
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -35,7 +35,7 @@
 
     private val isUnconfirmed: Boolean get() = isInherited && !isConfirmed
 
-    /** Adds the machine to the block and counts it for the teams. */
+    /** Counts the machine for the teams' quotas as it joins the block. */
     fun join() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, 1)
     }
@@ -46,7 +46,7 @@
         isConfirmed = true
     }
 
-    /** Removes the machine from the teams' counts; its attempts must have been detached. */
+    /** Removes the machine from the teams' quotas as it leaves the block; its attempts must have been detached. */
     fun leave() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
     }
@@ -57,7 +57,7 @@
     var incarnation = 0L
 
     /**
-     * Incarnation according to a replica of the last leader's state, or 0. It is a first guess that the worker's answer
+     * Incarnation according to a replica of the last leader's state, or 0. It is a first guess that the worker's reply
      * corrects.
      */
     var incarnationHint = 0L
@@ -65,7 +65,7 @@
     /** Incarnation to put into commands: the one that the worker reported, otherwise the best guess. */
     val commandIncarnation: Long get() = if (incarnation != 0L) incarnation else maxOf(incarnationHint, 1L)
 
-    /** Sequence number of the worker's newest message in this incarnation, a heartbeat or an answer to a command. */
+    /** Sequence number of the worker's newest message in this incarnation, a heartbeat or a reply to a command. */
     var lastSequence = 0L
 
     /** Sequence number of the worker's newest heartbeat in this incarnation. */
@@ -75,8 +75,8 @@
     var heartbeatFirstSeenAtMs = 0L
 
     /**
-     * Steady-clock ms after which that heartbeat was sent: a worker sends the next heartbeat once the previous one was
-     * answered.
+     * Steady-clock ms after which that heartbeat was sent: a worker sends the next heartbeat once it has the reply to
+     * the previous one.
      */
     var heartbeatSentAfterMs = 0L
 
@@ -86,11 +86,11 @@
     /** Steady-clock ms of the last message from the worker. */
     var lastMessageAtMs = knownSinceMs
 
-    /** Steady-clock ms of the last answer to the worker that may have renewed its lease. */
+    /** Steady-clock ms of the last reply to the worker that may have renewed its lease. */
     var lastReplyAtMs = 0L
 
     /**
-     * Steady-clock ms of the last heartbeat. Only the answer to a heartbeat renews the lease; direct commands do not.
+     * Steady-clock ms of the last heartbeat. Only the reply to a heartbeat renews the lease; direct commands do not.
      */
     var lastHeartbeatAtMs = knownSinceMs
 
@@ -99,10 +99,10 @@
 
     // --- Commands and probes ---------------------------------------------------------------------------------------
 
-    /** Whether a direct command or a probe awaits its answer; no other is sent meanwhile. */
+    /** Whether a direct command or a probe awaits its reply; no other is sent meanwhile. */
     var isCommandInFlight = false
 
-    /** Latency in ms of the last answered direct command. */
+    /** Latency in ms of the last direct command that got a reply. */
     var lastCommandReplyMs = 0L
 
     /** Whether the last message could not be delivered; the machine gets no new tasks before it is reached again. */
@@ -115,7 +115,7 @@
     var nextProbeAtMs = 0L
 
     /**
-     * Number of consecutive unanswered probes, without those whose answers this node may have been too slow to read.
+     * Number of consecutive unanswered probes, without those whose replies this node may have been too slow to read.
      */
     var consecutiveFailedProbes = 0
 
@@ -275,7 +275,7 @@
         maxTasks: Int,
     ): Int = free.countFitting(job, maxTasks)
 
-    /** Returns whether tasks of [job] may run on this machine by its type, zone and kind. */
+    /** Returns whether tasks of [job] may run on this machine by its type, zone and kind (spot or on-demand). */
     fun allows(job: Job): Boolean = job.allows(machineType, zone, spot)
 
     // --- Images ----------------------------------------------------------------------------------------------------
@@ -283,10 +283,10 @@
     /** Images that are on the machine or being fetched, with their size in gigabytes, in the order of last use. */
     val imageSizesGb = LinkedHashMap<String, Double>()
 
-    /** Images that are known to be on the machine because a task that needs them has run here. */
+    /** Images that are known to be on the machine because a task that uses them has run here. */
     val fetchedImages = HashSet<String>()
 
-    /** Returns whether the image is on the machine: [IMAGE_PRESENT], [IMAGE_FETCHING] or [IMAGE_ABSENT]. */
+    /** Returns how far the image is from being on the machine: [IMAGE_PRESENT], [IMAGE_FETCHING] or [IMAGE_ABSENT]. */
     fun imageDistance(image: String): Int =
         when (image) {
             !in imageSizesGb -> IMAGE_ABSENT
--- a/src/main/kotlin/ledgearch/model/MeanRunTime.kt
+++ b/src/main/kotlin/ledgearch/model/MeanRunTime.kt
@@ -6,7 +6,7 @@
     var taskCount = 0
         private set
 
-    /** Mean run time in seconds; 0 when there are no [taskCount]. */
+    /** Mean run time in seconds; 0 if [taskCount] is 0. */
     var seconds = 0.0
         private set
 
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -65,8 +65,8 @@
     var lastListedSequence = 0L
 
     /**
-     * Sequence number of the last heartbeat whose answer carried the start command. A later heartbeat proves that the
-     * worker has received that answer or never will.
+     * Sequence number of the last heartbeat whose reply carried the start command. A later heartbeat proves that the
+     * worker has received that reply or never will.
      */
     var startHeartbeatSequence = 0L
 
--- a/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
+++ b/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
@@ -105,7 +105,7 @@
     /**
      * Returns whether a placement pass may start now, and if so records its start. Passes are at least an interval
      * apart, which is longer while this node lags and after a long pass: a pass for every batch would keep the node
-     * lagging and leave workers without answers.
+     * lagging and leave workers without replies.
      */
     fun tryStartPass(): Boolean {
         val minIntervalMs = if (isLagging) RuntimeTuning.LAGGING_PASS_INTERVAL_MS else RuntimeTuning.PASS_INTERVAL_MS
--- a/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
+++ b/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
@@ -25,14 +25,14 @@
         target: String,
         body: String?,
         timeoutMs: Long,
-        done: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     ) {
         val peer = peerAt(address)
-        if (peer == Peer.STATE && isWatch(target)) return inner.call(address, method, target, body, timeoutMs, done)
+        if (peer == Peer.STATE && isWatch(target)) return inner.call(address, method, target, body, timeoutMs, onReply)
         val startedAtMs = clock.steadyMs
         inner.call(address, method, target, body, timeoutMs) { reply ->
             metrics.recordExchange(peer.label, reply.status, startedAtMs)
-            done(reply)
+            onReply(reply)
         }
     }
 
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -9,7 +9,7 @@
  * Counters, latencies and time spent by the owner thread since the process started, as `GET /metrics` returns them.
  * Operators read the labels; docs/operations.md lists them:
  *
- * - kinds of exchange ([recordExchange]), each with latencies and a counter `KIND.STATUS` (status 0: no answer):
+ * - kinds of exchange ([recordExchange]), each with latencies and a counter `KIND.STATUS` (status 0: no reply):
  *   incoming requests by their purpose (`submit`, `poll`, `cancel` and `heartbeat`), and calls of the owner by their
  *   peer (`state`, `cloud`, `worker`);
  * - events ([count]): `task.started`, `task.preempted`, `task.lost`, `task.exited.CAUSE`, `machine.joined`,
@@ -64,7 +64,7 @@
 
     /**
      * Records an exchange of kind [kind] that began at [startedAtMs] (steady-clock ms) and ended with [status]; 0 means
-     * that there was no answer.
+     * that there was no reply.
      */
     fun recordExchange(
         kind: String,
@@ -93,7 +93,7 @@
     /** Returns the load of the owner thread since the process started. */
     fun ownerLoad() = OwnerLoad(summary(batchDurationsUs), summary(queueLengths), summary(tickGapsMs), spentMs())
 
-    /** Returns the counts of events and of answers, sorted by label. */
+    /** Returns the counts of events and of replies, sorted by label. */
     fun counters(): Map<String, Long> = counters.toSortedMap()
 
     /** Returns the distribution of latencies (ms) by kind of exchange. */
--- a/src/main/kotlin/ledgearch/runtime/RuntimeTuning.kt
+++ b/src/main/kotlin/ledgearch/runtime/RuntimeTuning.kt
@@ -25,7 +25,7 @@
 
     /**
      * Event-loop lag above which the node counts as lagging. A message is queued for the owner thread about four times
-     * on its way in and out, so the answer to a probe is then late by about the time-out of the probe.
+     * on its way in and out, so the reply to a probe is then late by about the time-out of the probe.
      */
     const val LAG_THRESHOLD_MS = 200L
 
@@ -38,7 +38,7 @@
     /** Longer than any period of silence that is evaluated. */
     const val STALL_RETENTION_MS = 180_000L
 
-    /** Minimum interval between two placement passes; users' limit for the start of a task is one second. */
+    /** Minimum interval between two placement passes; tasks are required to start within a second. */
     const val PASS_INTERVAL_MS = 40L
 
     /** Minimum interval between two placement passes while the node is lagging. */
--- a/src/main/kotlin/ledgearch/runtime/Transport.kt
+++ b/src/main/kotlin/ledgearch/runtime/Transport.kt
@@ -6,7 +6,7 @@
 internal interface Transport {
     /**
      * Starts a call to [address] (HOST:PORT) and returns at once; never throws. [target] is the path with its query.
-     * The owner runs [done] exactly once, with the reply, or with [Reply.NONE] if none came within [timeoutMs].
+     * The owner runs [onReply] exactly once, with the reply, or with [Reply.NONE] if none came within [timeoutMs].
      */
     fun call(
         address: String,
@@ -14,6 +14,6 @@
         target: String,
         body: String?,
         timeoutMs: Long,
-        done: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     )
 }
--- a/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
+++ b/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
@@ -63,7 +63,7 @@
             target: String,
             body: String?,
             timeoutMs: Long,
-            done: (Reply) -> Unit,
+            onReply: (Reply) -> Unit,
         ) {
             sentRequests.add("$method $target")
         }
--- a/src/test/kotlin/ledgearch/simulation/SimulatedNode.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedNode.kt
@@ -161,14 +161,14 @@
             target: String,
             body: String?,
             timeoutMs: Long,
-            done: (Reply) -> Unit,
+            onReply: (Reply) -> Unit,
         ) {
             var isAnswered = false
 
             fun finish(reply: Reply) {
                 if (isAnswered || callingInstance != instance) return
                 isAnswered = true
-                run(OwnerCommand.HandleReply(reply, done))
+                run(OwnerCommand.HandleReply(reply, onReply))
             }
             clock.after(timeoutMs) { finish(Reply.NONE) }
             simulation.network.send(Message(name, address.substringBefore(':'), method, target, body)) { finish(it) }
