--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -14,9 +14,9 @@
 import ledgearch.peers.Mesh
 import ledgearch.persistence.RecordWriter
 import ledgearch.runtime.Clock
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.MeteredTransport
 import ledgearch.runtime.Metrics
-import ledgearch.runtime.StallCompensation
 import ledgearch.runtime.Transport
 import ledgearch.standby.LeaderSnapshot
 import ledgearch.standby.StandbyTuning
@@ -67,10 +67,11 @@
         RecordWriter(storeClient, election, jobStore, clock, settings.deployment.state.safeValueBytes)
 
     /** Tracks when this node was behind with its own work. */
-    val stalls = StallCompensation(clock, metrics)
+    val lagMonitor = EventLoopLagMonitor(clock, metrics)
 
     /** Provisions and releases machines on the leader; reads the machine catalog on every node. */
-    val autoscaler: Autoscaler = Autoscaler(settings, meteredTransport, election, jobStore, clock, stalls, recordWriter)
+    val autoscaler: Autoscaler =
+        Autoscaler(settings, meteredTransport, election, jobStore, clock, lagMonitor, recordWriter)
 
     /** Manages the machines and places tasks while this node leads. */
     val leader =
@@ -84,7 +85,7 @@
             recordWriter,
             autoscaler,
             metrics,
-            stalls,
+            lagMonitor,
         )
 
     /** Handles the users' requests about jobs. */
@@ -150,7 +151,7 @@
 
         override fun onJobClosed(job: Job) {
             leader.jobLifecycle.onClosed(job)
-            userApi.closed(job.id)
+            userApi.onJobClosed(job.id)
         }
 
         override fun onMachineTypesChanged() = leader.changed()
@@ -185,9 +186,9 @@
         override val isLeader get() = election.isLeader
         override val condition: Condition get() = election.condition
 
-        override fun leadershipConfirmed(
-            sentAt: Long,
-            under: Long,
-        ) = election.recordConfirmation(sentAt, under)
+        override fun recordConfirmation(
+            sentAtMs: Long,
+            sentToken: Long,
+        ) = election.recordConfirmation(sentAtMs, sentToken)
     }
 }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -22,9 +22,9 @@
 import ledgearch.persistence.RecordWriter
 import ledgearch.recovery.ZoneRecovery
 import ledgearch.runtime.Clock
+import ledgearch.runtime.EventLoopLagMonitor
 import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.Metrics
-import ledgearch.runtime.StallCompensation
 import ledgearch.runtime.Transport
 import ledgearch.scheduling.Deadlines
 import ledgearch.scheduling.NoRecovery
@@ -54,7 +54,7 @@
     private val recordWriter: RecordWriter,
     private val autoscaler: Autoscaler,
     private val metrics: Metrics,
-    stalls: StallCompensation,
+    lagMonitor: EventLoopLagMonitor,
 ) : Cluster {
     private val term = LeadershipTerm()
     private val machineRegistry = MachineRegistry()
@@ -66,7 +66,14 @@
     /** The zone recovery; null unless it is enabled in the operator settings. */
     override val recovery: ZoneRecovery? = createZoneRecovery(settings, clock)
     private val dispatcher =
-        CommandDispatcher(transport, election, clock, stalls, DispatchLimits.of(settings.deployment), AgentReplies())
+        CommandDispatcher(
+            transport,
+            election,
+            clock,
+            lagMonitor,
+            DispatchLimits.of(settings.deployment),
+            AgentReplies(),
+        )
     private val attemptControl = AttemptControl(term, dispatcher, clock, metrics)
     private val deadlines =
         Deadlines(settings.deployment.objectives, estimates, clock, jobStore.dependencies::dependentsOf)
@@ -96,7 +103,7 @@
             headroom,
             autoscaler,
             clock,
-            stalls,
+            lagMonitor,
             metrics,
         )
     private val taskStatusHandler =
@@ -154,7 +161,7 @@
             recovery,
             statusHandler,
             clock,
-            stalls,
+            lagMonitor,
         )
 
     /** Receives the changes of jobs from the job store and the dependencies. */
@@ -221,14 +228,14 @@
         if (term.areAttemptNumbersExhausted) return election.stepDown("the attempt numbers of the term are exhausted")
         reconciliation.runDueWork()
         jobLifecycle.closeCancelled()
-        metrics.spend("failure_detection") { failureDetector.runDueWork() }
+        metrics.measure("failure_detection") { failureDetector.runDueWork() }
         // The failure detector may have stepped down because this node receives almost no heartbeats.
         if (!election.isLeader) return
         placementLoop.updateReliability()
-        metrics.spend("placement") { placementLoop.runDueWork() }
-        metrics.spend("commands") { dispatcher.runDueWork() }
-        metrics.spend("autoscaling") { autoscaler.runDueWork(this) }
-        metrics.spend("records") { recordWriter.runDueWork() }
+        metrics.measure("placement") { placementLoop.runDueWork() }
+        metrics.measure("commands") { dispatcher.runDueWork() }
+        metrics.measure("autoscaling") { autoscaler.runDueWork(this) }
+        metrics.measure("records") { recordWriter.runDueWork() }
     }
 
     /** Applies [heartbeat] and returns the reply to it. */
--- a/src/main/kotlin/ledgearch/http/HeadParser.kt
+++ b/src/main/kotlin/ledgearch/http/HeadParser.kt
@@ -6,14 +6,14 @@
     /** Length of the body in bytes; 0 if the head gives none. */
     val contentLength: Int,
     /** Whether the body is chunked; [contentLength] has no meaning then. */
-    val chunked: Boolean,
+    val isChunked: Boolean,
     /** Whether the sender closes the connection after this message. */
     val closesConnection: Boolean,
 )
 
 /** Parses the head of a message. Header fields that are not evaluated are skipped without a copy. */
 internal object HeadParser {
-    /** Parses [text], a head without its final empty line. Throws [BadMessage] if it is malformed. */
+    /** Parses [text], a head without its final empty line. Throws [MalformedMessageException] if it is malformed. */
     fun parse(text: String): Head {
         val startLine = text.substringBefore(LINE_END)
         val fields = Fields(closes = startLine.endsWith("HTTP/1.0"))
@@ -21,7 +21,11 @@
         while (lineStart < text.length) {
             val lineEnd = text.indexOf(LINE_END, lineStart).let { if (it < 0) text.length else it }
             val colon = text.indexOf(':', lineStart)
-            if (colon <= lineStart || colon >= lineEnd) throw badMessage("header line without a field name and colon")
+            if (colon <= lineStart ||
+                colon >= lineEnd
+            ) {
+                throw malformedMessage("header line without a field name and colon")
+            }
             fields.read(text, lineStart, colon, lineEnd)
             lineStart = lineEnd + LINE_END.length
         }
@@ -33,7 +37,7 @@
         private var closes: Boolean,
     ) {
         private var length: Int? = null
-        private var chunked = false
+        private var isChunked = false
 
         /** Reads the field whose name is in [text] from [from] to [colon] and whose value ends before [lineEnd]. */
         fun read(
@@ -60,35 +64,42 @@
 
         private fun readLength(value: String) {
             if (value.isEmpty() || !value.all { it in '0'..'9' }) {
-                throw badMessage("Content-Length is not a decimal number")
+                throw malformedMessage("Content-Length is not a decimal number")
             }
             val parsedLength =
                 value.toIntOrNull()
-                    ?: throw BadMessage(
+                    ?: throw MalformedMessageException(
                         HttpStatus.PAYLOAD_TOO_LARGE,
                         "Content-Length exceeds the limit of ${Int.MAX_VALUE} bytes",
                     )
             if (length != null && length != parsedLength) {
-                throw badMessage("Content-Length is given twice with different values: $length and $parsedLength")
+                throw malformedMessage("Content-Length is given twice with different values: $length and $parsedLength")
             }
             length = parsedLength
         }
 
         private fun readEncoding(value: String) {
             if (!value.equals("chunked", ignoreCase = true)) {
-                throw BadMessage(HttpStatus.NOT_IMPLEMENTED, "Transfer-Encoding other than chunked is not supported")
+                throw MalformedMessageException(
+                    HttpStatus.NOT_IMPLEMENTED,
+                    "Transfer-Encoding other than chunked is not supported",
+                )
             }
-            chunked = true
+            isChunked = true
         }
 
         fun head(startLine: String): Head {
             // The two give different ends of the message where they disagree, so a message with both is ambiguous.
-            if (chunked && length != null) throw badMessage("both Content-Length and Transfer-Encoding are given")
-            return Head(startLine, length ?: 0, chunked, closes)
+            if (isChunked &&
+                length != null
+            ) {
+                throw malformedMessage("both Content-Length and Transfer-Encoding are given")
+            }
+            return Head(startLine, length ?: 0, isChunked, closes)
         }
     }
 
-    private fun badMessage(problem: String) = BadMessage(HttpStatus.BAD_REQUEST, problem)
+    private fun malformedMessage(problem: String) = MalformedMessageException(HttpStatus.BAD_REQUEST, problem)
 
     private const val LINE_END = "\r\n"
     private const val CONTENT_LENGTH = "content-length"
--- a/src/main/kotlin/ledgearch/http/Nio.kt
+++ b/src/main/kotlin/ledgearch/http/Nio.kt
@@ -58,13 +58,13 @@
  * Waits for the next connection and returns it. A failure, such as a lack of free sockets, is logged to [log] and the
  * accept is retried after a pause.
  */
-internal suspend fun AsynchronousServerSocketChannel.acceptPatiently(log: Logger): AsynchronousSocketChannel {
+internal suspend fun AsynchronousServerSocketChannel.acceptWithRetries(log: Logger): AsynchronousSocketChannel {
     while (true) {
         try {
             return acceptNext()
         } catch (e: IOException) {
             log.warn("accept failed: {}", e.message)
-            delay(HttpTuning.ACCEPT_RETRY_MS)
+            delay(HttpTuning.ACCEPT_RETRY_DELAY_MS)
         }
     }
 }
--- a/src/main/kotlin/ledgearch/runtime/StallCompensation.kt
+++ b/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
@@ -3,13 +3,13 @@
 /**
  * Tracks the event-loop lag of this node: the time since the next tick was due to be handled. A tick waits in the same
  * queue as heartbeats and replies, so its lag is their queueing delay, and it also covers the scheduling delay of a
- * process that gets no processor time or is frozen. While the lag is above [RuntimeTuning.BEHIND_MS], and for
+ * process that gets no processor time or is frozen. While the lag is above [RuntimeTuning.LAG_THRESHOLD_MS], and for
  * [RuntimeTuning.CATCH_UP_MS] afterwards, heartbeats and replies may wait here unread. Silence during that time proves
  * nothing about the peers, and a time-out may be caused by this node itself.
  *
  * It also paces the placement passes, so that they do not increase the lag. Times are ms of [Clock.steadyMs].
  */
-internal class StallCompensation(
+internal class EventLoopLagMonitor(
     private val clock: Clock,
     private val metrics: Metrics,
 ) {
@@ -35,22 +35,22 @@
     private var lastPassDurationMs = 0L
 
     /** Measures the lag at the start of a batch, before the batch evaluates any time-out. */
-    fun began() {
+    fun measureLag() {
         if (tickQueuedAtMs == 0L) return
-        val lagMs = clock.steadyMs - tickQueuedAtMs - RuntimeTuning.TICK_MS
-        if (lagMs > RuntimeTuning.BEHIND_MS) addStall()
+        val lagMs = clock.steadyMs - tickQueuedAtMs - RuntimeTuning.TICK_INTERVAL_MS
+        if (lagMs > RuntimeTuning.LAG_THRESHOLD_MS) addStall()
     }
 
     /**
-     * Records the handling of a tick that was queued at [queuedAt] (steady-clock ms); a tick is due every
-     * [RuntimeTuning.TICK_MS].
+     * Records the handling of a tick that was queued at [queuedAtMs] (steady-clock ms); a tick is due every
+     * [RuntimeTuning.TICK_INTERVAL_MS].
      */
-    fun ticked(queuedAt: Long) {
-        began()
-        if (tickHandledAtMs != 0L) metrics.ticked(clock.steadyMs - tickHandledAtMs)
+    fun recordTick(queuedAtMs: Long) {
+        measureLag()
+        if (tickHandledAtMs != 0L) metrics.recordTickGap(clock.steadyMs - tickHandledAtMs)
         tickHandledAtMs = clock.steadyMs
-        tickQueuedAtMs = queuedAt
-        began()
+        tickQueuedAtMs = queuedAtMs
+        measureLag()
     }
 
     /** Adds a stall that began when the last tick was queued, or extends the previous stall if they overlap. */
@@ -62,35 +62,35 @@
         } else {
             stalls.addLast(Stall(tickQueuedAtMs, untilMs))
         }
-        while (clock.steadyMs - stalls.first().untilMs > RuntimeTuning.STALLS_KEPT_MS) stalls.removeFirst()
+        while (clock.steadyMs - stalls.first().untilMs > RuntimeTuning.STALL_RETENTION_MS) stalls.removeFirst()
     }
 
     /** Whether this node lags, or did so a moment ago. */
     val isLagging: Boolean get() = wasLaggingSince(clock.steadyMs)
 
-    /** Returns whether this node lagged at any time since [time] (steady-clock ms). */
-    fun wasLaggingSince(time: Long): Boolean = stalls.lastOrNull().let { it != null && it.untilMs > time }
+    /** Returns whether this node lagged at any time since [timeMs] (steady-clock ms). */
+    fun wasLaggingSince(timeMs: Long): Boolean = stalls.lastOrNull().let { it != null && it.untilMs > timeMs }
 
     /**
-     * Returns the ms since [time] (steady-clock ms) in which this node did not lag. Only these count as silence of a
+     * Returns the ms since [timeMs] (steady-clock ms) in which this node did not lag. Only these count as silence of a
      * peer.
      */
-    fun attentiveMsSince(time: Long): Long {
+    fun responsiveMsSince(timeMs: Long): Long {
         var laggingMs = 0L
         for (index in stalls.indices.reversed()) {
             val stall = stalls[index]
-            if (stall.untilMs <= time) break
-            laggingMs += minOf(stall.untilMs, clock.steadyMs) - maxOf(stall.fromMs, time)
+            if (stall.untilMs <= timeMs) break
+            laggingMs += minOf(stall.untilMs, clock.steadyMs) - maxOf(stall.fromMs, timeMs)
         }
-        return clock.steadyMs - time - laggingMs
+        return clock.steadyMs - timeMs - laggingMs
     }
 
     /**
-     * Returns the latest time (steady-clock ms) since which this node was free of lag for more than [ms]. It is the
-     * inverse of [attentiveMsSince].
+     * Returns the latest time (steady-clock ms) since which this node was free of lag for more than [durationMs]. It is
+     * the inverse of [responsiveMsSince].
      */
-    fun attentiveSince(ms: Long): Long {
-        var remainingMs = ms
+    fun responsiveSince(durationMs: Long): Long {
+        var remainingMs = durationMs
         var endMs = clock.steadyMs
         for (index in stalls.indices.reversed()) {
             val stall = stalls[index]
@@ -105,19 +105,20 @@
     /**
      * Returns whether a placement pass may start now, and if so records its start. Passes are at least an interval
      * apart, which is longer while this node lags and after a long pass: a pass for every batch would keep the node
-     * lagging and leave workers without answers.
+     * lagging and leave workers without replies.
      */
-    fun mayPass(): Boolean {
-        val minIntervalMs = if (isLagging) RuntimeTuning.BEHIND_PASS_MS else RuntimeTuning.PASS_MS
-        val lastPassIntervalMs = minOf(lastPassDurationMs * RuntimeTuning.PASS_REST, RuntimeTuning.MOST_PASS_MS)
+    fun tryStartPass(): Boolean {
+        val minIntervalMs = if (isLagging) RuntimeTuning.LAGGING_PASS_INTERVAL_MS else RuntimeTuning.PASS_INTERVAL_MS
+        val lastPassIntervalMs =
+            minOf(lastPassDurationMs * RuntimeTuning.PASS_INTERVAL_FACTOR, RuntimeTuning.MAX_PASS_INTERVAL_MS)
         val intervalMs = maxOf(minIntervalMs, lastPassIntervalMs)
         if (clock.steadyMs - lastPassStartedAtMs < intervalMs) return false
         lastPassStartedAtMs = clock.steadyMs
         return true
     }
 
-    /** Records that a placement pass took [ms]. */
-    fun passed(ms: Long) {
-        lastPassDurationMs = ms
+    /** Records that a placement pass took [durationMs]. */
+    fun recordPassDuration(durationMs: Long) {
+        lastPassDurationMs = durationMs
     }
 }
