--- a/src/main/kotlin/ledgearch/api/TypedFields.kt
+++ b/src/main/kotlin/ledgearch/api/TypedFields.kt
@@ -12,8 +12,8 @@
 import ledgearch.wire.WireEnumSerializer
 
 /**
- * Reads the fields of a JSON object by name and type. Every function throws a [MalformedSubmission] with the name of the
- * field if the value has another type or is out of range. Functions whose name ends in `OrNull` return null for a field
+ * Reads the fields of a JSON object by name and type. If a value has another type or is out of range, every function
+ * throws a [MalformedSubmission] that names the field. Functions whose name ends in `OrNull` return null for a field
  * that is absent or null; the others throw.
  */
 internal class TypedFields(
--- a/src/main/kotlin/ledgearch/client/ClientTuning.kt
+++ b/src/main/kotlin/ledgearch/client/ClientTuning.kt
@@ -1,7 +1,7 @@
 package ledgearch.client
 
-/** The `status` command: constants with their unit and the reason for their value. */
+/** Timeouts of the `status` command. */
 internal object ClientTuning {
-    /** ms. A controller that is behind with its work answers within a few seconds. */
-    const val ANSWER_MS = 5_000L
+    /** A lagging controller may need a few seconds to respond. */
+    const val RESPONSE_TIMEOUT_MS = 5_000L
 }
--- a/src/main/kotlin/ledgearch/client/ControllerStatus.kt
+++ b/src/main/kotlin/ledgearch/client/ControllerStatus.kt
@@ -2,13 +2,13 @@
 
 import ledgearch.status.MetricsReport
 
-/** What one controller answered when it was asked how it is. */
+/** The result of a request for the status of a controller. */
 internal sealed interface ControllerStatus {
-    /** It answered with its [report]. */
-    data class Answered(
+    /** The controller responded with its [report]. */
+    data class Available(
         val report: MetricsReport,
     ) : ControllerStatus
 
-    /** Nobody answered within the time, or not as a controller does. */
-    data object NoAnswer : ControllerStatus
+    /** There was no response before the timeout, or none that a controller sends. */
+    data object Unavailable : ControllerStatus
 }
--- a/src/main/kotlin/ledgearch/client/StatusReader.kt
+++ b/src/main/kotlin/ledgearch/client/StatusReader.kt
@@ -6,18 +6,18 @@
 import ledgearch.status.MetricsReport
 import ledgearch.wire.WireJson
 
-/** Asks controllers for their status by `GET /metrics`; each question has a time limit. */
+/** Reads the status of controllers with `GET /metrics`; each request has a timeout. */
 internal class StatusReader(
     private val client: HttpClient,
 ) {
-    /** The status of the controller at [address] (HOST:PORT); never throws. */
+    /** Returns the status of the controller at [address] (HOST:PORT); never throws. */
     suspend fun read(address: String): ControllerStatus {
-        val reply = client.call(address, "GET", "/metrics", null, ClientTuning.ANSWER_MS)
-        if (reply.status != HttpStatus.OK) return ControllerStatus.NoAnswer
+        val reply = client.call(address, "GET", "/metrics", null, ClientTuning.RESPONSE_TIMEOUT_MS)
+        if (reply.status != HttpStatus.OK) return ControllerStatus.Unavailable
         return try {
-            ControllerStatus.Answered(WireJson.decodeFromString(MetricsReport.serializer(), reply.body))
+            ControllerStatus.Available(WireJson.decodeFromString(MetricsReport.serializer(), reply.body))
         } catch (_: SerializationException) {
-            ControllerStatus.NoAnswer
+            ControllerStatus.Unavailable
         }
     }
 }
--- a/src/main/kotlin/ledgearch/client/StatusText.kt
+++ b/src/main/kotlin/ledgearch/client/StatusText.kt
@@ -6,16 +6,16 @@
 import ledgearch.status.MetricsReport
 import java.util.Locale
 
-/** The status of a controller as text for people: one line, and one more for each feature that is switched on. */
+/** Formats the status of a controller for operators: a summary line, then lines for each enabled feature. */
 internal object StatusText {
-    /** The lines for the controller at [address], without line ends. */
+    /** Returns the lines for the controller at [address], without line separators. */
     fun of(
         address: String,
         status: ControllerStatus,
     ): List<String> =
         when (status) {
-            is ControllerStatus.NoAnswer -> listOf("$address: no answer")
-            is ControllerStatus.Answered -> listOf("$address: ${summary(status.report)}") + details(status.report)
+            is ControllerStatus.Unavailable -> listOf("$address: no valid response")
+            is ControllerStatus.Available -> listOf("$address: ${summary(status.report)}") + detailLines(status.report)
         }
 
     private fun summary(report: MetricsReport): String {
@@ -24,26 +24,26 @@
         return "${report.node} $role, $work"
     }
 
-    private fun details(report: MetricsReport): List<String> =
-        report.standby?.let { listOf("  standby: ${standby(it)}") }.orEmpty() +
-            report.recovery?.let(::recovery).orEmpty()
+    private fun detailLines(report: MetricsReport): List<String> =
+        report.standby?.let { listOf("  standby: ${standbyText(it)}") }.orEmpty() +
+            report.recovery?.let(::recoveryLines).orEmpty()
 
-    private fun recovery(report: RecoveryReport): List<String> {
+    private fun recoveryLines(report: RecoveryReport): List<String> {
         val displaced = report.displaced.entries.joinToString { (group, tasks) -> "$group $tasks" }
-        return report.zones.map(::zone) + "  displaced tasks that wait: ${displaced.ifEmpty { "none" }}"
+        return report.zones.map(::zoneLine) + "  displaced tasks waiting: ${displaced.ifEmpty { "none" }}"
     }
 
-    private fun zone(zone: ZoneReport): String =
+    private fun zoneLine(zone: ZoneReport): String =
         "  zone ${zone.zone}: ${zone.state} for ${zone.forMs} ms (${zone.why}), " +
             "penalty %.2f, %.0f%% admitted".format(Locale.ROOT, zone.penalty, zone.admittedShare * PERCENT)
 
-    private fun standby(report: StandbyReport): String =
+    private fun standbyText(report: StandbyReport): String =
         if (report.role == StandbyReport.LEADER) {
             "streams to ${report.followers} followers, term ${report.term}, sequence ${report.sequence}, " +
                 "${report.recordsBehind} records behind, ${report.snapshotsSent} snapshots sent, " +
                 "${report.streamsDropped} streams dropped, ${report.bytesSent} bytes sent"
         } else {
-            val lag = if (report.msBehind < 0) "no whole replica" else "${report.msBehind} ms behind"
+            val lag = if (report.msBehind < 0) "no complete replica" else "${report.msBehind} ms behind"
             "follows term ${report.term}, sequence ${report.sequence}, ${report.recordsHeld} records held, " +
                 "${report.recordsBehind} records and $lag, ${report.replicasDropped} replicas dropped"
         }
--- a/src/main/kotlin/ledgearch/status/MetricsReport.kt
+++ b/src/main/kotlin/ledgearch/status/MetricsReport.kt
@@ -7,27 +7,27 @@
 import ledgearch.runtime.OwnerLoad
 import ledgearch.standby.StandbyReport
 
-/** What a controller answers to `GET /metrics`. Counters and distributions are those since its process started. */
+/** The response to `GET /metrics`. Counters and distributions cover the time since the process started. */
 @Serializable
 internal data class MetricsReport(
-    /** The controller's name. */
+    /** Name of the controller. */
     val node: String,
-    /** The fencing token under which the controller leads; 0: it does not lead. */
+    /** Fencing token of the controller if it is the leader, otherwise 0. */
     val token: Long,
-    /** Open jobs in the controller's job store. */
+    /** Number of open jobs in the controller's job store. */
     @SerialName("open_jobs") val openJobs: Int,
-    /** Machines that the leader knows; known only there. */
+    /** Number of machines that the leader manages; only the leader reports it. */
     val machines: Int,
-    /** Task attempts that may be on those machines; known only to the leader. */
+    /** Number of task attempts that may be on those machines; only the leader reports it. */
     val tasks: Int,
-    /** How busy the thread is that owns all state. */
+    /** Load of the owner, the thread that has all state. */
     val owner: OwnerLoad,
-    /** Counts of events, by their name. */
+    /** Counts of events by name. */
     val counters: Map<String, Long>,
-    /** Distributions of latencies (ms), by the kind of exchange. */
+    /** Distributions of latencies by the kind of exchange. */
     @SerialName("latency_ms") val latencyMs: Map<String, Distribution>,
-    /** Null while warm standby is off. */
+    /** State of warm standby; null if it is disabled. */
     val standby: StandbyReport? = null,
-    /** Null on a node that does not lead, or while zone recovery is off. */
+    /** State of zone recovery; null if it is disabled or the controller is not the leader. */
     val recovery: RecoveryReport? = null,
 )
--- a/src/test/kotlin/ledgearch/loopback/FailoverTest.kt
+++ b/src/test/kotlin/ledgearch/loopback/FailoverTest.kt
@@ -67,7 +67,7 @@
         cluster: LoopbackCluster,
         name: String,
     ): Int {
-        val status = cluster.status(name) as? ControllerStatus.Answered ?: return 0
+        val status = cluster.status(name) as? ControllerStatus.Available ?: return 0
         val standby = status.report.standby ?: return 0
         return if (standby.msBehind >= 0) standby.recordsHeld else 0
     }
--- a/src/test/kotlin/ledgearch/loopback/ZoneLossTest.kt
+++ b/src/test/kotlin/ledgearch/loopback/ZoneLossTest.kt
@@ -98,7 +98,7 @@
 
     private fun zoneB(cluster: LoopbackCluster): ZoneReport? {
         val leader = cluster.leader() ?: return null
-        val status = cluster.status(leader.name) as? ControllerStatus.Answered
+        val status = cluster.status(leader.name) as? ControllerStatus.Available
         return status
             ?.report
             ?.recovery
