--- a/src/main/kotlin/ledgearch/http/ConnectionPool.kt
+++ b/src/main/kotlin/ledgearch/http/ConnectionPool.kt
@@ -36,10 +36,7 @@
     var openCount = 0
         private set
 
-    /**
-     * Returns the most recently used idle connection to [address], or opens a new one. Throws [IOException] when the
-     * connection fails.
-     */
+    /** Returns the last used idle connection to [address] or opens one; throws [IOException] when that fails. */
     suspend fun acquire(address: String): PooledConnection = takeIdle(address) ?: open(address)
 
     /** Returns [connection] to the pool if it is reusable; otherwise closes it. */
--- a/src/main/kotlin/ledgearch/http/Connections.kt
+++ b/src/main/kotlin/ledgearch/http/Connections.kt
@@ -10,7 +10,6 @@
     /** Time in ms since which the connection has been waiting for a request. */
     var idleSinceMs = 0L
 
-    /** Whether the connection counts as open. */
     var isOpen = false
 
     /** Time in ms by which the client must have sent its first byte, or all of its request. */
@@ -32,7 +31,6 @@
     private val idleLongLived = LinkedHashSet<Connection>()
     private val all = LinkedHashSet<Connection>()
 
-    /** Number of open connections. */
     val openCount: Int get() = all.size
 
     /** Adds [connection] to the open ones. */
--- a/src/main/kotlin/ledgearch/http/EventLoop.kt
+++ b/src/main/kotlin/ledgearch/http/EventLoop.kt
@@ -35,10 +35,7 @@
     val group: AsynchronousChannelGroup =
         AsynchronousChannelGroup.withFixedThreadPool(1) { task -> Thread(task, name).also { thread = it } }
 
-    /**
-     * Executor for tasks on the loop's thread. OpenJDK's channel groups implement it, though their public type does not
-     * declare it.
-     */
+    /** OpenJDK's channel groups run tasks on their own thread, though their public type does not declare it. */
     private val tasks = checkNotNull(group as? Executor) { "this Java runtime's channel groups take no tasks" }
 
     /** Coroutine continuations that are ready to run; accessed from the loop's thread only. */
@@ -160,10 +157,7 @@
         return timer
     }
 
-    /**
-     * Runs on the clock thread. At most one wake-up is pending at a time, so that they do not accumulate in a lagging
-     * loop.
-     */
+    /** Requests one wake-up at a time, so that they do not accumulate in a lagging loop. */
     private fun runClock() {
         while (!group.isShutdown) {
             Thread.sleep(HttpTuning.TIMER_RESOLUTION_MS)
--- a/src/main/kotlin/ledgearch/http/HttpClient.kt
+++ b/src/main/kotlin/ledgearch/http/HttpClient.kt
@@ -15,7 +15,6 @@
     private val log = LoggerFactory.getLogger("ledgearch.http")
     private val pool = ConnectionPool(group, maxOpen)
 
-    /** Number of connections that are open or being opened. */
     val openCount: Int get() = pool.openCount
 
     /**
--- a/src/main/kotlin/ledgearch/http/HttpServer.kt
+++ b/src/main/kotlin/ledgearch/http/HttpServer.kt
@@ -30,12 +30,9 @@
     private val log = LoggerFactory.getLogger("ledgearch.http")
     private val connections = Connections(maxConnections, minEvictionIdleMs)
 
-    /** Number of open connections. */
     val openCount get() = connections.openCount
 
-    /**
-     * Binds to [address] at once, which throws [IOException] if it is in use, then accepts connections until cancelled.
-     */
+    /** Binds to [address] at once, or throws [IOException] if it is in use, then accepts until cancelled. */
     fun start(address: String): Job {
         val server = listenOn(address, group)
         scope.launch { closeExpiredForever() }
--- a/src/main/kotlin/ledgearch/http/HttpTuning.kt
+++ b/src/main/kotlin/ledgearch/http/HttpTuning.kt
@@ -14,9 +14,7 @@
     /** Initial buffer of a connection. Nearly every message fits, and a thousand idle users need little memory. */
     const val READ_BUFFER_BYTES = 2 * 1024
 
-    /**
-     * A buffer larger than this multiple of [READ_BUFFER_BYTES] is replaced by an initial one once its message is read.
-     */
+    /** A buffer that grew beyond this multiple of [READ_BUFFER_BYTES] is replaced once its message is read. */
     const val MAX_KEPT_READ_BUFFERS = 4
 
     /** Line before a chunk: its size and any extensions, which no known peer sends. */
@@ -28,27 +26,16 @@
     /** Initial capacity in characters; nearly every response head fits. */
     const val RESPONSE_HEAD_CHARS = 128
 
-    /**
-     * Connections waiting to be accepted. Few, so that an overloaded node refuses clients and they try the next one.
-     */
+    /** Small, so that an overloaded node refuses clients and they try the next one. */
     const val ACCEPT_BACKLOG = 128
 
-    /**
-     * Pause before the next accept when one failed or no connection could be opened: a twentieth of the shortest wait
-     * that users ask for.
-     */
+    /** A twentieth of the shortest wait that users ask for. */
     const val ACCEPT_RETRY_DELAY_MS = 50L
 
-    /**
-     * Time-out of a connection without a request in progress. Users poll about every 5 s, so only abandoned ones
-     * expire.
-     */
+    /** Between two requests. Users poll about every 5 s, so only abandoned connections expire. */
     const val IDLE_TIMEOUT_MS = 60_000L
 
-    /**
-     * From the first to the last byte of a request: longer than the retransmission of a lost packet, a bound on slow
-     * clients.
-     */
+    /** Longer than the retransmission of a lost packet; bounds slow clients. */
     const val REQUEST_READ_TIMEOUT_MS = 10_000L
 
     /** Small in comparison to [REQUEST_READ_TIMEOUT_MS]. */
@@ -60,7 +47,7 @@
     /** Allows several retransmissions of a lost packet. */
     const val CONNECT_TIMEOUT_MS = 1_500L
 
-    /** Idle time after which an outgoing connection is closed; every peer is normally called more often. */
+    /** Every peer is normally called more often. */
     const val POOLED_IDLE_TIMEOUT_MS = 20_000L
 
     /** No time-out or pause needs a finer resolution. */
--- a/src/main/kotlin/ledgearch/http/Messages.kt
+++ b/src/main/kotlin/ledgearch/http/Messages.kt
@@ -29,10 +29,7 @@
     }
 }
 
-/**
- * Thrown for a malformed message; [status] is the status to answer with. It has no stack trace, since clients can cause
- * it at will.
- */
+/** Thrown for a malformed message, to be answered with [status]. Without a stack trace, since clients can cause it. */
 internal class MalformedMessageException(
     val status: Int,
     message: String,
--- a/src/main/kotlin/ledgearch/http/Nio.kt
+++ b/src/main/kotlin/ledgearch/http/Nio.kt
@@ -54,10 +54,7 @@
         bind(parseAddress(address), HttpTuning.ACCEPT_BACKLOG)
     }
 
-/**
- * Waits for the next connection and returns it. A failure, such as a lack of free sockets, is logged to [log] and the
- * accept is retried after a pause.
- */
+/** Returns the next connection. A failure, such as a lack of sockets, is logged to [log] and the accept is retried. */
 internal suspend fun AsynchronousServerSocketChannel.acceptWithRetries(log: Logger): AsynchronousSocketChannel {
     while (true) {
         try {
@@ -70,7 +67,7 @@
 }
 
 /**
- * Connects to [address]; throws [IOException] on failure. Cancellation closes the channel, as in all functions below.
+ * Connects to [address]; throws [IOException] on failure. Like the functions below, closes the channel on cancellation.
  */
 internal suspend fun AsynchronousSocketChannel.connectTo(address: InetSocketAddress) {
     suspendCancellableCoroutine<Void?> {
@@ -115,9 +112,6 @@
     }
 }
 
-/**
- * Parses an address of the form HOST:PORT; throws [IllegalArgumentException] if it is malformed. Resolves host names,
- * which may take a while.
- */
+/** Parses HOST:PORT; throws [IllegalArgumentException] if malformed. Resolves host names, which may take a while. */
 internal fun parseAddress(text: String): InetSocketAddress =
     InetSocketAddress(text.substringBeforeLast(':'), text.substringAfterLast(':').toInt())
--- a/src/main/kotlin/ledgearch/http/RequestReader.kt
+++ b/src/main/kotlin/ledgearch/http/RequestReader.kt
@@ -12,10 +12,7 @@
     private val reader = MessageReader(HttpTuning.MAX_REQUEST_BODY_BYTES)
     private val buffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER_BYTES)
 
-    /**
-     * Returns the next request, or null once the client has closed the connection. Throws [MalformedMessageException]
-     * for a malformed request.
-     */
+    /** Returns the next request, or null at the end; throws [MalformedMessageException] for a malformed one. */
     suspend fun next(): Request? {
         var hasStarted = !reader.isEmpty
         val startMs = SteadyTime.nowMs()
--- a/src/main/kotlin/ledgearch/model/FreeResources.kt
+++ b/src/main/kotlin/ledgearch/model/FreeResources.kt
@@ -11,7 +11,6 @@
 internal class FreeResources(
     private val machineType: MachineType,
 ) {
-    /** Free processors. */
     var cpus = machineType.vcpus
         private set
     private var accelerators = machineType.accelerators
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -23,19 +23,14 @@
 ) {
     // --- State on every node ---------------------------------------------------------------------------------------
 
-    /** The specification that the user submitted. */
     val spec: JobSpec get() = record.spec
 
     /** Id, unique among all jobs. */
     val id: String get() = spec.id
 
-    /**
-     * Whether the job is a service, whose tasks run as replicas until it is cancelled; otherwise it is an array of
-     * tasks that end.
-     */
+    /** Whether the tasks run as replicas until the job is cancelled; otherwise it is an array of tasks that end. */
     val isService: Boolean = spec.kind == JobKind.SERVICE
 
-    /** Priority that the job was submitted with. */
     val submittedPriority: Priority = spec.priority
 
     /** Priority that scheduling uses: the highest among the job's own and those of the open jobs that depend on it. */
@@ -87,7 +82,6 @@
     /** Indices of the finished tasks, durable or not. */
     val finishedTasks = BitSet()
 
-    /** Size of [finishedTasks]. */
     var finishedCount = 0
         private set
 
@@ -128,9 +122,7 @@
         markTaken(attempt.index)
     }
 
-    /**
-     * Removes [attempt], whose task is on no machine any more; the task becomes pending again unless it is finished.
-     */
+    /** Removes [attempt], whose task is on no machine any more and is pending again unless it is finished. */
     fun removeAttempt(attempt: TaskAttempt) {
         if (attempts.get(attempt.index) !== attempt) return
         attempts.remove(attempt.index)
--- a/src/main/kotlin/ledgearch/model/LoadState.kt
+++ b/src/main/kotlin/ledgearch/model/LoadState.kt
@@ -1,9 +1,6 @@
 package ledgearch.model
 
-/**
- * Load state of a machine by the length of its queue, with the thresholds TH_u, TH_f and TH_v of section 2 of the
- * paper.
- */
+/** Load state of a machine by the length of its queue; the thresholds are those of section 2 of the paper. */
 internal enum class LoadState {
     /** At most TH_u tasks wait: the machine takes surplus tasks from its buddies. */
     UNDERLOADED,
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -5,8 +5,8 @@
 
 /**
  * A machine of the block as its leader sees it: the reports of its worker, whether it can be reached and will stay, the
- * attempts that may be on it, and its free resources. Attempts are added and removed by [attach] and [detach], which
- * maintain the counts of the machine, the jobs and the teams.
+ * attempts that may be on it, and its free resources. [attach] and [detach] maintain the counts of the machine, the
+ * jobs and the teams. Times are steady-clock ms.
  */
 internal class Machine(
     /** Unique machine name, assigned by the cloud. */
@@ -17,7 +17,6 @@
     val zone: String,
     /** Whether the cloud may preempt the machine at short notice; otherwise it is an on-demand machine. */
     val spot: Boolean,
-    /** Steady-clock ms at which the machine became known. */
     val knownSinceMs: Long,
     private val teams: TeamQuotas,
 ) {
@@ -56,10 +55,7 @@
     /** Number of the worker's current incarnation; 0 before its first message. */
     var incarnation = 0L
 
-    /**
-     * Incarnation according to a replica of the last leader's state, or 0. It is a first guess that the worker's reply
-     * corrects.
-     */
+    /** Incarnation according to a replica of the last leader's state, or 0; the worker's reply corrects it. */
     var incarnationHint = 0L
 
     /** Incarnation to put into commands: the one that the worker reported, otherwise the best guess. */
@@ -71,27 +67,20 @@
     /** Sequence number of the worker's newest heartbeat in this incarnation. */
     var heartbeatSequence = 0L
 
-    /** Steady-clock ms at which the heartbeat [heartbeatSequence] was first received. */
+    /** Time at which the heartbeat [heartbeatSequence] was first received. */
     var heartbeatFirstSeenAtMs = 0L
 
-    /**
-     * Steady-clock ms after which that heartbeat was sent: a worker sends the next heartbeat once it has the reply to
-     * the previous one.
-     */
+    /** Time after which that heartbeat was sent: a worker first awaits the reply to the previous heartbeat. */
     var heartbeatSentAfterMs = 0L
 
-    /** Highest token that the worker is known to have seen. */
     var highestSeenToken = 0L
 
-    /** Steady-clock ms of the last message from the worker. */
     var lastMessageAtMs = knownSinceMs
 
-    /** Steady-clock ms of the last reply to the worker that may have renewed its lease. */
+    /** Time of the last reply that may have renewed the worker's lease. */
     var lastReplyAtMs = 0L
 
-    /**
-     * Steady-clock ms of the last heartbeat. Only the reply to a heartbeat renews the lease; direct commands do not.
-     */
+    /** Only the reply to a heartbeat renews the worker's lease; direct commands do not. */
     var lastHeartbeatAtMs = knownSinceMs
 
     /** Whether the next heartbeat is overdue; a task that is started now may end when the lease expires. */
@@ -108,26 +97,22 @@
     /** Whether the last message could not be delivered; the machine gets no new tasks before it is reached again. */
     var isUnreachable = false
 
-    /** Steady-clock ms since which no message has reached the machine, or 0. */
+    /** 0 while messages reach the machine. */
     var unreachableSinceMs = 0L
 
-    /** Steady-clock ms before which no probe is sent. */
     var nextProbeAtMs = 0L
 
-    /**
-     * Number of consecutive unanswered probes, without those whose replies this node may have been too slow to read.
-     */
+    /** Consecutive unanswered probes, except those whose replies this node may have been too slow to read. */
     var consecutiveFailedProbes = 0
 
-    /** Number of all consecutive unanswered probes. */
     var consecutiveUnansweredProbes = 0
         private set
 
-    /** Steady-clock ms at which the first of those probes was sent; 0 without any. */
+    /** Time at which the first of those probes was sent; 0 without any. */
     var unansweredSinceMs = 0L
         private set
 
-    /** Records that the probe sent at [sentAtMs] (steady-clock ms) was not answered. */
+    /** Records that the probe sent at [sentAtMs] was not answered. */
     fun recordUnansweredProbe(sentAtMs: Long) {
         if (consecutiveUnansweredProbes++ == 0) unansweredSinceMs = sentAtMs
     }
@@ -140,41 +125,32 @@
 
     // --- Departure and restrictions --------------------------------------------------------------------------------
 
-    /** Steady-clock ms at which the cloud preempts the spot machine, or 0. */
+    /** Time at which the cloud preempts the spot machine, or 0. */
     var preemptionAtMs = 0L
 
     /** Whether, according to a replica of the last leader's state, the machine was being returned to the cloud. */
     var isReturningHint = false
 
-    /**
-     * Whether the machine is held back while its zone is readmitted in steps; it gets new tasks only if they can't
-     * wait.
-     */
+    /** Whether the machine gets only tasks that can't wait, while its zone is readmitted in steps. */
     var isHeldBack = false
 
-    /**
-     * Whether the machine is quarantined because tasks fail on it: no task is started, and it is drained and returned.
-     */
+    /** Whether tasks fail on the machine, so that none is started and it is drained and returned. */
     var isQuarantined = false
 
-    /**
-     * Whether the machine is not needed at present: it is drained and returned unless new tasks are placed on it first.
-     */
+    /** Whether the machine, not needed at present, is returned unless tasks are placed on it first. */
     var isDraining = false
 
     /** Whether the machine is being returned to the cloud. */
     var isReleasing = false
 
-    /** Whether the cloud has been asked to take the machine back. */
     var isReleaseRequested = false
 
-    /** Steady-clock ms before which no task is started, since the worker refused a task or a task failed. */
+    /** Time before which no task is started, since the worker refused a task or a task failed. */
     var startsPausedUntilMs = Long.MIN_VALUE
 
     /** Ids of the jobs whose tasks failed consecutively. */
     val failedJobIds = LinkedHashSet<String>()
 
-    /** Number of consecutive task failures. */
     var consecutiveFailures = 0
 
     /** Whether the machine accepts tasks and is not known to be leaving or failing. */
@@ -294,10 +270,7 @@
             else -> IMAGE_FETCHING
         }
 
-    /**
-     * Records a use of [image], which has [gb] gigabytes, and removes the least recently used images as long as the
-     * disk is too small for all.
-     */
+    /** Records a use of [image] and removes the least recently used images as long as the disk is too small for all. */
     fun recordImageUse(
         image: String,
         gb: Double,
--- a/src/main/kotlin/ledgearch/model/MachineQueue.kt
+++ b/src/main/kotlin/ledgearch/model/MachineQueue.kt
@@ -1,9 +1,6 @@
 package ledgearch.model
 
-/**
- * Tasks that are bound to one machine and have not started, in FIFO order. Tasks of the same job are interchangeable,
- * so the queue holds each job once per bound task.
- */
+/** Tasks that are bound to one machine and have not started, in FIFO order; each job is listed once per bound task. */
 internal class MachineQueue {
     private val jobs = ArrayDeque<Job>()
 
--- a/src/main/kotlin/ledgearch/model/MeanRunTime.kt
+++ b/src/main/kotlin/ledgearch/model/MeanRunTime.kt
@@ -2,11 +2,10 @@
 
 /** Running mean of the run times of a job's finished tasks. */
 internal class MeanRunTime {
-    /** Number of tasks in the mean. */
     var taskCount = 0
         private set
 
-    /** Mean run time in seconds; 0 if [taskCount] is 0. */
+    /** 0 if [taskCount] is 0. */
     var seconds = 0.0
         private set
 
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -4,7 +4,7 @@
 
 /**
  * One attempt to run a task on a machine, from the placement until the attempt is proven to be gone. Its machine and
- * its team count it by [state] and [stopMode]; a change of either updates those counts.
+ * its team count it by [state] and [stopMode]; a change of either updates those counts. Times are steady-clock ms.
  */
 internal class TaskAttempt(
     /** Null if the job is not open; the attempt is then stopped and cleared. */
@@ -13,10 +13,8 @@
     val taskId: String,
     /** Index of the task in its job, from 0. */
     val index: Int,
-    /** Attempt number. */
     val number: Long,
     val machine: Machine,
-    /** Steady-clock ms of the placement. */
     val assignedAtMs: Long,
     /** Whether an earlier leader started the attempt, so that the start of its run is not known. */
     val isInherited: Boolean = false,
@@ -26,7 +24,6 @@
     /** Whether the attempt is among its machine's attempts and is counted there and for its team. */
     var isAttached = false
 
-    /** Last known state; a change updates the counts. */
     var state = AttemptState.ASSIGNED
         set(value) {
             if (value != field) machine.updateCounts(this) { field = value }
@@ -35,19 +32,17 @@
     /** Cause of the exit; null before the exit, or if the worker gave no cause. */
     var exitCause: ExitCause? = null
 
-    /** How the worker is to stop the attempt; a change updates the counts. */
     var stopMode = StopMode.NONE
         set(value) {
             if (value != field) machine.updateCounts(this) { field = value }
         }
 
-    /** Steady-clock ms at which the task began to run; 0 before. */
+    /** 0 before the task runs. */
     var runningSinceMs = 0L
 
     /** Whether the attempt is not preempted for other jobs. Set for a job that had starved and would starve again. */
     var isExemptFromPreemption = false
 
-    /** Whether the attempt has exited. */
     val isExited: Boolean get() = state == AttemptState.EXITED
 
     /** Whether the task is finished. */
@@ -70,7 +65,6 @@
      */
     var startHeartbeatSequence = 0L
 
-    /** Whether a direct command with the start is in flight. */
     var isStartInFlight = false
 
     /**
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -45,9 +45,7 @@
         }
     }
 
-    /**
-     * Adds [attempt] ([sign] 1) or removes it (-1). It counts towards its team's quota even while it is being stopped.
-     */
+    /** Adds [attempt] ([sign] 1) or removes it (-1). It counts towards the team's quota even while being stopped. */
     fun adjustUsage(
         attempt: TaskAttempt,
         sign: Int,
@@ -153,9 +151,7 @@
             usage.team.gpus - Machine.TOLERANCE
     }
 
-    /**
-     * Returns how many more tasks of [job] its team's quota allows once all attempts that are being stopped are gone.
-     */
+    /** Returns how many more tasks of [job] its team's quota allows once all stopping attempts are gone. */
     fun roomAfterStops(job: Job): Int {
         val usage = usages[job.spec.team] ?: return 0
         return FreeResources.taskCapacity(
--- a/src/main/kotlin/ledgearch/runtime/Clock.kt
+++ b/src/main/kotlin/ledgearch/runtime/Clock.kt
@@ -1,8 +1,6 @@
 package ledgearch.runtime
 
-/**
- * Current time for the owner thread. It is set once per batch of commands, so that all of a batch has the same time.
- */
+/** Time as seen by the owner thread; set once per batch of commands, so that all of a batch has the same time. */
 internal class Clock {
     /** Milliseconds on the steady clock, for durations; the origin has no meaning. */
     var steadyMs = 0L
--- a/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
+++ b/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
@@ -13,7 +13,7 @@
     private val clock: Clock,
     private val metrics: Metrics,
 ) {
-    /** A period (steady-clock ms) in which this node lagged, including the [RuntimeTuning.CATCH_UP_MS] after it. */
+    /** A period in which this node lagged, including the [RuntimeTuning.CATCH_UP_MS] after it. */
     private class Stall(
         val fromMs: Long,
         var untilMs: Long,
@@ -22,16 +22,13 @@
     /** Oldest first; they do not overlap. */
     private val stalls = ArrayDeque<Stall>()
 
-    /** Steady-clock ms at which the last handled tick was queued and handled; 0 before the first tick. */
+    /** Times at which the last handled tick was queued and handled; 0 before the first tick. */
     private var tickQueuedAtMs = 0L
     private var tickHandledAtMs = 0L
 
-    /**
-     * Steady-clock ms of the start of the last pass; initially in the distant past, so that a pass may start at once.
-     */
+    /** Initially in the distant past, so that a pass may start at once. */
     private var lastPassStartedAtMs = Long.MIN_VALUE / 2
 
-    /** Duration of the last pass in ms. */
     private var lastPassDurationMs = 0L
 
     /** Measures the lag at the start of a batch, before the batch evaluates any time-out. */
@@ -41,10 +38,7 @@
         if (lagMs > RuntimeTuning.LAG_THRESHOLD_MS) addStall()
     }
 
-    /**
-     * Records the handling of a tick that was queued at [queuedAtMs] (steady-clock ms); a tick is due every
-     * [RuntimeTuning.TICK_INTERVAL_MS].
-     */
+    /** Records the handling of a tick, due every [RuntimeTuning.TICK_INTERVAL_MS], that was queued at [queuedAtMs]. */
     fun recordTick(queuedAtMs: Long) {
         measureLag()
         if (tickHandledAtMs != 0L) metrics.recordTickGap(clock.steadyMs - tickHandledAtMs)
@@ -68,13 +62,10 @@
     /** Whether this node lags, or did so a moment ago. */
     val isLagging: Boolean get() = wasLaggingSince(clock.steadyMs)
 
-    /** Returns whether this node lagged at any time since [timeMs] (steady-clock ms). */
+    /** Returns whether this node lagged at any time since [timeMs]. */
     fun wasLaggingSince(timeMs: Long): Boolean = stalls.lastOrNull().let { it != null && it.untilMs > timeMs }
 
-    /**
-     * Returns the ms since [timeMs] (steady-clock ms) in which this node did not lag. Only these count as silence of a
-     * peer.
-     */
+    /** Returns the ms since [timeMs] in which this node did not lag. Only these count as silence of a peer. */
     fun responsiveMsSince(timeMs: Long): Long {
         var laggingMs = 0L
         for (index in stalls.indices.reversed()) {
@@ -86,8 +77,8 @@
     }
 
     /**
-     * Returns the latest time (steady-clock ms) since which this node was free of lag for more than [durationMs]. It is
-     * the inverse of [responsiveMsSince].
+     * Returns the latest time since which this node was free of lag for more than [durationMs]: the inverse of
+     * [responsiveMsSince].
      */
     fun responsiveSince(durationMs: Long): Long {
         var remainingMs = durationMs
--- a/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
+++ b/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
@@ -43,9 +43,6 @@
             else -> Peer.WORKER
         }
 
-    /**
-     * Returns whether [target] is a watch. A watch is answered only when something changes, so its latency says
-     * nothing.
-     */
+    /** Returns whether [target] is a watch, which is answered only on a change, so that its latency says nothing. */
     private fun isWatch(target: String): Boolean = target.startsWith("/changes")
 }
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -62,10 +62,7 @@
         counters.merge(event, increment, Long::plus)
     }
 
-    /**
-     * Records an exchange of kind [kind] that began at [startedAtMs] (steady-clock ms) and ended with [status]; 0 means
-     * that there was no reply.
-     */
+    /** Records an exchange that began at [startedAtMs] (steady-clock ms) and ended with [status], 0 without a reply. */
     fun recordExchange(
         kind: String,
         status: Int,
@@ -76,9 +73,7 @@
         latencies.getOrPut(kind) { histogram(RuntimeTuning.MAX_RECORDED_LATENCY_MS) }.recordValue(latencyMs)
     }
 
-    /**
-     * Records that the owner handled a batch in [durationUs] microseconds and left [queueLength] commands in its queue.
-     */
+    /** Records that the owner handled a batch in [durationUs] and left [queueLength] commands in its queue. */
     fun recordBatch(
         durationUs: Long,
         queueLength: Int,
@@ -120,10 +115,7 @@
     }
 }
 
-/**
- * Load of the owner thread: microseconds per batch, commands left in the queue after a batch, milliseconds between two
- * ticks, and milliseconds spent on each kind of work.
- */
+/** Load of the owner thread. The time of a batch is in microseconds; the queue is measured after each batch. */
 @Serializable
 internal data class OwnerLoad(
     @SerialName("batch_us") val batchUs: Distribution,
--- a/src/main/kotlin/ledgearch/runtime/RuntimeTuning.kt
+++ b/src/main/kotlin/ledgearch/runtime/RuntimeTuning.kt
@@ -8,10 +8,7 @@
     /** A twentieth of the shortest wait that users ask for. */
     const val TICK_INTERVAL_MS = 50L
 
-    /**
-     * Share of a service's rate limits that all nodes together plan to use; the rest allows for clock differences and
-     * bursts.
-     */
+    /** All nodes together plan to use this share of a service's limits; the rest allows for clock skew and bursts. */
     const val USED_RATE_LIMIT_SHARE = 0.9
 
     /** Longer than any request is waited for; longer latencies are recorded as this value. */
@@ -29,10 +26,7 @@
      */
     const val LAG_THRESHOLD_MS = 200L
 
-    /**
-     * Time after a stall during which the node still counts as lagging, so that messages waiting in its sockets are
-     * read.
-     */
+    /** A node counts as lagging for this long after a stall, until messages waiting in its sockets are read. */
     const val CATCH_UP_MS = 1_000L
 
     /** Longer than any period of silence that is evaluated. */
@@ -44,10 +38,7 @@
     /** Minimum interval between two placement passes while the node is lagging. */
     const val LAGGING_PASS_INTERVAL_MS = 200L
 
-    /**
-     * Minimum interval as a multiple of the duration of the last pass, which limits placement to a third of the owner
-     * thread's time.
-     */
+    /** Multiple of the last pass's duration, which limits placement to a third of the owner thread's time. */
     const val PASS_INTERVAL_FACTOR = 3
 
     /** Upper bound of the interval, however long the passes take. */
--- a/src/test/kotlin/ledgearch/http/EventLoopTest.kt
+++ b/src/test/kotlin/ledgearch/http/EventLoopTest.kt
@@ -70,9 +70,7 @@
         assertTrue(served < CLIENTS, "$served clients were served first")
     }
 
-    /**
-     * Returns how many of [CLIENTS] waiting clients are served before a batch of the owner, on a loop with this clock.
-     */
+    /** Returns how many of [CLIENTS] waiting clients a loop with this clock serves before a batch of the owner. */
     private fun servedBeforeBatch(nanos: () -> Long): Int {
         val loopWithClock = EventLoop("test-loop-with-clock", nanos)
         val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
--- a/src/test/kotlin/ledgearch/http/HttpClientTest.kt
+++ b/src/test/kotlin/ledgearch/http/HttpClientTest.kt
@@ -7,9 +7,7 @@
 import java.nio.channels.AsynchronousChannelGroup
 import java.util.concurrent.Executors
 
-/**
- * Tests that every call ends with a reply, even one that can't be started: otherwise its caller would wait for ever.
- */
+/** Tests that every call ends with a reply, even one that can't be started; its caller would wait for ever. */
 internal class HttpClientTest {
     private val group = AsynchronousChannelGroup.withThreadPool(Executors.newSingleThreadExecutor())
     private val client = HttpClient(group)
