--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -53,7 +53,7 @@
     fun isReleased(name: String): Boolean = name in releaseQueue
 
     /** Called when [machine] has sent its first heartbeat. */
-    fun arrived(machine: Machine) {
+    fun onMachineJoined(machine: Machine) {
         bootingMachines.remove(machine.name)
         bootTimeouts.onMachineJoined(machine.name)
     }
@@ -68,10 +68,10 @@
         }
 
     /** Adds a machine that the previous leader may have provisioned and that the cloud's list may not show yet. */
-    fun mayBoot(hint: RentalHint) = rentalHints.add(hint)
+    fun addRentalHint(hint: RentalHint) = rentalHints.add(hint)
 
     /** Returns the boot time of the machine type that boots fastest, in seconds, or 0 while no catalog is known. */
-    fun bootS(): Double = poolSelector.shortestBootS()
+    fun shortestBootS(): Double = poolSelector.shortestBootS()
 
     /** Refills the budget of calls to the cloud and reads the catalog if that is due. Called on every node. */
     fun runDueCatalogWork(isLeader: Boolean) {
--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -63,7 +63,7 @@
     ) {
         val sinceMs = unreportedSinceMs.getOrPut(listed.name) { clock.steadyMs }
         val hadTimeToReport = lagMonitor.responsiveMsSince(sinceMs) >= AutoscalingTuning.UNREPORTED_TIMEOUT_MS
-        if (!hadTimeToReport || cluster.isCutOff(listed.zone)) return
+        if (!hadTimeToReport || cluster.isPartitioned(listed.zone)) return
         log.info("machine queued for release: it is up but sends no heartbeat; machine={}", listed.name)
         unreportedSinceMs.remove(listed.name)
         bootingMachines.remove(listed.name)
@@ -90,7 +90,7 @@
         name: String,
         machine: BootingMachine,
     ): Boolean {
-        if (!cluster.isCutOff(machine.pool.zone)) return false
+        if (!cluster.isPartitioned(machine.pool.zone)) return false
         val sinceMs = unreportedSinceMs[name] ?: return false
         return clock.steadyMs - sinceMs < RecoveryTuning.ZONE_OUTAGE_GRACE_MS
     }
--- a/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
@@ -25,20 +25,20 @@
     val reliability: SpotReliability
 
     /** Moves replicas off machines that are to be released. */
-    val replicas: ReplicaMover
+    val replicaMover: ReplicaMover
 
     /** The zone recovery; null unless it is enabled in the operator settings. */
     val recovery: ZoneRecovery?
 
     /** Whether any zone is partitioned or has not fully recovered. */
-    val anyZoneUnsettled: Boolean
+    val hasUnsettledZone: Boolean
 
     /** Returns whether [zone] is partitioned: almost none of its machines send heartbeats while others do. */
-    fun isCutOff(zone: String): Boolean
+    fun isPartitioned(zone: String): Boolean
 
     /** Removes [machine], which no longer exists, and all attempts on it. */
-    fun machineGone(machine: Machine)
+    fun removeMachine(machine: Machine)
 
     /** Requests a placement pass because of a change that may let pending tasks start. */
-    fun changed()
+    fun requestPlacementPass()
 }
--- a/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -61,7 +61,7 @@
     private val arrivals = HashMap<String, Arrivals>()
 
     /** Records the arrival of [job]: it was submitted, or its last dependency ended. */
-    fun opened(job: Job) {
+    fun recordArrival(job: Job) {
         if (job.spec.jobClass !in startObjectivesS) return
         // Tasks beyond the team's quota never start at once.
         val cpusAtOnce = minOf(job.spec.vcpus * job.spec.taskCount, teamMaxCpus[job.spec.team] ?: 0.0)
@@ -81,7 +81,7 @@
      * likely to need within that time, less those that running tasks, which free [freedCpusPerSecond], free within the
      * shortest objective.
      */
-    fun cpus(
+    fun cpusToReserve(
         freedCpusPerSecond: Double,
         bootS: Double,
     ): Double {
@@ -95,7 +95,7 @@
      * Returns the processors of on-demand machines that classes which may not run on spot machines are likely to need
      * within the boot time [bootS].
      */
-    fun onDemandCpus(bootS: Double): Double = expectedDemand(bootS) { it.needsOnDemand }.cpus
+    fun expectedOnDemandCpus(bootS: Double): Double = expectedDemand(bootS) { it.needsOnDemand }.cpus
 
     /**
      * Returns the expected demand of the classes that [isIncluded] accepts and whose start objective is below the boot
--- a/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
@@ -82,7 +82,7 @@
             MachineState.FAILED -> {
                 log.info("machine queued for release: the cloud lists it as failed; machine={}", listed.name)
                 releaseQueue.add(listed.name)
-                machine?.let(cluster::machineGone)
+                machine?.let(cluster::removeMachine)
             }
 
             MachineState.BOOTING -> {
--- a/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
@@ -84,7 +84,7 @@
         pendingNames.remove(name)
         releasedNames.add(name)
         bootingMachines.remove(name)
-        cluster.machines[name]?.let(cluster::machineGone)
+        cluster.machines[name]?.let(cluster::removeMachine)
     }
 
     private fun removeOldestNames(cluster: Cluster) {
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -46,7 +46,7 @@
     ) {
         // While a zone is partitioned, the demand lacks tasks that may still run there. If they are lost, they need the
         // machines that are up now.
-        val hasNoDemand = demands.isEmpty() && !cluster.anyZoneUnsettled
+        val hasNoDemand = demands.isEmpty() && !cluster.hasUnsettledZone
         if (!hasNoDemand) {
             noDemandSinceMs = 0L
             cancelDraining(cluster)
@@ -60,7 +60,7 @@
         for (machine in cluster.machines.values) {
             if (machine.isDraining && !machine.isReleasing) {
                 machine.isDraining = false
-                cluster.changed()
+                cluster.requestPlacementPass()
             }
         }
     }
@@ -70,8 +70,8 @@
         val inService = cluster.machines.values.filter { it.isInService }
         for (machine in cluster.machines.values.toList()) {
             val shouldMoveReplicas =
-                machine.isQuarantined && machine.isConfirmed && cluster.replicas.canMoveReplicas(machine, inService)
-            if (shouldMoveReplicas) cluster.replicas.moveReplicas(machine)
+                machine.isQuarantined && machine.isConfirmed && cluster.replicaMover.canMoveReplicas(machine, inService)
+            if (shouldMoveReplicas) cluster.replicaMover.moveReplicas(machine)
             if (isEmptyAndLeaving(machine)) {
                 log.info(
                     "machine queued for release: it is drained or quarantined, and empty; machine={}",
@@ -107,7 +107,7 @@
     ): Boolean {
         val inService = cluster.machines.values.filter { it.isInService }
         val capacityCpus = inService.sumOf { it.machineType.vcpus }
-        val headroomCpus = cluster.headroom.cpus(freedCpusPerSecond, poolSelector.shortestBootS())
+        val headroomCpus = cluster.headroom.cpusToReserve(freedCpusPerSecond, poolSelector.shortestBootS())
         val machine = mostExpensiveUnneeded(cluster, inService, capacityCpus, headroomCpus) ?: return false
         machine.isDraining = true
         log.info(
@@ -118,7 +118,7 @@
             machine.name,
         )
         // Replicas of several machines could move to the same free resources, or wait for their image elsewhere.
-        return !cluster.replicas.moveReplicas(machine)
+        return !cluster.replicaMover.moveReplicas(machine)
     }
 
     /**
@@ -139,6 +139,6 @@
             .filter { it.spot || onDemandCapacityCpus - it.machineType.vcpus >= onDemandLoad.cpus }
             .filter { it.spot || (onDemandCountByZone[it.zone] ?: 0) > 1 }
             .sortedWith(compareBy({ -MachinePool.pricePerCpu(it.machineType, it.spot) }, { it.usedCpus }))
-            .firstOrNull { cluster.replicas.canMoveReplicas(it, inService) }
+            .firstOrNull { cluster.replicaMover.canMoveReplicas(it, inService) }
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -65,7 +65,7 @@
     /** Returns the capacity of booting machines, except for those in partitioned zones, which may not become usable. */
     private fun bootingSupplies(cluster: Cluster): MutableList<Supply> =
         bootingMachines.all
-            .filter { !cluster.isCutOff(it.pool.zone) }
+            .filter { !cluster.isPartitioned(it.pool.zone) }
             .map { Supply(it.pool) }
             .toMutableList()
 
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -154,7 +154,7 @@
             userApi.onJobClosed(job.id)
         }
 
-        override fun onMachineTypesChanged() = leader.changed()
+        override fun onMachineTypesChanged() = leader.requestPlacementPass()
     }
 
     private inner class DependencyEvents : DependencyListener {
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -41,7 +41,7 @@
 
     /** Called when [job] was added to the job store. */
     fun onOpened(job: Job) {
-        if (!job.isBlockedByDependencies) headroom.opened(job)
+        if (!job.isBlockedByDependencies) headroom.recordArrival(job)
         logOpened(job)
         if (!term.isActive) return
         job.isAccountedFor = reconciliation.isAccountedFor(job)
@@ -68,7 +68,7 @@
 
     /** Called when every job that [job] depends on is done. */
     fun onDependenciesDone(job: Job) {
-        headroom.opened(job)
+        headroom.recordArrival(job)
         if (!term.isActive) return
         log.debug("job may start: all its dependencies are done; job={}", job.id)
         placementLoop.invalidateGuarantees()
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -92,7 +92,7 @@
             metrics,
             attemptControl::start,
         )
-    override val replicas = ReplicaMover(clock, placer::isUsable) { attemptControl.stop(it) }
+    override val replicaMover = ReplicaMover(clock, placer::isUsable) { attemptControl.stop(it) }
     private val placementLoop =
         PlacementLoop(
             jobStore,
@@ -241,11 +241,11 @@
     /** Applies [heartbeat] and returns the reply to it. */
     fun handle(heartbeat: Heartbeat): HeartbeatResult = heartbeatHandler.handle(heartbeat)
 
-    override val anyZoneUnsettled get() = !partitionedZones.isEmpty || recovery?.anyUnsettled == true
+    override val hasUnsettledZone get() = !partitionedZones.isEmpty || recovery?.anyUnsettled == true
 
-    override fun isCutOff(zone: String) = zone in partitionedZones || recovery?.isLost(zone) == true
+    override fun isPartitioned(zone: String) = zone in partitionedZones || recovery?.isLost(zone) == true
 
-    override fun machineGone(machine: Machine) {
+    override fun removeMachine(machine: Machine) {
         metrics.count("machine.gone")
         taskStatusHandler.removeAll(machine)
         machineRegistry.remove(machine)
@@ -255,7 +255,7 @@
         placementLoop.requestPass()
     }
 
-    override fun changed() = placementLoop.requestPass()
+    override fun requestPlacementPass() = placementLoop.requestPass()
 
     /** Returns whether the counts that are updated with each attempt equal a recount. */
     fun hasConsistentCounts() =
--- a/src/main/kotlin/ledgearch/control/MachineAdmission.kt
+++ b/src/main/kotlin/ledgearch/control/MachineAdmission.kt
@@ -40,7 +40,7 @@
         machine.lastReplyAtMs = clock.steadyMs
         metrics.count("machine.joined")
         machineRegistry.add(machine)
-        autoscaler.arrived(machine)
+        autoscaler.onMachineJoined(machine)
         log.info(
             "machine joined; machine={} type={} zone={} spot={}",
             machine.name,
--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -66,7 +66,7 @@
             reliability.chooseOnDemandJobs(
                 jobStore.jobs.values.filter { !it.isBlockedByDependencies },
                 machineRegistry.machines.values,
-                headroom.onDemandCpus(autoscaler.bootS()),
+                headroom.expectedOnDemandCpus(autoscaler.shortestBootS()),
             )
         }
 }
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -102,6 +102,6 @@
         hint: RentedMachine,
     ) {
         if (hint.name in knownMachines) return
-        autoscaler.mayBoot(RentalHint(hint.name, hint.machineType, hint.zone, hint.spot))
+        autoscaler.addRentalHint(RentalHint(hint.name, hint.machineType, hint.zone, hint.spot))
     }
 }
