--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -46,7 +46,7 @@
         nextCheckAtMs = clock.steadyMs + AgentTuning.CHECK_INTERVAL_MS
         silence.update()
         val healedZones = zones.update(machines.values, ::isReporting)
-        recovery?.look(machines.values, zones::contains, ::isReporting)
+        recovery?.update(machines.values, zones::contains, ::isReporting)
         for (machine in machines.values) machine.isHeartbeatOverdue = silence.isOverdue(machine)
         if (healedZones.isNotEmpty()) machines.values.filter { it.zone in healedZones }.forEach(::resetFailures)
         releaseMissing()
--- a/src/main/kotlin/ledgearch/agents/MachineReleaser.kt
+++ b/src/main/kotlin/ledgearch/agents/MachineReleaser.kt
@@ -16,7 +16,7 @@
     /** Releases [machine]; its attempts count as gone once the cloud has confirmed the release. */
     fun release(machine: Machine) {
         reliability.recordLoss(machine, clock.steadyMs)
-        recovery?.machineFailed(machine)
+        recovery?.onMachineFailed(machine)
         autoscaler.release(machine)
     }
 }
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -241,7 +241,7 @@
     /** Applies [heartbeat] and returns the reply to it. */
     fun handle(heartbeat: Heartbeat): HeartbeatResult = heartbeatHandler.handle(heartbeat)
 
-    override val hasUnsettledZone get() = !partitionedZones.isEmpty || recovery?.anyUnsettled == true
+    override val hasUnsettledZone get() = !partitionedZones.isEmpty || recovery?.hasUnsettledZone == true
 
     override fun isPartitioned(zone: String) = zone in partitionedZones || recovery?.isLost(zone) == true
 
@@ -277,7 +277,7 @@
         override fun onPlacementChanged() = placementLoop.requestPass()
 
         override fun onAttemptLost(attempt: TaskAttempt) {
-            recovery?.lost(attempt)
+            recovery?.onAttemptLost(attempt)
         }
     }
 
--- a/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -46,6 +46,6 @@
     fun apply(status: LeaderStatus) {
         status.progress.forEach { jobStore.jobs[it.jobId]?.lastProgress = it }
         if (status.served == false) healthCheck.recordLeaderOutage()
-        if (!election.isLeader) leader.recovery?.heard(status.zones)
+        if (!election.isLeader) leader.recovery?.recordStatuses(status.zones)
     }
 }
--- a/src/main/kotlin/ledgearch/control/Reconciliation.kt
+++ b/src/main/kotlin/ledgearch/control/Reconciliation.kt
@@ -48,7 +48,7 @@
         isComplete = true
         failoverMs = clock.steadyMs - election.electedAtMs
         jobStore.jobs.values.forEach { it.isAccountedFor = true }
-        recovery?.confirmed(jobStore.jobs.values.filter { !term.wasWrittenInTerm(it) })
+        recovery?.onMachinesConfirmed(jobStore.jobs.values.filter { !term.wasWrittenInTerm(it) })
         placementLoop.requestPass()
         log.info("reconciliation complete: every recorded machine is confirmed; ms={}", failoverMs)
     }
--- a/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
@@ -53,8 +53,8 @@
     // --- Displaced tasks ----------------------------------------------------------------------------------------
 
     /**
-     * Time after which a waiting job is neither held back nor paced: a third of the longest permitted wait while
-     * resources that fit it are free.
+     * Waiting time after which a job may use machines that are held back and its start rate is not limited: a third of
+     * the longest permitted wait while resources that fit it are free.
      */
     const val LONG_WAIT_MS = 30_000L
 
@@ -72,7 +72,7 @@
      */
     const val MAX_WAIT_FOR_EARLIER_GROUP_MS = 8_000L
 
-    /** A machine on which this many tasks wait for their image gets no paced task that needs another image. */
+    /** A machine on which this many tasks wait for their image gets no rate-limited task that needs another image. */
     const val MAX_FETCHES_PER_MACHINE = 3
 
     /** Processor seconds per position in the recovery order by which preempting a displaced task is cheaper. */
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -35,10 +35,10 @@
     private var lastStatuses: List<ZoneStatus> = emptyList()
     private var lastStatusesAtMs = 0L
 
-    override val isActive: Boolean get() = anyUnsettled || !displacedTasks.isEmpty
+    override val isActive: Boolean get() = hasUnsettledZone || !displacedTasks.isEmpty
 
     /** Whether any zone is not up, so that machines which are idle now may be needed. */
-    val anyUnsettled: Boolean get() = zones.hasUnsettledZone
+    val hasUnsettledZone: Boolean get() = zones.hasUnsettledZone
 
     // --- Terms ------------------------------------------------------------------------------------------------
 
@@ -48,7 +48,7 @@
         zones.begin()
         if (clock.steadyMs - lastStatusesAtMs > RecoveryTuning.ZONE_STATUS_TTL_MS) return
         zones.restore(lastStatuses)
-        if (anyUnsettled) {
+        if (hasUnsettledZone) {
             val unsettled = lastStatuses.filter { it.state != ZoneState.UP }
             log.info("recovery continues from the zone statuses of the previous leader; zone={}", unsettled)
         }
@@ -56,7 +56,7 @@
 
     /** Ends the term of this node. */
     fun end() {
-        if (!zones.isEmpty) heard(statuses())
+        if (!zones.isEmpty) recordStatuses(statuses())
         clear()
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Records the zone [statuses] that a leader has published. */
-    fun heard(statuses: List<ZoneStatus>) {
+    fun recordStatuses(statuses: List<ZoneStatus>) {
         lastStatuses = statuses
         lastStatusesAtMs = clock.steadyMs
     }
@@ -80,7 +80,7 @@
     // --- State of the zones -----------------------------------------------------------------------------------
 
     /** Updates the recovery by which of all [machines] report. Called at every check of the failure detector. */
-    fun look(
+    fun update(
         machines: Collection<Machine>,
         isPartitioned: (String) -> Boolean,
         isReporting: (Machine) -> Boolean,
@@ -89,7 +89,7 @@
         zones.update(machinesByZone, isPartitioned, isReporting)
         firstUnprovenGroup = if (order.isConfigured) firstUnprovenGroup(machinesByZone) else NO_GROUP
         displacedTasks.removeEnded()
-        if (!anyUnsettled && !displacedTasks.hasWaitingTasks) displacedTasks.clear()
+        if (!hasUnsettledZone && !displacedTasks.hasWaitingTasks) displacedTasks.clear()
         if (isActive) startRateLimiter.update(machines.count { it.isInService }, clock.steadyMs)
     }
 
@@ -117,21 +117,21 @@
     fun isSuppressed(zone: String): Boolean = zones.isSuppressed(zone)
 
     /** Called when [machine] is released because it failed. */
-    fun machineFailed(machine: Machine) = zones.onMachineFailed(machine.zone)
+    fun onMachineFailed(machine: Machine) = zones.onMachineFailed(machine.zone)
 
     // --- Displaced tasks --------------------------------------------------------------------------------------
 
     /** Called when [attempt] was lost with its machine, rather than having ended. */
-    fun lost(attempt: TaskAttempt) {
+    fun onAttemptLost(attempt: TaskAttempt) {
         if (zones.stateOf(attempt.machine.zone) != ZoneState.UP) displacedTasks.add(attempt)
     }
 
     /**
-     * Called when every recorded machine is confirmed: the loss may have displaced tasks of [older] jobs before the
-     * term.
+     * Called when every recorded machine is confirmed, with the [jobs] that are older than the term: their pending tasks
+     * may have been displaced before it.
      */
-    fun confirmed(older: Collection<Job>) {
-        if (anyUnsettled) older.filter { it.isStartable(clock.steadyMs) }.forEach(displacedTasks::addPendingTasks)
+    fun onMachinesConfirmed(jobs: Collection<Job>) {
+        if (hasUnsettledZone) jobs.filter { it.isStartable(clock.steadyMs) }.forEach(displacedTasks::addPendingTasks)
     }
 
     // --- Placement --------------------------------------------------------------------------------------------
@@ -148,7 +148,7 @@
         job: Job,
     ): Boolean {
         if (machine.isHeldBack && !mayUseHeldBack(job)) return false
-        return !isPaced(job) || mayFetchFor(machine, job)
+        return !isRateLimited(job) || mayFetchFor(machine, job)
     }
 
     /** Returns whether [machine] has or fetches the image of [job], or may fetch it besides its other fetches. */
@@ -159,7 +159,7 @@
         machine.fetchingCount < RecoveryTuning.MAX_FETCHES_PER_MACHINE
 
     override fun mayStart(job: Job): Boolean {
-        if (!isPaced(job)) return true
+        if (!isRateLimited(job)) return true
         val group = displacedTasks.groupOf(job) ?: return true
         return startRateLimiter.allows(group) && !waitsForEarlierGroup(job, group)
     }
@@ -173,30 +173,26 @@
         group: Int,
     ) = firstUnprovenGroup < group && waitedMs(job) < RecoveryTuning.MAX_WAIT_FOR_EARLIER_GROUP_MS
 
-    override fun hasOwnLimits(job: Job) = isActive && (isPaced(job) || mayUseHeldBack(job))
+    override fun hasOwnLimits(job: Job) = isActive && (isRateLimited(job) || mayUseHeldBack(job))
 
-    /**
-     * Returns whether starts of [job] are limited: it is displaced, not in the first group, and has not waited long.
-     */
-    private fun isPaced(job: Job): Boolean {
+    /** Returns whether the start rate of [job] is limited: it is displaced, not in the first group, nor waits long. */
+    private fun isRateLimited(job: Job): Boolean {
         val group = displacedTasks.groupOf(job) ?: return false
         return group != StartRateLimiter.FIRST_GROUP && displacedTasks.isWaiting(job) && !hasWaitedLong(job)
     }
 
-    /**
-     * Returns whether [job] may use machines that are held back: the rules on waiting and zone spread outrank the ramp.
-     */
-    private fun mayUseHeldBack(job: Job) = hasWaitedLong(job) || needsAnotherZone(job)
+    /** Returns whether [job] may use machines that are held back: the limits on waits and zones precede the ramp. */
+    private fun mayUseHeldBack(job: Job) = hasWaitedLong(job) || needsReturningZone(job)
 
     private fun hasWaitedLong(job: Job) = waitedMs(job) > RecoveryTuning.LONG_WAIT_MS
 
     private fun waitedMs(job: Job) = waitingTimes.waitedMs(job, clock.steadyMs)
 
     /**
-     * Returns whether the zone spread of [job] permits no zone whose machines are all admitted, but one that is
-     * returning and not suppressed.
+     * Returns whether none of the zones that the spread of [job] permits admits all its machines, and at least one of
+     * them is not suppressed.
      */
-    private fun needsAnotherZone(job: Job): Boolean {
+    private fun needsReturningZone(job: Job): Boolean {
         if (!job.spec.spreadZones) return false
         val spread = ZoneSpread(job)
         val permitted = zones.all.filter { spread.allows(it.zone) && it.state != ZoneState.LOST }
