--- a/src/main/kotlin/ledgearch/peers/FollowerLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
@@ -18,22 +18,22 @@
 import java.nio.channels.AsynchronousSocketChannel
 
 /**
- * The leader's side of the connections between controllers: accepts followers and feeds each from a queue of its own.
- * [streams]: warm standby is on, so followers may ask for the decision stream.
+ * The leader's side of the connections between controllers: accepts followers and sends frames to each from a queue of
+ * its own. Followers can request the replication stream if [isStandbyEnabled].
  */
-internal class FollowerLinks(
+internal class FollowerConnections(
     private val scope: CoroutineScope,
     private val group: AsynchronousChannelGroup,
     private val events: MeshEvents,
-    private val streams: Boolean,
+    private val isStandbyEnabled: Boolean,
 ) {
     private class Follower(
         val id: Long,
         val queue: Channel<ByteString>,
         val channel: AsynchronousSocketChannel,
     ) {
-        /** Ends the feeding too, which removes the follower. */
-        fun end() {
+        /** Closes the connection and ends [sendQueuedFrames], which removes the follower. */
+        fun disconnect() {
             queue.cancel()
             channel.closeQuietly()
         }
@@ -42,11 +42,11 @@
     private val log = LoggerFactory.getLogger("ledgearch.peers")
     private val followers = HashMap<Long, Follower>()
 
-    /** Connections that were ever accepted; the number of the last one is its follower's id. */
-    var accepted = 0
+    /** Number of connections accepted so far, which is the id of the last follower. */
+    var acceptedCount = 0
         private set
 
-    /** Accepts followers at [address] from now on. Throws when the address is taken. */
+    /** Starts to accept followers at [address]. Throws an exception when the address is in use. */
     fun listen(address: String) {
         val server = listenOn(address, group)
         scope.launch {
@@ -55,69 +55,72 @@
                 if (followers.size >= PeerTuning.MAX_FOLLOWERS) {
                     channel.closeQuietly()
                 } else {
-                    scope.launch { feed(channel) }
+                    scope.launch { sendQueuedFrames(channel) }
                 }
             }
         }
     }
 
-    /** See [Mesh.stream]. */
+    /** Implements [Mesh.stream]. */
     fun stream(
-        id: Long,
+        followerId: Long,
         body: ByteString,
     ): Boolean {
-        val follower = followers[id] ?: return false
+        val follower = followers[followerId] ?: return false
         if (follower.queue.trySend(StreamFrames.encode(body)).isSuccess) return true
-        follower.end()
+        follower.disconnect()
         return false
     }
 
-    /** See [Mesh.publish]. */
+    /** Implements [Mesh.publish]. */
     fun publish(status: LeaderStatus) {
         if (followers.isEmpty()) return
-        // Several frames where there are very many jobs, since the size of a frame is limited.
-        for (part in status.progress.chunked(PeerTuning.JOBS_PER_FRAME).ifEmpty { listOf(emptyList()) }) {
-            val frame = Frames.encode(LeaderStatus(part, status.served, status.zones))
+        // The size of a frame is limited, so the status takes several frames when there are very many jobs.
+        for (progress in status.progress
+            .chunked(
+                PeerTuning.MAX_JOBS_PER_STATUS_FRAME,
+            ).ifEmpty { listOf(emptyList()) }) {
+            val frame = Frames.encode(LeaderStatus(progress, status.served, status.zones))
             followers.values.forEach { it.queue.trySend(frame) }
         }
     }
 
-    private suspend fun feed(channel: AsynchronousSocketChannel) {
-        val queue = Channel<ByteString>(PeerTuning.FOLLOWER_QUEUE)
-        val follower = Follower((++accepted).toLong(), queue, channel)
+    private suspend fun sendQueuedFrames(channel: AsynchronousSocketChannel) {
+        val queue = Channel<ByteString>(PeerTuning.MAX_QUEUED_FRAMES)
+        val follower = Follower((++acceptedCount).toLong(), queue, channel)
         followers[follower.id] = follower
-        if (streams) scope.launch { awaitHello(follower) }
+        if (isStandbyEnabled) scope.launch { awaitStreamRequest(follower) }
         try {
             for (frame in queue) channel.writeAll(ByteBuffer.wrap(frame.toByteArray()), HttpTuning.WRITE_TIMEOUT_MS)
         } catch (_: IOException) {
-            // The follower went away.
+            // The follower closed the connection or did not read in time.
         } finally {
             followers.remove(follower.id)
             channel.closeQuietly()
-            if (streams) events.standby(StandbyEvent.FollowerLeft(follower.id))
+            if (isStandbyEnabled) events.standby(StandbyEvent.FollowerLeft(follower.id))
         }
     }
 
-    /** A follower of an earlier version, or without standby, never writes anything: it gets no stream. */
-    private suspend fun awaitHello(follower: Follower) {
-        val bytes = ByteBuffer.allocate(StreamFrames.hello.size)
+    /** Waits for the stream request. A follower of an earlier version, or without standby, never sends one. */
+    private suspend fun awaitStreamRequest(follower: Follower) {
+        val request = ByteBuffer.allocate(StreamFrames.streamRequest.size)
         try {
-            while (bytes.hasRemaining()) {
-                if (follower.channel.readSome(bytes, NO_TIMEOUT) < 0) return follower.end()
+            while (request.hasRemaining()) {
+                if (follower.channel.readSome(request, NO_TIMEOUT_MS) < 0) return follower.disconnect()
             }
         } catch (_: IOException) {
-            return follower.end()
+            return follower.disconnect()
         }
-        if (bytes.array().toByteString() == StreamFrames.hello) {
+        if (request.array().toByteString() == StreamFrames.streamRequest) {
             events.standby(StandbyEvent.FollowerJoined(follower.id))
         } else {
             log.warn("malformed stream request, connection closed; follower={}", follower.id)
-            follower.end()
+            follower.disconnect()
         }
     }
 
     private companion object {
-        /** ms. A follower that never sends a hello is no fault: the read ends with the connection. */
-        const val NO_TIMEOUT = 0L
+        /** Sending no stream request is not a fault, so the read lasts until the connection ends. */
+        const val NO_TIMEOUT_MS = 0L
     }
 }
--- a/src/main/kotlin/ledgearch/peers/FrameHeader.kt
+++ b/src/main/kotlin/ledgearch/peers/FrameHeader.kt
@@ -2,19 +2,19 @@
 
 import okio.Buffer
 
-/** The kinds of frames that a leader sends. [code] stands in the frame's header and never changes its meaning. */
+/** Kind of a frame sent by a leader. The [code] is part of the frame's header, so its meaning must not change. */
 internal enum class FrameKind(
     val code: Int,
 ) {
-    /** A [LeaderStatus], encoded by [Frames]: the only kind that every version knows. */
+    /** A [LeaderStatus], encoded by [Frames]; the only kind that all versions support. */
     STATUS(code = 0),
 
-    /** A [StreamFrame], encoded by [StreamCodec]: sent only to followers that have asked for the decision stream. */
+    /** A [StreamFrame], encoded by [StreamCodec]; sent only to followers that requested the replication stream. */
     STREAM(code = 1),
 }
 
 /**
- * The header that every frame begins with. Numbers are big-endian.
+ * Header of every frame. Numbers are big-endian.
  *
  * | bytes | field                                                   |
  * |-------|---------------------------------------------------------|
@@ -22,33 +22,35 @@
  * | 3     | size of the body (bytes)                                |
  * | size  | body: [Frames] for a status, [StreamCodec] for a stream |
  *
- * Versions without the decision stream read all four bytes as the size. That is the same for a status frame, whose kind
- * is 0, and makes a frame of any other kind too large, so malformed.
+ * Versions without the replication stream read all four bytes as the size. The result is the same for a status frame,
+ * whose kind is 0; any other kind yields a size above the limit, so that the frame is malformed.
  */
 internal object FrameHeader {
-    /** Bytes of the header. */
-    const val BYTES = Int.SIZE_BYTES
+    /** Size of the header. */
+    const val SIZE_BYTES = Int.SIZE_BYTES
 
-    private const val SIZE_BITS = 24
-    private const val SIZE_MASK = (1 shl SIZE_BITS) - 1
+    private const val BODY_SIZE_BITS = 24
+    private const val BODY_SIZE_MASK = (1 shl BODY_SIZE_BITS) - 1
     private const val BYTE_MASK = 0xff
 
     init {
-        check(PeerTuning.STREAM_FRAME_MAX <= SIZE_MASK) { "the size in a frame's header has $SIZE_BITS bits" }
+        check(PeerTuning.MAX_STREAM_BODY_BYTES <= BODY_SIZE_MASK) {
+            "MAX_STREAM_BODY_BYTES is ${PeerTuning.MAX_STREAM_BODY_BYTES}, a frame header allows $BODY_SIZE_MASK"
+        }
     }
 
-    /** The header of a frame of this [kind] with a body of [size] bytes. */
+    /** Returns the header of a frame of the [kind] with a body of [bodySize] bytes. */
     fun encode(
         kind: FrameKind,
-        size: Int,
-    ): Int = (kind.code shl SIZE_BITS) or size
+        bodySize: Int,
+    ): Int = (kind.code shl BODY_SIZE_BITS) or bodySize
 
-    /** The header at the front of [buffer], which holds at least [BYTES] and is left as it is. */
+    /** Returns the header at the front of [buffer] without consuming it; [buffer] has at least [SIZE_BYTES]. */
     fun peek(buffer: Buffer): Int = buffer.peek().readInt()
 
-    /** The code of the kind of the frame at the front of [buffer]: this version need not know it. */
+    /** Returns the code of the kind of the frame at the front of [buffer], which may be unknown to this version. */
     fun kindCodeOf(buffer: Buffer): Int = buffer[0].toInt() and BYTE_MASK
 
-    /** Bytes of the body of a frame with this [header]. */
-    fun sizeOf(header: Int): Int = header and SIZE_MASK
+    /** Returns the size in bytes of the body of a frame with the [header]. */
+    fun bodySizeOf(header: Int): Int = header and BODY_SIZE_MASK
 }
--- a/src/main/kotlin/ledgearch/peers/Frames.kt
+++ b/src/main/kotlin/ledgearch/peers/Frames.kt
@@ -8,7 +8,7 @@
 import kotlin.math.roundToInt
 
 /**
- * Status frames: the binary form of a [LeaderStatus]. After the [FrameHeader] the body is a sequence of entries up to
+ * Binary form of a [LeaderStatus] as a status frame: after the [FrameHeader], the body is a sequence of entries up to
  * its end. Numbers are big-endian, texts UTF-8.
  *
  * | bytes  | field                  |
@@ -21,28 +21,28 @@
  * | id               | first value                                                                  | second value   |
  * |------------------|------------------------------------------------------------------------------|----------------|
  * | a job's id       | tasks done                                                                   | tasks running  |
- * | empty            | 1 if the state service answers the leader, else 0                            | 0              |
- * | colon and a zone | top 8 bits: [ZoneState.code]; other 24 bits: the zone's penalty, thousandths | admitted share |
+ * | empty            | 1 if the state service answers the leader, otherwise 0                       | 0              |
+ * | colon and a zone | upper 8 bits: [ZoneState.code]; lower 24 bits: penalty of the zone * 1000    | admitted share |
  *
- * The admitted share is that of the zone's machines, in thousandths. The entry with the empty id comes first, then the
- * jobs, then the zones. Earlier versions take every entry for a job: no job has such an id, so they find none to
- * update.
+ * The admitted share of the zone's machines is in thousandths. The entry with the empty id comes first, then the jobs,
+ * then the zones. Earlier versions take every entry for a job and ignore those of the other kinds, as no job has such
+ * an id.
  */
 internal object Frames {
-    private const val JOBLESS_ID = ""
+    private const val STATE_SERVICE_ID = ""
 
-    /** No job's id begins so. */
-    private const val ZONE_PREFIX = ":"
+    /** No id of a job begins with this prefix. */
+    private const val ZONE_ID_PREFIX = ":"
     private const val PENALTY_BITS = 24
     private const val PENALTY_MASK = (1 shl PENALTY_BITS) - 1
-    private const val THOUSANDTHS = 1000
+    private const val THOUSANDTHS_PER_UNIT = 1000
     private const val BYTE_MASK = 0xff
     private const val VALUES_BYTES = 2 * Int.SIZE_BYTES
 
-    /** The whole frame, with its header. */
+    /** Returns the whole frame of [status], including its header. */
     fun encode(status: LeaderStatus): ByteString {
         val body = Buffer()
-        status.served?.let { writeEntry(body, JOBLESS_ID, if (it) 1 else 0, 0) }
+        status.served?.let { writeEntry(body, STATE_SERVICE_ID, if (it) 1 else 0, 0) }
         status.progress.forEach { writeEntry(body, it.jobId, it.finishedTasks, it.runningTasks) }
         status.zones.forEach { writeZone(body, it) }
         val frame = Buffer().writeInt(FrameHeader.encode(FrameKind.STATUS, body.size.toInt()))
@@ -51,17 +51,19 @@
     }
 
     /**
-     * Takes one whole frame out of [buffer], or returns null and leaves [buffer] as it is while the frame is
-     * incomplete. Throws [MalformedFrame].
+     * Reads one whole frame from [buffer], or returns null and leaves [buffer] unchanged if the frame is incomplete.
+     * Throws [MalformedFrame].
      */
     fun take(buffer: Buffer): LeaderStatus? {
-        if (buffer.size < FrameHeader.BYTES) return null
-        // The kind is read as a part of the size, as earlier versions do: one that is not 0 makes the frame too large.
-        val size = FrameHeader.peek(buffer)
-        if (size !in 0..PeerTuning.STATUS_FRAME_MAX) throw MalformedFrame("a frame of $size bytes")
-        if (buffer.size < FrameHeader.BYTES + size) return null
-        buffer.skip(FrameHeader.BYTES.toLong())
-        val body = Buffer().apply { write(buffer, size.toLong()) }
+        if (buffer.size < FrameHeader.SIZE_BYTES) return null
+        // As in earlier versions, the kind is read as part of the size: a kind other than 0 exceeds the limit.
+        val bodySize = FrameHeader.peek(buffer)
+        if (bodySize !in 0..PeerTuning.MAX_STATUS_BODY_BYTES) {
+            throw MalformedFrame("frame body of $bodySize bytes, allowed are 0 to ${PeerTuning.MAX_STATUS_BODY_BYTES}")
+        }
+        if (buffer.size < FrameHeader.SIZE_BYTES + bodySize) return null
+        buffer.skip(FrameHeader.SIZE_BYTES.toLong())
+        val body = Buffer().apply { write(buffer, bodySize.toLong()) }
         return readStatus(body)
     }
 
@@ -73,7 +75,7 @@
             val entry = readEntry(body)
             when {
                 entry.jobId.isEmpty() -> served = entry.finishedTasks != 0
-                entry.jobId.startsWith(ZONE_PREFIX) -> zoneOf(entry)?.let(zones::add)
+                entry.jobId.startsWith(ZONE_ID_PREFIX) -> zoneStatusOf(entry)?.let(zones::add)
                 else -> progress.add(entry)
             }
         }
@@ -84,42 +86,47 @@
         body: Buffer,
         zone: ZoneStatus,
     ) {
-        val penalty = (zone.penalty * THOUSANDTHS).roundToInt().coerceIn(0, PENALTY_MASK)
+        val penalty = (zone.penalty * THOUSANDTHS_PER_UNIT).roundToInt().coerceIn(0, PENALTY_MASK)
         val stateAndPenalty = (zone.state.code shl PENALTY_BITS) or penalty
-        writeEntry(body, ZONE_PREFIX + zone.zone, stateAndPenalty, (zone.admittedShare * THOUSANDTHS).roundToInt())
+        writeEntry(
+            body,
+            ZONE_ID_PREFIX + zone.zone,
+            stateAndPenalty,
+            (zone.admittedShare * THOUSANDTHS_PER_UNIT).roundToInt(),
+        )
     }
 
-    /** Null for a state that this version does not know, or a share out of range. */
-    private fun zoneOf(entry: JobProgress): ZoneStatus? {
+    /** Returns null for a state that this version does not know, or an admitted share outside 0 to 1. */
+    private fun zoneStatusOf(entry: JobProgress): ZoneStatus? {
         val state = ZoneState.of(entry.finishedTasks ushr PENALTY_BITS) ?: return null
-        if (entry.runningTasks !in 0..THOUSANDTHS) return null
-        val penalty = (entry.finishedTasks and PENALTY_MASK).toDouble() / THOUSANDTHS
+        if (entry.runningTasks !in 0..THOUSANDTHS_PER_UNIT) return null
+        val penalty = (entry.finishedTasks and PENALTY_MASK).toDouble() / THOUSANDTHS_PER_UNIT
         return ZoneStatus(
-            entry.jobId.removePrefix(ZONE_PREFIX),
+            entry.jobId.removePrefix(ZONE_ID_PREFIX),
             state,
             penalty,
-            entry.runningTasks.toDouble() / THOUSANDTHS,
+            entry.runningTasks.toDouble() / THOUSANDTHS_PER_UNIT,
         )
     }
 
     private fun writeEntry(
         body: Buffer,
         id: String,
-        first: Int,
-        second: Int,
+        firstValue: Int,
+        secondValue: Int,
     ) {
         val idBytes = id.toByteArray()
         body
             .writeByte(idBytes.size)
             .write(idBytes)
-            .writeInt(first)
-            .writeInt(second)
+            .writeInt(firstValue)
+            .writeInt(secondValue)
     }
 
-    /** Every entry has the form of a job's progress. */
+    /** Reads an entry of any kind, all of which have the form of a job's progress. */
     private fun readEntry(body: Buffer): JobProgress {
         val idLength = body.readByte().toInt() and BYTE_MASK
-        if (body.size < idLength + VALUES_BYTES) throw MalformedFrame("a frame that ends too soon")
+        if (body.size < idLength + VALUES_BYTES) throw MalformedFrame("status frame ends within an entry")
         return JobProgress(body.readUtf8(idLength.toLong()), body.readInt(), body.readInt())
     }
 }
--- a/src/main/kotlin/ledgearch/peers/LeaderLink.kt
+++ b/src/main/kotlin/ledgearch/peers/LeaderConnection.kt
@@ -21,34 +21,34 @@
 import java.nio.channels.AsynchronousSocketChannel
 
 /**
- * The follower's side of the connections between controllers: keeps one connection to the leader, whenever it ends, and
- * passes on the frames that come. [streams]: warm standby is on, so this node asks for the decision stream.
+ * The follower's side of the connections between controllers: keeps one connection to the leader, renews it whenever
+ * it ends, and passes the received frames to [events]. Requests the replication stream if [isStandbyEnabled].
  */
-internal class LeaderLink(
+internal class LeaderConnection(
     private val scope: CoroutineScope,
     private val group: AsynchronousChannelGroup,
     private val events: MeshEvents,
-    private val streams: Boolean,
+    private val isStandbyEnabled: Boolean,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.peers")
     private var leaderAddress: String? = null
-    private var link: Job? = null
+    private var connectionJob: Job? = null
 
-    /** See [Mesh.follow]. */
+    /** Implements [Mesh.follow]. */
     fun follow(address: String?) {
         if (address == leaderAddress) return
         leaderAddress = address
-        link?.cancel()
-        link = address?.let { scope.launch { keepConnected(it) } }
+        connectionJob?.cancel()
+        connectionJob = address?.let { scope.launch { keepConnected(it) } }
     }
 
-    /** See [Mesh.reconnect]. */
+    /** Implements [Mesh.reconnect]. */
     fun reconnect() {
         val address = leaderAddress ?: return
-        link?.cancel()
-        link =
+        connectionJob?.cancel()
+        connectionJob =
             scope.launch {
-                delay(PeerTuning.RECONNECT_MS)
+                delay(PeerTuning.RECONNECT_DELAY_MS)
                 keepConnected(address)
             }
     }
@@ -60,15 +60,20 @@
             try {
                 if (connect(channel, address)) {
                     refusals = 0
-                    if (streams) channel.writeAll(StreamFrames.hello.asByteBuffer(), HttpTuning.WRITE_TIMEOUT_MS)
+                    if (isStandbyEnabled) {
+                        channel.writeAll(
+                            StreamFrames.streamRequest.asByteBuffer(),
+                            HttpTuning.WRITE_TIMEOUT_MS,
+                        )
+                    }
                     receiveFrames(channel, address)
                 }
             } catch (cancellation: CancellationException) {
                 throw cancellation
             } catch (_: ConnectException) {
-                if (++refusals == PeerTuning.REFUSALS_UNTIL_ENDED) events.refused(address)
+                if (++refusals == PeerTuning.REFUSALS_BEFORE_REPORT) events.refused(address)
             } catch (_: IOException) {
-                // Ended or silent; the next attempt to connect shows whether the process has ended.
+                // The connection ended or was silent; the next attempt shows whether the leader's process has ended.
             } catch (malformed: MalformedFrame) {
                 log.warn(
                     "malformed frame from the leader, connection closed: {}; address={}",
@@ -78,11 +83,11 @@
             } finally {
                 channel.closeQuietly()
             }
-            delay(PeerTuning.RECONNECT_MS)
+            delay(PeerTuning.RECONNECT_DELAY_MS)
         }
     }
 
-    /** False when the connection was not made in time. */
+    /** Connects [channel] to [address]; returns false on a timeout. */
     private suspend fun connect(
         channel: AsynchronousSocketChannel,
         address: String,
@@ -95,19 +100,19 @@
         return connected != null
     }
 
-    /** Returns when the leader ends the connection. */
+    /** Receives frames until the leader ends the connection. */
     private suspend fun receiveFrames(
         channel: AsynchronousSocketChannel,
         address: String,
     ) {
-        val chunk = ByteBuffer.allocate(HttpTuning.READ_BUFFER_BYTES)
-        val received = Buffer()
+        val readBuffer = ByteBuffer.allocate(HttpTuning.READ_BUFFER_BYTES)
+        val receivedBytes = Buffer()
         while (true) {
-            chunk.clear()
-            val count = channel.readSome(chunk, PeerTuning.LEADER_SILENCE_MS)
+            readBuffer.clear()
+            val count = channel.readSome(readBuffer, PeerTuning.MAX_LEADER_SILENCE_MS)
             if (count < 0) return
-            received.write(chunk.array(), 0, count)
-            while (true) deliver(address, StreamFrames.take(received) ?: break)
+            receivedBytes.write(readBuffer.array(), 0, count)
+            while (true) deliver(address, StreamFrames.take(receivedBytes) ?: break)
         }
     }
 
@@ -120,7 +125,7 @@
         }
 
         is MeshFrame.Stream -> {
-            if (!streams) throw MalformedFrame("a frame of the decision stream, which was not asked for")
+            if (!isStandbyEnabled) throw MalformedFrame("stream frame without a request for the replication stream")
             events.standby(StandbyEvent.FrameReceived(address, frame.frame))
         }
     }
--- a/src/main/kotlin/ledgearch/peers/LeaderStatus.kt
+++ b/src/main/kotlin/ledgearch/peers/LeaderStatus.kt
@@ -4,11 +4,11 @@
 import ledgearch.recovery.ZoneStatus
 
 /**
- * What the leader publishes to its followers at one time. No rule depends on it, and nothing in it is durable.
+ * Status that the leader publishes to its followers. It is only informative, and nothing in it is durable.
  *
  * [progress]: the jobs whose progress has changed, or all of them for a new follower. [served]: whether the state
- * service answers the leader; null when the leader's version does not say. [zones]: the zones that are not up, or were
- * not until recently.
+ * service answers the leader; null when the leader's version does not report it. [zones]: the zones that are not up, or
+ * were not until recently.
  */
 internal class LeaderStatus(
     val progress: List<JobProgress>,
--- a/src/main/kotlin/ledgearch/peers/Mesh.kt
+++ b/src/main/kotlin/ledgearch/peers/Mesh.kt
@@ -3,34 +3,34 @@
 import okio.ByteString
 
 /**
- * The owner's side of the connections between controllers: each of the others keeps one to the leader. Called by the
- * owner alone; no function waits.
+ * Connections between controllers, as used by the owner: each follower keeps one to the leader. Only the owner may call
+ * the functions, none of which blocks.
  */
 internal interface Mesh {
     /**
-     * Keeps a connection to the leader at [address], or to nobody; a repeat with the same address changes nothing. The
-     * leader's status and the end of its process come back as commands.
+     * Keeps a connection to the leader at [address], or none if it is null; has no effect if the address is unchanged.
+     * The leader's status and the end of its process are reported as commands to the owner.
      */
     fun follow(address: String?)
 
-    /** Sends the leader's status to all that follow this node. One whose queue is full misses it. */
+    /** Sends the [status] of this leader to all followers. A follower whose queue is full does not receive it. */
     fun publish(status: LeaderStatus)
 
     /**
-     * Sends a frame of the decision stream with this [body] to [follower]. False: it does not keep up (backpressure) or
-     * is gone, and its connection is closed. A mesh without streams has no followers that ask for one.
+     * Sends a frame of the replication stream with the [body] to [follower]. Returns false if the follower is too slow
+     * (its queue is full) or gone; its connection is then closed. Without warm standby no follower requests a stream.
      */
     fun stream(
         follower: Long,
         body: ByteString,
     ): Boolean = false
 
-    /** Ends the connection to the leader and makes a new one, to get a new snapshot. */
+    /** Replaces the connection to the leader by a new one, over which it sends a new snapshot. */
     fun reconnect() = Unit
 
     /**
-     * Connections from followers that were ever accepted. It never falls, so that any change means a new follower,
-     * which has received nothing yet.
+     * Number of connections from followers accepted so far. It never decreases, so any change means a new follower that
+     * has received nothing yet.
      */
     val joined: Int
 }
--- a/src/main/kotlin/ledgearch/peers/MeshEvents.kt
+++ b/src/main/kotlin/ledgearch/peers/MeshEvents.kt
@@ -1,13 +1,13 @@
 package ledgearch.peers
 
-/** Takes the events on the connections between controllers; frames in the order in which their leader sent them. */
+/** Receives the events of the connections between controllers, frames in the order in which the leader sent them. */
 internal interface MeshEvents {
-    /** The leader that this node follows has published its status. */
+    /** Called when the leader that this node follows has published its [status]. */
     suspend fun statusReceived(status: LeaderStatus)
 
-    /** Something has happened to a decision stream; only where warm standby is on. */
+    /** Called on an [event] of a replication stream; only if warm standby is enabled. */
     suspend fun standby(event: StandbyEvent)
 
-    /** The connection to [address] ended and new ones are refused: most likely its process has ended. */
+    /** Called when [address] repeatedly refuses connections, which most likely means that its process has ended. */
     suspend fun refused(address: String)
 }
--- a/src/main/kotlin/ledgearch/peers/MeshLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/MeshLinks.kt
@@ -5,22 +5,22 @@
 import java.nio.channels.AsynchronousChannelGroup
 
 /**
- * The connections between controllers: one from every other node to the leader, kept as long as it holds. Not
- * thread-safe: its functions, [scope] and [group] have to run on one thread.
+ * TCP connections between controllers: one from every follower to the leader. Not thread-safe: its functions, [scope]
+ * and [group] have to run on one thread.
  */
 internal class MeshLinks(
     scope: CoroutineScope,
     group: AsynchronousChannelGroup,
     events: MeshEvents,
-    /** Warm standby is on: followers may ask for the decision stream, and this node asks for it. */
-    streams: Boolean = false,
+    /** Whether followers can request the replication stream, and this node requests it from the leader. */
+    isStandbyEnabled: Boolean = false,
 ) : Mesh {
-    private val followers = FollowerLinks(scope, group, events, streams)
-    private val leader = LeaderLink(scope, group, events, streams)
+    private val followers = FollowerConnections(scope, group, events, isStandbyEnabled)
+    private val leader = LeaderConnection(scope, group, events, isStandbyEnabled)
 
-    override val joined: Int get() = followers.accepted
+    override val joined: Int get() = followers.acceptedCount
 
-    /** Accepts followers at [address] from now on. Throws when the address is taken. */
+    /** Starts to accept followers at [address]. Throws an exception when the address is in use. */
     fun listen(address: String) = followers.listen(address)
 
     override fun follow(address: String?) = leader.follow(address)
--- a/src/main/kotlin/ledgearch/peers/StandbyEvent.kt
+++ b/src/main/kotlin/ledgearch/peers/StandbyEvent.kt
@@ -1,18 +1,18 @@
 package ledgearch.peers
 
-/** An event on the connections between controllers that concerns decision streams. */
+/** Event of a replication stream between controllers. */
 internal sealed interface StandbyEvent {
-    /** The connection [follower] to this node asks for the stream. */
+    /** The connection [follower] to this node has requested the stream. */
     data class FollowerJoined(
         val follower: Long,
     ) : StandbyEvent
 
-    /** The connection [follower] to this node has ended, whether or not it had asked for the stream. */
+    /** The connection [follower] to this node has ended, whether or not it had requested the stream. */
     data class FollowerLeft(
         val follower: Long,
     ) : StandbyEvent
 
-    /** [frame] arrived from the controller at the mesh address [address]. */
+    /** The [frame] was received from the controller at the mesh address [address]. */
     data class FrameReceived(
         val address: String,
         val frame: StreamFrame,
--- a/src/main/kotlin/ledgearch/peers/StreamCodec.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamCodec.kt
@@ -6,58 +6,57 @@
 import okio.EOFException
 
 /**
- * The binary form of a [StreamFrame], which is the body of a frame of kind [FrameKind.STREAM]. Numbers are big-endian;
- * a text is a length (2 bytes) and that many bytes of UTF-8; a flag is one byte; a list is a count (4 bytes) and that
- * many entries.
+ * Binary form of a [StreamFrame], the body of a frame of kind [FrameKind.STREAM]. Numbers are big-endian; a text is a
+ * length (2 bytes) and that many bytes of UTF-8; a flag is one byte; a list is a count (4 bytes) and that many entries.
  *
  * | bytes    | field                                                        |
  * |----------|--------------------------------------------------------------|
  * | 8        | [StreamFrame.term]                                           |
  * | 8        | [StreamFrame.sequence]                                       |
- * | 1        | [StreamFrame.first], a flag                                  |
- * | 4        | [StreamFrame.remaining], not negative                        |
- * | list     | records: each a key, then its fields by kind                 |
+ * | 1        | [StreamFrame.startsSnapshot], a flag                         |
+ * | 4        | [StreamFrame.remainingRecords], not negative                 |
+ * | list     | records: each a key, then the fields of its kind             |
  * | list     | keys of removed records                                      |
  *
- * A key is the record's kind ([RecordKind.code], 1 byte) and its name (a text). The fields, in their order:
+ * A key is the kind of the record ([RecordKind.code], 1 byte) and its name (a text). The fields of a kind, in order:
  *
  * | kind           | fields                                                                                     |
  * |----------------|--------------------------------------------------------------------------------------------|
- * | MACHINE        | incarnation (8), returning (flag), list of attempts, list of cached images                 |
- * | - attempt      | task (text), number (8), state (1, the place in [AttemptState])                            |
- * | - cached image | name (text), gigabytes (8, floating point), fetched (flag)                                 |
+ * | MACHINE        | incarnation (8), releasing (flag), list of attempts, list of cached images                 |
+ * | - attempt      | task (text), number (8), state (1, the ordinal in [AttemptState])                          |
+ * | - cached image | name (text), size in GB (8, floating point), fetched (flag)                                |
  * | CLASS_RUN_TIME | logarithm of the ratio (8, floating point), weight (8, floating point)                     |
- * | SERVICE_TIME   | last start (8, wall ms)                                                                    |
+ * | SERVICE_TIME   | last start (8, ms of the wall clock)                                                       |
  * | RENTED_MACHINE | machine type (text), zone (text), spot (flag)                                              |
  */
 internal object StreamCodec {
-    /** The body of [frame], without a header. */
+    /** Returns the body of [frame], without a header. */
     fun encode(frame: StreamFrame): ByteString {
         val body = Buffer()
         body.writeLong(frame.term)
         body.writeLong(frame.sequence)
-        body.writeFlag(frame.first)
-        body.writeInt(frame.remaining)
+        body.writeFlag(frame.startsSnapshot)
+        body.writeInt(frame.remainingRecords)
         body.writeInt(frame.records.size)
         frame.records.forEach { writeRecord(body, it) }
-        body.writeInt(frame.removed.size)
-        frame.removed.forEach { writeKey(body, it) }
+        body.writeInt(frame.removedKeys.size)
+        frame.removedKeys.forEach { writeKey(body, it) }
         return body.readByteString()
     }
 
-    /** The frame whose body is [bytes]. Throws [MalformedFrame] for whatever can't be decoded in full. */
+    /** Returns the frame with the body [bytes]. Throws [MalformedFrame] unless all bytes can be decoded. */
     fun decode(bytes: ByteString): StreamFrame {
         val body = Buffer().write(bytes)
         try {
             val frame = readFrame(body)
-            if (!body.exhausted()) throw MalformedFrame("a stream frame with ${body.size} bytes too many")
+            if (!body.exhausted()) throw MalformedFrame("stream frame has ${body.size} bytes after its last field")
             return frame
         } catch (_: EOFException) {
-            throw MalformedFrame("a stream frame that ends too soon")
+            throw MalformedFrame("stream frame ends before its last field")
         }
     }
 
-    /** Bytes that [record] takes in a frame. */
+    /** Returns the number of bytes that [record] takes in a frame. */
     fun sizeOf(record: StreamRecord): Int {
         val body = Buffer()
         writeRecord(body, record)
@@ -67,12 +66,12 @@
     private fun readFrame(body: Buffer): StreamFrame {
         val term = body.readLong()
         val sequence = body.readLong()
-        val first = body.readFlag()
-        val remaining = body.readInt()
-        if (remaining < 0) throw MalformedFrame("a stream frame with $remaining records remaining")
+        val startsSnapshot = body.readFlag()
+        val remainingRecords = body.readInt()
+        if (remainingRecords < 0) throw MalformedFrame("stream frame has $remainingRecords remaining records")
         val records = body.readList { readRecord(body) }
-        val removed = body.readList { readKey(body) }
-        return StreamFrame(term, sequence, first, remaining, records, removed)
+        val removedKeys = body.readList { readKey(body) }
+        return StreamFrame(term, sequence, startsSnapshot, remainingRecords, records, removedKeys)
     }
 
     private fun writeRecord(
@@ -91,13 +90,13 @@
             }
 
             is ServiceTime -> {
-                body.writeLong(record.lastStartAt)
+                body.writeLong(record.lastStartAtMs)
             }
 
             is RentedMachine -> {
                 body.writeText(record.machineType)
                 body.writeText(record.zone)
-                body.writeFlag(record.spot)
+                body.writeFlag(record.isSpot)
             }
         }
     }
@@ -117,7 +116,7 @@
         machine: MachineSnapshot,
     ) {
         body.writeLong(machine.incarnation)
-        body.writeFlag(machine.returning)
+        body.writeFlag(machine.isReleasing)
         body.writeInt(machine.attempts.size)
         for (attempt in machine.attempts) {
             body.writeText(attempt.taskId)
@@ -127,8 +126,8 @@
         body.writeInt(machine.images.size)
         for (image in machine.images) {
             body.writeText(image.name)
-            body.writeDouble(image.gigabytes)
-            body.writeFlag(image.fetched)
+            body.writeDouble(image.sizeGb)
+            body.writeFlag(image.isFetched)
         }
     }
 
@@ -137,15 +136,16 @@
         name: String,
     ): MachineSnapshot {
         val incarnation = body.readLong()
-        val returning = body.readFlag()
+        val isReleasing = body.readFlag()
         val attempts = body.readList { AttemptSnapshot(body.readText(), body.readLong(), readAttemptState(body)) }
         val images = body.readList { CachedImage(body.readText(), body.readDouble(), body.readFlag()) }
-        return MachineSnapshot(name, incarnation, returning, attempts, images)
+        return MachineSnapshot(name, incarnation, isReleasing, attempts, images)
     }
 
     private fun readAttemptState(body: Buffer): AttemptState {
         val code = body.readByte().toInt()
-        return AttemptState.entries.getOrNull(code) ?: throw MalformedFrame("a stream frame with task status $code")
+        return AttemptState.entries.getOrNull(code)
+            ?: throw MalformedFrame("stream frame has unknown attempt state $code")
     }
 
     private fun writeKey(
@@ -158,7 +158,7 @@
 
     private fun readKey(body: Buffer): RecordKey {
         val code = body.readByte().toInt()
-        val kind = RecordKind.of(code) ?: throw MalformedFrame("a stream frame with record kind $code")
+        val kind = RecordKind.of(code) ?: throw MalformedFrame("stream frame has unknown record kind $code")
         return RecordKey(kind, body.readText())
     }
 }
--- a/src/main/kotlin/ledgearch/peers/StreamFrames.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamFrames.kt
@@ -3,44 +3,49 @@
 import okio.Buffer
 import okio.ByteString
 
-/** A frame of either kind, as a follower reads it from the leader. */
+/** Frame of either kind, as a follower receives it from the leader. */
 internal sealed interface MeshFrame {
     /** A status frame. */
     class Status(
         val status: LeaderStatus,
     ) : MeshFrame
 
-    /** A frame of the decision stream. */
+    /** A frame of the replication stream. */
     class Stream(
         val frame: StreamFrame,
     ) : MeshFrame
 }
 
 /**
- * Both kinds of frames on one connection. A follower that has not sent [hello] gets status frames only, so an earlier
- * version never receives another kind.
+ * Encodes and decodes the frames of a connection, which may be of both kinds. A follower that has not sent the
+ * [streamRequest] gets status frames only, so an earlier version never receives another kind.
  */
 internal object StreamFrames {
     private const val MAGIC = "LDGS"
-    private const val VERSION = 1
+    private const val STREAM_VERSION = 1
 
     /**
-     * What a follower writes, once, to ask for the decision stream. Leaders without standby never read it.
+     * Request for the replication stream, sent once by a follower. Leaders without standby never read it.
      *
      * | bytes | field                                |
      * |-------|--------------------------------------|
      * | 4     | `LDGS`                               |
      * | 4     | version of the stream, big-endian: 1 |
      */
-    val hello: ByteString =
+    val streamRequest: ByteString =
         Buffer()
             .writeUtf8(MAGIC)
-            .writeInt(VERSION)
+            .writeInt(STREAM_VERSION)
             .readByteString()
 
-    /** The whole frame with this [body], as [StreamCodec] encodes it. Throws for one that no follower would take. */
+    /**
+     * Returns the whole frame with a [body] encoded by [StreamCodec]. Throws [IllegalArgumentException] for a body
+     * larger than followers accept.
+     */
     fun encode(body: ByteString): ByteString {
-        require(body.size <= PeerTuning.STREAM_FRAME_MAX) { "a stream frame of ${body.size} bytes" }
+        require(body.size <= PeerTuning.MAX_STREAM_BODY_BYTES) {
+            "stream frame body of ${body.size} bytes, at most ${PeerTuning.MAX_STREAM_BODY_BYTES} allowed"
+        }
         return Buffer()
             .writeInt(FrameHeader.encode(FrameKind.STREAM, body.size))
             .write(body)
@@ -48,21 +53,25 @@
     }
 
     /**
-     * Takes one whole frame of either kind out of [buffer], or returns null and leaves [buffer] as it is while the
-     * frame is incomplete. Throws [MalformedFrame], also for a kind that this version does not know.
+     * Reads one whole frame of either kind from [buffer], or returns null and leaves [buffer] unchanged if the frame is
+     * incomplete. Throws [MalformedFrame], also for a kind that this version does not know.
      */
     fun take(buffer: Buffer): MeshFrame? {
-        if (buffer.size < FrameHeader.BYTES) return null
+        if (buffer.size < FrameHeader.SIZE_BYTES) return null
         val isStream = FrameHeader.kindCodeOf(buffer) == FrameKind.STREAM.code
         if (isStream) return takeStream(buffer)?.let { MeshFrame.Stream(it) }
         return Frames.take(buffer)?.let { MeshFrame.Status(it) }
     }
 
     private fun takeStream(buffer: Buffer): StreamFrame? {
-        val size = FrameHeader.sizeOf(FrameHeader.peek(buffer))
-        if (size > PeerTuning.STREAM_FRAME_MAX) throw MalformedFrame("a stream frame of $size bytes")
-        if (buffer.size < FrameHeader.BYTES + size) return null
-        buffer.skip(FrameHeader.BYTES.toLong())
-        return StreamCodec.decode(buffer.readByteString(size.toLong()))
+        val bodySize = FrameHeader.bodySizeOf(FrameHeader.peek(buffer))
+        if (bodySize > PeerTuning.MAX_STREAM_BODY_BYTES) {
+            throw MalformedFrame(
+                "stream frame body of $bodySize bytes, at most ${PeerTuning.MAX_STREAM_BODY_BYTES} allowed",
+            )
+        }
+        if (buffer.size < FrameHeader.SIZE_BYTES + bodySize) return null
+        buffer.skip(FrameHeader.SIZE_BYTES.toLong())
+        return StreamCodec.decode(buffer.readByteString(bodySize.toLong()))
     }
 }
--- a/src/main/kotlin/ledgearch/peers/StreamRecord.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamRecord.kt
@@ -2,116 +2,113 @@
 
 import ledgearch.model.AttemptState
 
-/** The identity of a record in the decision stream: one record of each kind and name exists at a time. */
+/** Key of a record in the replication stream: at most one record of each kind and name exists at a time. */
 internal data class RecordKey(
     val kind: RecordKind,
     /** Unique within the kind. */
     val name: String,
 )
 
-/** The kinds of records. [code] is the kind's number on the wire and never changes its meaning. */
+/** Kind of a record. The [code] is part of the wire format, so its meaning must not change. */
 internal enum class RecordKind(
     val code: Int,
 ) {
-    /** A [MachineSnapshot], by the machine's name. */
+    /** A [MachineSnapshot], named after the machine. */
     MACHINE(code = 1),
 
-    /** A [ClassRunTime], by the class of jobs. */
+    /** A [ClassRunTime], named after the class of jobs. */
     CLASS_RUN_TIME(code = 2),
 
-    /** A [ServiceTime], by the job's id. */
+    /** A [ServiceTime], named after the job's id. */
     SERVICE_TIME(code = 3),
 
-    /** A [RentedMachine], by the machine's name. */
+    /** A [RentedMachine], named after the machine. */
     RENTED_MACHINE(code = 4),
     ;
 
     companion object {
-        /** The kind with this [code], or null when this version does not know it. */
+        /** Returns the kind with the [code], or null if this version does not know it. */
         fun of(code: Int): RecordKind? = entries.firstOrNull { it.code == code }
     }
 }
 
-/** One unit of the leader's state, always streamed in full. A later record replaces an earlier one of the same key. */
+/** Part of the leader's state, always streamed in full. A later record replaces an earlier one with the same key. */
 internal sealed interface StreamRecord {
-    /** The record's identity. */
+    /** Identifies the record. */
     val key: RecordKey
 
-    /** Bytes that the record takes in memory, approximately. */
+    /** Approximate size of the record in memory. */
     val memoryBytes: Int
 }
 
-/** What the leader knows of one machine. */
+/** The leader's state of a machine. */
 internal data class MachineSnapshot(
     val name: String,
-    /** The incarnation of the worker in the last heartbeat that the leader received. */
+    /** Incarnation of the worker in the last heartbeat that the leader received. */
     val incarnation: Long,
-    /** The machine is being returned: nothing new should be started on it. */
-    val returning: Boolean,
-    /** The attempts that the leader has bound to the machine. */
+    /** Whether the machine is being returned to the cloud, so that no new task should be started on it. */
+    val isReleasing: Boolean,
+    /** Attempts assigned to the machine. */
     val attempts: List<AttemptSnapshot>,
-    /** The container images on the machine. */
+    /** Container images that are on the machine or being fetched. */
     val images: List<CachedImage>,
 ) : StreamRecord {
     override val key = RecordKey(RecordKind.MACHINE, name)
     override val memoryBytes =
-        OBJECT_BYTES + name.length + attempts.sumOf { OBJECT_BYTES + it.taskId.length } +
-            images.sumOf { OBJECT_BYTES + it.name.length }
+        BYTES_PER_OBJECT + name.length + attempts.sumOf { BYTES_PER_OBJECT + it.taskId.length } +
+            images.sumOf { BYTES_PER_OBJECT + it.name.length }
 }
 
-/** One attempt that the leader has bound to the machine. */
+/** The leader's state of a task attempt that is assigned to a machine. */
 internal data class AttemptSnapshot(
-    /** Job and task, as `job-1/3`. */
+    /** Id of the job and index of the task, such as `job-1/3`. */
     val taskId: String,
-    /** The attempt's number, unique for the task. */
+    /** Number of the attempt, unique within the task. */
     val number: Long,
     val state: AttemptState,
 )
 
-/** One container image on the machine. */
+/** A container image on a machine. */
 internal data class CachedImage(
     val name: String,
-    /** Size (GB). */
-    val gigabytes: Double,
-    /** Its fetch is known to be over. */
-    val fetched: Boolean,
+    val sizeGb: Double,
+    /** Whether the image is known to be fetched completely. */
+    val isFetched: Boolean,
 )
 
-/** What the leader has learnt of the run times of one class of jobs. */
+/** Mean error of the estimated run times of a class of jobs. */
 internal data class ClassRunTime(
     val jobClass: String,
-    /** Natural logarithm of run time over estimate. */
+    /** Mean of the natural logarithm of run time over estimate. */
     val logRatio: Double,
-    /** How much was observed (jobs, recent ones). */
+    /** Number of jobs in the mean, in which recent ones count most. */
     val weight: Double,
 ) : StreamRecord {
     override val key = RecordKey(RecordKind.CLASS_RUN_TIME, jobClass)
-    override val memoryBytes = OBJECT_BYTES + jobClass.length
+    override val memoryBytes = BYTES_PER_OBJECT + jobClass.length
 }
 
-/** When the leader last started a task of one job. */
+/** Time at which the leader last started a task of a job. */
 internal data class ServiceTime(
-    /** The job's id. */
-    val job: String,
-    /** Wall ms. */
-    val lastStartAt: Long,
+    val jobId: String,
+    /** Wall-clock ms. */
+    val lastStartAtMs: Long,
 ) : StreamRecord {
-    override val key = RecordKey(RecordKind.SERVICE_TIME, job)
-    override val memoryBytes = OBJECT_BYTES + job.length
+    override val key = RecordKey(RecordKind.SERVICE_TIME, jobId)
+    override val memoryBytes = BYTES_PER_OBJECT + jobId.length
 }
 
-/** A machine that was rented and has not reported yet. */
+/** Machine that was provisioned and has not reported yet. */
 internal data class RentedMachine(
     val name: String,
-    /** The machine type's name in the catalog. */
+    /** Name of the machine type in the catalog. */
     val machineType: String,
     val zone: String,
-    /** Rented as a spot machine. */
-    val spot: Boolean,
+    val isSpot: Boolean,
 ) : StreamRecord {
     override val key = RecordKey(RecordKind.RENTED_MACHINE, name)
-    override val memoryBytes = OBJECT_BYTES + name.length + machineType.length + zone.length
+    override val memoryBytes = BYTES_PER_OBJECT + name.length + machineType.length + zone.length
 }
 
-/** Bytes. An object with its fields, its references and its place in a collection. */
-private const val OBJECT_BYTES = 96
+/** An object with its fields, the references to it and its place in a collection, approximately. */
+private const val BYTES_PER_OBJECT = 96
--- a/src/main/kotlin/ledgearch/peers/StreamValues.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamValues.kt
@@ -2,30 +2,32 @@
 
 import okio.Buffer
 
-// The values that the body of a stream frame is made of. Reading throws EOFException where the buffer ends too soon.
+// Values in the body of a stream frame. Reading beyond the end of the buffer throws EOFException.
 
-/** Bytes. What a length of 2 bytes can say. */
-private const val TEXT_BYTES_MAX = 0xffff
+/** Maximum of the 2-byte length. */
+private const val MAX_TEXT_BYTES = 0xffff
 
-/** Writes [text] as its length (2 bytes) and its UTF-8. Throws for a text beyond that length. */
+/** Writes the length of [text] (2 bytes) and its UTF-8. Throws [IllegalArgumentException] for too long a text. */
 internal fun Buffer.writeText(text: String) {
     val bytes = text.toByteArray()
-    require(bytes.size <= TEXT_BYTES_MAX) { "a name of ${bytes.size} bytes" }
+    require(bytes.size <= MAX_TEXT_BYTES) {
+        "text of ${bytes.size} bytes in a stream frame, at most $MAX_TEXT_BYTES allowed"
+    }
     writeShort(bytes.size).write(bytes)
 }
 
-/** Reads what [writeText] has written. */
+/** Reads a text written by [writeText]. */
 internal fun Buffer.readText(): String {
-    val size = readShort().toInt() and TEXT_BYTES_MAX
+    val size = readShort().toInt() and MAX_TEXT_BYTES
     return readUtf8(size.toLong())
 }
 
-/** Writes [value] as its 8 bytes, bit by bit as it is. */
+/** Writes the 8 bytes of [value]; a NaN keeps its bits. */
 internal fun Buffer.writeDouble(value: Double) {
     writeLong(value.toRawBits())
 }
 
-/** Reads what [writeDouble] has written. */
+/** Reads a number written by [writeDouble]. */
 internal fun Buffer.readDouble(): Double = Double.fromBits(readLong())
 
 /** Writes [value] as one byte. */
@@ -33,15 +35,19 @@
     writeByte(if (value) 1 else 0)
 }
 
-/** Reads one byte: any but 0 is true. */
+/** Reads one byte; any value but 0 is true. */
 internal fun Buffer.readFlag(): Boolean = readByte().toInt() != 0
 
 /**
- * Reads a list: its count (4 bytes), then each entry by [readEntry]. Throws [MalformedFrame] for a count that the
- * remaining bytes can't hold: the count comes from outside, and no list is allocated beyond that.
+ * Reads the count of a list (4 bytes) and each entry by [readEntry]. Throws [MalformedFrame] for a count that is
+ * negative or larger than the number of remaining bytes, so that a malformed count never allocates a huge list.
  */
 internal inline fun <T> Buffer.readList(readEntry: () -> T): List<T> {
     val count = readInt()
-    if (count < 0 || count > size) throw MalformedFrame("a stream frame with a list of $count entries")
+    if (count < 0 ||
+        count > size
+    ) {
+        throw MalformedFrame("list of $count entries in a stream frame with $size bytes remaining")
+    }
     return List(count) { readEntry() }
 }
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -17,43 +17,43 @@
 import kotlin.math.abs
 
 /**
- * What a replica of the replaced leader's state suggests to a new leader. Nothing here confirms a machine, ends an
- * attempt or finishes a task: hints choose an order, a first guess or a preference, and a wrong one costs time only.
- * Every value comes from another process and is checked for its range before it is used.
+ * Hints that a new leader takes from its replica of the previous leader's state. A hint never confirms a machine, ends
+ * an attempt or finishes a task: it only determines an order, a first guess or a preference, so a wrong one costs
+ * nothing but time. All values come from another process, so each is checked to be in its range before use.
  */
 internal class FailoverHints(
     records: Collection<StreamRecord>,
 ) {
     private val machines = records.filterIsInstance<MachineSnapshot>().associateBy { it.name }
-    private val runTimes = records.filterIsInstance<ClassRunTime>()
-    private val serviceTimes = records.filterIsInstance<ServiceTime>()
-    private val rentedMachines = records.filterIsInstance<RentedMachine>()
+    private val meanErrors = records.filterIsInstance<ClassRunTime>()
+    private val lastStarts = records.filterIsInstance<ServiceTime>()
+    private val provisionedMachines = records.filterIsInstance<RentedMachine>()
 
-    /** Machines that the replica knows. */
+    /** Number of machines in the replica. */
     val machineCount: Int get() = machines.size
 
-    /** [machine] has a record in the state service; hints for machines without one are never used. */
+    /** Applies the hints on [machine], which has a record in the state service; machines without one get no hints. */
     fun applyTo(
         machine: Machine,
         clock: Clock,
     ) {
         val hint = machines[machine.name] ?: return
         machine.incarnationHint = hint.incarnation.coerceAtLeast(0)
-        if (hint.returning) {
-            machine.startsPausedUntilMs = clock.steadyMs + StandbyTuning.RETURNING_HINT_MS
+        if (hint.isReleasing) {
+            machine.startsPausedUntilMs = clock.steadyMs + StandbyTuning.RELEASING_HINT_DURATION_MS
             machine.isReturningHint = true
         }
-        hint.images.take(ModelTuning.MAX_TASKS_PER_MACHINE).forEach { useImage(machine, it) }
+        hint.images.take(ModelTuning.MAX_TASKS_PER_MACHINE).forEach { applyImage(machine, it) }
     }
 
-    /** The machines in the order in which they are probed: most attempts first. */
+    /** Returns the [unconfirmed] machines in the order in which they are to be probed: most attempts first. */
     fun inProbeOrder(unconfirmed: Collection<Machine>): List<Machine> =
         unconfirmed.sortedByDescending {
             machines[it.name]?.attempts?.size
                 ?: 0
         }
 
-    /** The new leader has read all records. */
+    /** Applies the hints that do not concern a single known machine, once the new leader has read all records. */
     fun applyAll(
         knownMachines: Map<String, Machine>,
         estimates: RunTimeEstimates,
@@ -61,47 +61,47 @@
         autoscaler: Autoscaler,
         clock: Clock,
     ) {
-        runTimes.forEach { useRunTime(estimates, it) }
-        serviceTimes.forEach { useServiceTime(jobStore, it, clock) }
-        rentedMachines.forEach { useRentedMachine(knownMachines, autoscaler, it) }
+        meanErrors.forEach { applyMeanError(estimates, it) }
+        lastStarts.forEach { applyLastStart(jobStore, it, clock) }
+        provisionedMachines.forEach { applyProvisionedMachine(knownMachines, autoscaler, it) }
     }
 
-    private fun useImage(
+    private fun applyImage(
         machine: Machine,
         image: CachedImage,
     ) {
-        // Written so that a NaN is out of range.
-        if (!(image.gigabytes >= 0.0) || image.gigabytes.isInfinite()) return
-        machine.recordImageUse(image.name, image.gigabytes)
-        if (image.fetched && image.name in machine.imageSizesGb) machine.fetchedImages.add(image.name)
+        // The negated comparison also rejects NaN.
+        if (!(image.sizeGb >= 0.0) || image.sizeGb.isInfinite()) return
+        machine.recordImageUse(image.name, image.sizeGb)
+        if (image.isFetched && image.name in machine.imageSizesGb) machine.fetchedImages.add(image.name)
     }
 
-    private fun useRunTime(
+    private fun applyMeanError(
         estimates: RunTimeEstimates,
         hint: ClassRunTime,
     ) {
-        val isPlausible = abs(hint.logRatio) <= StandbyTuning.RUN_TIME_HINT_MAX
+        val isPlausible = abs(hint.logRatio) <= StandbyTuning.MAX_HINT_LOG_RATIO
         if (isPlausible && hint.weight in 0.0..SchedulingTuning.MAX_MEAN_ERROR_JOBS) {
             estimates.restoreMeanError(hint.jobClass, hint.logRatio, hint.weight)
         }
     }
 
-    /** A start is never taken for later than now. */
-    private fun useServiceTime(
+    /** Applies the time of a job's last start, at most the current time. */
+    private fun applyLastStart(
         jobStore: JobStore,
         hint: ServiceTime,
         clock: Clock,
     ) {
-        val job = jobStore.jobs[hint.job] ?: return
-        job.lastStartAtMs = maxOf(job.lastStartAtMs, minOf(hint.lastStartAt, clock.wallMs))
+        val job = jobStore.jobs[hint.jobId] ?: return
+        job.lastStartAtMs = maxOf(job.lastStartAtMs, minOf(hint.lastStartAtMs, clock.wallMs))
     }
 
-    private fun useRentedMachine(
+    private fun applyProvisionedMachine(
         knownMachines: Map<String, Machine>,
         autoscaler: Autoscaler,
         hint: RentedMachine,
     ) {
         if (hint.name in knownMachines) return
-        autoscaler.mayBoot(RentalHint(hint.name, hint.machineType, hint.zone, hint.spot))
+        autoscaler.mayBoot(RentalHint(hint.name, hint.machineType, hint.zone, hint.isSpot))
     }
 }
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -14,8 +14,8 @@
 import ledgearch.scheduling.RunTimeEstimates
 
 /**
- * Reads the leader's state as stream records. What would exceed [maxBytes] is left out, machines coming first: the
- * stream carries hints only, so an incomplete one costs time at a failover and nothing else.
+ * Reads the leader's state as stream records. Records beyond a total of [maxBytes] are left out, machines being read
+ * first: the stream carries only hints, so missing records cost nothing but time at a failover.
  */
 internal class LeaderSnapshot(
     private val machines: Map<String, Machine>,
@@ -24,14 +24,14 @@
     private val autoscaler: Autoscaler,
     private val maxBytes: Long,
 ) {
-    private var bytes = 0L
+    private var totalBytes = 0L
 
-    /** Records were left out when the state was last read. */
-    val isTruncated: Boolean get() = bytes > maxBytes
+    /** Whether records were left out when the state was last read. */
+    val isTruncated: Boolean get() = totalBytes > maxBytes
 
-    /** The leader's state now, in a new map. Machines that have not sent a heartbeat yet are not part of it. */
+    /** Returns the leader's current state in a new map, without machines that have not sent a heartbeat yet. */
     fun read(): Map<RecordKey, StreamRecord> {
-        bytes = 0
+        totalBytes = 0
         val records = HashMap<RecordKey, StreamRecord>()
         for (machine in machines.values) {
             if (machine.incarnation != 0L) add(records, snapshotOf(machine))
@@ -42,8 +42,8 @@
         for (job in jobStore.jobs.values) {
             if (job.lastStartAtMs != 0L) add(records, ServiceTime(job.id, job.lastStartAtMs))
         }
-        for (rented in autoscaler.bootingMachines()) {
-            add(records, RentedMachine(rented.name, rented.machineType, rented.zone, rented.spot))
+        for (machine in autoscaler.bootingMachines()) {
+            add(records, RentedMachine(machine.name, machine.machineType, machine.zone, machine.spot))
         }
         return records
     }
@@ -52,8 +52,8 @@
         records: MutableMap<RecordKey, StreamRecord>,
         record: StreamRecord,
     ) {
-        bytes += record.memoryBytes
-        if (bytes <= maxBytes) records[record.key] = record
+        totalBytes += record.memoryBytes
+        if (totalBytes <= maxBytes) records[record.key] = record
     }
 
     private fun snapshotOf(machine: Machine) =
@@ -62,8 +62,8 @@
             machine.incarnation,
             machine.isReleasing,
             machine.attempts.values.map { AttemptSnapshot(it.taskId, it.number, it.state) },
-            machine.imageSizesGb.map { (name, gigabytes) ->
-                CachedImage(name, gigabytes, name in machine.fetchedImages)
+            machine.imageSizesGb.map { (name, sizeGb) ->
+                CachedImage(name, sizeGb, name in machine.fetchedImages)
             },
         )
 }
--- a/src/main/kotlin/ledgearch/standby/PreviousTerm.kt
+++ b/src/main/kotlin/ledgearch/standby/PreviousTerm.kt
@@ -3,8 +3,8 @@
 import ledgearch.records.LeadershipRecord
 
 /**
- * The term of the last leader other than this node ([self]), through all its renewed fencing tokens, as the watched
- * leadership record shows it.
+ * Term of the last leader other than this node ([self]), including all renewals of its fencing token, according to the
+ * watched leadership record.
  */
 internal class PreviousTerm(
     private val self: String,
@@ -12,29 +12,30 @@
     private var node: String? = null
     private var instance = 0L
 
-    /** Revision of this term's last known leadership record. */
+    /** Revision of the last known leadership record of this term. */
     private var lastRevision = 0L
 
     /** Revision of the last known leadership record of the term before this one. */
-    private var revisionBefore = 0L
+    private var lastRevisionOfTermBefore = 0L
 
     /**
-     * The leadership record is now [leadership], written at [modRevision]. True: another term has begun. A record that
-     * was removed, or is this node's own, changes nothing: the term before it is still the one that was replaced.
+     * Records that the leadership record is now [leadership], written at [modRevision]; returns whether another term
+     * has begun. A removed record, or one of this node, changes nothing: the previous term remains the last one of
+     * another node.
      */
-    fun changed(
+    fun onLeadershipChanged(
         leadership: LeadershipRecord?,
         modRevision: Long,
     ): Boolean {
         if (leadership == null || leadership.node == self) return false
         val isRenewal = leadership.node == node && leadership.instance == instance && leadership.renewedToken != 0L
-        if (!isRenewal) revisionBefore = lastRevision
+        if (!isRenewal) lastRevisionOfTermBefore = lastRevision
         node = leadership.node
         instance = leadership.instance
         lastRevision = modRevision
         return !isRenewal
     }
 
-    /** Whether [term] may be this one: it began after the last leadership record of the term before. */
-    fun mayBe(term: Long): Boolean = term > revisionBefore
+    /** Returns whether [term] can be this one, having begun after the last leadership record of the term before. */
+    fun mayBe(term: Long): Boolean = term > lastRevisionOfTermBefore
 }
--- a/src/main/kotlin/ledgearch/standby/Replica.kt
+++ b/src/main/kotlin/ledgearch/standby/Replica.kt
@@ -4,85 +4,85 @@
 import ledgearch.peers.StreamFrame
 import ledgearch.peers.StreamRecord
 
-/** What became of a frame that was applied to a replica. */
+/** Result of applying a frame to a replica. */
 internal sealed interface ApplyResult {
-    /** The replica now includes the frame. */
+    /** The frame is part of the replica. */
     data object Applied : ApplyResult
 
-    /** The frame does not continue the replica, which is dropped: a new snapshot is needed. */
+    /** The frame can't be applied, and the replica was dropped; a new snapshot is needed. */
     data class Rejected(
         val reason: String,
     ) : ApplyResult
 }
 
 /**
- * The follower's copy of the leader's state. It is a source of hints and proves nothing. [maxBytes]: a replica that
- * would take more memory is dropped.
+ * The follower's copy of the leader's state, used only for hints. A replica that takes more than [maxBytes] of memory is
+ * dropped.
  */
 internal class Replica(
     private val maxBytes: Long,
 ) {
-    private val held = HashMap<RecordKey, StreamRecord>()
-    private var bytes = 0L
+    private val recordsByKey = HashMap<RecordKey, StreamRecord>()
+    private var memoryBytes = 0L
 
-    /** The records held, by their identity. */
-    val records: Map<RecordKey, StreamRecord> get() = held
+    /** The records of the replica by key. */
+    val records: Map<RecordKey, StreamRecord> get() = recordsByKey
 
-    /** The leadership term that the replica is of; 0: nothing is held. */
+    /** Leadership term of the replica; 0 when the replica is empty. */
     var term = 0L
         private set
 
-    /** Sequence number of the last frame within the term. */
+    /** Sequence number of the last applied frame within the term. */
     var sequence = 0L
         private set
 
-    /** Records that the leader had still to send when it sent the last frame. */
-    var remaining = 0
+    /** Number of changed records that the leader had not sent yet after the last applied frame. */
+    var remainingRecords = 0
         private set
 
-    /** The whole snapshot has arrived; the stream may have run ahead since. */
+    /** Whether a whole snapshot was received; later changes may be missing. */
     var hasSnapshot = false
         private set
 
-    /** At least one frame is held. */
-    val isHeld: Boolean get() = term != 0L
+    /** Whether the replica contains at least one frame. */
+    val isPresent: Boolean get() = term != 0L
 
-    /** The replica equals the leader's state at [sequence]. */
-    val isCurrent: Boolean get() = hasSnapshot && remaining == 0
+    /** Whether the replica equals the leader's state at [sequence]. */
+    val isCurrent: Boolean get() = hasSnapshot && remainingRecords == 0
 
-    /** Drops everything that is held. */
+    /** Drops the replica. */
     fun clear() {
-        held.clear()
-        bytes = 0
+        recordsByKey.clear()
+        memoryBytes = 0
         term = 0
         sequence = 0
-        remaining = 0
+        remainingRecords = 0
         hasSnapshot = false
     }
 
-    /** Applies [frame] if it continues the replica or begins a new one, and else drops the replica. */
+    /** Applies [frame] if it continues the replica or begins a new one; otherwise drops the replica. */
     fun apply(frame: StreamFrame): ApplyResult {
-        val fault = faultOf(frame)
-        if (fault != null) return reject(fault)
-        if (frame.first) clear()
+        val rejectionReason = rejectionReasonOf(frame)
+        if (rejectionReason != null) return reject(rejectionReason)
+        if (frame.startsSnapshot) clear()
         term = frame.term
         sequence = frame.sequence
-        remaining = frame.remaining
-        frame.removed.forEach(::remove)
+        remainingRecords = frame.remainingRecords
+        frame.removedKeys.forEach(::remove)
         frame.records.forEach(::put)
-        if (remaining == 0) hasSnapshot = true
-        if (bytes > maxBytes) return reject("the replica would take more than $maxBytes bytes")
+        if (remainingRecords == 0) hasSnapshot = true
+        if (memoryBytes > maxBytes) return reject("replica takes $memoryBytes bytes, at most $maxBytes allowed")
         return ApplyResult.Applied
     }
 
-    /** Why [frame] does not continue the replica, or null. */
-    private fun faultOf(frame: StreamFrame): String? =
+    /** Returns why [frame] can't be applied, or null if it can. */
+    private fun rejectionReasonOf(frame: StreamFrame): String? =
         when {
-            frame.term < term -> "term ${frame.term} after term $term"
-            frame.first -> null
-            !isHeld -> "sequence number ${frame.sequence} without a snapshot"
-            frame.term != term -> "term ${frame.term} without a snapshot"
-            frame.sequence != sequence + 1 -> "sequence number ${frame.sequence} after $sequence"
+            frame.term < term -> "frame of term ${frame.term} after term $term"
+            frame.startsSnapshot -> null
+            !isPresent -> "frame with sequence number ${frame.sequence} but no snapshot"
+            frame.term != term -> "frame of term ${frame.term} but no snapshot of that term"
+            frame.sequence != sequence + 1 -> "frame with sequence number ${frame.sequence} after $sequence"
             else -> null
         }
 
@@ -93,12 +93,12 @@
 
     private fun put(record: StreamRecord) {
         remove(record.key)
-        held[record.key] = record
-        bytes += record.memoryBytes
+        recordsByKey[record.key] = record
+        memoryBytes += record.memoryBytes
     }
 
     private fun remove(key: RecordKey) {
-        val old = held.remove(key) ?: return
-        bytes -= old.memoryBytes
+        val previous = recordsByKey.remove(key) ?: return
+        memoryBytes -= previous.memoryBytes
     }
 }
--- a/src/main/kotlin/ledgearch/standby/StreamLog.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamLog.kt
@@ -6,43 +6,44 @@
 import ledgearch.peers.StreamRecord
 
 /**
- * The leader's log of the decision stream: the state as of the last interval, the sequence number, and for each
- * follower which records it still has to be sent. Changes of one record that have not been sent yet are coalesced, so
- * a follower's backlog is never longer than the state itself. [frameBytes]: a frame takes no further record once its
- * records have so many bytes.
+ * The leader's log of the replication stream: the state at the last interval, its sequence number and the backlog of
+ * each follower. Unsent changes of a record are coalesced, so a backlog is bounded by the number of records, not of
+ * changes. A frame takes no further record once its records reach [frameRecordsBytes].
  */
 internal class StreamLog(
-    private val frameBytes: Int,
+    private val frameRecordsBytes: Int,
 ) {
-    /** How far one follower has been sent the stream. */
+    /** Position of a follower in the stream. */
     private class Cursor {
-        /** No frame of the present snapshot was sent yet. */
-        var first = true
-        var inSnapshot = true
+        /** Whether the next frame is the first of a snapshot. */
+        var startsSnapshot = true
 
-        /** Records that have to be sent, in the order in which they are. */
-        val pending = LinkedHashSet<RecordKey>()
+        /** Whether a part of the snapshot was not sent yet. */
+        var isSnapshotPending = true
+
+        /** Keys of the records to send, in this order. */
+        val pendingKeys = LinkedHashSet<RecordKey>()
     }
 
     private val cursors = LinkedHashMap<Long, Cursor>()
 
-    /** The leadership term; 0: none has begun. */
+    /** Leadership term; 0 before the first. */
     var term = 0L
         private set
 
-    /** Intervals of the term that have ended. */
+    /** Number of intervals of the term that have ended. */
     var sequence = 0L
         private set
 
-    /** The leader's state at [sequence]; never changed in place. */
+    /** The leader's state at [sequence]; the map is replaced, never changed. */
     var records: Map<RecordKey, StreamRecord> = emptyMap()
         private set
 
-    /** Records changed or removed, counted once an interval: with the bytes sent, the standing cost of the stream. */
+    /** Number of changed and removed records; a record counts at most once per interval. */
     var changes = 0L
         private set
 
-    /** Snapshots sent in full. */
+    /** Number of snapshots sent completely. */
     var snapshotsSent = 0L
         private set
 
@@ -50,85 +51,86 @@
     val followers: Set<Long> get() = cursors.keys
 
     /** Whether there is a follower. */
-    val isFollowed: Boolean get() = cursors.isNotEmpty()
+    val hasFollowers: Boolean get() = cursors.isNotEmpty()
 
-    /** Records that the follower furthest behind has still to be sent. */
-    val longestBacklog: Int get() = cursors.values.maxOfOrNull { it.pending.size } ?: 0
+    /** Number of records that the slowest follower has not been sent yet. */
+    val longestBacklog: Int get() = cursors.values.maxOfOrNull { it.pendingKeys.size } ?: 0
 
-    /** Begins a term: every follower gets a new snapshot. */
-    fun begin(newTerm: Long) {
+    /** Begins a term, with a new snapshot for every follower. */
+    fun beginTerm(newTerm: Long) {
         term = newTerm
         sequence = 0
         records = emptyMap()
-        cursors.keys.toList().forEach(::join)
+        cursors.keys.toList().forEach(::addFollower)
     }
 
-    /** The term is over: followers get nothing until another begins. */
-    fun end() {
+    /** Ends the term; followers are sent nothing until another begins. */
+    fun endTerm() {
         records = emptyMap()
-        cursors.values.forEach { it.pending.clear() }
+        cursors.values.forEach { it.pendingKeys.clear() }
     }
 
-    /** [follower] gets the stream from now on, beginning with a snapshot; also if it had it before. */
-    fun join(follower: Long) {
+    /** Adds a follower, or begins its stream anew; the stream begins with a snapshot. */
+    fun addFollower(followerId: Long) {
         val cursor = Cursor()
-        cursor.pending.addAll(records.keys)
-        cursors[follower] = cursor
+        cursor.pendingKeys.addAll(records.keys)
+        cursors[followerId] = cursor
     }
 
-    /** [follower] gets the stream no more. */
-    fun leave(follower: Long) {
-        cursors.remove(follower)
+    /** Ends the stream of a follower. */
+    fun removeFollower(followerId: Long) {
+        cursors.remove(followerId)
     }
 
-    /** Ends an interval: the leader's state is [current] from now on. */
-    fun advance(current: Map<RecordKey, StreamRecord>) {
+    /** Ends an interval, at the end of which the leader's state is [currentRecords]. */
+    fun advance(currentRecords: Map<RecordKey, StreamRecord>) {
         sequence++
-        val changed = current.values.filter { records[it.key] != it }.map { it.key }
-        val removed = records.keys.filter { it !in current }
-        changes += changed.size + removed.size
-        records = current
+        val changedKeys = currentRecords.values.filter { records[it.key] != it }.map { it.key }
+        val removedKeys = records.keys.filter { it !in currentRecords }
+        changes += changedKeys.size + removedKeys.size
+        records = currentRecords
         for (cursor in cursors.values) {
-            cursor.pending.addAll(changed)
-            cursor.pending.addAll(removed)
+            cursor.pendingKeys.addAll(changedKeys)
+            cursor.pendingKeys.addAll(removedKeys)
         }
     }
 
     /**
-     * The frame of the present sequence number for [follower], or null for one that has not joined. To be called once
-     * an interval.
+     * Returns the frame of the current interval for a follower, or null for an unknown one. To be called once per
+     * interval.
      */
-    fun nextFrame(follower: Long): StreamFrame? {
-        val cursor = cursors[follower] ?: return null
-        val sent = ArrayList<StreamRecord>()
-        val removed = ArrayList<RecordKey>()
-        takePending(cursor, sent, removed)
-        val frame = StreamFrame(term, sequence, cursor.first, cursor.pending.size, sent, removed)
-        cursor.first = false
-        if (cursor.inSnapshot && cursor.pending.isEmpty()) {
-            cursor.inSnapshot = false
+    fun nextFrame(followerId: Long): StreamFrame? {
+        val cursor = cursors[followerId] ?: return null
+        val changedRecords = ArrayList<StreamRecord>()
+        val removedKeys = ArrayList<RecordKey>()
+        takePending(cursor, changedRecords, removedKeys)
+        val frame =
+            StreamFrame(term, sequence, cursor.startsSnapshot, cursor.pendingKeys.size, changedRecords, removedKeys)
+        cursor.startsSnapshot = false
+        if (cursor.isSnapshotPending && cursor.pendingKeys.isEmpty()) {
+            cursor.isSnapshotPending = false
             snapshotsSent++
         }
         return frame
     }
 
-    /** Takes what fits into one frame, but at least one record, so that the backlog always shrinks. */
+    /** Moves pending records into one frame, at least one of them, so that the backlog always shrinks. */
     private fun takePending(
         cursor: Cursor,
-        sent: MutableList<StreamRecord>,
-        removed: MutableList<RecordKey>,
+        changedRecords: MutableList<StreamRecord>,
+        removedKeys: MutableList<RecordKey>,
     ) {
         var bytes = 0
-        val keys = cursor.pending.iterator()
-        while (keys.hasNext() && bytes < frameBytes) {
+        val keys = cursor.pendingKeys.iterator()
+        while (keys.hasNext() && bytes < frameRecordsBytes) {
             val key = keys.next()
             keys.remove()
             val record = records[key]
             if (record == null) {
-                removed.add(key)
+                removedKeys.add(key)
                 bytes += key.name.length
             } else {
-                sent.add(record)
+                changedRecords.add(record)
                 bytes += StreamCodec.sizeOf(record)
             }
         }
--- a/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's side of warm standby: streams the state to the followers that asked for it. [processorShare]: the share
- * of a processor that this node may use (0 to 1), by which a snapshot is paced.
+ * The leader's side of warm standby: streams the leader's state to the followers that requested it. The share of a
+ * processor that this node may use, [processorShare] (0 to 1), limits the rate at which snapshots are sent.
  */
 internal class StreamPublisher(
     private val mesh: Mesh,
@@ -17,74 +17,74 @@
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.standby")
 
-    /** Steady ms at which the next interval ends. */
-    private var nextIntervalAt = 0L
+    /** Steady-clock ms at which the current interval ends. */
+    private var intervalEndsAtMs = 0L
 
-    /** The warning that the state is truncated was logged in this term. */
-    private var truncationLogged = false
+    /** Whether the warning about a truncated state was logged in this term. */
+    private var isTruncationLogged = false
 
-    /** The log of the stream, with how far each follower has been sent it. */
-    val streamLog = StreamLog(frameBytes(processorShare))
+    /** Log of the stream with the positions of the followers. */
+    val streamLog = StreamLog(frameRecordsBytes(processorShare))
 
-    /** Streams ended since their follower did not keep up or was gone. */
+    /** Number of streams ended because the follower was too slow or gone. */
     var streamsDropped = 0L
         private set
 
-    /** Bytes of stream frames sent, without their headers. */
+    /** Bytes of the sent stream frames without their headers. */
     var bytesSent = 0L
         private set
 
-    /** This node leads under the new [term]. */
-    fun begin(term: Long) {
-        streamLog.begin(term)
-        truncationLogged = false
+    /** Begins a [term] of this node as leader. */
+    fun beginTerm(term: Long) {
+        streamLog.beginTerm(term)
+        isTruncationLogged = false
     }
 
-    /** This node leads no more. */
-    fun end() = streamLog.end()
+    /** Ends the term. */
+    fun endTerm() = streamLog.endTerm()
 
-    /** The connection [follower] asks for the stream. */
-    fun join(follower: Long) {
-        streamLog.join(follower)
-        log.info("decision stream requested; follower={}", follower)
+    /** Starts the stream for a follower that requested it. */
+    fun addFollower(followerId: Long) {
+        streamLog.addFollower(followerId)
+        log.info("replication stream requested; follower={}", followerId)
     }
 
-    /** The connection [follower] has ended. */
-    fun leave(follower: Long) = streamLog.leave(follower)
+    /** Ends the stream for a follower whose connection has ended. */
+    fun removeFollower(followerId: Long) = streamLog.removeFollower(followerId)
 
-    /** Streams the changes since the last interval if one is over. To be called only while this node leads. */
+    /** Sends the changes of the current interval if it has ended. To be called only while this node is the leader. */
     fun runDueWork() {
-        if (clock.steadyMs < nextIntervalAt || !streamLog.isFollowed) return
-        nextIntervalAt = clock.steadyMs + StandbyTuning.STREAM_INTERVAL_MS
+        if (clock.steadyMs < intervalEndsAtMs || !streamLog.hasFollowers) return
+        intervalEndsAtMs = clock.steadyMs + StandbyTuning.STREAM_INTERVAL_MS
         streamLog.advance(snapshot.read())
-        if (snapshot.isTruncated && !truncationLogged) {
-            truncationLogged = true
+        if (snapshot.isTruncated && !isTruncationLogged) {
+            isTruncationLogged = true
             log.warn(
-                "leader state exceeds {} bytes, the decision stream carries a part of it; term={}",
+                "leader state exceeds {} bytes, the replication stream omits the records beyond; term={}",
                 StandbyTuning.REPLICA_BYTES,
                 streamLog.term,
             )
         }
-        for (follower in streamLog.followers.toList()) send(follower)
+        for (followerId in streamLog.followers.toList()) sendFrame(followerId)
     }
 
-    private fun send(follower: Long) {
-        val frame = streamLog.nextFrame(follower) ?: return
+    private fun sendFrame(followerId: Long) {
+        val frame = streamLog.nextFrame(followerId) ?: return
         val body = StreamCodec.encode(frame)
-        if (mesh.stream(follower, body)) {
+        if (mesh.stream(followerId, body)) {
             bytesSent += body.size
             return
         }
         streamsDropped++
-        streamLog.leave(follower)
-        log.warn("backpressure on the decision stream, connection closed; follower={}", follower)
+        streamLog.removeFollower(followerId)
+        log.warn("replication stream ended, follower too slow or gone; follower={}", followerId)
     }
 
     private companion object {
-        /** A snapshot is paced by the share of the processor that the leader may use. */
-        fun frameBytes(processorShare: Double) =
-            (StandbyTuning.STREAM_FRAME_BYTES * processorShare)
+        /** Returns the size of the records in a frame, in proportion to [processorShare] within limits. */
+        fun frameRecordsBytes(processorShare: Double) =
+            (StandbyTuning.MAX_FRAME_RECORDS_BYTES * processorShare)
                 .toInt()
-                .coerceIn(StandbyTuning.STREAM_FRAME_LEAST, StandbyTuning.STREAM_FRAME_BYTES)
+                .coerceIn(StandbyTuning.MIN_FRAME_RECORDS_BYTES, StandbyTuning.MAX_FRAME_RECORDS_BYTES)
     }
 }
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -7,8 +7,8 @@
 import ledgearch.runtime.Clock
 
 /**
- * Warm standby: on the leader it streams the state to the followers that asked for it, elsewhere it keeps a replica of
- * the leader's. Run by the owner alone.
+ * Warm standby: the leader streams its state to the followers that requested it, and each of these keeps a replica.
+ * Called only by the owner.
  */
 internal class WarmStandby(
     node: String,
@@ -17,67 +17,67 @@
     processorShare: Double,
     snapshot: LeaderSnapshot,
 ) {
-    private val publisher = StreamPublisher(mesh, clock, processorShare, snapshot)
-    private val follower = ReplicaFollower(node, mesh, clock)
+    private val streamPublisher = StreamPublisher(mesh, clock, processorShare, snapshot)
+    private val streamFollower = StreamFollower(node, mesh, clock)
 
-    /** The log of the stream that this node publishes while it leads. */
-    val streamLog: StreamLog get() = publisher.streamLog
+    /** Log of the stream that this node publishes while it is the leader. */
+    val streamLog: StreamLog get() = streamPublisher.streamLog
 
-    /** The replica that this node holds while it follows. */
-    val replica: Replica get() = follower.replica
+    /** Replica that this node holds while it is a follower. */
+    val replica: Replica get() = streamFollower.replica
 
-    /** This node leads under the new [term]. Returns what its replica suggests, or null without a fitting one. */
+    /** Begins a [term] of this node as leader and returns the hints of its replica, or null without a usable one. */
     fun begin(term: Long): FailoverHints? {
-        publisher.begin(term)
-        return follower.takeOver(term)
+        streamPublisher.beginTerm(term)
+        return streamFollower.takeHints(term)
     }
 
-    /** This node leads no more. */
-    fun end() = publisher.end()
+    /** Ends the term of this node as leader. */
+    fun end() = streamPublisher.endTerm()
 
-    /** The leadership record is now [leadership], written at [modRevision]; null: nobody leads. */
+    /** Records that the leadership record is now [leadership], written at [modRevision]; null without a leader. */
     fun leadershipChanged(
         leadership: LeadershipRecord?,
         modRevision: Long,
-    ) = follower.leadershipChanged(leadership, modRevision)
+    ) = streamFollower.onLeadershipChanged(leadership, modRevision)
 
-    /** Takes an event of a decision stream. A frame counts only if it comes from [leaderAddress], the leader's. */
+    /** Handles an event of a replication stream. Frames are ignored unless they come from [leaderAddress]. */
     fun handle(
         event: StandbyEvent,
         leaderAddress: String?,
     ) {
         when (event) {
-            is StandbyEvent.FollowerJoined -> publisher.join(event.follower)
-            is StandbyEvent.FollowerLeft -> publisher.leave(event.follower)
-            is StandbyEvent.FrameReceived -> if (event.address == leaderAddress) follower.receive(event)
+            is StandbyEvent.FollowerJoined -> streamPublisher.addFollower(event.follower)
+            is StandbyEvent.FollowerLeft -> streamPublisher.removeFollower(event.follower)
+            is StandbyEvent.FrameReceived -> if (event.address == leaderAddress) streamFollower.receive(event)
         }
     }
 
-    /** Streams the changes since the last interval; [leading]: this node leads and has read the records. */
+    /** Sends the stream frames that are due; [leading]: whether this node is the leader and has read all records. */
     fun runDueWork(leading: Boolean) {
-        if (leading) publisher.runDueWork()
+        if (leading) streamPublisher.runDueWork()
     }
 
     /**
-     * How long this node waits before it claims a free leadership record (ms), beside the random part of the wait. The
-     * longest wait is [ElectionTuning.MAX_CLAIM_DELAY_MS], as without standby.
+     * Returns the part of the claim delay that depends on the replica's lag. Together with the random part, the delay is
+     * at most [ElectionTuning.MAX_CLAIM_DELAY_MS], as without standby.
      */
-    fun headStartMs(): Long = follower.headStartMs()
+    fun headStartMs(): Long = streamFollower.replicaLagDelayMs()
 
-    /** The present state for `GET /metrics`; [leading]: this node leads. */
+    /** Returns the state for `GET /metrics`; [leading]: whether this node is the leader. */
     fun report(leading: Boolean): StandbyReport =
         StandbyReport(
             role = if (leading) StandbyReport.LEADER else StandbyReport.FOLLOWER,
             term = if (leading) streamLog.term else replica.term,
             sequence = if (leading) streamLog.sequence else replica.sequence,
             recordsHeld = if (leading) streamLog.records.size else replica.records.size,
-            recordsBehind = if (leading) streamLog.longestBacklog else replica.remaining,
-            msBehind = if (leading) 0 else follower.lagMs ?: StandbyReport.NO_REPLICA,
+            recordsBehind = if (leading) streamLog.longestBacklog else replica.remainingRecords,
+            msBehind = if (leading) 0 else streamFollower.lagMs ?: StandbyReport.NO_REPLICA,
             followers = streamLog.followers.size,
             snapshotsSent = streamLog.snapshotsSent,
-            streamsDropped = publisher.streamsDropped,
-            replicasDropped = follower.replicasDropped,
-            bytesSent = publisher.bytesSent,
+            streamsDropped = streamPublisher.streamsDropped,
+            replicasDropped = streamFollower.replicasDropped,
+            bytesSent = streamPublisher.bytesSent,
             changesSent = streamLog.changes,
         )
 }
--- a/src/test/kotlin/ledgearch/loopback/FailoverTest.kt
+++ b/src/test/kotlin/ledgearch/loopback/FailoverTest.kt
@@ -141,6 +141,6 @@
         val STANDBY_SETTINGS: Path = Path.of("deploy/operator-warm-standby.json").toAbsolutePath()
 
         /** What a new leader logs that has a replica of the leader before. */
-        val WARM_FAILOVER = Regex("failover with a replica; term=\\d+ replicaMachines=[1-9]\\d*")
+        val WARM_FAILOVER = Regex("failover: standby replica read; term=\\d+ replicaMachines=[1-9]\\d*")
     }
 }
--- a/src/test/kotlin/ledgearch/peers/FramesTest.kt
+++ b/src/test/kotlin/ledgearch/peers/FramesTest.kt
@@ -11,45 +11,43 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
 
-/** The frames in which leaders tell their status to other controllers, also those of earlier versions. */
+/** Tests the status frames of this version and of earlier ones. */
 internal class FramesTest {
     private val progress = listOf(JobProgress("job-7", 3, 2))
 
-    private fun read(frame: ByteString) = Frames.take(Buffer().write(frame))!!
+    private fun readStatus(frame: ByteString) = Frames.take(Buffer().write(frame))!!
 
     @Test
-    fun `a frame tells what was put into it`() {
-        for (served in listOf(true, false, null)) {
-            val status = read(Frames.encode(LeaderStatus(progress, served)))
+    fun `a decoded frame equals the encoded status`() {
+        for (isReachable in listOf(true, false, null)) {
+            val status = readStatus(Frames.encode(LeaderStatus(progress, isReachable)))
             assertEquals(progress, status.progress)
-            assertEquals(served, status.served)
+            assertEquals(isReachable, status.served)
         }
     }
 
-    /**
-     * Written by the version before leaders told whether the state service answers them: `job-7`, 3 done, 2 running.
-     */
+    /** A frame of the last version without an entry for the state service: `job-7`, 3 tasks finished, 2 running. */
     @Test
-    fun `an earlier version's frame is read`() {
-        val status = read("0000000e056a6f622d370000000300000002".decodeHex())
+    fun `a frame of an earlier version is decoded`() {
+        val status = readStatus("0000000e056a6f622d370000000300000002".decodeHex())
         assertEquals(progress, status.progress)
         assertNull(status.served)
     }
 
-    /** To an earlier version what is new is one more job, with an empty id that nothing has. */
+    /** An earlier version decodes the entry as a job with an empty id and finds no such job. */
     @Test
-    fun `what is new has the form of a job's entry`() {
+    fun `the state service's entry has the form of a job's entry`() {
         assertEquals("00000009000000000000000000".decodeHex(), Frames.encode(LeaderStatus(emptyList(), served = false)))
     }
 
     @Test
-    fun `a frame that is not all there is waited for and a broken one refused`() {
+    fun `an incomplete frame is left in the buffer and a malformed one rejected`() {
         assertNull(Frames.take(Buffer().write("0000000e056a".decodeHex())))
-        assertThrows(MalformedFrame::class.java) { read("00000003056a6f".decodeHex()) }
+        assertThrows(MalformedFrame::class.java) { readStatus("00000003056a6f".decodeHex()) }
     }
 
     @Test
-    fun `the states of zones are told to the other controllers`() {
+    fun `a decoded frame has the encoded states of zones`() {
         val zones =
             listOf(
                 ZoneStatus("b", ZoneState.RETURNING, 1.25, 0.25),
--- a/src/test/kotlin/ledgearch/peers/MeshLinksTest.kt
+++ b/src/test/kotlin/ledgearch/peers/MeshLinksTest.kt
@@ -19,7 +19,7 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor
 import java.util.concurrent.TimeUnit
 
-/** Connections between controllers with and without warm standby, on loopback. */
+/** Tests connections between controllers with and without standbyFollowerEvents standby, on loopback. */
 internal class MeshLinksTest {
     private val executor = ScheduledThreadPoolExecutor(1)
     private val dispatcher = executor.asCoroutineDispatcher()
@@ -27,17 +27,17 @@
     private val group = AsynchronousChannelGroup.withThreadPool(executor)
     private val frame = StreamFrame(5, 1, true, 0, emptyList(), emptyList())
 
-    /** What a controller has heard from its peers. */
-    private class Heard : MeshEvents {
+    /** Records the events at one controller. */
+    private class RecordedEvents : MeshEvents {
         val statuses = LinkedBlockingQueue<LeaderStatus>()
-        val standby = LinkedBlockingQueue<StandbyEvent>()
+        val standbyEvents = LinkedBlockingQueue<StandbyEvent>()
 
         override suspend fun statusReceived(status: LeaderStatus) {
             statuses.add(status)
         }
 
         override suspend fun standby(event: StandbyEvent) {
-            standby.add(event)
+            standbyEvents.add(event)
         }
 
         override suspend fun refused(address: String) = Unit
@@ -51,78 +51,80 @@
 
     private fun freeAddress() = ServerSocket(0).use { "127.0.0.1:${it.localPort}" }
 
-    private fun <T> onOwner(work: () -> T): T = runBlocking { withContext(dispatcher) { work() } }
+    private fun <T> onOwnerThread(block: () -> T): T = runBlocking { withContext(dispatcher) { block() } }
 
-    private fun <T> next(queue: LinkedBlockingQueue<T>): T? = queue.poll(WAIT_S, TimeUnit.SECONDS)
+    private fun <T> pollNext(queue: LinkedBlockingQueue<T>): T? = queue.poll(MAX_WAIT_S, TimeUnit.SECONDS)
 
-    private fun leader(
-        heard: Heard,
+    private fun listenAsLeader(
+        events: RecordedEvents,
         address: String,
-    ) = MeshLinks(scope, group, heard, streams = true).also { leader -> onOwner { leader.listen(address) } }
+    ) = MeshLinks(scope, group, events, isStandbyEnabled = true).also { leader ->
+        onOwnerThread { leader.listen(address) }
+    }
 
-    private fun follow(
+    private fun connectFollower(
         address: String,
-        heard: Heard,
-        streams: Boolean,
+        events: RecordedEvents,
+        isStandbyEnabled: Boolean,
     ) {
-        val links = MeshLinks(scope, group, heard, streams)
-        onOwner { links.follow(address) }
+        val links = MeshLinks(scope, group, events, isStandbyEnabled)
+        onOwnerThread { links.follow(address) }
     }
 
     @Test
-    fun `a follower that says hello gets the stream, and one that does not gets what it always got`() {
+    fun `a follower that requests the stream gets it, and one that does not gets status frames only`() {
         val address = freeAddress()
-        val atLeader = Heard()
-        val leader = leader(atLeader, address)
-        val old = Heard()
-        follow(address, old, streams = false)
-        val warm = Heard()
-        follow(address, warm, streams = true)
-        val joined = next(atLeader.standby) as StandbyEvent.FollowerJoined
-        assertTrue(onOwner { leader.stream(joined.follower, StreamCodec.encode(frame)) })
-        onOwner { leader.publish(LeaderStatus(emptyList(), true)) }
-        assertEquals(StandbyEvent.FrameReceived(address, frame), next(warm.standby))
-        assertEquals(true, next(warm.statuses)?.served)
-        assertEquals(true, next(old.statuses)?.served)
-        assertNull(old.standby.poll())
-        assertNull(atLeader.standby.poll())
+        val leaderEvents = RecordedEvents()
+        val leader = listenAsLeader(leaderEvents, address)
+        val plainEvents = RecordedEvents()
+        connectFollower(address, plainEvents, isStandbyEnabled = false)
+        val standbyFollowerEvents = RecordedEvents()
+        connectFollower(address, standbyFollowerEvents, isStandbyEnabled = true)
+        val joined = pollNext(leaderEvents.standbyEvents) as StandbyEvent.FollowerJoined
+        assertTrue(onOwnerThread { leader.stream(joined.follower, StreamCodec.encode(frame)) })
+        onOwnerThread { leader.publish(LeaderStatus(emptyList(), true)) }
+        assertEquals(StandbyEvent.FrameReceived(address, frame), pollNext(standbyFollowerEvents.standbyEvents))
+        assertEquals(true, pollNext(standbyFollowerEvents.statuses)?.served)
+        assertEquals(true, pollNext(plainEvents.statuses)?.served)
+        assertNull(plainEvents.standbyEvents.poll())
+        assertNull(leaderEvents.standbyEvents.poll())
     }
 
     @Test
-    fun `more jobs than one frame holds are told of in several`() {
+    fun `more jobs than the limit of one frame are sent in several`() {
         val address = freeAddress()
-        val atLeader = Heard()
-        val leader = leader(atLeader, address)
-        val follower = Heard()
-        follow(address, follower, streams = true)
-        next(atLeader.standby)
-        val jobs = List(2 * PeerTuning.JOBS_PER_FRAME + 1) { JobProgress("job-$it", it, 1) }
-        onOwner { leader.publish(LeaderStatus(jobs, served = true)) }
-        val heard = List(3) { next(follower.statuses)?.progress.orEmpty() }
-        assertEquals(jobs, heard.flatten())
-        assertTrue(heard.all { it.size <= PeerTuning.JOBS_PER_FRAME })
+        val leaderEvents = RecordedEvents()
+        val leader = listenAsLeader(leaderEvents, address)
+        val followerEvents = RecordedEvents()
+        connectFollower(address, followerEvents, isStandbyEnabled = true)
+        pollNext(leaderEvents.standbyEvents)
+        val jobs = List(2 * PeerTuning.MAX_JOBS_PER_STATUS_FRAME + 1) { JobProgress("job-$it", it, 1) }
+        onOwnerThread { leader.publish(LeaderStatus(jobs, served = true)) }
+        val receivedProgress = List(3) { pollNext(followerEvents.statuses)?.progress.orEmpty() }
+        assertEquals(jobs, receivedProgress.flatten())
+        assertTrue(receivedProgress.all { it.size <= PeerTuning.MAX_JOBS_PER_STATUS_FRAME })
     }
 
     @Test
-    fun `a connection that says something else is closed, and the others go on`() {
+    fun `a connection with a malformed stream request is closed, and the others stay open`() {
         val address = freeAddress()
-        val atLeader = Heard()
-        val leader = leader(atLeader, address)
-        val warm = Heard()
-        follow(address, warm, streams = true)
-        val joined = next(atLeader.standby) as StandbyEvent.FollowerJoined
+        val leaderEvents = RecordedEvents()
+        val leader = listenAsLeader(leaderEvents, address)
+        val standbyFollowerEvents = RecordedEvents()
+        connectFollower(address, standbyFollowerEvents, isStandbyEnabled = true)
+        val joined = pollNext(leaderEvents.standbyEvents) as StandbyEvent.FollowerJoined
         Socket(InetAddress.getLoopbackAddress(), address.substringAfter(':').toInt()).use { socket ->
-            socket.soTimeout = TimeUnit.SECONDS.toMillis(WAIT_S).toInt()
+            socket.soTimeout = TimeUnit.SECONDS.toMillis(MAX_WAIT_S).toInt()
             socket.getOutputStream().write("GET / HTTP/1.1\r\n".toByteArray())
-            assertEquals(-1, readToEnd(socket))
+            assertEquals(-1, readByteOrEnd(socket))
         }
-        assertTrue(next(atLeader.standby) is StandbyEvent.FollowerLeft)
-        assertTrue(onOwner { leader.stream(joined.follower, StreamCodec.encode(frame)) })
-        assertEquals(StandbyEvent.FrameReceived(address, frame), next(warm.standby))
+        assertTrue(pollNext(leaderEvents.standbyEvents) is StandbyEvent.FollowerLeft)
+        assertTrue(onOwnerThread { leader.stream(joined.follower, StreamCodec.encode(frame)) })
+        assertEquals(StandbyEvent.FrameReceived(address, frame), pollNext(standbyFollowerEvents.standbyEvents))
     }
 
-    /** The connection may end with a reset, as unread bytes are left. */
-    private fun readToEnd(socket: Socket): Int =
+    /** Reads one byte; returns -1 at the end, which may be a reset because of unread bytes. */
+    private fun readByteOrEnd(socket: Socket): Int =
         try {
             socket.getInputStream().read()
         } catch (_: java.net.SocketException) {
@@ -130,34 +132,34 @@
         }
 
     @Test
-    fun `a malformed or oversized frame closes the connection, and a new one is made and served`() {
+    fun `after a malformed or oversized frame the connection is replaced, and the new one works`() {
         ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { server ->
-            server.soTimeout = TimeUnit.SECONDS.toMillis(WAIT_S).toInt()
-            val warm = Heard()
+            server.soTimeout = TimeUnit.SECONDS.toMillis(MAX_WAIT_S).toInt()
+            val standbyFollowerEvents = RecordedEvents()
             val address = "127.0.0.1:${server.localPort}"
-            follow(address, warm, streams = true)
-            val good = StreamFrames.encode(StreamCodec.encode(frame)).toByteArray()
-            val cut = byteArrayOf(1, 0, 0, 3, 9, 9, 9)
-            val oversized = byteArrayOf(1, -1, -1, -1)
-            for (bad in listOf(cut, oversized)) {
+            connectFollower(address, standbyFollowerEvents, isStandbyEnabled = true)
+            val validFrame = StreamFrames.encode(StreamCodec.encode(frame)).toByteArray()
+            val malformedFrame = byteArrayOf(1, 0, 0, 3, 9, 9, 9)
+            val oversizedFrame = byteArrayOf(1, -1, -1, -1)
+            for (invalidFrame in listOf(malformedFrame, oversizedFrame)) {
                 server.accept().use { socket ->
                     assertEquals(
-                        StreamFrames.hello.size,
-                        socket.getInputStream().readNBytes(StreamFrames.hello.size).size,
+                        StreamFrames.streamRequest.size,
+                        socket.getInputStream().readNBytes(StreamFrames.streamRequest.size).size,
                     )
-                    socket.getOutputStream().write(bad)
-                    assertEquals(-1, readToEnd(socket))
+                    socket.getOutputStream().write(invalidFrame)
+                    assertEquals(-1, readByteOrEnd(socket))
                 }
             }
             server.accept().use { socket ->
-                socket.getOutputStream().write(good)
-                assertEquals(StandbyEvent.FrameReceived(address, frame), next(warm.standby))
+                socket.getOutputStream().write(validFrame)
+                assertEquals(StandbyEvent.FrameReceived(address, frame), pollNext(standbyFollowerEvents.standbyEvents))
             }
         }
     }
 
     private companion object {
-        /** s. Far longer than loopback takes on a busy machine: nothing here asserts a speed. */
-        const val WAIT_S = 20L
+        /** Far longer than loopback takes on a busy machine; no test checks a duration. */
+        const val MAX_WAIT_S = 20L
     }
 }
--- a/src/test/kotlin/ledgearch/peers/StreamCodecTest.kt
+++ b/src/test/kotlin/ledgearch/peers/StreamCodecTest.kt
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The binary form of the decision stream's frames: what is written is read, and anything else is refused. */
+/** Tests the binary form of stream frames: an encoded frame is decoded, and anything else rejected. */
 internal class StreamCodecTest {
     private val frame = StreamExamples.frame
 
     @Test
-    fun `a frame is read as it was written, also in pieces`() {
+    fun `a decoded frame equals the encoded one, also when received byte by byte`() {
         val bytes = StreamFrames.encode(StreamCodec.encode(frame))
         val buffer = Buffer()
         for (i in 0 until bytes.size - 1) {
@@ -25,26 +25,26 @@
     }
 
     @Test
-    fun `whatever is cut, altered or random is read, waited for or refused as malformed`() {
-        val good = StreamCodec.encode(frame).toByteArray()
-        for (size in good.indices) {
-            assertThrows(MalformedFrame::class.java) { StreamCodec.decode(good.copyOf(size).toByteString()) }
+    fun `a truncated frame is malformed, and one with a random change is decoded or malformed`() {
+        val validBody = StreamCodec.encode(frame).toByteArray()
+        for (size in validBody.indices) {
+            assertThrows(MalformedFrame::class.java) { StreamCodec.decode(validBody.copyOf(size).toByteString()) }
         }
         val random = Random(1)
         repeat(20_000) {
-            val altered = good.copyOf().also { it[random.nextInt(it.size)] = random.nextInt().toByte() }
+            val changedBody = validBody.copyOf().also { it[random.nextInt(it.size)] = random.nextInt().toByte() }
             try {
-                StreamCodec.decode(altered.toByteString())
+                StreamCodec.decode(changedBody.toByteString())
             } catch (_: MalformedFrame) {
-                // As it should be.
+                // Allowed: the changed byte made the frame malformed.
             }
         }
     }
 
     @Test
-    fun `an oversized frame and one of an unknown kind are refused before they are read`() {
-        for (length in listOf((1 shl 24) or PeerTuning.STREAM_FRAME_MAX + 1, 2 shl 24, -1)) {
-            assertThrows(MalformedFrame::class.java) { StreamFrames.take(Buffer().writeInt(length)) }
+    fun `an oversized frame and one of an unknown kind are rejected by their header`() {
+        for (header in listOf((1 shl 24) or PeerTuning.MAX_STREAM_BODY_BYTES + 1, 2 shl 24, -1)) {
+            assertThrows(MalformedFrame::class.java) { StreamFrames.take(Buffer().writeInt(header)) }
         }
     }
 }
--- a/src/test/kotlin/ledgearch/peers/StreamExamples.kt
+++ b/src/test/kotlin/ledgearch/peers/StreamExamples.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.model.AttemptState
 
-/** One record of each kind, in one frame, for tests of the decision stream. */
+/** A frame with one record of each kind, for tests of the replication stream. */
 internal object StreamExamples {
     val machine =
         MachineSnapshot(
--- a/src/test/kotlin/ledgearch/simulation/faults/CorruptedStreams.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/CorruptedStreams.kt
@@ -28,7 +28,7 @@
         when (record) {
             is MachineSnapshot -> listOf(machine(record.name), machine("host-" + random.nextInt()), rented(record.name))
             is ClassRunTime -> listOf(ClassRunTime(record.jobClass, number(), number()))
-            is ServiceTime -> listOf(ServiceTime(record.job, random.nextLong()))
+            is ServiceTime -> listOf(ServiceTime(record.jobId, random.nextLong()))
             is RentedMachine -> listOf(rented("host-" + random.nextInt()))
         }
 
--- a/src/test/kotlin/ledgearch/standby/ReplicaTest.kt
+++ b/src/test/kotlin/ledgearch/standby/ReplicaTest.kt
@@ -10,64 +10,75 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** A follower's replica, fed with frames by hand and by a leader's stream log. */
+/** Tests a replica with frames of the test and with those of a leader's stream log. */
 internal class ReplicaTest {
     private val machine = StreamExamples.machine
     private val frame = StreamExamples.frame
 
-    private fun states(vararg records: StreamRecord): Map<RecordKey, StreamRecord> = records.associateBy { it.key }
+    private fun recordsByKey(vararg records: StreamRecord): Map<RecordKey, StreamRecord> =
+        records.associateBy { it.key }
 
     @Test
-    fun `a replica takes only what continues it`() {
-        val faults =
+    fun `a frame that does not continue the replica is rejected and the replica dropped`() {
+        val invalidFrames =
             listOf(
-                frame.copy(first = false, sequence = 12),
-                frame.copy(first = false, sequence = 10),
-                frame.copy(first = false, sequence = 8),
-                frame.copy(first = false, sequence = 11, term = 6),
+                frame.copy(startsSnapshot = false, sequence = 12),
+                frame.copy(startsSnapshot = false, sequence = 10),
+                frame.copy(startsSnapshot = false, sequence = 8),
+                frame.copy(startsSnapshot = false, sequence = 11, term = 6),
                 frame.copy(term = 4),
             )
-        for (fault in faults) {
+        for (invalidFrame in invalidFrames) {
             val replica = Replica(StandbyTuning.REPLICA_BYTES)
-            assertTrue(replica.apply(frame.copy(first = false)) is ApplyResult.Rejected)
+            assertTrue(replica.apply(frame.copy(startsSnapshot = false)) is ApplyResult.Rejected)
             assertEquals(ApplyResult.Applied, replica.apply(frame))
             assertFalse(replica.isCurrent)
-            assertEquals(ApplyResult.Applied, replica.apply(frame.copy(first = false, sequence = 10, remaining = 0)))
+            assertEquals(
+                ApplyResult.Applied,
+                replica.apply(frame.copy(startsSnapshot = false, sequence = 10, remainingRecords = 0)),
+            )
             assertTrue(replica.isCurrent)
-            assertTrue(replica.apply(fault) is ApplyResult.Rejected)
+            assertTrue(replica.apply(invalidFrame) is ApplyResult.Rejected)
             assertEquals(0L to 0, replica.term to replica.records.size)
         }
     }
 
     @Test
-    fun `a replica that would grow beyond its bound is dropped`() {
+    fun `a replica that exceeds its memory limit is dropped`() {
         val replica = Replica(machine.memoryBytes.toLong())
         assertEquals(ApplyResult.Applied, replica.apply(frame.copy(records = listOf(machine))))
-        val more = frame.copy(first = false, sequence = 10, records = listOf(machine.copy(name = "host-2")))
-        assertTrue(replica.apply(more) is ApplyResult.Rejected)
+        val nextFrame =
+            frame.copy(
+                startsSnapshot = false,
+                sequence = 10,
+                records = listOf(machine.copy(name = "host-2")),
+            )
+        assertTrue(replica.apply(nextFrame) is ApplyResult.Rejected)
         assertTrue(replica.records.isEmpty())
     }
 
     @Test
-    fun `a snapshot goes in pieces while the state changes, and ends with the leader's state`() {
+    fun `a snapshot sent in parts while the state changes ends with the leader's state`() {
         val random = Random(2)
-        val log = StreamLog(frameBytes = 200)
-        log.begin(5)
+        val streamLog = StreamLog(frameRecordsBytes = 200)
+        streamLog.beginTerm(5)
         val replica = Replica(StandbyTuning.REPLICA_BYTES)
-        var state = states(*Array(50) { machine.copy(name = "host-$it") })
-        log.join(1)
-        var frames = 0
-        while (frames < 400) {
-            if (frames < 200) {
-                val changed = machine.copy(name = "host-${random.nextInt(60)}", incarnation = random.nextLong(9))
-                state = state + (changed.key to changed) - RecordKey(RecordKind.MACHINE, "host-${random.nextInt(60)}")
+        var state = recordsByKey(*Array(50) { machine.copy(name = "host-$it") })
+        streamLog.addFollower(1)
+        var frameCount = 0
+        while (frameCount < 400) {
+            if (frameCount < 200) {
+                val changedRecord = machine.copy(name = "host-${random.nextInt(60)}", incarnation = random.nextLong(9))
+                state =
+                    state + (changedRecord.key to changedRecord) -
+                    RecordKey(RecordKind.MACHINE, "host-${random.nextInt(60)}")
             }
-            log.advance(state)
-            assertEquals(ApplyResult.Applied, replica.apply(log.nextFrame(1)!!))
+            streamLog.advance(state)
+            assertEquals(ApplyResult.Applied, replica.apply(streamLog.nextFrame(1)!!))
             if (replica.isCurrent) assertEquals(state, replica.records)
-            frames++
+            frameCount++
         }
         assertTrue(replica.isCurrent)
-        assertEquals(1, log.snapshotsSent)
+        assertEquals(1, streamLog.snapshotsSent)
     }
 }
