--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -151,10 +151,10 @@
 
         override fun onJobClosed(job: Job) {
             leader.jobLifecycle.onClosed(job)
-            userApi.closed(job.id)
+            userApi.onJobClosed(job.id)
         }
 
-        override fun onMachineTypesChanged() = leader.changed()
+        override fun onMachineTypesChanged() = leader.requestPlacementPass()
     }
 
     private inner class DependencyEvents : DependencyListener {
@@ -186,9 +186,9 @@
         override val isLeader get() = election.isLeader
         override val condition: Condition get() = election.condition
 
-        override fun leadershipConfirmed(
-            sentAt: Long,
-            under: Long,
-        ) = election.recordConfirmation(sentAt, under)
+        override fun recordConfirmation(
+            sentAtMs: Long,
+            sentToken: Long,
+        ) = election.recordConfirmation(sentAtMs, sentToken)
     }
 }
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -9,7 +9,7 @@
  * Counters, latencies and time spent by the owner thread since the process started, as `GET /metrics` returns them.
  * Operators read the labels; docs/operations.md lists them:
  *
- * - kinds of exchange ([recordExchange]), each with latencies and a counter `KIND.STATUS` (status 0: no answer):
+ * - kinds of exchange ([recordExchange]), each with latencies and a counter `KIND.STATUS` (status 0: no reply):
  *   incoming requests by their purpose (`submit`, `poll`, `cancel` and `heartbeat`), and calls of the owner by their
  *   peer (`state`, `cloud`, `worker`);
  * - events ([count]): `task.started`, `task.preempted`, `task.lost`, `task.exited.CAUSE`, `machine.joined`,
@@ -62,10 +62,7 @@
         counters.merge(event, increment, Long::plus)
     }
 
-    /**
-     * Records an exchange of kind [kind] that began at [startedAtMs] (steady-clock ms) and ended with [status]; 0 means
-     * that there was no answer.
-     */
+    /** Records an exchange that began at [startedAtMs] (steady-clock ms) and ended with [status], 0 without a reply. */
     fun recordExchange(
         kind: String,
         status: Int,
@@ -76,9 +73,7 @@
         latencies.getOrPut(kind) { histogram(RuntimeTuning.MAX_RECORDED_LATENCY_MS) }.recordValue(latencyMs)
     }
 
-    /**
-     * Records that the owner handled a batch in [durationUs] microseconds and left [queueLength] commands in its queue.
-     */
+    /** Records that the owner handled a batch in [durationUs] and left [queueLength] commands in its queue. */
     fun recordBatch(
         durationUs: Long,
         queueLength: Int,
@@ -93,7 +88,7 @@
     /** Returns the load of the owner thread since the process started. */
     fun ownerLoad() = OwnerLoad(summary(batchDurationsUs), summary(queueLengths), summary(tickGapsMs), spentMs())
 
-    /** Returns the counts of events and of answers, sorted by label. */
+    /** Returns the counts of events and of replies, sorted by label. */
     fun counters(): Map<String, Long> = counters.toSortedMap()
 
     /** Returns the distribution of latencies (ms) by kind of exchange. */
@@ -120,10 +115,7 @@
     }
 }
 
-/**
- * Load of the owner thread: microseconds per batch, commands left in the queue after a batch, milliseconds between two
- * ticks, and milliseconds spent on each kind of work.
- */
+/** Load of the owner thread. The time of a batch is in microseconds; the queue is measured after each batch. */
 @Serializable
 internal data class OwnerLoad(
     @SerialName("batch_us") val batchUs: Distribution,
