--- a/src/main/kotlin/ledgearch/api/Submissions.kt
+++ b/src/main/kotlin/ledgearch/api/Submissions.kt
@@ -8,7 +8,7 @@
 import ledgearch.wire.JobSpec
 import ledgearch.wire.WireJson
 
-/** Limits of a submission from the settings: the [teams] by name, and the size of a record in the state service. */
+/** Limits for submissions from the settings: the [teams] by name and the maximum size of a record. */
 internal class SubmissionLimits(
     val teams: Map<String, Team>,
     val maxValueBytes: Int,
@@ -39,7 +39,7 @@
         val submitted =
             try {
                 SubmittedJob.parse(body)
-            } catch (malformed: MalformedSubmission) {
+            } catch (malformed: MalformedSubmissionException) {
                 return respond(errorResponse(HttpStatus.BAD_REQUEST, malformed.message.orEmpty()))
             }
         val id = submitted.id
@@ -48,7 +48,7 @@
         val spec =
             try {
                 submitted.toJobSpec()
-            } catch (malformed: MalformedSubmission) {
+            } catch (malformed: MalformedSubmissionException) {
                 return rejectUnlessAccepted(id, HttpStatus.BAD_REQUEST, malformed.message.orEmpty(), respond)
             }
         validate(JobRecord(spec, clock.wallMs), respond)
--- a/src/main/kotlin/ledgearch/api/SubmittedJob.kt
+++ b/src/main/kotlin/ledgearch/api/SubmittedJob.kt
@@ -14,8 +14,8 @@
     private val fields: TypedFields,
 ) {
     /**
-     * Returns the job's specification. Throws [MalformedSubmission] for the first field that is missing or invalid;
-     * only fields that may be null may be missing. Fields are read one by one so that the error names the field.
+     * Returns the job's specification. Throws [MalformedSubmissionException] for the first field that is missing or
+     * invalid; only fields that may be null may be missing. Fields are read one by one so that the error names the field.
      */
     fun toJobSpec(): JobSpec {
         val spec =
@@ -43,7 +43,9 @@
                 dependsOn = dependenciesOrNull(),
             )
         if (spec.vcpus <= 0 && spec.accelerators <= 0 && spec.memoryGb <= 0) {
-            throw MalformedSubmission("${SubmissionField.VCPUS}: must be above 0 if the task needs no other resource")
+            throw MalformedSubmissionException(
+                "${SubmissionField.VCPUS}: must be above 0 if the task needs no other resource",
+            )
         }
         return spec
     }
@@ -53,24 +55,28 @@
         val name = SubmissionField.DEPENDS_ON
         val ids = fields.stringsOrNull(name)?.distinct().orEmpty()
         for (dependency in ids) {
-            if (!Validation.isJobId(dependency)) throw MalformedSubmission("$name: \"$dependency\" is not a job id")
-            if (dependency == id) throw MalformedSubmission("$name: a job can't depend on itself")
+            if (!Validation.isJobId(dependency)) {
+                throw MalformedSubmissionException("$name: \"$dependency\" is not a job id")
+            }
+            if (dependency == id) throw MalformedSubmissionException("$name: a job can't depend on itself")
         }
         return ids.ifEmpty { null }
     }
 
     companion object {
-        /** Parses [body]. Throws [MalformedSubmission] if it is not a JSON object with a valid job id. */
+        /** Parses [body]. Throws [MalformedSubmissionException] if it is not a JSON object with a valid job id. */
         fun parse(body: String): SubmittedJob {
             if (nestingDepth(body) > ApiTuning.MAX_SUBMISSION_DEPTH) {
-                throw MalformedSubmission("the body is nested more than ${ApiTuning.MAX_SUBMISSION_DEPTH} levels deep")
+                throw MalformedSubmissionException(
+                    "the body is nested more than ${ApiTuning.MAX_SUBMISSION_DEPTH} levels deep",
+                )
             }
             val json = parseObject(body)
             val id =
                 (json[SubmissionField.ID] as? JsonPrimitive)?.takeIf { it.isString }?.content
-                    ?: throw MalformedSubmission("${SubmissionField.ID}: missing")
+                    ?: throw MalformedSubmissionException("${SubmissionField.ID}: missing")
             if (!Validation.isJobId(id)) {
-                throw MalformedSubmission("${SubmissionField.ID}: must be job- followed by 1 to 18 digits")
+                throw MalformedSubmissionException("${SubmissionField.ID}: must be job- followed by 1 to 18 digits")
             }
             return SubmittedJob(id, TypedFields(json))
         }
@@ -78,9 +84,9 @@
         private fun parseObject(body: String): JsonObject =
             try {
                 WireJson.parseToJsonElement(body) as? JsonObject
-                    ?: throw MalformedSubmission("the body is not a JSON object")
+                    ?: throw MalformedSubmissionException("the body is not a JSON object")
             } catch (_: SerializationException) {
-                throw MalformedSubmission("the body is not valid JSON")
+                throw MalformedSubmissionException("the body is not valid JSON")
             }
 
         /** Returns how deep brackets outside strings are nested in [body], which may be invalid JSON. */
--- a/src/main/kotlin/ledgearch/api/TypedFields.kt
+++ b/src/main/kotlin/ledgearch/api/TypedFields.kt
@@ -13,8 +13,8 @@
 
 /**
  * Reads the fields of a JSON object by name and type. If a value has another type or is out of range, every function
- * throws a [MalformedSubmission] that names the field. Functions whose name ends in `OrNull` return null for a field
- * that is absent or null; the others throw.
+ * throws a [MalformedSubmissionException] that names the field. Functions whose name ends in `OrNull` return null for a
+ * field that is absent or null; the others throw.
  */
 internal class TypedFields(
     private val json: JsonObject,
@@ -28,7 +28,7 @@
     /** Returns an array of non-empty strings. */
     fun stringsOrNull(name: String): List<String>? {
         val value = value(name) ?: return null
-        val array = value as? JsonArray ?: throw MalformedSubmission("$name: must be an array")
+        val array = value as? JsonArray ?: throw MalformedSubmissionException("$name: must be an array")
         return array.map { nonEmptyString(name, it) }
     }
 
@@ -37,13 +37,13 @@
         name: String,
         values: WireEnumSerializer<E>,
     ): E where E : Enum<E>, E : WireEnum =
-        values.fromText(string(name)) ?: throw MalformedSubmission("$name: must be one of ${values.texts}")
+        values.fromText(string(name)) ?: throw MalformedSubmissionException("$name: must be one of ${values.texts}")
 
     /** Returns a boolean. */
     fun boolean(name: String): Boolean {
         val value = value(name) ?: missing(name)
         return (value as? JsonPrimitive)?.takeIf { !it.isString }?.booleanOrNull
-            ?: throw MalformedSubmission("$name: must be true or false")
+            ?: throw MalformedSubmissionException("$name: must be true or false")
     }
 
     /** Returns an integer in [min]..[max]. */
@@ -53,8 +53,8 @@
         max: Int,
     ): Int {
         val number = jsonNumberOrNull(name) ?: missing(name)
-        val value = number.longOrNull ?: throw MalformedSubmission("$name: must be an integer")
-        if (value < min || value > max) throw MalformedSubmission("$name: $value must be from $min to $max")
+        val value = number.longOrNull ?: throw MalformedSubmissionException("$name: must be an integer")
+        if (value < min || value > max) throw MalformedSubmissionException("$name: $value must be from $min to $max")
         return value.toInt()
     }
 
@@ -67,14 +67,14 @@
         val value = number.doubleOrNull
         // The negation makes a NaN out of range.
         if (value == null || !(value >= 0 && value <= ApiTuning.MAX_AMOUNT)) {
-            throw MalformedSubmission("$name: must be a number from 0 to ${ApiTuning.MAX_AMOUNT}")
+            throw MalformedSubmissionException("$name: must be a number from 0 to ${ApiTuning.MAX_AMOUNT}")
         }
         return value
     }
 
     private fun value(name: String): JsonElement? = json[name]?.takeIf { it !is JsonNull }
 
-    private fun missing(name: String): Nothing = throw MalformedSubmission("$name: missing")
+    private fun missing(name: String): Nothing = throw MalformedSubmissionException("$name: missing")
 
     private fun nonEmptyString(
         name: String,
@@ -82,7 +82,7 @@
     ): String {
         val primitive = element as? JsonPrimitive
         if (primitive == null || !primitive.isString || primitive.content.isEmpty()) {
-            throw MalformedSubmission("$name: must be a non-empty string")
+            throw MalformedSubmissionException("$name: must be a non-empty string")
         }
         return primitive.content
     }
@@ -91,7 +91,7 @@
         val value = value(name) ?: return null
         val primitive = value as? JsonPrimitive
         if (primitive == null || primitive.isString || !NUMBER.matches(primitive.content)) {
-            throw MalformedSubmission("$name: must be a number")
+            throw MalformedSubmissionException("$name: must be a number")
         }
         return primitive
     }
--- a/src/main/kotlin/ledgearch/api/UserApi.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -11,8 +11,9 @@
 /**
  * The users' HTTP interface of a node: routes each request to its handler. Only the owner thread may use it.
  *
- * A response reports a job only as it was read from the state service after the request arrived, or from its final
- * record, which never changes. For dependencies see [DependencyFreshness].
+ * A response states that a job is open or does not exist only if records confirm this that were read or compared in the
+ * state service after the request arrived; a final record is permanent. [DependencyFreshness] sets the rules for jobs
+ * with unfinished dependencies.
  */
 internal class UserApi(
     settings: Settings,
--- a/src/main/kotlin/ledgearch/wire/State.kt
+++ b/src/main/kotlin/ledgearch/wire/State.kt
@@ -13,7 +13,7 @@
     @SerialName("v") val value: JsonElement? = null,
     /** The revision of the key's last change. */
     @SerialName("stamp") val modRevision: Long = 0,
-    /** The lease with which the key is removed; null if there is none. */
+    /** The lease that the key is attached to and removed with; null if there is none. */
     @SerialName("permit") val leaseId: Long? = null,
 )
 
--- a/src/test/kotlin/ledgearch/api/SubmittedJobTest.kt
+++ b/src/test/kotlin/ledgearch/api/SubmittedJobTest.kt
@@ -11,12 +11,10 @@
     @Test
     fun `a body nested as deeply as its size allows is malformed`() {
         for (bracket in listOf("[", "{\"a\":")) {
-            assertThrows(MalformedSubmission::class.java) {
-                SubmittedJob.parse(
-                    bracket.repeat(maxBodyBytes / bracket.length),
-                )
+            assertThrows(MalformedSubmissionException::class.java) {
+                SubmittedJob.parse(bracket.repeat(maxBodyBytes / bracket.length))
             }
-            assertThrows(MalformedSubmission::class.java) {
+            assertThrows(MalformedSubmissionException::class.java) {
                 SubmittedJob.parse("""{"ref":"job-1","x":""" + bracket.repeat(maxBodyBytes / bracket.length - 9))
             }
         }
