--- a/src/test/kotlin/ledgearch/simulation/invariants/DependencyInvariants.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/DependencyInvariants.kt
@@ -82,7 +82,9 @@
             if (!invariants.isCompleted(dependency)) {
                 reportViolation(
                     "too_early",
-                    "$taskId $event, but only ${invariants.completedTaskCount(dependency)} tasks of $dependency have completed",
+                    "$taskId $event, but only ${invariants.completedTaskCount(
+                        dependency,
+                    )} tasks of $dependency have completed",
                 )
             }
             if (invariants.cancellationObservedAtMs(dependency) != null) {
