--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -11,8 +11,7 @@
 
 /**
  * Scales the block's machines out and in, and reads the cloud's catalog and machine list. Only the leader provisions
- * and releases machines; every node may read the catalog. This class creates the components of the package and calls
- * them in a fixed order. It runs on the owner thread.
+ * and releases machines; every node may read the catalog. Runs on the owner thread.
  */
 internal class Autoscaler(
     settings: Settings,
@@ -39,7 +38,7 @@
     /** Steady-clock ms of the next planning round. */
     private var nextPlanAtMs = 0L
 
-    /** Ends the leadership term: clears the booting machines, the release queue and the pending calls. */
+    /** Clears the state of the leadership term. */
     fun end() {
         bootingMachines.clear()
         rentalHints.clear()
@@ -73,7 +72,7 @@
     /** Returns the boot time of the machine type that boots fastest, in seconds, or 0 while no catalog is known. */
     fun shortestBootS(): Double = poolSelector.shortestBootS()
 
-    /** Refills the budget of calls to the cloud and reads the catalog if that is due. Called on every node. */
+    /** Refills the budget of calls and reads the catalog if that is due. Called on every node. */
     fun runDueCatalogWork(isLeader: Boolean) {
         cloud.refillBudget()
         catalogReader.runDueWork(isLeader)
@@ -82,9 +81,8 @@
     /** Reads the machine list, releases machines and plans, each if it is due. Called on the leader only. */
     fun runDueWork(cluster: Cluster) {
         machineListReader.runDueWork(cluster)
-        // A leader that is partitioned with its zone gets no heartbeats from the other zones. The calls that it makes
-        // then may be carried out after the partition ends: they would release hundreds of machines that serve the next
-        // leader, and provision hundreds.
+        // A leader that is partitioned with its zone misses all other machines. Its calls may be carried out after the
+        // partition: hundreds of machines that serve the next leader are released, and hundreds provisioned.
         if (!election.hasValidLease) return
         releaseQueue.runDueWork(cluster)
         if (clock.steadyMs < nextPlanAtMs) return
--- a/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
@@ -6,7 +6,6 @@
 
     const val CALL_TIMEOUT_MS = 5_000L
 
-    /** Delay after a call that was refused or not answered. */
     const val RETRY_DELAY_MS = 1_000L
 
     /** Prices change slowly. */
@@ -17,7 +16,7 @@
     /** The cloud's maximum. */
     const val LIST_PAGE_SIZE = 500
 
-    /** Calls whose time is waited per page before the list is read again; most are for provisioning and releasing. */
+    /** One call reads the page; the time of the others is left for provisioning and releasing. */
     const val CALLS_PER_LIST_PAGE = 3
 
     /** The cloud's maximum for one call. */
@@ -28,7 +27,7 @@
 
     // --- Booting machines ---------------------------------------------------------------------------------------
 
-    /** Multiple of the catalog's boot time after which a booting machine counts as failed. */
+    /** Multiple of the catalog's boot time. */
     const val BOOT_TIMEOUT_FACTOR = 3.0
 
     /**
@@ -40,11 +39,8 @@
     /** Time after which the cloud's list shows every machine that the previous leader provisioned. */
     const val RENTAL_HINT_TTL_MS = 10_000L
 
-    /**
-     * Names of released machines that are kept; the number of machines if that is larger. Late heartbeats and machine
-     * lists contain them for some minutes.
-     */
-    const val RELEASED_NAMES_KEPT = 2_000
+    /** Lower bound; late heartbeats and machine lists contain released machines for some minutes. */
+    const val MIN_RELEASED_NAMES_KEPT = 2_000
 
     // --- Planning -----------------------------------------------------------------------------------------------
 
@@ -53,10 +49,8 @@
     /** The demand is computed again before more machines are planned. */
     const val MAX_MACHINES_PER_PLAN = 200
 
-    /** The limit while a zone is lost or returning. */
     const val MAX_MACHINES_PER_PLAN_IN_RECOVERY = 50
 
-    /** Time for which a pool without capacity is not requested again. */
     const val NO_CAPACITY_BACKOFF_MS = 15_000L
 
     /** Multiple of the lowest price above which waiting for running tasks to end is preferred to provisioning. */
@@ -68,7 +62,7 @@
     /** Time without demand before machines are drained. */
     const val SCALE_IN_DELAY_MS = 6_000L
 
-    /** Long enough for the load to show the effect of one round of draining before the next. */
+    /** Each round of draining shows in the load before the next. */
     const val SCALE_IN_INTERVAL_MS = 3_000L
 
     /** Time constant of the decay of a load peak, about a boot time. */
--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Called when the cloud lists [listed], which has sent no heartbeat, as up. If its worker reaches no controller,
-     * the machine is of no use, and it is released sooner than one that boots.
+     * Called when the cloud lists [listed], which has sent no heartbeat, as up. If its worker reaches no controller, it
+     * is useless and is released sooner than one that boots.
      */
     fun onListedAsUp(
         cluster: Cluster,
@@ -82,9 +82,7 @@
         }
     }
 
-    /**
-     * Returns whether the machine is up in a partitioned zone: its first heartbeat shows that the partition is over.
-     */
+    /** Returns whether the machine is up in a partitioned zone, where its first heartbeat shows the zone's return. */
     private fun isProbeMachine(
         cluster: Cluster,
         name: String,
--- a/src/main/kotlin/ledgearch/autoscaling/BootingMachines.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootingMachines.kt
@@ -21,8 +21,8 @@
     fun entries(): List<Map.Entry<String, BootingMachine>> = machines.entries.toList()
 
     /**
-     * Adds the machine [name] unless it is already known to [cluster]: it may have joined and run tasks before the
-     * reply to its request arrived.
+     * Adds the machine [name] unless it is in [cluster] already: it may have joined before the reply to its request
+     * arrived.
      */
     fun add(
         cluster: Cluster,
@@ -32,7 +32,6 @@
         if (name !in cluster.machines) machines.putIfAbsent(name, machine)
     }
 
-    /** Removes the machine [name], which has joined or is being released. */
     fun remove(name: String) {
         machines.remove(name)
     }
--- a/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
@@ -110,10 +110,7 @@
             else -> ProvisionResult.Failure
         }
 
-    /**
-     * Returns no names if the reply can't be decoded; the machines are then found by the machine list and their
-     * heartbeats.
-     */
+    /** Returns none if the reply can't be decoded; the machine list and heartbeats then show the machines. */
     private fun provisionedMachines(reply: Reply): List<String> {
         val result = decode(reply) { WireJson.decodeFromString(MachineNames.serializer(), it).machines }
         return if (result is CloudResult.Success) result.value else emptyList()
--- a/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -17,15 +17,14 @@
     settings: Settings,
     private val clock: Clock,
 ) {
-    /** Sums over the arrivals of jobs of one class that decay exponentially with time. */
+    /** Exponentially decaying sums over the arrived jobs of one class. */
     private class Arrivals(
         val needsOnDemand: Boolean,
     ) {
-        /** The processors of the jobs. */
         var cpus = 0.0
             private set
 
-        /** The squares of the processors of the jobs. */
+        /** Sum of the squares of the processors of each job. */
         var squaredCpus = 0.0
             private set
 
@@ -53,10 +52,9 @@
 
     private val reserveDeviations = settings.operator.reserveDeviations
 
-    /** The processor quota of each team. */
     private val teamMaxCpus = settings.deployment.teams.associate { it.name to it.cpusMax }
 
-    /** Start objectives in seconds, by job class. */
+    /** By job class. */
     private val startObjectivesS: Map<String, Double> = settings.deployment.objectives.startWithinS()
     private val arrivals = HashMap<String, Arrivals>()
 
@@ -77,9 +75,8 @@
     ): Double = minOf(startObjectivesS[job.spec.jobClass] ?: maxS, maxS)
 
     /**
-     * Returns the processors to keep free: those that classes with a start objective below the boot time [bootS] are
-     * likely to need within that time, less those that running tasks, which free [freedCpusPerSecond], free within the
-     * shortest objective.
+     * Returns the processors to keep free: what classes with a start objective below the boot time [bootS] are likely
+     * to need within that time, less what running tasks free within the shortest of these objectives.
      */
     fun cpusToReserve(
         freedCpusPerSecond: Double,
--- a/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
@@ -51,9 +51,7 @@
         }
     }
 
-    /**
-     * Returns the time to the next reading of the list; a long list must leave calls for provisioning and releasing.
-     */
+    /** Returns the time to the next reading. A long list must leave calls for provisioning and releasing. */
     private fun intervalMs(pageCount: Int): Long {
         val calls = pageCount * AutoscalingTuning.CALLS_PER_LIST_PAGE
         val callsMs = (calls * MS_PER_SECOND / cloud.callsPerSecond).toLong()
--- a/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ReleaseQueue.kt
@@ -28,7 +28,6 @@
     /** Returns whether the machine [name] is queued for release or was released. */
     operator fun contains(name: String): Boolean = name in releasedNames || name in pendingNames
 
-    /** Queues the machine [name] for release. */
     fun add(name: String) {
         pendingNames.add(name)
     }
@@ -88,7 +87,7 @@
     }
 
     private fun removeOldestNames(cluster: Cluster) {
-        val maxCount = maxOf(AutoscalingTuning.RELEASED_NAMES_KEPT, cluster.machines.size)
+        val maxCount = maxOf(AutoscalingTuning.MIN_RELEASED_NAMES_KEPT, cluster.machines.size)
         while (releasedNames.size > maxCount) releasedNames.remove(releasedNames.first())
     }
 }
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -22,7 +22,6 @@
     /** Steady-clock ms since which there has been no demand, or 0 while there is some. */
     private var noDemandSinceMs = 0L
 
-    /** Steady-clock ms of the last round of draining. */
     private var lastDrainAtMs = 0L
 
     /** Updates the peak loads with the processors in use. */
@@ -31,9 +30,7 @@
         onDemandLoad.observe(jobStore.jobs.values.sumOf { onDemandCpus(cluster, it) })
     }
 
-    /**
-     * Returns the processors of the attempts of [job] if it may not or should not run on spot machines, otherwise 0.
-     */
+    /** Returns the processors of [job]'s attempts if it may not or should not run on spot machines, otherwise 0. */
     private fun onDemandCpus(
         cluster: Cluster,
         job: Job,
@@ -44,8 +41,7 @@
         cluster: Cluster,
         demands: List<Demand>,
     ) {
-        // While a zone is partitioned, the demand lacks tasks that may still run there. If they are lost, they need the
-        // machines that are up now.
+        // Tasks that may still run in a partitioned zone are not in the demand, but may need the present machines soon.
         val hasNoDemand = demands.isEmpty() && !cluster.hasUnsettledZone
         if (!hasNoDemand) {
             noDemandSinceMs = 0L
@@ -87,8 +83,8 @@
             machine.attempts.isEmpty() && machine.isConfirmed && !machine.isReleasing
 
     /**
-     * Drains machines, the most expensive first, if there has been no demand for a while and as long as the remaining
-     * machines hold the peak load and the headroom. Running tasks free [freedCpusPerSecond].
+     * Drains machines, the most expensive first, if there has been no demand for a while, as long as the remaining ones
+     * hold the peak load and the headroom.
      */
     fun drainUnneeded(
         cluster: Cluster,
@@ -122,8 +118,8 @@
     }
 
     /**
-     * Returns the most expensive machine of [inService] that is not needed and can be emptied, or null if there is
-     * none. Of machines with the same price it is the least used.
+     * Returns the most expensive machine of [inService] that is not needed and can be emptied, among equals the least
+     * used, or null if there is none.
      */
     private fun mostExpensiveUnneeded(
         cluster: Cluster,
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
@@ -14,7 +14,6 @@
     private val poolSelector: PoolSelector,
     /** The upcoming capacity, to which the planned machines are added. */
     private val supplies: MutableList<Supply>,
-    /** Maximum number of machines that are planned. */
     private val maxMachineCount: Int,
     /** Processors that running tasks are expected to free per second. */
     private val freedCpusPerSecond: Double,
@@ -26,7 +25,7 @@
         cluster.estimates.freedCpusPerSecondByZone(cluster.machines.values)
     }
 
-    /** The processors freed by running tasks that are assigned to the demands so far. */
+    /** The freed processors that are assigned to demands so far. */
     private var freedCpusTaken = 0.0
 
     /** The number of machines to provision by pool, in the order of planning. */
@@ -40,10 +39,7 @@
         planMachines(demand, unmetCount)
     }
 
-    /**
-     * Returns whether processors that running tasks free may be expected to serve [job]. They have not served a job
-     * that has starved for [SchedulingTuning.STARVATION_MS].
-     */
+    /** Returns whether processors freed by running tasks may serve [job]. If it has starved, they evidently do not. */
     private fun mayUseFreedCpus(job: Job): Boolean =
         !job.isService && job.spec.vcpus > 0 && job.unservedMs(clock.wallMs) <= SchedulingTuning.STARVATION_MS
 
@@ -59,9 +55,7 @@
         return servedCount
     }
 
-    /**
-     * Returns the processors that are freed before the job's start objective is missed or a new machine could be up.
-     */
+    /** Returns the processors freed before the job's start objective is missed or a new machine could be up. */
     private fun cpusFreedInTime(demand: Demand): Double {
         val bootS = poolSelector.shortestBootS()
         // If only expensive machines can be provisioned, everything freed before one could be up is counted.
--- a/src/main/kotlin/ledgearch/recovery/DisplacedTasks.kt
+++ b/src/main/kotlin/ledgearch/recovery/DisplacedTasks.kt
@@ -8,11 +8,11 @@
 internal class DisplacedTasks(
     private val order: RecoveryOrder,
 ) {
-    /** A displaced job. It is kept without waiting tasks until the recovery is over, since its group still counts. */
+    /** A displaced job, kept without waiting tasks until the recovery is over, since its group still counts. */
     private class DisplacedJob(
         val group: Int,
     ) {
-        /** A bitmap, since jobs have up to 100,000 tasks of which any may be displaced. */
+        /** Jobs have up to 100,000 tasks, any of which may be displaced. */
         val waitingTasks = RoaringBitmap()
     }
 
@@ -45,7 +45,6 @@
 
     private fun displacedJob(job: Job) = jobs.getOrPut(job) { DisplacedJob(order.groupOf(job)) }
 
-    /** Called when the task [index] of [job] was started. */
     fun onTaskStarted(
         job: Job,
         index: Int,
@@ -56,10 +55,9 @@
     /** Returns whether any displaced task of [job] waits to be started again. */
     fun isWaiting(job: Job): Boolean = jobs[job]?.waitingTasks?.isEmpty == false
 
-    /** Returns the group of [job] if it was displaced, even if all its tasks run again; null for any other job. */
+    /** Returns the group of [job] if it was displaced, even if all its tasks run again; otherwise null. */
     fun groupOf(job: Job): Int? = jobs[job]?.group
 
-    /** Removes the jobs that have ended. */
     fun removeEnded() {
         if (jobs.isNotEmpty()) jobs.keys.removeIf { it.isClosed || it.record.cancelRequested || it.isComplete }
     }
--- a/src/main/kotlin/ledgearch/recovery/FlapPenalty.kt
+++ b/src/main/kotlin/ledgearch/recovery/FlapPenalty.kt
@@ -4,17 +4,16 @@
 import kotlin.math.ln
 
 /**
- * Flap damping of one zone, like that of routes (RFC 2439): each loss of the zone adds one to a penalty that halves
- * every [RecoveryTuning.FLAP_HALF_LIFE_MS]. When it reaches [RecoveryTuning.FLAP_SUPPRESS_THRESHOLD], the zone is
- * suppressed, so that it gets no new tasks, until the penalty is below [RecoveryTuning.FLAP_REUSE_THRESHOLD]. The
- * penalty is limited, which bounds the suppression however often the zone flaps. All times are steady-clock ms.
+ * Flap damping of one zone, like that of routes (RFC 2439): each loss adds one to a penalty that halves every
+ * [RecoveryTuning.FLAP_HALF_LIFE_MS]. From [RecoveryTuning.FLAP_SUPPRESS_THRESHOLD] on, the zone gets no new tasks
+ * until the penalty is below [RecoveryTuning.FLAP_REUSE_THRESHOLD]. An upper limit of the penalty bounds this time
+ * however often the zone flaps. All times are steady-clock ms.
  */
 internal class FlapPenalty {
     /** The penalty at [changedAtMs], before the decay since then. */
     private var penalty = 0.0
     private var changedAtMs = 0L
 
-    /** Whether the zone gets no new tasks. */
     var isSuppressed = false
         private set
 
--- a/src/main/kotlin/ledgearch/recovery/RecoveryReport.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryReport.kt
@@ -23,7 +23,7 @@
     val why: String,
     /** Time in this state in ms. */
     @SerialName("for_ms") val forMs: Long,
-    /** The flap penalty: the number of losses, which decays with time. */
+    /** The flap penalty in losses, which decays with time. */
     val penalty: Double,
     /** Share of its machines that get new tasks. */
     @SerialName("admitted_share") val admittedShare: Double,
--- a/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
@@ -10,17 +10,15 @@
     /** A suspect zone is up if at least this share of its machines reports. */
     const val UP_FROM_REPORTING_SHARE = 0.9
 
-    /**
-     * If more than this share of the machines reports or replies, this node is not the cause of the others' silence.
-     */
+    /** If a larger share of the machines reports or replies, this node is not the cause of the others' silence. */
     const val MAJORITY_SHARE = 0.5
 
     /** Fewer machines of one zone may be silent at the same time without a partition. */
     const val MIN_ZONE_MACHINES = 5
 
     /**
-     * Time for which the machines of a partitioned zone are not released if keeping them helps. Most zones return after
-     * about a minute, and the wait of a job must stay clear of four minutes.
+     * Time for which machines of a partitioned zone are kept if that helps. Most zones return after about a minute, and
+     * no job may wait for almost four.
      */
     const val ZONE_OUTAGE_GRACE_MS = 120_000L
 
@@ -35,7 +33,6 @@
     /** Long enough for a task start with its image fetch to show in heartbeats. */
     const val RAMP_STEP_MS = 5_000L
 
-    /** Time to the next step of the ramp after a machine failure in the zone. */
     const val RAMP_STEP_AFTER_FAILURE_MS = 15_000L
 
     /** Half-life of the penalty; most zones that return stay up. */
@@ -53,28 +50,25 @@
     // --- Displaced tasks ----------------------------------------------------------------------------------------
 
     /**
-     * Waiting time after which a job may use machines that are held back and its start rate is not limited: a third of
-     * the longest permitted wait while resources that fit it are free.
+     * Wait that ends these limits for a job: a third of the longest permitted wait while fitting resources are free.
      */
     const val LONG_WAIT_MS = 30_000L
 
-    /** Maximum rate of starts of displaced tasks of a group other than the first, per machine in service. */
+    /** Start rate of displaced tasks per group other than the first and per machine in service. */
     const val STARTS_PER_SECOND_PER_MACHINE = 0.5
 
-    /** Lower bound of that rate, for few machines. */
+    /** Lower bound of the start rate of a group. */
     const val MIN_STARTS_PER_SECOND = 4.0
 
     /** Time for which a waiting job may not preempt displaced jobs of earlier groups; most zones return within it. */
     const val PREEMPTION_PROTECTION_MS = 120_000L
 
-    /**
-     * Time for which a group waits for an earlier one whose machines are not proven lost yet: some heartbeat intervals.
-     */
+    /** Maximum wait for an earlier group whose machines are not proven lost yet: some heartbeat intervals. */
     const val MAX_WAIT_FOR_EARLIER_GROUP_MS = 8_000L
 
     /** A machine on which this many tasks wait for their image gets no rate-limited task that needs another image. */
     const val MAX_FETCHES_PER_MACHINE = 3
 
-    /** Processor seconds per position in the recovery order by which preempting a displaced task is cheaper. */
+    /** Discount for preempting a displaced task, per position of its group in the recovery order. */
     const val PREEMPTION_DISCOUNT_PER_GROUP_CPU_S = 10_000.0
 }
--- a/src/main/kotlin/ledgearch/recovery/ReturnRamp.kt
+++ b/src/main/kotlin/ledgearch/recovery/ReturnRamp.kt
@@ -5,7 +5,7 @@
  * by one step and delays the next. All times are steady-clock ms.
  */
 internal class ReturnRamp {
-    /** Index of the current step in [RecoveryTuning.RAMP_SHARES]. */
+    /** Index in [RecoveryTuning.RAMP_SHARES]. */
     private var step = 0
     private var nextStepAtMs = 0L
 
@@ -18,7 +18,6 @@
     /** Whether all machines of the zone get new tasks. */
     val isComplete: Boolean get() = step == RecoveryTuning.RAMP_SHARES.lastIndex
 
-    /** Starts with the first step. */
     fun begin(nowMs: Long) = beginAt(0.0, nowMs)
 
     /** Starts with the last step whose share is at most [admittedShare]. */
--- a/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
@@ -1,8 +1,8 @@
 package ledgearch.recovery
 
 /**
- * The state machine of one zone: up, suspect, lost, returning, up. It only controls which machines get new tasks and
- * does not prove that any machine or attempt is gone. All times are steady-clock ms.
+ * The state machine of one zone: up, suspect, lost, returning, up. It controls new tasks only and does not prove that
+ * anything is gone. All times are steady-clock ms.
  */
 internal class ZoneHealth(
     val zone: String,
@@ -17,7 +17,6 @@
     var reason = "heard"
         private set
 
-    /** Time of the last change of the state. */
     var stateSinceMs = 0L
         private set
 
@@ -128,7 +127,7 @@
         stateSinceMs = nowMs
     }
 
-    /** Slows the ramp of a returning zone after a failure of one of its machines. */
+    /** Slows the ramp of a returning zone after a machine failure. */
     fun onMachineFailed(nowMs: Long) {
         if (state == ZoneState.RETURNING) ramp.onMachineFailed(nowMs)
     }
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -12,8 +12,7 @@
 /**
  * The recovery from the loss of zones on the leader: the state of each zone, the order in which displaced tasks are
  * placed again, and the gradual return of a zone. It changes only the order, rate and place of starts, and does not
- * decide whether a machine or attempt is gone. No job waits for the return of a zone for longer than
- * [RecoveryTuning.LONG_WAIT_MS].
+ * decide what is gone. No job waits for a zone's return for longer than [RecoveryTuning.LONG_WAIT_MS].
  */
 internal class ZoneRecovery(
     settings: ZoneRecoverySettings,
@@ -54,7 +53,6 @@
         }
     }
 
-    /** Ends the term of this node. */
     fun end() {
         if (!zones.isEmpty) recordStatuses(statuses())
         clear()
@@ -74,12 +72,12 @@
         lastStatusesAtMs = clock.steadyMs
     }
 
-    /** Returns the zone statuses to publish to the other controllers: zones that are not up or have a penalty. */
+    /** Returns the zone statuses to publish: zones that are not up or have a penalty. */
     fun statuses(): List<ZoneStatus> = zones.statuses()
 
     // --- State of the zones -----------------------------------------------------------------------------------
 
-    /** Updates the recovery by which of all [machines] report. Called at every check of the failure detector. */
+    /** Updates the recovery by the [machines] that report. Called at every check of the failure detector. */
     fun update(
         machines: Collection<Machine>,
         isPartitioned: (String) -> Boolean,
@@ -127,8 +125,8 @@
     }
 
     /**
-     * Called when every recorded machine is confirmed, with the [jobs] that are older than the term: their pending tasks
-     * may have been displaced before it.
+     * Called with the [jobs] older than the term when every recorded machine is confirmed; their pending tasks may have
+     * been displaced before the term.
      */
     fun onMachinesConfirmed(jobs: Collection<Job>) {
         if (hasUnsettledZone) jobs.filter { it.isStartable(clock.steadyMs) }.forEach(displacedTasks::addPendingTasks)
@@ -226,11 +224,10 @@
 
     // --- Report -----------------------------------------------------------------------------------------------
 
-    /** Returns the report for operators. */
     fun report() = RecoveryReport(zones.reports(), displacedTasks.waitingByGroup(), zones.zonesLost)
 
     private companion object {
-        /** Index after all groups. */
+        /** After all groups. */
         const val NO_GROUP = Int.MAX_VALUE
     }
 }
--- a/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
@@ -6,8 +6,8 @@
 import kotlin.math.ceil
 
 /**
- * Tracks the state of each zone on the leader by the machines that report, and holds back the machines that exceed the
- * admitted share of their zone.
+ * Tracks the state of each zone on the leader by the machines that report, and holds back machines beyond the admitted
+ * share of their zone.
  */
 internal class ZoneTracker(
     private val clock: Clock,
@@ -34,7 +34,6 @@
 
     private val isDetecting: Boolean get() = clock.steadyMs - termBeganAtMs < detectionMs
 
-    /** Begins a term of this node. */
     fun begin() {
         termBeganAtMs = clock.steadyMs
     }
@@ -55,7 +54,6 @@
     /** Returns whether [zone] gets no new tasks until its penalty has decayed. */
     fun isSuppressed(zone: String): Boolean = zones[zone]?.isSuppressed == true
 
-    /** Called when a machine of [zone] has failed. */
     fun onMachineFailed(zone: String) {
         zones[zone]?.onMachineFailed(clock.steadyMs)
     }
@@ -91,9 +89,8 @@
     private fun healthOf(zone: String) = zones.getOrPut(zone) { ZoneHealth(zone) }
 
     /**
-     * Returns whether a lost zone stays lost although it is not detected as partitioned. On a new leader it does so
-     * until the leader can have detected it. If no machine reports, perhaps since none is left, it does so for the
-     * grace period of a partitioned zone.
+     * Returns whether a lost zone that is not detected as partitioned stays lost: on a new leader until the detection
+     * time is over, and while no machine reports (none may be left) for the grace period of a partitioned zone.
      */
     private fun staysLost(
         health: ZoneHealth,
@@ -120,13 +117,12 @@
         machines.sortedBy { it.name }.forEachIndexed { index, machine -> machine.isHeldBack = index >= admittedCount }
     }
 
-    /** Returns the statuses to publish to the other controllers: zones that are not up or have a penalty. */
+    /** Returns the statuses to publish: zones that are not up or have a penalty. */
     fun statuses(): List<ZoneStatus> =
         zones.values
             .filter { it.state != ZoneState.UP || it.penalty(clock.steadyMs) >= MIN_PUBLISHED_PENALTY }
             .map { ZoneStatus(it.zone, it.state, it.penalty(clock.steadyMs), it.admittedShare) }
 
-    /** Returns the reports of all zones for operators. */
     fun reports(): List<ZoneReport> =
         zones.values.map {
             ZoneReport(
