--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -18,7 +18,7 @@
 import ledgearch.http.HttpTuning
 import ledgearch.http.SteadyTime
 import ledgearch.http.listenOn
-import ledgearch.peers.MeshLinks
+import ledgearch.peers.TcpMesh
 import ledgearch.runtime.MS_PER_SECOND
 import ledgearch.runtime.RuntimeTuning
 import org.slf4j.LoggerFactory
@@ -42,7 +42,7 @@
     private val client = HttpClient(group, socketShare(DaemonTuning.OUTGOING_SHARE))
     private val queue = OwnerQueue()
     private val random = Random(System.nanoTime() xor settings.node.hashCode().toLong())
-    private val mesh = MeshLinks(scope, group, OwnerMeshEvents(queue), settings.operator.standby.enabled)
+    private val mesh = TcpMesh(scope, group, OwnerMeshEvents(queue), settings.operator.standby.enabled)
     private val transport = SocketTransport(scope, client, queue)
     private val controller =
         Controller(settings, transport, mesh, random, random.nextLong(Long.MAX_VALUE), System::nanoTime)
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -14,9 +14,9 @@
 import ledgearch.http.Response
 import ledgearch.model.JobProgress
 import ledgearch.peers.LeaderStatus
-import ledgearch.peers.MeshEvents
-import ledgearch.peers.MeshLinks
+import ledgearch.peers.MeshListener
 import ledgearch.peers.StandbyEvent
+import ledgearch.peers.TcpMesh
 import ledgearch.wire.CommandKind
 import ledgearch.wire.CommandRequest
 import ledgearch.wire.ExitCause
@@ -55,8 +55,8 @@
     fun run() {
         HttpServer(scope, group, MOST_CONNECTIONS, handler = ::stateService).start(settings.outside.state)
         HttpServer(scope, group, MOST_CONNECTIONS, handler = ::cloudOrWorker).start(settings.outside.cloud)
-        MeshLinks(scope, group, NoEvents).follow(settings.meshAddress)
-        val peer = MeshLinks(scope, group, NoEvents)
+        TcpMesh(scope, group, NoEvents).follow(settings.meshAddress)
+        val peer = TcpMesh(scope, group, NoEvents)
         peer.listen(settings.members.first().addr)
         Daemon(settings).start()
         val client = HttpClient(group)
@@ -182,12 +182,12 @@
             "cookS":20.0,"stirS":0.0,"plateS":0.0,"serveS":90.0$optionalFields}"""
 
     /** What the peers of the started controller hear of it matters to nobody. */
-    private object NoEvents : MeshEvents {
-        override suspend fun statusReceived(status: LeaderStatus) = Unit
+    private object NoEvents : MeshListener {
+        override suspend fun onStatusReceived(status: LeaderStatus) = Unit
 
-        override suspend fun standby(event: StandbyEvent) = Unit
+        override suspend fun onStandbyEvent(event: StandbyEvent) = Unit
 
-        override suspend fun refused(address: String) = Unit
+        override suspend fun onConnectionRefused(address: String) = Unit
     }
 
     private companion object {
--- a/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
@@ -24,7 +24,7 @@
 internal class FollowerConnections(
     private val scope: CoroutineScope,
     private val group: AsynchronousChannelGroup,
-    private val events: MeshEvents,
+    private val listener: MeshListener,
     private val isStandbyEnabled: Boolean,
 ) {
     private class Follower(
@@ -97,7 +97,7 @@
         } finally {
             followers.remove(follower.id)
             channel.closeQuietly()
-            if (isStandbyEnabled) events.standby(StandbyEvent.FollowerLeft(follower.id))
+            if (isStandbyEnabled) listener.onStandbyEvent(StandbyEvent.FollowerLeft(follower.id))
         }
     }
 
@@ -112,7 +112,7 @@
             return follower.disconnect()
         }
         if (request.array().toByteString() == StreamFrames.streamRequest) {
-            events.standby(StandbyEvent.FollowerJoined(follower.id))
+            listener.onStandbyEvent(StandbyEvent.FollowerJoined(follower.id))
         } else {
             log.warn("malformed stream request, connection closed; follower={}", follower.id)
             follower.disconnect()
--- a/src/main/kotlin/ledgearch/peers/LeaderConnection.kt
+++ b/src/main/kotlin/ledgearch/peers/LeaderConnection.kt
@@ -22,12 +22,12 @@
 
 /**
  * The follower's side of the connections between controllers: keeps one connection to the leader, renews it whenever
- * it ends, and passes the received frames to [events]. Requests the replication stream if [isStandbyEnabled].
+ * it ends, and passes the received frames to [listener]. Requests the replication stream if [isStandbyEnabled].
  */
 internal class LeaderConnection(
     private val scope: CoroutineScope,
     private val group: AsynchronousChannelGroup,
-    private val events: MeshEvents,
+    private val listener: MeshListener,
     private val isStandbyEnabled: Boolean,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.peers")
@@ -71,7 +71,7 @@
             } catch (cancellation: CancellationException) {
                 throw cancellation
             } catch (_: ConnectException) {
-                if (++refusals == PeerTuning.REFUSALS_BEFORE_REPORT) events.refused(address)
+                if (++refusals == PeerTuning.REFUSALS_BEFORE_REPORT) listener.onConnectionRefused(address)
             } catch (_: IOException) {
                 // The connection ended or was silent; the next attempt shows whether the leader's process has ended.
             } catch (malformed: MalformedFrame) {
@@ -121,12 +121,12 @@
         frame: MeshFrame,
     ) = when (frame) {
         is MeshFrame.Status -> {
-            events.statusReceived(frame.status)
+            listener.onStatusReceived(frame.status)
         }
 
         is MeshFrame.Stream -> {
             if (!isStandbyEnabled) throw MalformedFrame("stream frame without a request for the replication stream")
-            events.standby(StandbyEvent.FrameReceived(address, frame.frame))
+            listener.onStandbyEvent(StandbyEvent.FrameReceived(address, frame.frame))
         }
     }
 }
--- a/src/main/kotlin/ledgearch/peers/MeshLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/TcpMesh.kt
@@ -8,15 +8,15 @@
  * TCP connections between controllers: one from every follower to the leader. Not thread-safe: its functions, [scope]
  * and [group] have to run on one thread.
  */
-internal class MeshLinks(
+internal class TcpMesh(
     scope: CoroutineScope,
     group: AsynchronousChannelGroup,
-    events: MeshEvents,
+    listener: MeshListener,
     /** Whether followers can request the replication stream, and this node requests it from the leader. */
     isStandbyEnabled: Boolean = false,
 ) : Mesh {
-    private val followers = FollowerConnections(scope, group, events, isStandbyEnabled)
-    private val leader = LeaderConnection(scope, group, events, isStandbyEnabled)
+    private val followers = FollowerConnections(scope, group, listener, isStandbyEnabled)
+    private val leader = LeaderConnection(scope, group, listener, isStandbyEnabled)
 
     override val joined: Int get() = followers.acceptedCount
 
--- a/src/test/kotlin/ledgearch/peers/MeshLinksTest.kt
+++ b/src/test/kotlin/ledgearch/peers/TcpMeshTest.kt
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit
 
 /** Tests connections between controllers with and without standbyFollowerEvents standby, on loopback. */
-internal class MeshLinksTest {
+internal class TcpMeshTest {
     private val executor = ScheduledThreadPoolExecutor(1)
     private val dispatcher = executor.asCoroutineDispatcher()
     private val scope = CoroutineScope(dispatcher + SupervisorJob())
@@ -28,19 +28,19 @@
     private val frame = StreamFrame(5, 1, true, 0, emptyList(), emptyList())
 
     /** Records the events at one controller. */
-    private class RecordedEvents : MeshEvents {
+    private class RecordedEvents : MeshListener {
         val statuses = LinkedBlockingQueue<LeaderStatus>()
         val standbyEvents = LinkedBlockingQueue<StandbyEvent>()
 
-        override suspend fun statusReceived(status: LeaderStatus) {
+        override suspend fun onStatusReceived(status: LeaderStatus) {
             statuses.add(status)
         }
 
-        override suspend fun standby(event: StandbyEvent) {
+        override suspend fun onStandbyEvent(event: StandbyEvent) {
             standbyEvents.add(event)
         }
 
-        override suspend fun refused(address: String) = Unit
+        override suspend fun onConnectionRefused(address: String) = Unit
     }
 
     @AfterEach
@@ -58,7 +58,7 @@
     private fun listenAsLeader(
         events: RecordedEvents,
         address: String,
-    ) = MeshLinks(scope, group, events, isStandbyEnabled = true).also { leader ->
+    ) = TcpMesh(scope, group, events, isStandbyEnabled = true).also { leader ->
         onOwnerThread { leader.listen(address) }
     }
 
@@ -67,8 +67,8 @@
         events: RecordedEvents,
         isStandbyEnabled: Boolean,
     ) {
-        val links = MeshLinks(scope, group, events, isStandbyEnabled)
-        onOwnerThread { links.follow(address) }
+        val mesh = TcpMesh(scope, group, events, isStandbyEnabled)
+        onOwnerThread { mesh.follow(address) }
     }
 
     @Test
