--- a/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -23,15 +23,15 @@
 ) {
     private var nextPublishAtMs = 0L
 
-    /** Value of [Mesh.joined] at the last publication. */
+    /** Value of [Mesh.acceptedFollowerCount] at the last publication. */
     private var joinedCountAtLastPublish = 0
 
     /** On the leader, publishes once per interval the changed progress, or all of it when a peer has joined. */
     fun runDueWork() {
         if (!election.isLeader || clock.steadyMs < nextPublishAtMs) return
         nextPublishAtMs = clock.steadyMs + ControlTuning.PUBLISH_INTERVAL_MS
-        val hasNewPeer = mesh.joined != joinedCountAtLastPublish
-        joinedCountAtLastPublish = mesh.joined
+        val hasNewPeer = mesh.acceptedFollowerCount != joinedCountAtLastPublish
+        joinedCountAtLastPublish = mesh.acceptedFollowerCount
         val progress =
             jobStore.jobs.values.mapNotNull { job ->
                 val current = JobProgress(job.id, job.finishedCount, job.runningCount)
--- a/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
@@ -61,8 +61,8 @@
         }
     }
 
-    /** Implements [Mesh.stream]. */
-    fun stream(
+    /** Implements [Mesh.sendStreamFrame]. */
+    fun sendStreamFrame(
         followerId: Long,
         body: ByteString,
     ): Boolean {
--- a/src/main/kotlin/ledgearch/peers/Mesh.kt
+++ b/src/main/kotlin/ledgearch/peers/Mesh.kt
@@ -17,11 +17,11 @@
     fun publish(status: LeaderStatus)
 
     /**
-     * Sends a frame of the replication stream with the [body] to [follower]. Returns false if the follower is too slow
+     * Sends a frame of the replication stream with the [body] to a follower. Returns false if the follower is too slow
      * (its queue is full) or gone; its connection is then closed. Without warm standby no follower requests a stream.
      */
-    fun stream(
-        follower: Long,
+    fun sendStreamFrame(
+        followerId: Long,
         body: ByteString,
     ): Boolean = false
 
@@ -32,5 +32,5 @@
      * Number of connections from followers accepted so far. It never decreases, so any change means a new follower that
      * has received nothing yet.
      */
-    val joined: Int
+    val acceptedFollowerCount: Int
 }
--- a/src/main/kotlin/ledgearch/peers/StandbyEvent.kt
+++ b/src/main/kotlin/ledgearch/peers/StandbyEvent.kt
@@ -2,14 +2,14 @@
 
 /** Event of a replication stream between controllers. */
 internal sealed interface StandbyEvent {
-    /** The connection [follower] to this node has requested the stream. */
+    /** A follower of this node has requested the stream; [followerId] identifies its connection. */
     data class FollowerJoined(
-        val follower: Long,
+        val followerId: Long,
     ) : StandbyEvent
 
-    /** The connection [follower] to this node has ended, whether or not it had requested the stream. */
+    /** The connection of a follower to this node has ended, whether or not it had requested the stream. */
     data class FollowerLeft(
-        val follower: Long,
+        val followerId: Long,
     ) : StandbyEvent
 
     /** The [frame] was received from the controller at the mesh address [address]. */
--- a/src/main/kotlin/ledgearch/peers/TcpMesh.kt
+++ b/src/main/kotlin/ledgearch/peers/TcpMesh.kt
@@ -18,7 +18,7 @@
     private val followers = FollowerConnections(scope, group, listener, isStandbyEnabled)
     private val leader = LeaderConnection(scope, group, listener, isStandbyEnabled)
 
-    override val joined: Int get() = followers.acceptedCount
+    override val acceptedFollowerCount: Int get() = followers.acceptedCount
 
     /** Starts to accept followers at [address]. Throws an exception when the address is in use. */
     fun listen(address: String) = followers.listen(address)
@@ -29,8 +29,8 @@
 
     override fun publish(status: LeaderStatus) = followers.publish(status)
 
-    override fun stream(
-        follower: Long,
+    override fun sendStreamFrame(
+        followerId: Long,
         body: ByteString,
-    ): Boolean = followers.stream(follower, body)
+    ): Boolean = followers.sendStreamFrame(followerId, body)
 }
--- a/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
@@ -71,7 +71,7 @@
     private fun sendFrame(followerId: Long) {
         val frame = streamLog.nextFrame(followerId) ?: return
         val body = StreamCodec.encode(frame)
-        if (mesh.stream(followerId, body)) {
+        if (mesh.sendStreamFrame(followerId, body)) {
             bytesSent += body.size
             return
         }
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -47,8 +47,8 @@
         leaderAddress: String?,
     ) {
         when (event) {
-            is StandbyEvent.FollowerJoined -> streamPublisher.addFollower(event.follower)
-            is StandbyEvent.FollowerLeft -> streamPublisher.removeFollower(event.follower)
+            is StandbyEvent.FollowerJoined -> streamPublisher.addFollower(event.followerId)
+            is StandbyEvent.FollowerLeft -> streamPublisher.removeFollower(event.followerId)
             is StandbyEvent.FrameReceived -> if (event.address == leaderAddress) streamFollower.receive(event)
         }
     }
--- a/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
+++ b/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
@@ -70,7 +70,7 @@
     }
 
     private class UnconnectedMesh : Mesh {
-        override val joined = 0
+        override val acceptedFollowerCount = 0
 
         override fun follow(address: String?) = Unit
 
--- a/src/test/kotlin/ledgearch/peers/TcpMeshTest.kt
+++ b/src/test/kotlin/ledgearch/peers/TcpMeshTest.kt
@@ -81,7 +81,7 @@
         val standbyFollowerEvents = RecordedEvents()
         connectFollower(address, standbyFollowerEvents, isStandbyEnabled = true)
         val joined = pollNext(leaderEvents.standbyEvents) as StandbyEvent.FollowerJoined
-        assertTrue(onOwnerThread { leader.stream(joined.follower, StreamCodec.encode(frame)) })
+        assertTrue(onOwnerThread { leader.sendStreamFrame(joined.followerId, StreamCodec.encode(frame)) })
         onOwnerThread { leader.publish(LeaderStatus(emptyList(), true)) }
         assertEquals(StandbyEvent.FrameReceived(address, frame), pollNext(standbyFollowerEvents.standbyEvents))
         assertEquals(true, pollNext(standbyFollowerEvents.statuses)?.served)
@@ -119,7 +119,7 @@
             assertEquals(-1, readByteOrEnd(socket))
         }
         assertTrue(pollNext(leaderEvents.standbyEvents) is StandbyEvent.FollowerLeft)
-        assertTrue(onOwnerThread { leader.stream(joined.follower, StreamCodec.encode(frame)) })
+        assertTrue(onOwnerThread { leader.sendStreamFrame(joined.followerId, StreamCodec.encode(frame)) })
         assertEquals(StandbyEvent.FrameReceived(address, frame), pollNext(standbyFollowerEvents.standbyEvents))
     }
 
--- a/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
@@ -18,7 +18,7 @@
 
     /** Changes with every connection of this node to a leader: what an earlier one carries is lost with it. */
     private var connection = 0L
-    override val joined = simulation.nodes.size
+    override val acceptedFollowerCount = simulation.nodes.size
 
     override fun follow(address: String?) {
         if (followed == address) return
@@ -103,10 +103,10 @@
         }
     }
 
-    override fun stream(
-        follower: Long,
+    override fun sendStreamFrame(
+        followerId: Long,
         body: ByteString,
-    ): Boolean = simulation.streams.send(simulation, node, follower, body)
+    ): Boolean = simulation.streams.send(simulation, node, followerId, body)
 
     override fun publish(status: LeaderStatus) {
         for (other in simulation.nodes) {
