--- a/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
@@ -67,7 +67,7 @@
         body: ByteString,
     ): Boolean {
         val follower = followers[followerId] ?: return false
-        if (follower.queue.trySend(StreamFrames.encode(body)).isSuccess) return true
+        if (follower.queue.trySend(MeshFrameCodec.encodeStreamFrame(body)).isSuccess) return true
         follower.disconnect()
         return false
     }
@@ -80,7 +80,7 @@
             .chunked(
                 PeerTuning.MAX_JOBS_PER_STATUS_FRAME,
             ).ifEmpty { listOf(emptyList()) }) {
-            val frame = Frames.encode(LeaderStatus(progress, status.served, status.zones))
+            val frame = StatusFrameCodec.encode(LeaderStatus(progress, status.served, status.zones))
             followers.values.forEach { it.queue.trySend(frame) }
         }
     }
@@ -103,7 +103,7 @@
 
     /** Waits for the stream request. A follower of an earlier version, or without standby, never sends one. */
     private suspend fun awaitStreamRequest(follower: Follower) {
-        val request = ByteBuffer.allocate(StreamFrames.streamRequest.size)
+        val request = ByteBuffer.allocate(MeshFrameCodec.streamRequest.size)
         try {
             while (request.hasRemaining()) {
                 if (follower.channel.readSome(request, NO_TIMEOUT_MS) < 0) return follower.disconnect()
@@ -111,7 +111,7 @@
         } catch (_: IOException) {
             return follower.disconnect()
         }
-        if (request.array().toByteString() == StreamFrames.streamRequest) {
+        if (request.array().toByteString() == MeshFrameCodec.streamRequest) {
             listener.onStandbyEvent(StandbyEvent.FollowerJoined(follower.id))
         } else {
             log.warn("malformed stream request, connection closed; follower={}", follower.id)
--- a/src/main/kotlin/ledgearch/peers/FrameHeader.kt
+++ b/src/main/kotlin/ledgearch/peers/FrameHeader.kt
@@ -6,7 +6,7 @@
 internal enum class FrameKind(
     val code: Int,
 ) {
-    /** A [LeaderStatus], encoded by [Frames]; the only kind that all versions support. */
+    /** A [LeaderStatus], encoded by [StatusFrameCodec]; the only kind that all versions support. */
     STATUS(code = 0),
 
     /** A [StreamFrame], encoded by [StreamCodec]; sent only to followers that requested the replication stream. */
@@ -20,7 +20,7 @@
  * |-------|---------------------------------------------------------|
  * | 1     | kind, [FrameKind.code]                                  |
  * | 3     | size of the body (bytes)                                |
- * | size  | body: [Frames] for a status, [StreamCodec] for a stream |
+ * | size  | body: [StatusFrameCodec] for a status, [StreamCodec] for a stream |
  *
  * Versions without the replication stream read all four bytes as the size. The result is the same for a status frame,
  * whose kind is 0; any other kind yields a size above the limit, so that the frame is malformed.
--- a/src/main/kotlin/ledgearch/peers/LeaderConnection.kt
+++ b/src/main/kotlin/ledgearch/peers/LeaderConnection.kt
@@ -62,7 +62,7 @@
                     refusals = 0
                     if (isStandbyEnabled) {
                         channel.writeAll(
-                            StreamFrames.streamRequest.asByteBuffer(),
+                            MeshFrameCodec.streamRequest.asByteBuffer(),
                             HttpTuning.WRITE_TIMEOUT_MS,
                         )
                     }
@@ -74,7 +74,7 @@
                 if (++refusals == PeerTuning.REFUSALS_BEFORE_REPORT) listener.onConnectionRefused(address)
             } catch (_: IOException) {
                 // The connection ended or was silent; the next attempt shows whether the leader's process has ended.
-            } catch (malformed: MalformedFrame) {
+            } catch (malformed: MalformedFrameException) {
                 log.warn(
                     "malformed frame from the leader, connection closed: {}; address={}",
                     malformed.message,
@@ -112,7 +112,7 @@
             val count = channel.readSome(readBuffer, PeerTuning.MAX_LEADER_SILENCE_MS)
             if (count < 0) return
             receivedBytes.write(readBuffer.array(), 0, count)
-            while (true) deliver(address, StreamFrames.take(receivedBytes) ?: break)
+            while (true) deliver(address, MeshFrameCodec.readOrNull(receivedBytes) ?: break)
         }
     }
 
@@ -125,7 +125,11 @@
         }
 
         is MeshFrame.Stream -> {
-            if (!isStandbyEnabled) throw MalformedFrame("stream frame without a request for the replication stream")
+            if (!isStandbyEnabled) {
+                throw MalformedFrameException(
+                    "stream frame without a request for the replication stream",
+                )
+            }
             listener.onStandbyEvent(StandbyEvent.FrameReceived(address, frame.frame))
         }
     }
--- a/src/main/kotlin/ledgearch/peers/StreamFrames.kt
+++ b/src/main/kotlin/ledgearch/peers/MeshFrameCodec.kt
@@ -20,7 +20,7 @@
  * Encodes and decodes the frames of a connection, which may be of both kinds. A follower that has not sent the
  * [streamRequest] gets status frames only, so an earlier version never receives another kind.
  */
-internal object StreamFrames {
+internal object MeshFrameCodec {
     private const val MAGIC = "LDGS"
     private const val STREAM_VERSION = 1
 
@@ -42,7 +42,7 @@
      * Returns the whole frame with a [body] encoded by [StreamCodec]. Throws [IllegalArgumentException] for a body
      * larger than followers accept.
      */
-    fun encode(body: ByteString): ByteString {
+    fun encodeStreamFrame(body: ByteString): ByteString {
         require(body.size <= PeerTuning.MAX_STREAM_BODY_BYTES) {
             "stream frame body of ${body.size} bytes, at most ${PeerTuning.MAX_STREAM_BODY_BYTES} allowed"
         }
@@ -54,19 +54,19 @@
 
     /**
      * Reads one whole frame of either kind from [buffer], or returns null and leaves [buffer] unchanged if the frame is
-     * incomplete. Throws [MalformedFrame], also for a kind that this version does not know.
+     * incomplete. Throws [MalformedFrameException], also for a kind that this version does not know.
      */
-    fun take(buffer: Buffer): MeshFrame? {
+    fun readOrNull(buffer: Buffer): MeshFrame? {
         if (buffer.size < FrameHeader.SIZE_BYTES) return null
         val isStream = FrameHeader.kindCodeOf(buffer) == FrameKind.STREAM.code
-        if (isStream) return takeStream(buffer)?.let { MeshFrame.Stream(it) }
-        return Frames.take(buffer)?.let { MeshFrame.Status(it) }
+        if (isStream) return readStreamFrameOrNull(buffer)?.let { MeshFrame.Stream(it) }
+        return StatusFrameCodec.readOrNull(buffer)?.let { MeshFrame.Status(it) }
     }
 
-    private fun takeStream(buffer: Buffer): StreamFrame? {
+    private fun readStreamFrameOrNull(buffer: Buffer): StreamFrame? {
         val bodySize = FrameHeader.bodySizeOf(FrameHeader.peek(buffer))
         if (bodySize > PeerTuning.MAX_STREAM_BODY_BYTES) {
-            throw MalformedFrame(
+            throw MalformedFrameException(
                 "stream frame body of $bodySize bytes, at most ${PeerTuning.MAX_STREAM_BODY_BYTES} allowed",
             )
         }
--- a/src/main/kotlin/ledgearch/peers/Frames.kt
+++ b/src/main/kotlin/ledgearch/peers/StatusFrameCodec.kt
@@ -28,7 +28,7 @@
  * then the zones. Earlier versions take every entry for a job and ignore those of the other kinds, as no job has such
  * an id.
  */
-internal object Frames {
+internal object StatusFrameCodec {
     private const val STATE_SERVICE_ID = ""
 
     /** No id of a job begins with this prefix. */
@@ -52,14 +52,16 @@
 
     /**
      * Reads one whole frame from [buffer], or returns null and leaves [buffer] unchanged if the frame is incomplete.
-     * Throws [MalformedFrame].
+     * Throws [MalformedFrameException].
      */
-    fun take(buffer: Buffer): LeaderStatus? {
+    fun readOrNull(buffer: Buffer): LeaderStatus? {
         if (buffer.size < FrameHeader.SIZE_BYTES) return null
         // As in earlier versions, the kind is read as part of the size: a kind other than 0 exceeds the limit.
         val bodySize = FrameHeader.peek(buffer)
         if (bodySize !in 0..PeerTuning.MAX_STATUS_BODY_BYTES) {
-            throw MalformedFrame("frame body of $bodySize bytes, allowed are 0 to ${PeerTuning.MAX_STATUS_BODY_BYTES}")
+            throw MalformedFrameException(
+                "frame body of $bodySize bytes, allowed are 0 to ${PeerTuning.MAX_STATUS_BODY_BYTES}",
+            )
         }
         if (buffer.size < FrameHeader.SIZE_BYTES + bodySize) return null
         buffer.skip(FrameHeader.SIZE_BYTES.toLong())
@@ -126,7 +128,7 @@
     /** Reads an entry of any kind, all of which have the form of a job's progress. */
     private fun readEntry(body: Buffer): JobProgress {
         val idLength = body.readByte().toInt() and BYTE_MASK
-        if (body.size < idLength + VALUES_BYTES) throw MalformedFrame("status frame ends within an entry")
+        if (body.size < idLength + VALUES_BYTES) throw MalformedFrameException("status frame ends within an entry")
         return JobProgress(body.readUtf8(idLength.toLong()), body.readInt(), body.readInt())
     }
 }
--- a/src/main/kotlin/ledgearch/peers/StreamCodec.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamCodec.kt
@@ -44,15 +44,19 @@
         return body.readByteString()
     }
 
-    /** Returns the frame with the body [bytes]. Throws [MalformedFrame] unless all bytes can be decoded. */
+    /** Returns the frame with the body [bytes]. Throws [MalformedFrameException] unless all bytes can be decoded. */
     fun decode(bytes: ByteString): StreamFrame {
         val body = Buffer().write(bytes)
         try {
             val frame = readFrame(body)
-            if (!body.exhausted()) throw MalformedFrame("stream frame has ${body.size} bytes after its last field")
+            if (!body.exhausted()) {
+                throw MalformedFrameException(
+                    "stream frame has ${body.size} bytes after its last field",
+                )
+            }
             return frame
         } catch (_: EOFException) {
-            throw MalformedFrame("stream frame ends before its last field")
+            throw MalformedFrameException("stream frame ends before its last field")
         }
     }
 
@@ -68,7 +72,7 @@
         val sequence = body.readLong()
         val startsSnapshot = body.readFlag()
         val remainingRecords = body.readInt()
-        if (remainingRecords < 0) throw MalformedFrame("stream frame has $remainingRecords remaining records")
+        if (remainingRecords < 0) throw MalformedFrameException("stream frame has $remainingRecords remaining records")
         val records = body.readList { readRecord(body) }
         val removedKeys = body.readList { readKey(body) }
         return StreamFrame(term, sequence, startsSnapshot, remainingRecords, records, removedKeys)
@@ -145,7 +149,7 @@
     private fun readAttemptState(body: Buffer): AttemptState {
         val code = body.readByte().toInt()
         return AttemptState.entries.getOrNull(code)
-            ?: throw MalformedFrame("stream frame has unknown attempt state $code")
+            ?: throw MalformedFrameException("stream frame has unknown attempt state $code")
     }
 
     private fun writeKey(
@@ -158,7 +162,7 @@
 
     private fun readKey(body: Buffer): RecordKey {
         val code = body.readByte().toInt()
-        val kind = RecordKind.of(code) ?: throw MalformedFrame("stream frame has unknown record kind $code")
+        val kind = RecordKind.of(code) ?: throw MalformedFrameException("stream frame has unknown record kind $code")
         return RecordKey(kind, body.readText())
     }
 }
--- a/src/main/kotlin/ledgearch/peers/StreamValues.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamValues.kt
@@ -39,7 +39,7 @@
 internal fun Buffer.readFlag(): Boolean = readByte().toInt() != 0
 
 /**
- * Reads the count of a list (4 bytes) and each entry by [readEntry]. Throws [MalformedFrame] for a count that is
+ * Reads the count of a list (4 bytes) and each entry by [readEntry]. Throws [MalformedFrameException] for a count that is
  * negative or larger than the number of remaining bytes, so that a malformed count never allocates a huge list.
  */
 internal inline fun <T> Buffer.readList(readEntry: () -> T): List<T> {
@@ -47,7 +47,7 @@
     if (count < 0 ||
         count > size
     ) {
-        throw MalformedFrame("list of $count entries in a stream frame with $size bytes remaining")
+        throw MalformedFrameException("list of $count entries in a stream frame with $size bytes remaining")
     }
     return List(count) { readEntry() }
 }
--- a/src/test/kotlin/ledgearch/peers/FramesTest.kt
+++ b/src/test/kotlin/ledgearch/peers/StatusFrameCodecTest.kt
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.Test
 
 /** Tests the status frames of this version and of earlier ones. */
-internal class FramesTest {
+internal class StatusFrameCodecTest {
     private val progress = listOf(JobProgress("job-7", 3, 2))
 
-    private fun readStatus(frame: ByteString) = Frames.take(Buffer().write(frame))!!
+    private fun readStatus(frame: ByteString) = StatusFrameCodec.readOrNull(Buffer().write(frame))!!
 
     @Test
     fun `a decoded frame equals the encoded status`() {
         for (isReachable in listOf(true, false, null)) {
-            val status = readStatus(Frames.encode(LeaderStatus(progress, isReachable)))
+            val status = readStatus(StatusFrameCodec.encode(LeaderStatus(progress, isReachable)))
             assertEquals(progress, status.progress)
             assertEquals(isReachable, status.served)
         }
@@ -37,13 +37,16 @@
     /** An earlier version decodes the entry as a job with an empty id and finds no such job. */
     @Test
     fun `the state service's entry has the form of a job's entry`() {
-        assertEquals("00000009000000000000000000".decodeHex(), Frames.encode(LeaderStatus(emptyList(), served = false)))
+        assertEquals(
+            "00000009000000000000000000".decodeHex(),
+            StatusFrameCodec.encode(LeaderStatus(emptyList(), served = false)),
+        )
     }
 
     @Test
     fun `an incomplete frame is left in the buffer and a malformed one rejected`() {
-        assertNull(Frames.take(Buffer().write("0000000e056a".decodeHex())))
-        assertThrows(MalformedFrame::class.java) { readStatus("00000003056a6f".decodeHex()) }
+        assertNull(StatusFrameCodec.readOrNull(Buffer().write("0000000e056a".decodeHex())))
+        assertThrows(MalformedFrameException::class.java) { readStatus("00000003056a6f".decodeHex()) }
     }
 
     @Test
@@ -53,7 +56,10 @@
                 ZoneStatus("b", ZoneState.RETURNING, 1.25, 0.25),
                 ZoneStatus("zone-c", ZoneState.LOST, 3.0, 0.0),
             )
-        val status = Frames.take(Buffer().write(Frames.encode(LeaderStatus(emptyList(), true, zones))))
+        val status =
+            StatusFrameCodec.readOrNull(
+                Buffer().write(StatusFrameCodec.encode(LeaderStatus(emptyList(), true, zones))),
+            )
         assertEquals(zones, status?.zones)
         assertEquals(true to emptyList<Any>(), status?.served to status?.progress)
     }
--- a/src/test/kotlin/ledgearch/peers/TcpMeshTest.kt
+++ b/src/test/kotlin/ledgearch/peers/TcpMeshTest.kt
@@ -138,14 +138,14 @@
             val standbyFollowerEvents = RecordedEvents()
             val address = "127.0.0.1:${server.localPort}"
             connectFollower(address, standbyFollowerEvents, isStandbyEnabled = true)
-            val validFrame = StreamFrames.encode(StreamCodec.encode(frame)).toByteArray()
+            val validFrame = MeshFrameCodec.encodeStreamFrame(StreamCodec.encode(frame)).toByteArray()
             val malformedFrame = byteArrayOf(1, 0, 0, 3, 9, 9, 9)
             val oversizedFrame = byteArrayOf(1, -1, -1, -1)
             for (invalidFrame in listOf(malformedFrame, oversizedFrame)) {
                 server.accept().use { socket ->
                     assertEquals(
-                        StreamFrames.streamRequest.size,
-                        socket.getInputStream().readNBytes(StreamFrames.streamRequest.size).size,
+                        MeshFrameCodec.streamRequest.size,
+                        socket.getInputStream().readNBytes(MeshFrameCodec.streamRequest.size).size,
                     )
                     socket.getOutputStream().write(invalidFrame)
                     assertEquals(-1, readByteOrEnd(socket))
--- a/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
@@ -6,8 +6,8 @@
 import ledgearch.config.SettingsLoader
 import ledgearch.config.StateLimits
 import ledgearch.model.JobProgress
-import ledgearch.peers.Frames
 import ledgearch.peers.LeaderStatus
+import ledgearch.peers.StatusFrameCodec
 import ledgearch.wire.JobKind
 import ledgearch.wire.JobSpec
 import ledgearch.wire.JobState
@@ -156,7 +156,7 @@
         frames.map { (name, status) ->
             dynamicTest(name) {
                 val buffer = Buffer().write(file("$name.hex").decodeHex())
-                val read = checkNotNull(Frames.take(buffer)) { "the frame is incomplete" }
+                val read = checkNotNull(StatusFrameCodec.readOrNull(buffer)) { "the frame is incomplete" }
                 assertEquals(status.progress, read.progress)
                 assertEquals(status.served, read.served)
                 assertTrue(buffer.exhausted(), "unexpected bytes after the frame")
@@ -166,7 +166,7 @@
     @TestFactory
     fun `frames are written byte for byte as production writes them`(): List<DynamicTest> =
         frames.map { (name, status) ->
-            dynamicTest(name) { assertEquals(file("$name.hex"), Frames.encode(status).hex()) }
+            dynamicTest(name) { assertEquals(file("$name.hex"), StatusFrameCodec.encode(status).hex()) }
         }
 
     /** The settings for an upgrade announce lower limits and may contain unknown fields. */
--- a/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.control.OwnerCommand
 import ledgearch.peers.LeaderStatus
-import ledgearch.peers.MalformedFrame
+import ledgearch.peers.MalformedFrameException
 import ledgearch.peers.Mesh
 import ledgearch.peers.StandbyEvent
 import ledgearch.peers.StreamCodec
@@ -97,7 +97,7 @@
         if (!isAlive() || connection != this.connection || address == null) return
         try {
             node.run(OwnerCommand.HandleStandbyEvent(StandbyEvent.FrameReceived(address, StreamCodec.decode(body))))
-        } catch (_: MalformedFrame) {
+        } catch (_: MalformedFrameException) {
             simulation.streams.malformedClosed++
             reconnect()
         }
