--- a/src/main/kotlin/ledgearch/api/SubmittedJob.kt
+++ b/src/main/kotlin/ledgearch/api/SubmittedJob.kt
@@ -15,7 +15,7 @@
 ) {
     /**
      * Returns the job's specification. Throws [MalformedSubmissionException] for the first field that is missing or
-     * invalid; only fields that may be null may be missing. Fields are read one by one so that the error names the field.
+     * invalid; only fields that may be null may be missing. Fields are read one by one so that the error names it.
      */
     fun toJobSpec(): JobSpec {
         val spec =
