--- a/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
@@ -24,7 +24,7 @@
 internal class FollowerConnections(
     private val scope: CoroutineScope,
     private val group: AsynchronousChannelGroup,
-    private val events: MeshEvents,
+    private val listener: MeshListener,
     private val isStandbyEnabled: Boolean,
 ) {
     private class Follower(
@@ -61,13 +61,13 @@
         }
     }
 
-    /** Implements [Mesh.stream]. */
-    fun stream(
+    /** Implements [Mesh.sendStreamFrame]. */
+    fun sendStreamFrame(
         followerId: Long,
         body: ByteString,
     ): Boolean {
         val follower = followers[followerId] ?: return false
-        if (follower.queue.trySend(StreamFrames.encode(body)).isSuccess) return true
+        if (follower.queue.trySend(MeshFrameCodec.encodeStreamFrame(body)).isSuccess) return true
         follower.disconnect()
         return false
     }
@@ -80,7 +80,7 @@
             .chunked(
                 PeerTuning.MAX_JOBS_PER_STATUS_FRAME,
             ).ifEmpty { listOf(emptyList()) }) {
-            val frame = Frames.encode(LeaderStatus(progress, status.served, status.zones))
+            val frame = StatusFrameCodec.encode(LeaderStatus(progress, status.served, status.zones))
             followers.values.forEach { it.queue.trySend(frame) }
         }
     }
@@ -97,13 +97,13 @@
         } finally {
             followers.remove(follower.id)
             channel.closeQuietly()
-            if (isStandbyEnabled) events.standby(StandbyEvent.FollowerLeft(follower.id))
+            if (isStandbyEnabled) listener.onStandbyEvent(StandbyEvent.FollowerLeft(follower.id))
         }
     }
 
     /** Waits for the stream request. A follower of an earlier version, or without standby, never sends one. */
     private suspend fun awaitStreamRequest(follower: Follower) {
-        val request = ByteBuffer.allocate(StreamFrames.streamRequest.size)
+        val request = ByteBuffer.allocate(MeshFrameCodec.streamRequest.size)
         try {
             while (request.hasRemaining()) {
                 if (follower.channel.readSome(request, NO_TIMEOUT_MS) < 0) return follower.disconnect()
@@ -111,8 +111,8 @@
         } catch (_: IOException) {
             return follower.disconnect()
         }
-        if (request.array().toByteString() == StreamFrames.streamRequest) {
-            events.standby(StandbyEvent.FollowerJoined(follower.id))
+        if (request.array().toByteString() == MeshFrameCodec.streamRequest) {
+            listener.onStandbyEvent(StandbyEvent.FollowerJoined(follower.id))
         } else {
             log.warn("malformed stream request, connection closed; follower={}", follower.id)
             follower.disconnect()
--- a/src/main/kotlin/ledgearch/peers/MeshLinks.kt
+++ b/src/main/kotlin/ledgearch/peers/TcpMesh.kt
@@ -8,17 +8,17 @@
  * TCP connections between controllers: one from every follower to the leader. Not thread-safe: its functions, [scope]
  * and [group] have to run on one thread.
  */
-internal class MeshLinks(
+internal class TcpMesh(
     scope: CoroutineScope,
     group: AsynchronousChannelGroup,
-    events: MeshEvents,
+    listener: MeshListener,
     /** Whether followers can request the replication stream, and this node requests it from the leader. */
     isStandbyEnabled: Boolean = false,
 ) : Mesh {
-    private val followers = FollowerConnections(scope, group, events, isStandbyEnabled)
-    private val leader = LeaderConnection(scope, group, events, isStandbyEnabled)
+    private val followers = FollowerConnections(scope, group, listener, isStandbyEnabled)
+    private val leader = LeaderConnection(scope, group, listener, isStandbyEnabled)
 
-    override val joined: Int get() = followers.acceptedCount
+    override val acceptedFollowerCount: Int get() = followers.acceptedCount
 
     /** Starts to accept followers at [address]. Throws an exception when the address is in use. */
     fun listen(address: String) = followers.listen(address)
@@ -29,8 +29,8 @@
 
     override fun publish(status: LeaderStatus) = followers.publish(status)
 
-    override fun stream(
-        follower: Long,
+    override fun sendStreamFrame(
+        followerId: Long,
         body: ByteString,
-    ): Boolean = followers.stream(follower, body)
+    ): Boolean = followers.sendStreamFrame(followerId, body)
 }
