--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Called when the cloud lists [listed], which has sent no heartbeat, as up. If its worker reaches no controller,
-     * the machine is of no use, and it is released sooner than one that boots.
+     * Called when the cloud lists [listed], which has sent no heartbeat, as up. If its worker reaches no controller, it
+     * is useless and is released sooner than one that boots.
      */
     fun onListedAsUp(
         cluster: Cluster,
@@ -63,7 +63,7 @@
     ) {
         val sinceMs = unreportedSinceMs.getOrPut(listed.name) { clock.steadyMs }
         val hadTimeToReport = lagMonitor.responsiveMsSince(sinceMs) >= AutoscalingTuning.UNREPORTED_TIMEOUT_MS
-        if (!hadTimeToReport || cluster.isCutOff(listed.zone)) return
+        if (!hadTimeToReport || cluster.isPartitioned(listed.zone)) return
         log.info("machine queued for release: it is up but sends no heartbeat; machine={}", listed.name)
         unreportedSinceMs.remove(listed.name)
         bootingMachines.remove(listed.name)
@@ -82,15 +82,13 @@
         }
     }
 
-    /**
-     * Returns whether the machine is up in a partitioned zone: its first heartbeat shows that the partition is over.
-     */
+    /** Returns whether the machine is up in a partitioned zone, where its first heartbeat shows the zone's return. */
     private fun isProbeMachine(
         cluster: Cluster,
         name: String,
         machine: BootingMachine,
     ): Boolean {
-        if (!cluster.isCutOff(machine.pool.zone)) return false
+        if (!cluster.isPartitioned(machine.pool.zone)) return false
         val sinceMs = unreportedSinceMs[name] ?: return false
         return clock.steadyMs - sinceMs < RecoveryTuning.ZONE_OUTAGE_GRACE_MS
     }
--- a/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/MachineListReader.kt
@@ -51,9 +51,7 @@
         }
     }
 
-    /**
-     * Returns the time to the next reading of the list; a long list must leave calls for provisioning and releasing.
-     */
+    /** Returns the time to the next reading. A long list must leave calls for provisioning and releasing. */
     private fun intervalMs(pageCount: Int): Long {
         val calls = pageCount * AutoscalingTuning.CALLS_PER_LIST_PAGE
         val callsMs = (calls * MS_PER_SECOND / cloud.callsPerSecond).toLong()
@@ -82,7 +80,7 @@
             MachineState.FAILED -> {
                 log.info("machine queued for release: the cloud lists it as failed; machine={}", listed.name)
                 releaseQueue.add(listed.name)
-                machine?.let(cluster::machineGone)
+                machine?.let(cluster::removeMachine)
             }
 
             MachineState.BOOTING -> {
--- a/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
@@ -18,9 +18,9 @@
     fun shortestBootS(): Double = jobStore.machineTypes.values.minOfOrNull { it.bootS } ?: 0.0
 
     /**
-     * Returns the cheapest pool for [demand] that may have capacity, or null if there is none. Of pools with the same
-     * price it is the one in whose zone the fewest machines boot or are planned; [plannedCounts] are the machines
-     * planned in this round. In a zone that is partitioned, only a probe machine is provisioned.
+     * Returns the cheapest pool for [demand] that may have capacity, or null if there is none; among equals, the one in
+     * whose zone the fewest machines boot or are planned in this round ([plannedCounts]). In a partitioned zone, only a
+     * probe machine is provisioned.
      */
     fun cheapestPool(
         cluster: Cluster,
@@ -41,7 +41,11 @@
         cluster: Cluster,
         pools: List<MachinePool>,
     ): List<MachinePool> {
-        val reachable = pools.filter { !cluster.isCutOff(it.zone) && cluster.recovery?.isSuppressed(it.zone) != true }
+        val reachable =
+            pools.filter {
+                !cluster.isPartitioned(it.zone) &&
+                    cluster.recovery?.isSuppressed(it.zone) != true
+            }
         // During a recovery, pools without capacity are left out: when no other zone has capacity for displaced work, a
         // probe machine is provisioned to detect the return of its zone.
         return if (cluster.recovery?.isActive == true) reachable.filter(provisioner::mayHaveCapacity) else reachable
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -22,7 +22,6 @@
     /** Steady-clock ms since which there has been no demand, or 0 while there is some. */
     private var noDemandSinceMs = 0L
 
-    /** Steady-clock ms of the last round of draining. */
     private var lastDrainAtMs = 0L
 
     /** Updates the peak loads with the processors in use. */
@@ -31,9 +30,7 @@
         onDemandLoad.observe(jobStore.jobs.values.sumOf { onDemandCpus(cluster, it) })
     }
 
-    /**
-     * Returns the processors of the attempts of [job] if it may not or should not run on spot machines, otherwise 0.
-     */
+    /** Returns the processors of [job]'s attempts if it may not or should not run on spot machines, otherwise 0. */
     private fun onDemandCpus(
         cluster: Cluster,
         job: Job,
@@ -44,9 +41,8 @@
         cluster: Cluster,
         demands: List<Demand>,
     ) {
-        // While a zone is partitioned, the demand lacks tasks that may still run there. If they are lost, they need the
-        // machines that are up now.
-        val hasNoDemand = demands.isEmpty() && !cluster.anyZoneUnsettled
+        // Tasks that may still run in a partitioned zone are not in the demand, but may need the present machines soon.
+        val hasNoDemand = demands.isEmpty() && !cluster.hasUnsettledZone
         if (!hasNoDemand) {
             noDemandSinceMs = 0L
             cancelDraining(cluster)
@@ -60,7 +56,7 @@
         for (machine in cluster.machines.values) {
             if (machine.isDraining && !machine.isReleasing) {
                 machine.isDraining = false
-                cluster.changed()
+                cluster.requestPlacementPass()
             }
         }
     }
@@ -70,8 +66,8 @@
         val inService = cluster.machines.values.filter { it.isInService }
         for (machine in cluster.machines.values.toList()) {
             val shouldMoveReplicas =
-                machine.isQuarantined && machine.isConfirmed && cluster.replicas.canMoveReplicas(machine, inService)
-            if (shouldMoveReplicas) cluster.replicas.moveReplicas(machine)
+                machine.isQuarantined && machine.isConfirmed && cluster.replicaMover.canMoveReplicas(machine, inService)
+            if (shouldMoveReplicas) cluster.replicaMover.moveReplicas(machine)
             if (isEmptyAndLeaving(machine)) {
                 log.info(
                     "machine queued for release: it is drained or quarantined, and empty; machine={}",
@@ -87,8 +83,8 @@
             machine.attempts.isEmpty() && machine.isConfirmed && !machine.isReleasing
 
     /**
-     * Drains machines, the most expensive first, if there has been no demand for a while and as long as the remaining
-     * machines hold the peak load and the headroom. Running tasks free [freedCpusPerSecond].
+     * Drains machines, the most expensive first, if there has been no demand for a while, as long as the remaining ones
+     * hold the peak load and the headroom.
      */
     fun drainUnneeded(
         cluster: Cluster,
@@ -107,7 +103,7 @@
     ): Boolean {
         val inService = cluster.machines.values.filter { it.isInService }
         val capacityCpus = inService.sumOf { it.machineType.vcpus }
-        val headroomCpus = cluster.headroom.cpus(freedCpusPerSecond, poolSelector.shortestBootS())
+        val headroomCpus = cluster.headroom.cpusToReserve(freedCpusPerSecond, poolSelector.shortestBootS())
         val machine = mostExpensiveUnneeded(cluster, inService, capacityCpus, headroomCpus) ?: return false
         machine.isDraining = true
         log.info(
@@ -118,12 +114,12 @@
             machine.name,
         )
         // Replicas of several machines could move to the same free resources, or wait for their image elsewhere.
-        return !cluster.replicas.moveReplicas(machine)
+        return !cluster.replicaMover.moveReplicas(machine)
     }
 
     /**
-     * Returns the most expensive machine of [inService] that is not needed and can be emptied, or null if there is
-     * none. Of machines with the same price it is the least used.
+     * Returns the most expensive machine of [inService] that is not needed and can be emptied, among equals the least
+     * used, or null if there is none.
      */
     private fun mostExpensiveUnneeded(
         cluster: Cluster,
@@ -139,6 +135,6 @@
             .filter { it.spot || onDemandCapacityCpus - it.machineType.vcpus >= onDemandLoad.cpus }
             .filter { it.spot || (onDemandCountByZone[it.zone] ?: 0) > 1 }
             .sortedWith(compareBy({ -MachinePool.pricePerCpu(it.machineType, it.spot) }, { it.usedCpus }))
-            .firstOrNull { cluster.replicas.canMoveReplicas(it, inService) }
+            .firstOrNull { cluster.replicaMover.canMoveReplicas(it, inService) }
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.control.OwnerCommand
 import ledgearch.peers.LeaderStatus
-import ledgearch.peers.MalformedFrame
+import ledgearch.peers.MalformedFrameException
 import ledgearch.peers.Mesh
 import ledgearch.peers.StandbyEvent
 import ledgearch.peers.StreamCodec
@@ -18,7 +18,7 @@
 
     /** Changes with every connection of this node to a leader: what an earlier one carries is lost with it. */
     private var connection = 0L
-    override val joined = simulation.nodes.size
+    override val acceptedFollowerCount = simulation.nodes.size
 
     override fun follow(address: String?) {
         if (followed == address) return
@@ -75,9 +75,7 @@
     ) {
         if (!isAlive() || connection != opened) {
             val peer = peerAt(address)
-            if (peer.instance == instance &&
-                peer.up
-            ) {
+            if (peer.instance == instance && peer.up) {
                 peer.run(OwnerCommand.HandleStandbyEvent(StandbyEvent.FollowerLeft(opened)))
             }
             return
@@ -99,16 +97,16 @@
         if (!isAlive() || connection != this.connection || address == null) return
         try {
             node.run(OwnerCommand.HandleStandbyEvent(StandbyEvent.FrameReceived(address, StreamCodec.decode(body))))
-        } catch (_: MalformedFrame) {
+        } catch (_: MalformedFrameException) {
             simulation.streams.malformedClosed++
             reconnect()
         }
     }
 
-    override fun stream(
-        follower: Long,
+    override fun sendStreamFrame(
+        followerId: Long,
         body: ByteString,
-    ): Boolean = simulation.streams.send(simulation, node, follower, body)
+    ): Boolean = simulation.streams.send(simulation, node, followerId, body)
 
     override fun publish(status: LeaderStatus) {
         for (other in simulation.nodes) {
