--- a/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
@@ -33,7 +33,7 @@
     /** Whether any zone is partitioned or has not fully recovered. */
     val hasUnsettledZone: Boolean
 
-    /** Returns whether [zone] is partitioned: almost none of its machines send heartbeats while others do. */
+    /** Returns whether [zone] is partitioned or lost: almost none of its machines send heartbeats while others do. */
     fun isPartitioned(zone: String): Boolean
 
     /** Removes [machine], which no longer exists, and all attempts on it. */
--- a/src/main/kotlin/ledgearch/autoscaling/Demand.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Demand.kt
@@ -27,7 +27,7 @@
             ?.zone
 
     /** Takes resources of [supplies], in their order, and returns the number of tasks that don't fit. */
-    fun unmetBy(supplies: List<Supply>): Int {
+    fun takeFrom(supplies: List<Supply>): Int {
         var unmetCount = taskCount
         for (supply in supplies) {
             if (unmetCount == 0) break
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
@@ -34,7 +34,7 @@
 
     /** Plans for [demand], which has lower precedence than all demands added before. */
     fun add(demand: Demand) {
-        var unmetCount = demand.unmetBy(supplies)
+        var unmetCount = demand.takeFrom(supplies)
         if (mayUseFreedCpus(demand.job)) unmetCount -= takeFreedCpus(demand, unmetCount)
         planMachines(demand, unmetCount)
     }
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -48,7 +48,7 @@
 
     /**
      * Runs one batch at [steadyMs] on the steady clock and [wallMs] on the wall clock: executes all [commands] in
-     * order, then drives every component once.
+     * order, then runs the due work of every component.
      */
     fun runBatch(
         steadyMs: Long,
