--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -63,7 +63,7 @@
         runBlocking(Dispatchers.Unconfined) {
             repeat(ROUNDS) { round ->
                 Thread.sleep(STEP_MS)
-                peer.publish(LeaderStatus(listOf(JobProgress("job-900", 1, 1)), served = true))
+                peer.publish(LeaderStatus(listOf(JobProgress("job-900", 1, 1)), isStateServiceReachable = true))
                 client.call(settings.listen, "GET", "/up", null, TIMEOUT_MS)
                 client.call(settings.listen, "POST", "/work", job("job-$round", ""), TIMEOUT_MS)
                 client.call(settings.listen, "POST", "/work", job("job-1$round", DEPENDENCIES), TIMEOUT_MS)
--- a/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -45,7 +45,7 @@
     /** Applies the [status] that the leader published. */
     fun apply(status: LeaderStatus) {
         status.progress.forEach { jobStore.jobs[it.jobId]?.lastProgress = it }
-        if (status.served == false) healthCheck.recordLeaderOutage()
+        if (status.isStateServiceReachable == false) healthCheck.recordLeaderOutage()
         if (!election.isLeader) leader.recovery?.recordStatuses(status.zones)
     }
 }
--- a/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
@@ -80,7 +80,7 @@
             .chunked(
                 PeerTuning.MAX_JOBS_PER_STATUS_FRAME,
             ).ifEmpty { listOf(emptyList()) }) {
-            val frame = StatusFrameCodec.encode(LeaderStatus(progress, status.served, status.zones))
+            val frame = StatusFrameCodec.encode(LeaderStatus(progress, status.isStateServiceReachable, status.zones))
             followers.values.forEach { it.queue.trySend(frame) }
         }
     }
--- a/src/main/kotlin/ledgearch/peers/StatusFrameCodec.kt
+++ b/src/main/kotlin/ledgearch/peers/StatusFrameCodec.kt
@@ -42,7 +42,7 @@
     /** Returns the whole frame of [status], including its header. */
     fun encode(status: LeaderStatus): ByteString {
         val body = Buffer()
-        status.served?.let { writeEntry(body, STATE_SERVICE_ID, if (it) 1 else 0, 0) }
+        status.isStateServiceReachable?.let { writeEntry(body, STATE_SERVICE_ID, if (it) 1 else 0, 0) }
         status.progress.forEach { writeEntry(body, it.jobId, it.finishedTasks, it.runningTasks) }
         status.zones.forEach { writeZone(body, it) }
         val frame = Buffer().writeInt(FrameHeader.encode(FrameKind.STATUS, body.size.toInt()))
@@ -71,17 +71,17 @@
 
     private fun readStatus(body: Buffer): LeaderStatus {
         val progress = ArrayList<JobProgress>()
-        var served: Boolean? = null
+        var isStateServiceReachable: Boolean? = null
         val zones = ArrayList<ZoneStatus>()
         while (!body.exhausted()) {
             val entry = readEntry(body)
             when {
-                entry.jobId.isEmpty() -> served = entry.finishedTasks != 0
+                entry.jobId.isEmpty() -> isStateServiceReachable = entry.finishedTasks != 0
                 entry.jobId.startsWith(ZONE_ID_PREFIX) -> zoneStatusOf(entry)?.let(zones::add)
                 else -> progress.add(entry)
             }
         }
-        return LeaderStatus(progress, served, zones)
+        return LeaderStatus(progress, isStateServiceReachable, zones)
     }
 
     private fun writeZone(
--- a/src/test/kotlin/ledgearch/peers/StatusFrameCodecTest.kt
+++ b/src/test/kotlin/ledgearch/peers/StatusFrameCodecTest.kt
@@ -22,7 +22,7 @@
         for (isReachable in listOf(true, false, null)) {
             val status = readStatus(StatusFrameCodec.encode(LeaderStatus(progress, isReachable)))
             assertEquals(progress, status.progress)
-            assertEquals(isReachable, status.served)
+            assertEquals(isReachable, status.isStateServiceReachable)
         }
     }
 
@@ -31,7 +31,7 @@
     fun `a frame of an earlier version is decoded`() {
         val status = readStatus("0000000e056a6f622d370000000300000002".decodeHex())
         assertEquals(progress, status.progress)
-        assertNull(status.served)
+        assertNull(status.isStateServiceReachable)
     }
 
     /** An earlier version decodes the entry as a job with an empty id and finds no such job. */
@@ -39,7 +39,7 @@
     fun `the state service's entry has the form of a job's entry`() {
         assertEquals(
             "00000009000000000000000000".decodeHex(),
-            StatusFrameCodec.encode(LeaderStatus(emptyList(), served = false)),
+            StatusFrameCodec.encode(LeaderStatus(emptyList(), isStateServiceReachable = false)),
         )
     }
 
@@ -61,6 +61,6 @@
                 Buffer().write(StatusFrameCodec.encode(LeaderStatus(emptyList(), true, zones))),
             )
         assertEquals(zones, status?.zones)
-        assertEquals(true to emptyList<Any>(), status?.served to status?.progress)
+        assertEquals(true to emptyList<Any>(), status?.isStateServiceReachable to status?.progress)
     }
 }
--- a/src/test/kotlin/ledgearch/peers/TcpMeshTest.kt
+++ b/src/test/kotlin/ledgearch/peers/TcpMeshTest.kt
@@ -84,8 +84,8 @@
         assertTrue(onOwnerThread { leader.sendStreamFrame(joined.followerId, StreamCodec.encode(frame)) })
         onOwnerThread { leader.publish(LeaderStatus(emptyList(), true)) }
         assertEquals(StandbyEvent.FrameReceived(address, frame), pollNext(standbyFollowerEvents.standbyEvents))
-        assertEquals(true, pollNext(standbyFollowerEvents.statuses)?.served)
-        assertEquals(true, pollNext(plainEvents.statuses)?.served)
+        assertEquals(true, pollNext(standbyFollowerEvents.statuses)?.isStateServiceReachable)
+        assertEquals(true, pollNext(plainEvents.statuses)?.isStateServiceReachable)
         assertNull(plainEvents.standbyEvents.poll())
         assertNull(leaderEvents.standbyEvents.poll())
     }
@@ -99,7 +99,7 @@
         connectFollower(address, followerEvents, isStandbyEnabled = true)
         pollNext(leaderEvents.standbyEvents)
         val jobs = List(2 * PeerTuning.MAX_JOBS_PER_STATUS_FRAME + 1) { JobProgress("job-$it", it, 1) }
-        onOwnerThread { leader.publish(LeaderStatus(jobs, served = true)) }
+        onOwnerThread { leader.publish(LeaderStatus(jobs, isStateServiceReachable = true)) }
         val receivedProgress = List(3) { pollNext(followerEvents.statuses)?.progress.orEmpty() }
         assertEquals(jobs, receivedProgress.flatten())
         assertTrue(receivedProgress.all { it.size <= PeerTuning.MAX_JOBS_PER_STATUS_FRAME })
--- a/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
@@ -98,10 +98,10 @@
     /** Every form of a frame, by the name of its file. */
     private val frames: Map<String, LeaderStatus> =
         mapOf(
-            "frame-state-answers" to LeaderStatus(PROGRESS, served = true),
-            "frame-state-does-not-answer" to LeaderStatus(PROGRESS, served = false),
-            "frame-state-unknown" to LeaderStatus(PROGRESS, served = null),
-            "frame-no-job" to LeaderStatus(emptyList(), served = true),
+            "frame-state-answers" to LeaderStatus(PROGRESS, isStateServiceReachable = true),
+            "frame-state-does-not-answer" to LeaderStatus(PROGRESS, isStateServiceReachable = false),
+            "frame-state-unknown" to LeaderStatus(PROGRESS, isStateServiceReachable = null),
+            "frame-no-job" to LeaderStatus(emptyList(), isStateServiceReachable = true),
         )
 
     @TestFactory
@@ -158,7 +158,7 @@
                 val buffer = Buffer().write(file("$name.hex").decodeHex())
                 val read = checkNotNull(StatusFrameCodec.readOrNull(buffer)) { "the frame is incomplete" }
                 assertEquals(status.progress, read.progress)
-                assertEquals(status.served, read.served)
+                assertEquals(status.isStateServiceReachable, read.isStateServiceReachable)
                 assertTrue(buffer.exhausted(), "unexpected bytes after the frame")
             }
         }
