--- a/src/main/kotlin/ledgearch/peers/StreamCodec.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamCodec.kt
@@ -20,14 +20,14 @@
  *
  * A key is the kind of the record ([RecordKind.code], 1 byte) and its name (a text). The fields of a kind, in order:
  *
- * | kind           | fields                                                                                     |
- * |----------------|--------------------------------------------------------------------------------------------|
- * | MACHINE        | incarnation (8), releasing (flag), list of attempts, list of cached images                 |
- * | - attempt      | task (text), number (8), state (1, the ordinal in [AttemptState])                          |
- * | - cached image | name (text), size in GB (8, floating point), fetched (flag)                                |
- * | CLASS_RUN_TIME | logarithm of the ratio (8, floating point), weight (8, floating point)                     |
- * | SERVICE_TIME   | last start (8, ms of the wall clock)                                                       |
- * | RENTED_MACHINE | machine type (text), zone (text), spot (flag)                                              |
+ * | kind                | fields                                                                     |
+ * |---------------------|----------------------------------------------------------------------------|
+ * | MACHINE             | incarnation (8), releasing (flag), list of attempts, list of cached images |
+ * | - attempt           | task (text), number (8), state (1, the ordinal in [AttemptState])          |
+ * | - cached image      | name (text), size in GB (8, floating point), fetched (flag)                |
+ * | CLASS_MEAN_ERROR    | logarithm of the ratio (8, floating point), weight (8, floating point)     |
+ * | LAST_TASK_START     | last start (8, ms of the wall clock)                                       |
+ * | PROVISIONED_MACHINE | machine type (text), zone (text), spot (flag)                              |
  */
 internal object StreamCodec {
     /** Returns the body of [frame], without a header. */
@@ -88,16 +88,16 @@
                 writeMachine(body, record)
             }
 
-            is ClassRunTime -> {
+            is ClassMeanError -> {
                 body.writeDouble(record.logRatio)
                 body.writeDouble(record.weight)
             }
 
-            is ServiceTime -> {
+            is LastTaskStart -> {
                 body.writeLong(record.lastStartAtMs)
             }
 
-            is RentedMachine -> {
+            is ProvisionedMachine -> {
                 body.writeText(record.machineType)
                 body.writeText(record.zone)
                 body.writeFlag(record.isSpot)
@@ -108,10 +108,26 @@
     private fun readRecord(body: Buffer): StreamRecord {
         val key = readKey(body)
         return when (key.kind) {
-            RecordKind.MACHINE -> readMachine(body, key.name)
-            RecordKind.CLASS_RUN_TIME -> ClassRunTime(key.name, body.readDouble(), body.readDouble())
-            RecordKind.SERVICE_TIME -> ServiceTime(key.name, body.readLong())
-            RecordKind.RENTED_MACHINE -> RentedMachine(key.name, body.readText(), body.readText(), body.readFlag())
+            RecordKind.MACHINE -> {
+                readMachine(body, key.name)
+            }
+
+            RecordKind.CLASS_MEAN_ERROR -> {
+                ClassMeanError(key.name, body.readDouble(), body.readDouble())
+            }
+
+            RecordKind.LAST_TASK_START -> {
+                LastTaskStart(key.name, body.readLong())
+            }
+
+            RecordKind.PROVISIONED_MACHINE -> {
+                ProvisionedMachine(
+                    key.name,
+                    body.readText(),
+                    body.readText(),
+                    body.readFlag(),
+                )
+            }
         }
     }
 
--- a/src/main/kotlin/ledgearch/peers/StreamRecord.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamRecord.kt
@@ -16,14 +16,14 @@
     /** A [MachineSnapshot], named after the machine. */
     MACHINE(code = 1),
 
-    /** A [ClassRunTime], named after the class of jobs. */
-    CLASS_RUN_TIME(code = 2),
+    /** A [ClassMeanError], named after the class of jobs. */
+    CLASS_MEAN_ERROR(code = 2),
 
-    /** A [ServiceTime], named after the job's id. */
-    SERVICE_TIME(code = 3),
+    /** A [LastTaskStart], named after the job's id. */
+    LAST_TASK_START(code = 3),
 
-    /** A [RentedMachine], named after the machine. */
-    RENTED_MACHINE(code = 4),
+    /** A [ProvisionedMachine], named after the machine. */
+    PROVISIONED_MACHINE(code = 4),
     ;
 
     companion object {
@@ -77,36 +77,36 @@
 )
 
 /** Mean error of the estimated run times of a class of jobs. */
-internal data class ClassRunTime(
+internal data class ClassMeanError(
     val jobClass: String,
     /** Mean of the natural logarithm of run time over estimate. */
     val logRatio: Double,
     /** Number of jobs in the mean, in which recent ones count most. */
     val weight: Double,
 ) : StreamRecord {
-    override val key = RecordKey(RecordKind.CLASS_RUN_TIME, jobClass)
+    override val key = RecordKey(RecordKind.CLASS_MEAN_ERROR, jobClass)
     override val memoryBytes = BYTES_PER_OBJECT + jobClass.length
 }
 
 /** Time at which the leader last started a task of a job. */
-internal data class ServiceTime(
+internal data class LastTaskStart(
     val jobId: String,
     /** Wall-clock ms. */
     val lastStartAtMs: Long,
 ) : StreamRecord {
-    override val key = RecordKey(RecordKind.SERVICE_TIME, jobId)
+    override val key = RecordKey(RecordKind.LAST_TASK_START, jobId)
     override val memoryBytes = BYTES_PER_OBJECT + jobId.length
 }
 
 /** Machine that was provisioned and has not reported yet. */
-internal data class RentedMachine(
+internal data class ProvisionedMachine(
     val name: String,
     /** Name of the machine type in the catalog. */
     val machineType: String,
     val zone: String,
     val isSpot: Boolean,
 ) : StreamRecord {
-    override val key = RecordKey(RecordKind.RENTED_MACHINE, name)
+    override val key = RecordKey(RecordKind.PROVISIONED_MACHINE, name)
     override val memoryBytes = BYTES_PER_OBJECT + name.length + machineType.length + zone.length
 }
 
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -6,10 +6,10 @@
 import ledgearch.model.Machine
 import ledgearch.model.ModelTuning
 import ledgearch.peers.CachedImage
-import ledgearch.peers.ClassRunTime
+import ledgearch.peers.ClassMeanError
+import ledgearch.peers.LastTaskStart
 import ledgearch.peers.MachineSnapshot
-import ledgearch.peers.RentedMachine
-import ledgearch.peers.ServiceTime
+import ledgearch.peers.ProvisionedMachine
 import ledgearch.peers.StreamRecord
 import ledgearch.runtime.Clock
 import ledgearch.scheduling.RunTimeEstimates
@@ -25,9 +25,9 @@
     records: Collection<StreamRecord>,
 ) {
     private val machines = records.filterIsInstance<MachineSnapshot>().associateBy { it.name }
-    private val meanErrors = records.filterIsInstance<ClassRunTime>()
-    private val lastStarts = records.filterIsInstance<ServiceTime>()
-    private val provisionedMachines = records.filterIsInstance<RentedMachine>()
+    private val meanErrors = records.filterIsInstance<ClassMeanError>()
+    private val lastStarts = records.filterIsInstance<LastTaskStart>()
+    private val provisionedMachines = records.filterIsInstance<ProvisionedMachine>()
 
     /** Number of machines in the replica. */
     val machineCount: Int get() = machines.size
@@ -78,7 +78,7 @@
 
     private fun applyMeanError(
         estimates: RunTimeEstimates,
-        hint: ClassRunTime,
+        hint: ClassMeanError,
     ) {
         val isPlausible = abs(hint.logRatio) <= StandbyTuning.MAX_HINT_LOG_RATIO
         if (isPlausible && hint.weight in 0.0..SchedulingTuning.MAX_MEAN_ERROR_JOBS) {
@@ -89,7 +89,7 @@
     /** Applies the time of a job's last start, at most the current time. */
     private fun applyLastStart(
         jobStore: JobStore,
-        hint: ServiceTime,
+        hint: LastTaskStart,
         clock: Clock,
     ) {
         val job = jobStore.jobs[hint.jobId] ?: return
@@ -99,7 +99,7 @@
     private fun applyProvisionedMachine(
         knownMachines: Map<String, Machine>,
         autoscaler: Autoscaler,
-        hint: RentedMachine,
+        hint: ProvisionedMachine,
     ) {
         if (hint.name in knownMachines) return
         autoscaler.addRentalHint(RentalHint(hint.name, hint.machineType, hint.zone, hint.isSpot))
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
@@ -5,11 +5,11 @@
 import ledgearch.model.Machine
 import ledgearch.peers.AttemptSnapshot
 import ledgearch.peers.CachedImage
-import ledgearch.peers.ClassRunTime
+import ledgearch.peers.ClassMeanError
+import ledgearch.peers.LastTaskStart
 import ledgearch.peers.MachineSnapshot
+import ledgearch.peers.ProvisionedMachine
 import ledgearch.peers.RecordKey
-import ledgearch.peers.RentedMachine
-import ledgearch.peers.ServiceTime
 import ledgearch.peers.StreamRecord
 import ledgearch.scheduling.RunTimeEstimates
 
@@ -37,13 +37,13 @@
             if (machine.incarnation != 0L) add(records, snapshotOf(machine))
         }
         for ((jobClass, meanError) in estimates.meanErrors()) {
-            add(records, ClassRunTime(jobClass, meanError.logRatio, meanError.weight))
+            add(records, ClassMeanError(jobClass, meanError.logRatio, meanError.weight))
         }
         for (job in jobStore.jobs.values) {
-            if (job.lastStartAtMs != 0L) add(records, ServiceTime(job.id, job.lastStartAtMs))
+            if (job.lastStartAtMs != 0L) add(records, LastTaskStart(job.id, job.lastStartAtMs))
         }
         for (machine in autoscaler.bootingMachines()) {
-            add(records, RentedMachine(machine.name, machine.machineType, machine.zone, machine.spot))
+            add(records, ProvisionedMachine(machine.name, machine.machineType, machine.zone, machine.spot))
         }
         return records
     }
--- a/src/test/kotlin/ledgearch/peers/StreamExamples.kt
+++ b/src/test/kotlin/ledgearch/peers/StreamExamples.kt
@@ -20,10 +20,10 @@
             2,
             listOf(
                 machine,
-                ClassRunTime("web", -0.25, 3.0),
-                ServiceTime("job-1", 8),
-                RentedMachine("h", "r", "a", true),
+                ClassMeanError("web", -0.25, 3.0),
+                LastTaskStart("job-1", 8),
+                ProvisionedMachine("h", "r", "a", true),
             ),
-            listOf(RecordKey(RecordKind.SERVICE_TIME, "job-2")),
+            listOf(RecordKey(RecordKind.LAST_TASK_START, "job-2")),
         )
 }
--- a/src/test/kotlin/ledgearch/simulation/faults/CorruptedStreams.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/CorruptedStreams.kt
@@ -3,10 +3,10 @@
 import ledgearch.model.AttemptState
 import ledgearch.peers.AttemptSnapshot
 import ledgearch.peers.CachedImage
-import ledgearch.peers.ClassRunTime
+import ledgearch.peers.ClassMeanError
+import ledgearch.peers.LastTaskStart
 import ledgearch.peers.MachineSnapshot
-import ledgearch.peers.RentedMachine
-import ledgearch.peers.ServiceTime
+import ledgearch.peers.ProvisionedMachine
 import ledgearch.peers.StreamCodec
 import ledgearch.peers.StreamRecord
 import ledgearch.simulation.Simulation
@@ -27,9 +27,9 @@
     private fun garbled(record: StreamRecord): List<StreamRecord> =
         when (record) {
             is MachineSnapshot -> listOf(machine(record.name), machine("host-" + random.nextInt()), rented(record.name))
-            is ClassRunTime -> listOf(ClassRunTime(record.jobClass, number(), number()))
-            is ServiceTime -> listOf(ServiceTime(record.jobId, random.nextLong()))
-            is RentedMachine -> listOf(rented("host-" + random.nextInt()))
+            is ClassMeanError -> listOf(ClassMeanError(record.jobClass, number(), number()))
+            is LastTaskStart -> listOf(LastTaskStart(record.jobId, random.nextLong()))
+            is ProvisionedMachine -> listOf(rented("host-" + random.nextInt()))
         }
 
     private fun machine(name: String) =
@@ -46,7 +46,7 @@
         )
 
     private fun rented(name: String) =
-        RentedMachine(
+        ProvisionedMachine(
             name,
             simulation.workers.values
                 .firstOrNull()
