--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -18,7 +18,7 @@
 import ledgearch.runtime.MeteredTransport
 import ledgearch.runtime.Metrics
 import ledgearch.runtime.Transport
-import ledgearch.standby.LeaderSnapshot
+import ledgearch.standby.LeaderStateReader
 import ledgearch.standby.StandbyTuning
 import ledgearch.standby.WarmStandby
 import ledgearch.store.StoreClient
@@ -122,7 +122,7 @@
     private fun createWarmStandby(): WarmStandby? {
         if (!settings.operator.standby.enabled) return null
         val snapshot =
-            LeaderSnapshot(leader.machines, leader.estimates, jobStore, autoscaler, StandbyTuning.REPLICA_BYTES)
+            LeaderStateReader(leader.machines, leader.estimates, jobStore, autoscaler, StandbyTuning.MAX_REPLICA_BYTES)
         return WarmStandby(settings.node, mesh, clock, settings.deployment.quota.cpu, snapshot)
     }
 
@@ -131,7 +131,7 @@
      * current replica waits less. The longest wait is the same with and without standby.
      */
     private fun claimDelayMs(): Long {
-        val headStartMs = standby?.headStartMs() ?: return random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
+        val headStartMs = standby?.replicaLagDelayMs() ?: return random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
         return headStartMs +
             random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS - ElectionTuning.MAX_REPLICA_LAG_DELAY_MS)
     }
@@ -139,7 +139,7 @@
     private inner class JobStoreEvents : JobStoreListener {
         override fun onLeadershipChanged() {
             election.onLeadershipChanged()
-            standby?.leadershipChanged(jobStore.leadership, jobStore.leadershipRevision)
+            standby?.onLeadershipChanged(jobStore.leadership, jobStore.leadershipRevision)
             mesh.follow(leaderMeshAddress)
             val node = jobStore.leadership?.node ?: "none"
             log.info("leader changed; node={} token={}", node, jobStore.leadershipRevision)
@@ -173,12 +173,12 @@
             token: Long,
             isNewTerm: Boolean,
         ) {
-            if (isNewTerm) leader.begin(token, standby?.begin(token))
+            if (isNewTerm) leader.begin(token, standby?.beginTerm(token))
         }
 
         override fun onLeadershipLost() {
             leader.end()
-            standby?.end()
+            standby?.endTerm()
         }
     }
 
--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -50,7 +50,7 @@
 
     override fun onMachineLoaded(machine: Machine) {
         machineRegistry.add(machine)
-        hints?.applyTo(machine, clock)
+        hints?.applyMachineHints(machine, clock)
     }
 
     override fun onAllRecordsLoaded() {
@@ -68,7 +68,7 @@
     private fun applyHints() {
         val currentHints = hints ?: return
         hints = null
-        currentHints.applyAll(machineRegistry.machines, estimates, jobStore, autoscaler, clock)
+        currentHints.applyGlobalHints(machineRegistry.machines, estimates, jobStore, autoscaler, clock)
         machineRegistry.setProbeOrder(currentHints.inProbeOrder(machineRegistry.unconfirmed))
     }
 }
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -33,7 +33,7 @@
     val machineCount: Int get() = machines.size
 
     /** Applies the hints on [machine], which has a record in the state service; machines without one get no hints. */
-    fun applyTo(
+    fun applyMachineHints(
         machine: Machine,
         clock: Clock,
     ) {
@@ -54,7 +54,7 @@
         }
 
     /** Applies the hints that do not concern a single known machine, once the new leader has read all records. */
-    fun applyAll(
+    fun applyGlobalHints(
         knownMachines: Map<String, Machine>,
         estimates: RunTimeEstimates,
         jobStore: JobStore,
--- a/src/main/kotlin/ledgearch/standby/LeaderSnapshot.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderStateReader.kt
@@ -17,7 +17,7 @@
  * Reads the leader's state as stream records. Records beyond a total of [maxBytes] are left out, machines being read
  * first: the stream carries only hints, so missing records cost nothing but time at a failover.
  */
-internal class LeaderSnapshot(
+internal class LeaderStateReader(
     private val machines: Map<String, Machine>,
     private val estimates: RunTimeEstimates,
     private val jobStore: JobStore,
--- a/src/main/kotlin/ledgearch/standby/StandbyTuning.kt
+++ b/src/main/kotlin/ledgearch/standby/StandbyTuning.kt
@@ -12,7 +12,7 @@
     const val MIN_FRAME_RECORDS_BYTES = 4 * 1024
 
     /** Limit of the streamed state and of a replica, each of which takes this much of the 96 MB heap. */
-    const val REPLICA_BYTES = 4L * 1024 * 1024
+    const val MAX_REPLICA_BYTES = 4L * 1024 * 1024
 
     /** A replica with this lag or more delays a claim the longest; a leader is replaced within this time. */
     const val LAG_OF_MAX_DELAY_MS = 10_000L
--- a/src/main/kotlin/ledgearch/standby/StreamFollower.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamFollower.kt
@@ -20,7 +20,7 @@
     private var lastCurrentAtMs = Long.MIN_VALUE
 
     /** Replica of the state of the leader that this node follows, or followed last. */
-    val replica = Replica(StandbyTuning.REPLICA_BYTES)
+    val replica = Replica(StandbyTuning.MAX_REPLICA_BYTES)
 
     /** Number of replicas dropped because a frame could not be applied. */
     var replicasDropped = 0L
--- a/src/main/kotlin/ledgearch/standby/StreamLog.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamLog.kt
@@ -40,7 +40,7 @@
         private set
 
     /** Number of changed and removed records; a record counts at most once per interval. */
-    var changes = 0L
+    var changeCount = 0L
         private set
 
     /** Number of snapshots sent completely. */
@@ -87,7 +87,7 @@
         sequence++
         val changedKeys = currentRecords.values.filter { records[it.key] != it }.map { it.key }
         val removedKeys = records.keys.filter { it !in currentRecords }
-        changes += changedKeys.size + removedKeys.size
+        changeCount += changedKeys.size + removedKeys.size
         records = currentRecords
         for (cursor in cursors.values) {
             cursor.pendingKeys.addAll(changedKeys)
--- a/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
@@ -13,7 +13,7 @@
     private val mesh: Mesh,
     private val clock: Clock,
     processorShare: Double,
-    private val snapshot: LeaderSnapshot,
+    private val stateReader: LeaderStateReader,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.standby")
 
@@ -56,12 +56,12 @@
     fun runDueWork() {
         if (clock.steadyMs < intervalEndsAtMs || !streamLog.hasFollowers) return
         intervalEndsAtMs = clock.steadyMs + StandbyTuning.STREAM_INTERVAL_MS
-        streamLog.advance(snapshot.read())
-        if (snapshot.isTruncated && !isTruncationLogged) {
+        streamLog.advance(stateReader.read())
+        if (stateReader.isTruncated && !isTruncationLogged) {
             isTruncationLogged = true
             log.warn(
                 "leader state exceeds {} bytes, the replication stream omits the records beyond; term={}",
-                StandbyTuning.REPLICA_BYTES,
+                StandbyTuning.MAX_REPLICA_BYTES,
                 streamLog.term,
             )
         }
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -15,9 +15,9 @@
     mesh: Mesh,
     clock: Clock,
     processorShare: Double,
-    snapshot: LeaderSnapshot,
+    stateReader: LeaderStateReader,
 ) {
-    private val streamPublisher = StreamPublisher(mesh, clock, processorShare, snapshot)
+    private val streamPublisher = StreamPublisher(mesh, clock, processorShare, stateReader)
     private val streamFollower = StreamFollower(node, mesh, clock)
 
     /** Log of the stream that this node publishes while it is the leader. */
@@ -27,16 +27,16 @@
     val replica: Replica get() = streamFollower.replica
 
     /** Begins a [term] of this node as leader and returns the hints of its replica, or null without a usable one. */
-    fun begin(term: Long): FailoverHints? {
+    fun beginTerm(term: Long): FailoverHints? {
         streamPublisher.beginTerm(term)
         return streamFollower.takeHints(term)
     }
 
     /** Ends the term of this node as leader. */
-    fun end() = streamPublisher.endTerm()
+    fun endTerm() = streamPublisher.endTerm()
 
     /** Records that the leadership record is now [leadership], written at [modRevision]; null without a leader. */
-    fun leadershipChanged(
+    fun onLeadershipChanged(
         leadership: LeadershipRecord?,
         modRevision: Long,
     ) = streamFollower.onLeadershipChanged(leadership, modRevision)
@@ -53,31 +53,31 @@
         }
     }
 
-    /** Sends the stream frames that are due; [leading]: whether this node is the leader and has read all records. */
-    fun runDueWork(leading: Boolean) {
-        if (leading) streamPublisher.runDueWork()
+    /** Sends the stream frames that are due; [isReady]: whether this node is the leader and has read all records. */
+    fun runDueWork(isReady: Boolean) {
+        if (isReady) streamPublisher.runDueWork()
     }
 
     /**
      * Returns the part of the claim delay that depends on the replica's lag. Together with the random part, the delay is
      * at most [ElectionTuning.MAX_CLAIM_DELAY_MS], as without standby.
      */
-    fun headStartMs(): Long = streamFollower.replicaLagDelayMs()
+    fun replicaLagDelayMs(): Long = streamFollower.replicaLagDelayMs()
 
-    /** Returns the state for `GET /metrics`; [leading]: whether this node is the leader. */
-    fun report(leading: Boolean): StandbyReport =
+    /** Returns the state for `GET /metrics`; [isLeader]: whether this node is the leader. */
+    fun report(isLeader: Boolean): StandbyReport =
         StandbyReport(
-            role = if (leading) StandbyReport.LEADER else StandbyReport.FOLLOWER,
-            term = if (leading) streamLog.term else replica.term,
-            sequence = if (leading) streamLog.sequence else replica.sequence,
-            recordsHeld = if (leading) streamLog.records.size else replica.records.size,
-            recordsBehind = if (leading) streamLog.longestBacklog else replica.remainingRecords,
-            msBehind = if (leading) 0 else streamFollower.lagMs ?: StandbyReport.NO_REPLICA,
+            role = if (isLeader) StandbyReport.LEADER else StandbyReport.FOLLOWER,
+            term = if (isLeader) streamLog.term else replica.term,
+            sequence = if (isLeader) streamLog.sequence else replica.sequence,
+            recordsHeld = if (isLeader) streamLog.records.size else replica.records.size,
+            recordsBehind = if (isLeader) streamLog.longestBacklog else replica.remainingRecords,
+            msBehind = if (isLeader) 0 else streamFollower.lagMs ?: StandbyReport.NO_REPLICA,
             followers = streamLog.followers.size,
             snapshotsSent = streamLog.snapshotsSent,
             streamsDropped = streamPublisher.streamsDropped,
             replicasDropped = streamFollower.replicasDropped,
             bytesSent = streamPublisher.bytesSent,
-            changesSent = streamLog.changes,
+            changesSent = streamLog.changeCount,
         )
 }
--- a/src/test/kotlin/ledgearch/standby/ReplicaTest.kt
+++ b/src/test/kotlin/ledgearch/standby/ReplicaTest.kt
@@ -29,7 +29,7 @@
                 frame.copy(term = 4),
             )
         for (invalidFrame in invalidFrames) {
-            val replica = Replica(StandbyTuning.REPLICA_BYTES)
+            val replica = Replica(StandbyTuning.MAX_REPLICA_BYTES)
             assertTrue(replica.apply(frame.copy(startsSnapshot = false)) is ApplyResult.Rejected)
             assertEquals(ApplyResult.Applied, replica.apply(frame))
             assertFalse(replica.isCurrent)
@@ -62,7 +62,7 @@
         val random = Random(2)
         val streamLog = StreamLog(frameRecordsBytes = 200)
         streamLog.beginTerm(5)
-        val replica = Replica(StandbyTuning.REPLICA_BYTES)
+        val replica = Replica(StandbyTuning.MAX_REPLICA_BYTES)
         var state = recordsByKey(*Array(50) { machine.copy(name = "host-$it") })
         streamLog.addFollower(1)
         var frameCount = 0
--- a/src/test/kotlin/ledgearch/tools/FailoverRun.kt
+++ b/src/test/kotlin/ledgearch/tools/FailoverRun.kt
@@ -89,7 +89,7 @@
         val leader = simulation.nodes.first { it.name == leader(simulation) }
         val log = leader.standby?.streamLog
         bytesASecond = simulation.streams.bytes * MS_PER_SECOND / CRASH_MS
-        if (log != null && log.sequence > 0) changesASecond = log.changes / log.sequence
+        if (log != null && log.sequence > 0) changesASecond = log.changeCount / log.sequence
         token = simulation.store.modRevision(FakeStore.LEADERSHIP_KEY)
         leader.crash()
         watch(leader.name)
