--- a/src/main/kotlin/ledgearch/peers/StreamValues.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamValues.kt
@@ -39,8 +39,8 @@
 internal fun Buffer.readFlag(): Boolean = readByte().toInt() != 0
 
 /**
- * Reads the count of a list (4 bytes) and each entry by [readEntry]. Throws [MalformedFrameException] for a count that is
- * negative or larger than the number of remaining bytes, so that a malformed count never allocates a huge list.
+ * Reads the count of a list (4 bytes) and each entry by [readEntry]. Throws [MalformedFrameException] for a count that
+ * is negative or larger than the number of remaining bytes, so that a malformed count never allocates a huge list.
  */
 internal inline fun <T> Buffer.readList(readEntry: () -> T): List<T> {
     val count = readInt()
--- a/src/main/kotlin/ledgearch/standby/Replica.kt
+++ b/src/main/kotlin/ledgearch/standby/Replica.kt
@@ -16,8 +16,8 @@
 }
 
 /**
- * The follower's copy of the leader's state, used only for hints. A replica that takes more than [maxBytes] of memory is
- * dropped.
+ * The follower's copy of the leader's state, used only for hints. A replica that takes more than [maxBytes] of memory
+ * is dropped.
  */
 internal class Replica(
     private val maxBytes: Long,
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Returns the part of the claim delay that depends on the replica's lag. Together with the random part, the delay is
-     * at most [ElectionTuning.MAX_CLAIM_DELAY_MS], as without standby.
+     * Returns the part of the claim delay that depends on the replica's lag. Together with the random part, the delay
+     * is at most [ElectionTuning.MAX_CLAIM_DELAY_MS], as without standby.
      */
     fun headStartMs(): Long = streamFollower.replicaLagDelayMs()
 
