--- a/src/main/kotlin/ledgearch/agents/AgentProbes.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentProbes.kt
@@ -73,7 +73,7 @@
         if (!machine.isConfirmed) queue.markUnreachable(machine)
     }
 
-    /** Returns the time until the next probe, which grows with failures: a partition can silence hundreds of agents. */
+    /** Returns the time until the next probe, which grows with failures: a partition can cut off hundreds of agents. */
     private fun intervalMs(probesFailed: Int): Long {
         val addedIntervals =
             (probesFailed - AgentTuning.FAILED_PROBES_FOR_RELEASE).coerceIn(0, AgentTuning.MAX_ADDED_PROBE_INTERVALS)
--- a/src/main/kotlin/ledgearch/agents/AgentTuning.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentTuning.kt
@@ -26,10 +26,10 @@
     /** Longest time that the protocol lets an agent take between two heartbeats. */
     const val DUE_HEARTBEAT_INTERVALS = 1.25
 
-    /** Silence after which a machine is probed; a heartbeat that needed one retransmission still arrives earlier. */
+    /** Time without a heartbeat after which a machine is probed; a heartbeat that needed one retransmission still arrives earlier. */
     const val OVERDUE_HEARTBEAT_INTERVALS = 1.4
 
-    /** Silence after which a machine is released. */
+    /** Time without a heartbeat after which a machine is released. */
     const val LOST_HEARTBEAT_INTERVALS = 3.5
 
     /**
@@ -39,7 +39,7 @@
     const val MIN_REPORTING_SHARE = 0.1
 
     /**
-     * Silence of most machines after which the leader steps down: long enough to tolerate one lost heartbeat, short
+     * Time without heartbeats from most machines after which the leader steps down: long enough to tolerate one lost heartbeat, short
      * enough for another leader to renew the agents' leases.
      */
     const val SILENT_HEARTBEAT_INTERVALS = 2.2
--- a/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/ledgearch/agents/CommandDispatcher.kt
@@ -70,7 +70,7 @@
     /** Probes [machine] if a probe is due, see [AgentProbes.probe]. */
     fun probe(machine: Machine) = probes.probe(machine)
 
-    /** Sends pending commands, and renews the token to fence unanswered starts. */
+    /** Sends pending commands, and renews the token to fence unacknowledged starts. */
     fun runDueWork() {
         if (!queue.isEmpty) sendPending()
         unacknowledged.removeIf { machine -> machine.attempts.values.none { it.unacknowledgedStartToken != 0L } }
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Steps down if almost all machines are silent, since the fault is then on this node's side, unless a leader did so
+     * Steps down if almost no machine sends heartbeats, since the fault is then on this node's side, unless a leader did so
      * recently. The agents' leases expire unless a node that they can reach becomes leader soon.
      */
     private fun stepDownIfIsolated(active: List<Machine>): Boolean {
@@ -190,7 +190,7 @@
             contacts.hasAnyAfter(dueAtMs, machine.zone)
     }
 
-    /** Times of the last message from each of [machines], sorted once because hundreds of silent ones may need them. */
+    /** Times of the last message from each of [machines], sorted once because hundreds of overdue ones may need them. */
     private class LastContacts(
         machines: List<Machine>,
     ) {
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -7,7 +7,7 @@
 
 /**
  * Finds inherited machines that are most likely gone already. Every older job waits for each of them, so they are
- * released sooner than other silent machines. A wrong guess is safe: only the cloud's confirmation of the release
+ * released sooner than other machines without heartbeats. A wrong guess is safe: only the cloud's confirmation of the release
  * proves that a machine is gone.
  */
 internal class MissingMachines(
@@ -46,7 +46,7 @@
      * Returns whether most other machines sent heartbeats after [machine] was first probed without a reply. While this
      * node lags, a timed-out probe alone proves nothing, since the reply may wait here unread. But messages are read in
      * the order of their arrival, and those later heartbeats have been read. Without this rule a node that always lags
-     * a little would detect the machine only by its heartbeat silence.
+     * a little would detect the machine only by its missing heartbeats.
      */
     private fun haveOthersReportedSince(
         machine: Machine,
--- a/src/main/kotlin/ledgearch/control/Controller.kt
+++ b/src/main/kotlin/ledgearch/control/Controller.kt
@@ -69,7 +69,7 @@
             runIsolated { metrics.measure("standby") { standby.runDueWork(election.isLeader && leader.isReady) } }
         }
         runIsolated { metrics.measure("state") { storeClient.sendAllowed() } }
-        logTimeSpent()
+        logOwnerLoad()
     }
 
     private fun execute(command: OwnerCommand) {
@@ -98,7 +98,7 @@
     }
 
     /** Logs what the owner's time was spent on, at most once per [ControlTuning.LOAD_LOG_INTERVAL_MS]. */
-    private fun logTimeSpent() {
+    private fun logOwnerLoad() {
         if (!log.isDebugEnabled || clock.steadyMs < nextLoadLogAtMs) return
         nextLoadLogAtMs = clock.steadyMs + ControlTuning.LOAD_LOG_INTERVAL_MS
         log.debug("time spent by the owner since the process began; ms={}", metrics.spentMs())
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -121,9 +121,9 @@
 
     private fun createWarmStandby(): WarmStandby? {
         if (!settings.operator.standby.enabled) return null
-        val snapshot =
+        val stateReader =
             LeaderStateReader(leader.machines, leader.estimates, jobStore, autoscaler, StandbyTuning.MAX_REPLICA_BYTES)
-        return WarmStandby(settings.node, mesh, clock, settings.deployment.quota.cpu, snapshot)
+        return WarmStandby(settings.node, mesh, clock, settings.deployment.quota.cpu, stateReader)
     }
 
     /**
@@ -131,8 +131,8 @@
      * current replica waits less. The longest wait is the same with and without standby.
      */
     private fun claimDelayMs(): Long {
-        val headStartMs = standby?.replicaLagDelayMs() ?: return random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
-        return headStartMs +
+        val replicaLagDelayMs = standby?.replicaLagDelayMs() ?: return random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
+        return replicaLagDelayMs +
             random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS - ElectionTuning.MAX_REPLICA_LAG_DELAY_MS)
     }
 
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -288,7 +288,7 @@
             clock: Clock,
         ): ZoneRecovery? {
             if (!settings.operator.zoneRecovery.enabled) return null
-            // A running agent sends a heartbeat within this time, so a new leader can then tell partitioned zones.
+            // A running agent sends a heartbeat within this time, so a new leader then recognizes partitioned zones.
             val detectionMs =
                 settings.deployment.workers.reportS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEAT_INTERVALS
             return ZoneRecovery(settings.operator.zoneRecovery, clock, detectionMs.toLong())
--- a/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -24,22 +24,22 @@
     private var nextPublishAtMs = 0L
 
     /** Value of [Mesh.acceptedFollowerCount] at the last publication. */
-    private var joinedCountAtLastPublish = 0
+    private var lastFollowerCount = 0
 
     /** On the leader, publishes once per interval the changed progress, or all of it when a peer has joined. */
     fun runDueWork() {
         if (!election.isLeader || clock.steadyMs < nextPublishAtMs) return
         nextPublishAtMs = clock.steadyMs + ControlTuning.PUBLISH_INTERVAL_MS
-        val hasNewPeer = mesh.acceptedFollowerCount != joinedCountAtLastPublish
-        joinedCountAtLastPublish = mesh.acceptedFollowerCount
+        val hasNewPeer = mesh.acceptedFollowerCount != lastFollowerCount
+        lastFollowerCount = mesh.acceptedFollowerCount
         val progress =
             jobStore.jobs.values.mapNotNull { job ->
                 val current = JobProgress(job.id, job.finishedCount, job.runningCount)
                 if (!hasNewPeer && current == job.lastProgress) null else current.also { job.lastProgress = it }
             }
         // A status without progress is published too: it shows that the leader is alive.
-        val isServed = clock.steadyMs - storeClient.lastReplyAtMs < ControlTuning.LEADER_MAX_STATE_SILENCE_MS
-        mesh.publish(LeaderStatus(progress, isServed, leader.recovery?.statuses().orEmpty()))
+        val isStateServiceReachable = clock.steadyMs - storeClient.lastReplyAtMs < ControlTuning.LEADER_MAX_STATE_SILENCE_MS
+        mesh.publish(LeaderStatus(progress, isStateServiceReachable, leader.recovery?.statuses().orEmpty()))
     }
 
     /** Applies the [status] that the leader published. */
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -74,7 +74,7 @@
 
     /**
      * Releases the leadership for a node that can serve; [reason] is logged. If [recordsStepDown], a step-down because
-     * of silent machines is recorded for the next leader.
+     * of missing heartbeats is recorded for the next leader.
      */
     fun stepDown(
         reason: String,
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Whether a leader stepped down because of silent machines within [ElectionTuning.RECENT_STEP_DOWN_WINDOW_MS]; if
-     * they are still silent, another change of leader would not help.
+     * Whether a leader stepped down because of missing heartbeats within
+     * [ElectionTuning.RECENT_STEP_DOWN_WINDOW_MS]; if they are still missing, another change of leader would not help.
      */
     val hasRecentStepDown: Boolean
         get() {
--- a/src/main/kotlin/ledgearch/election/ElectionTuning.kt
+++ b/src/main/kotlin/ledgearch/election/ElectionTuning.kt
@@ -24,7 +24,7 @@
     const val MIN_CHALLENGE_INTERVAL_MS = 10_000L
 
     /**
-     * Time after a step-down because of silent machines in which no other leader steps down for that reason: it
+     * Time after a step-down because of missing heartbeats in which no other leader steps down for that reason: it
      * releases lost machines and rents new ones instead. Otherwise the leadership could change forever.
      */
     const val RECENT_STEP_DOWN_WINDOW_MS = 60_000L
--- a/src/main/kotlin/ledgearch/model/AttemptState.kt
+++ b/src/main/kotlin/ledgearch/model/AttemptState.kt
@@ -5,10 +5,10 @@
  * so the order of the entries must not change.
  */
 internal enum class AttemptState {
-    /** The leader has placed the task; the worker has not reported the attempt yet. */
+    /** The leader has placed the task; the agent has not reported the attempt yet. */
     ASSIGNED,
 
-    /** The worker is fetching the image. */
+    /** The agent is fetching the image. */
     FETCHING,
 
     RUNNING,
@@ -16,6 +16,6 @@
     /** The task is saving a checkpoint before it stops. */
     SAVING,
 
-    /** Nothing of the attempt runs any more; the worker may still list it. */
+    /** Nothing of the attempt runs any more; the agent may still list it. */
     EXITED,
 }
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -11,7 +11,7 @@
 import java.util.BitSet
 
 /**
- * An open job: its durable record, which every node has, and the state of its tasks, which only the leader of its block
+ * An open job: its durable record, which every node has, and the state of its tasks, which only the leader
  * has. A task is pending, taken by an attempt that may be on a machine, or finished. Tasks are identified by their
  * index, from 0.
  */
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -4,14 +4,14 @@
 import ledgearch.wire.MachineType
 
 /**
- * A machine of the block as its leader sees it: the reports of its worker, whether it can be reached and will stay, the
+ * A machine of the cluster as the leader sees it: the reports of its agent, whether it can be reached and will stay, the
  * attempts that may be on it, and its free resources. [attach] and [detach] maintain the counts of the machine, the
  * jobs and the teams. Times are steady-clock ms.
  */
 internal class Machine(
     /** Unique machine name, assigned by the cloud. */
     val name: String,
-    /** Address of the worker, as HOST:PORT. */
+    /** Address of the agent, as HOST:PORT. */
     val endpoint: String,
     val machineType: MachineType,
     val zone: String,
@@ -20,67 +20,67 @@
     val knownSinceMs: Long,
     private val teams: TeamQuotas,
 ) {
-    // --- Membership of the block -----------------------------------------------------------------------------------
+    // --- Membership of the cluster -----------------------------------------------------------------------------------
 
-    /** Whether the state service holds the record that assigns the machine to the block. */
+    /** Whether the state service holds the record that assigns the machine to the cluster. */
     var isDurable = false
 
     /** Whether an earlier leader recorded the machine; until it is confirmed, any task of an older job may be on it. */
     var isInherited = false
 
-    /** Whether the worker has confirmed the current leader's token, so that [attempts] is complete. */
+    /** Whether the agent has confirmed the current leader's token, so that [attempts] is complete. */
     var isConfirmed = false
         private set
 
     private val isUnconfirmed: Boolean get() = isInherited && !isConfirmed
 
-    /** Counts the machine for the teams' quotas as it joins the block. */
+    /** Counts the machine for the teams' quotas as it joins the cluster. */
     fun join() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, 1)
     }
 
-    /** Records that the worker has confirmed the current leader's token. */
+    /** Records that the agent has confirmed the current leader's token. */
     fun confirm() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
         isConfirmed = true
     }
 
-    /** Removes the machine from the teams' quotas as it leaves the block; its attempts must have been detached. */
+    /** Removes the machine from the teams' quotas as it leaves the cluster; its attempts must have been detached. */
     fun leave() {
         if (isUnconfirmed) teams.countUnconfirmed(machineType, -1)
     }
 
-    // --- Incarnation and messages of the worker --------------------------------------------------------------------
+    // --- Incarnation and messages of the agent --------------------------------------------------------------------
 
-    /** Number of the worker's current incarnation; 0 before its first message. */
+    /** Number of the agent's current incarnation; 0 before its first message. */
     var incarnation = 0L
 
-    /** Incarnation according to a replica of the last leader's state, or 0; the worker's reply corrects it. */
+    /** Incarnation according to a replica of the last leader's state, or 0; the agent's reply corrects it. */
     var incarnationHint = 0L
 
-    /** Incarnation to put into commands: the one that the worker reported, otherwise the best guess. */
+    /** Incarnation to put into commands: the one that the agent reported, otherwise the best guess. */
     val commandIncarnation: Long get() = if (incarnation != 0L) incarnation else maxOf(incarnationHint, 1L)
 
-    /** Sequence number of the worker's newest message in this incarnation, a heartbeat or a reply to a command. */
+    /** Sequence number of the agent's newest message in this incarnation, a heartbeat or a reply to a command. */
     var lastSequence = 0L
 
-    /** Sequence number of the worker's newest heartbeat in this incarnation. */
+    /** Sequence number of the agent's newest heartbeat in this incarnation. */
     var heartbeatSequence = 0L
 
     /** Time at which the heartbeat [heartbeatSequence] was first received. */
     var heartbeatFirstSeenAtMs = 0L
 
-    /** Time after which that heartbeat was sent: a worker first awaits the reply to the previous heartbeat. */
+    /** Time after which that heartbeat was sent: an agent first awaits the reply to the previous heartbeat. */
     var heartbeatSentAfterMs = 0L
 
     var highestSeenToken = 0L
 
     var lastMessageAtMs = knownSinceMs
 
-    /** Time of the last reply that may have renewed the worker's lease. */
+    /** Time of the last reply that may have renewed the agent's lease. */
     var lastReplyAtMs = 0L
 
-    /** Only the reply to a heartbeat renews the worker's lease; direct commands do not. */
+    /** Only the reply to a heartbeat renews the agent's lease; direct commands do not. */
     var lastHeartbeatAtMs = knownSinceMs
 
     /** Whether the next heartbeat is overdue; a task that is started now may end when the lease expires. */
@@ -117,7 +117,7 @@
         if (consecutiveUnansweredProbes++ == 0) unansweredSinceMs = sentAtMs
     }
 
-    /** Records that the worker has answered a probe. */
+    /** Records that the agent has answered a probe. */
     fun recordProbeReply() {
         consecutiveUnansweredProbes = 0
         unansweredSinceMs = 0L
@@ -145,7 +145,7 @@
 
     var isReleaseRequested = false
 
-    /** Time before which no task is started, since the worker refused a task or a task failed. */
+    /** Time before which no task is started, since the agent refused a task or a task failed. */
     var startsPausedUntilMs = Long.MIN_VALUE
 
     /** Ids of the jobs whose tasks failed consecutively. */
@@ -202,7 +202,7 @@
 
     /**
      * Adds [attempt] to the counts with [sign] 1, or removes it with -1. The counts are maintained incrementally
-     * because recounting the whole block for each heartbeat would cost too much.
+     * because recounting the whole cluster for each heartbeat would cost too much.
      */
     fun adjustCounts(
         attempt: TaskAttempt,
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -9,7 +9,7 @@
 internal class TaskAttempt(
     /** Null if the job is not open; the attempt is then stopped and cleared. */
     val job: Job?,
-    /** Id of the task as workers use it: the job's id and the task's index. */
+    /** Id of the task as agents use it: the job's id and the task's index. */
     val taskId: String,
     /** Index of the task in its job, from 0. */
     val index: Int,
@@ -29,7 +29,7 @@
             if (value != field) machine.updateCounts(this) { field = value }
         }
 
-    /** Cause of the exit; null before the exit, or if the worker gave no cause. */
+    /** Cause of the exit; null before the exit, or if the agent gave no cause. */
     var exitCause: ExitCause? = null
 
     var stopMode = StopMode.NONE
@@ -51,35 +51,35 @@
     /** Whether the attempt may be on its machine and is not to be stopped. */
     val continues: Boolean get() = !isExited && stopMode == StopMode.NONE
 
-    // --- Messages to and from the worker ---------------------------------------------------------------------------
+    // --- Messages to and from the agent ---------------------------------------------------------------------------
 
-    /** Whether the worker has listed the attempt. */
+    /** Whether the agent has listed the attempt. */
     var isReported = false
 
-    /** Sequence number of the worker's last message that listed the attempt. */
+    /** Sequence number of the agent's last message that listed the attempt. */
     var lastListedSequence = 0L
 
     /**
      * Sequence number of the last heartbeat whose reply carried the start command. A later heartbeat proves that the
-     * worker has received that reply or never will.
+     * agent has received that reply or never will.
      */
     var startHeartbeatSequence = 0L
 
     var isStartInFlight = false
 
     /**
-     * Token of a direct start command that was never answered, or 0. The worker may still execute that command until it
+     * Token of a direct start command that was never answered, or 0. The agent may still execute that command until it
      * is known to have seen a higher token or has begun a new incarnation.
      */
     var unacknowledgedStartToken = 0L
 
-    /** Whether the worker may forget the attempt without a loss. */
+    /** Whether the agent may forget the attempt without a loss. */
     val isClearable: Boolean get() =
         isExited &&
             (!isFinished || job == null || job.isClosed || job.recordedTasks.get(index))
 
     /**
-     * Returns whether no start of this attempt is still in flight, given the sequence number of the worker's last
+     * Returns whether no start of this attempt is still in flight, given the sequence number of the agent's last
      * heartbeat. Until then, a `clear` command could let the attempt start a second time.
      */
     fun isSettled(lastReportSequence: Long): Boolean =
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -17,9 +17,9 @@
     private val usages = teams.associate { it.name to TeamUsage(it) }
 
     /** Resources of attempts that may belong to any team, because their jobs are no longer open. */
-    private val ownerless = ResourceSum()
+    private val unattributed = ResourceSum()
 
-    /** All resources of unconfirmed machines, which an earlier leader recorded and this one has not heard from. */
+    /** All resources of unconfirmed machines, which have not confirmed this leader's token. */
     private val unconfirmed = ResourceSum()
 
     /** Number of attempts that continue, by the ordinal of their job's priority. */
@@ -39,9 +39,9 @@
                 continue
             }
             val team = usages[job.spec.team]?.team ?: continue
-            val promised = guaranteedByTeam.getOrPut(job.spec.team) { ResourceSum() }
-            promised.addTasks(job, job.spec.taskCount)
-            job.isGuaranteed = promised.isWithin(team.cpus, team.gpus)
+            val guaranteed = guaranteedByTeam.getOrPut(job.spec.team) { ResourceSum() }
+            guaranteed.addTasks(job, job.spec.taskCount)
+            job.isGuaranteed = guaranteed.isWithin(team.cpus, team.gpus)
         }
     }
 
@@ -50,7 +50,7 @@
         attempt: TaskAttempt,
         sign: Int,
     ) {
-        val job = attempt.job ?: return ownerless.add(attempt.machine.machineType, sign)
+        val job = attempt.job ?: return unattributed.add(attempt.machine.machineType, sign)
         if (attempt.stopMode == StopMode.NONE) continuing[job.priority.ordinal] += sign
         val usage = usages[job.spec.team] ?: return
         usage.used.addTasks(job, sign)
@@ -85,7 +85,7 @@
     fun clear() {
         usages.values.forEach { it.clear() }
         continuing.fill(0)
-        ownerless.set(0.0)
+        unattributed.set(0.0)
         unconfirmed.set(0.0)
     }
 
@@ -96,7 +96,7 @@
             if (machine.isInherited && !machine.isConfirmed) recount.countUnconfirmed(machine.machineType, 1)
             for (attempt in machine.attempts.values) if (!attempt.isExited) recount.adjustUsage(attempt, 1)
         }
-        return abs(ownerless.cpus - recount.ownerless.cpus) <= Machine.TOLERANCE &&
+        return abs(unattributed.cpus - recount.unattributed.cpus) <= Machine.TOLERANCE &&
             abs(unconfirmed.cpus - recount.unconfirmed.cpus) <= Machine.TOLERANCE &&
             continuing.contentEquals(recount.continuing) &&
             usages.all { (name, usage) -> recount.usages[name]?.let(usage::approximatelyEquals) == true }
@@ -117,8 +117,8 @@
      */
     fun allows(job: Job): Boolean {
         val usage = usages[job.spec.team] ?: return false
-        val cpus = usage.used.cpus + ownerless.cpus + minOf(unconfirmed.cpus, usage.unfound.cpus)
-        val gpus = usage.used.gpus + ownerless.gpus + minOf(unconfirmed.gpus, usage.unfound.gpus)
+        val cpus = usage.used.cpus + unattributed.cpus + minOf(unconfirmed.cpus, usage.unfound.cpus)
+        val gpus = usage.used.gpus + unattributed.gpus + minOf(unconfirmed.gpus, usage.unfound.gpus)
         return cpus + job.spec.vcpus <= usage.team.cpusMax + Machine.TOLERANCE &&
             gpus + job.spec.accelerators <= usage.team.gpusMax + Machine.TOLERANCE
     }
@@ -163,14 +163,14 @@
         )
     }
 
-    /** Returns how many more tasks of [job] its team's quota allows when [promised] processors are already reserved. */
+    /** Returns how many more tasks of [job] its team's quota allows when [reservedCpus] processors are reserved. */
     fun roomFor(
         job: Job,
-        promised: Double = 0.0,
+        reservedCpus: Double = 0.0,
     ): Int {
         val usage = usages[job.spec.team] ?: return 0
         return FreeResources.taskCapacity(
-            usage.team.cpusMax - usage.used.cpus - promised,
+            usage.team.cpusMax - usage.used.cpus - reservedCpus,
             job.spec.vcpus,
             usage.team.gpusMax - usage.used.gpus,
             job.spec.accelerators,
--- a/src/main/kotlin/ledgearch/persistence/KeyRevisions.kt
+++ b/src/main/kotlin/ledgearch/persistence/KeyRevisions.kt
@@ -9,7 +9,7 @@
 /**
  * Holds the revisions of the keys that only the leader writes, as it last read or wrote them; 0 for absent keys.
  *
- * Every change compares the revision of its key (compare-and-swap). If a change is sent several times because no answer
+ * Every change compares the revision of its key (compare-and-swap). If a change is sent several times because no reply
  * came, at most one of these attempts takes effect, and a late one never overwrites a newer value. A failed comparison
  * means that an earlier attempt took effect, and the key is read again.
  */
--- a/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecordSizes.kt
@@ -44,7 +44,7 @@
     }
 
     private fun entryBytes(machine: Machine): Int {
-        val entry = MachineRecordCodec.createEntry(machine, LONGEST_TYPE_INDEX, quarantined = true)
+        val entry = MachineRecordCodec.createEntry(machine, TWO_DIGIT_TYPE_INDEX, quarantined = true)
         return encodedBytes(encodeRecord(MachineEntry.serializer(), entry)) + COMMA_BYTES
     }
 
@@ -60,6 +60,6 @@
             encodedBytes(encodeRecord(MachinesRecord.serializer(), MachinesRecord(0, emptyList(), emptyList())))
 
         /** A type index with as many digits as any index in a record. */
-        const val LONGEST_TYPE_INDEX = 10
+        const val TWO_DIGIT_TYPE_INDEX = 10
     }
 }
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -184,17 +184,17 @@
         conditions: List<Condition>,
         sentToken: Long,
     ) {
-        val isLeadershipInDoubt = Keys.leadership(0) in failedKeys
+        val hasLeadershipConflict = Keys.leadership(0) in failedKeys
         val delayMs =
             if (failedKeys.isEmpty() ||
-                isLeadershipInDoubt
+                hasLeadershipConflict
             ) {
                 StoreTuning.RETRY_DELAY_MS
             } else {
                 RuntimeTuning.TICK_INTERVAL_MS
             }
         retryAtMs = clock.steadyMs + delayMs
-        if (isLeadershipInDoubt) election.verifyLeadership(sentToken)
+        if (hasLeadershipConflict) election.verifyLeadership(sentToken)
         val conflictTerm = term
         val keysToRead = ArrayList<String>()
         for (condition in conditions) {
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -35,7 +35,7 @@
         }
     private val reservations = StarvedJobReservations(clock)
 
-    /** Removes all tasks of [job], which is over, from the queues. */
+    /** Removes all tasks of [job], which has ended, from the queues. */
     fun removeFromQueues(job: Job) = queues.unbindAll(job)
 
     /**
--- a/src/main/kotlin/ledgearch/scheduling/Preemption.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Preemption.kt
@@ -36,11 +36,11 @@
             freedCpusPerSecond * SchedulingTuning.MAX_PREEMPTION_DELAY_S * SchedulingTuning.RELIABLE_FREED_SHARE
         val claimants =
             waiting.filter { job ->
-                val wantedCpus = job.pendingCount * job.spec.vcpus
-                val isServedSoon =
-                    ranking.canWait(job, SchedulingTuning.MAX_PREEMPTION_DELAY_S) && expectedCpus >= wantedCpus
-                expectedCpus -= wantedCpus
-                !isServedSoon && (teams.hasLowerPriorityAttempts(job) || rules.mayClaimGuarantee(job, 1))
+                val neededCpus = job.pendingCount * job.spec.vcpus
+                val canStartWithoutPreemption =
+                    ranking.canWait(job, SchedulingTuning.MAX_PREEMPTION_DELAY_S) && expectedCpus >= neededCpus
+                expectedCpus -= neededCpus
+                !canStartWithoutPreemption && (teams.hasLowerPriorityAttempts(job) || rules.mayClaimGuarantee(job, 1))
             }
         if (claimants.isEmpty()) return
         serve(claimants, usable, running, PreemptionMode.ANY_MACHINE)
--- a/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
+++ b/src/main/kotlin/ledgearch/scheduling/ReplicaMover.kt
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Returns whether the replicas on [machine] have settled and others of [machines] have room for them and their
+     * Returns whether the replicas on [machine] are stable and others of [machines] have room for them and their
      * images (in the same zone if the job spreads over zones or keeps to one), so that a move takes each replica down
      * for no longer than a start takes.
      */
@@ -38,13 +38,13 @@
         val destinations = machines.filter { it !== machine && isUsable(it) }.map { Destination(it) }
         return replicas.all { replica ->
             val job = replica.job ?: return false
-            val destination = if (hasSettled(replica)) destinationFor(job, machine, destinations) else null
+            val destination = if (isStable(replica)) destinationFor(job, machine, destinations) else null
             destination?.free?.take(job)
             destination != null
         }
     }
 
-    private fun hasSettled(replica: TaskAttempt): Boolean =
+    private fun isStable(replica: TaskAttempt): Boolean =
         replica.state == AttemptState.RUNNING &&
             clock.steadyMs - replica.runningSinceMs > SchedulingTuning.MIN_REPLICA_RUN_MS &&
             replica.stopMode == StopMode.NONE
--- a/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
@@ -148,7 +148,7 @@
     ): Double {
         val lossesPerTask = expectedLossesPerTask(runTimeS)
         val expectedLosses = lossesPerTask * unfinishedTasks(job)
-        // The last task to be lost delays the end by the work it repeats; so does the last one lost again, and so on.
+        // The last task to be lost delays the end by the work it repeats, and further whenever it is lost again.
         var lost = expectedLosses
         var delayS = 0.0
         while (lost > SchedulingTuning.MAX_EXPECTED_LOSSES && delayS < SchedulingTuning.MAX_DELAY_S) {
--- a/src/main/kotlin/ledgearch/scheduling/StarvedJobReservations.kt
+++ b/src/main/kotlin/ledgearch/scheduling/StarvedJobReservations.kt
@@ -5,7 +5,7 @@
 import ledgearch.model.ZoneSpread
 import ledgearch.runtime.Clock
 
-/** Keeps the machines reserved for starved jobs, at most one for each job. */
+/** Holds the machines reserved for starved jobs, at most one for each job. */
 internal class StarvedJobReservations(
     private val clock: Clock,
 ) {
--- a/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
+++ b/src/main/kotlin/ledgearch/scheduling/UsableMachine.kt
@@ -4,7 +4,7 @@
 import ledgearch.runtime.Clock
 
 /**
- * Returns whether new tasks may be started on this machine now: it is part of the block, responds, is not about to
+ * Returns whether new tasks may be started on this machine now: it is part of the cluster, responds, is not about to
  * leave, and has not just refused or failed a task.
  */
 internal fun Machine.isUsable(clock: Clock): Boolean =
--- a/src/main/kotlin/ledgearch/scheduling/VictimSelector.kt
+++ b/src/main/kotlin/ledgearch/scheduling/VictimSelector.kt
@@ -22,7 +22,7 @@
         return VictimSet(candidate, victims, victims.sumOf { it.costCpuS } + imageCostCpuS)
     }
 
-    /** Gives back the victims' resources to the candidate during the selection, and takes them again at the end. */
+    /** Returns the victims. Their resources are released on the candidate only while this function runs. */
     private fun select(candidate: PreemptionCandidate): List<PreemptionVictim>? {
         val free = candidate.freeAfterStops
         var selected: ArrayList<PreemptionVictim>? = null
--- a/src/main/kotlin/ledgearch/store/RequestBudget.kt
+++ b/src/main/kotlin/ledgearch/store/RequestBudget.kt
@@ -42,7 +42,7 @@
             else -> (1 - StoreTuning.LEADER_BUDGET_SHARE) / (nodeCount - 1)
         }
 
-    /** Adds the tokens for the time up to [nowMs]. */
+    /** Adds the permits for the time up to [nowMs]. */
     fun refill(nowMs: Long) {
         requests.refill(nowMs)
         changes.refill(nowMs)
@@ -51,16 +51,16 @@
     /** Returns whether one request with [changeCount] changes may be sent now. */
     fun allows(changeCount: Int): Boolean = requests.hasPermits(1) && changes.hasPermits(changeCount)
 
-    /** Takes the tokens for one request with [changeCount] changes. */
+    /** Takes the permits for one request with [changeCount] changes. */
     fun spend(changeCount: Int) {
         requests.take(1)
         changes.take(changeCount)
     }
 
     /**
-     * Called when a request with [changeCount] changes exceeded the service's rate limits. The limits are lowered
-     * without notice, so if a lower one is announced that may have been exceeded, all lower rates are used until the
-     * process ends. If they are not in force yet, this only costs throughput.
+     * Called when a request with [changeCount] changes exceeded the service's rate limits. Lower limits are
+     * announced but take effect without notice. If one may have been exceeded, all of them are used until the process
+     * ends; if they are not in force yet, this only costs throughput.
      */
     fun onRateLimitExceeded(changeCount: Int) {
         val mayBeLowerChangeLimit = changeCount > 0 && limits.lowerWriteRps < limits.writeRps
