--- a/src/main/kotlin/ledgearch/agents/AgentTuning.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentTuning.kt
@@ -42,7 +42,7 @@
      * Time without heartbeats from most machines after which the leader steps down: long enough to tolerate one lost heartbeat, short
      * enough for another leader to renew the agents' leases.
      */
-    const val SILENT_HEARTBEAT_INTERVALS = 2.2
+    const val MISSED_HEARTBEAT_INTERVALS = 2.2
 
     /**
      * Time for which machines that send only heartbeats or only replies are kept while that holds for most of them.
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -32,9 +32,9 @@
     private val lostMs = (heartbeatIntervalMs * AgentTuning.LOST_HEARTBEAT_INTERVALS).toLong()
     private val leases =
         LeaseExpiry((times.leaseS * MS_PER_SECOND).toLong(), election, clock, leaseListener)
-    private val silence = HeartbeatSilence(heartbeatIntervalMs, election, lagMonitor, zones)
+    private val heartbeatTimeouts = HeartbeatTimeouts(heartbeatIntervalMs, election, lagMonitor, zones)
     private val missingMachines =
-        MissingMachines(election, lagMonitor, (heartbeatIntervalMs * AgentTuning.SILENT_HEARTBEAT_INTERVALS).toLong())
+        MissingMachines(election, lagMonitor, (heartbeatIntervalMs * AgentTuning.MISSED_HEARTBEAT_INTERVALS).toLong())
     private var nextCheckAtMs = 0L
 
     /** Removes all state at the end of a term. */
@@ -44,10 +44,10 @@
     fun runDueWork() {
         if (clock.steadyMs < nextCheckAtMs) return
         nextCheckAtMs = clock.steadyMs + AgentTuning.CHECK_INTERVAL_MS
-        silence.update()
+        heartbeatTimeouts.update()
         val healedZones = zones.update(machines.values, ::isReporting)
         recovery?.update(machines.values, zones::contains, ::isReporting)
-        for (machine in machines.values) machine.isHeartbeatOverdue = silence.isOverdue(machine)
+        for (machine in machines.values) machine.isHeartbeatOverdue = heartbeatTimeouts.isOverdue(machine)
         if (healedZones.isNotEmpty()) machines.values.filter { it.zone in healedZones }.forEach(::resetFailures)
         releaseMissing()
         releaseUnreachable()
@@ -55,7 +55,7 @@
     }
 
     private fun isReporting(machine: Machine) =
-        (machine.isConfirmed || !machine.isInherited) && !silence.isSilent(machine)
+        (machine.isConfirmed || !machine.isInherited) && !heartbeatTimeouts.hasMissedHeartbeats(machine)
 
     /**
      * Disregards most of what [machine] left unanswered while its zone was partitioned. One failed probe stays counted,
@@ -110,13 +110,13 @@
             active.count { onlyAnswersCommands(it) } > active.size * RecoveryTuning.MAJORITY_SHARE
         for (machine in dispatcher.unreachableMachines) if (!machine.isReleasing) dispatcher.probe(machine)
         for (machine in machines.values.toList()) {
-            if (!silence.isOverdue(machine)) {
+            if (!heartbeatTimeouts.isOverdue(machine)) {
                 if (isPreemptionDue(machine)) releaseIfPreempted(machine)
                 continue
             }
             if (machine.isConfirmed && !machine.isReleasing) dispatcher.probe(machine)
             // The contacts are sorted only if a machine needs them.
-            if (!silence.isLost(machine) && !(failsProbes(machine) && isIsolatedFailure(machine, contacts))) continue
+            if (!heartbeatTimeouts.isLost(machine) && !(failsProbes(machine) && isIsolatedFailure(machine, contacts))) continue
             releaseUnlessKept(machine, isOneWayFaultLikely)
             leases.check(machine)
         }
@@ -127,10 +127,10 @@
      * recently. The agents' leases expire unless a node that they can reach becomes leader soon.
      */
     private fun stepDownIfIsolated(active: List<Machine>): Boolean {
-        val silentCount = active.count(silence::isSilent)
-        if (silentCount <= 1 || active.size - silentCount >= active.size * AgentTuning.MIN_REPORTING_SHARE) return false
+        val notReportingCount = active.count(heartbeatTimeouts::hasMissedHeartbeats)
+        if (notReportingCount <= 1 || active.size - notReportingCount >= active.size * AgentTuning.MIN_REPORTING_SHARE) return false
         if (election.hasRecentStepDown) return false
-        election.stepDown("no heartbeats from $silentCount of ${active.size} machines", recordsStepDown = true)
+        election.stepDown("no heartbeats from $notReportingCount of ${active.size} machines", recordsStepDown = true)
         return true
     }
 
@@ -170,7 +170,7 @@
     private fun onlyAnswersCommands(machine: Machine) =
         machine.isConfirmed && machine.consecutiveFailedProbes == 0 && !machine.isUnreachable &&
             machine.lastMessageAtMs > machine.lastHeartbeatAtMs &&
-            silence.isSilent(machine) &&
+            heartbeatTimeouts.hasMissedHeartbeats(machine) &&
             clock.steadyMs - machine.lastHeartbeatAtMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS
 
     private fun failsProbes(machine: Machine) =
