--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -82,11 +82,11 @@
      */
     private fun releaseUnreachable() {
         val candidates = dispatcher.unreachableMachines.filter(::isLongUnreachable)
-        val areMostUnreachable = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MAJORITY_SHARE
+        val isMajorityUnreachable = dispatcher.unreachableMachines.size > machines.size * RecoveryTuning.MAJORITY_SHARE
         for (machine in candidates) {
             val unreachableMs = clock.steadyMs - machine.unreachableSinceMs
             // If most machines are unreachable, the fault may be a temporary one of this node.
-            if (areMostUnreachable && unreachableMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS) continue
+            if (isMajorityUnreachable && unreachableMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS) continue
             log.warn(
                 "machine released: it sends heartbeats but does not answer commands; machine={} ms={}",
                 machine.name,
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -24,9 +24,9 @@
         if (inherited.none(::isUnconfirmed)) return emptyList()
         val confirmedCount = inherited.count { it.isConfirmed }
         if (!areEnoughConfirmed(confirmedCount, inherited.size)) return emptyList()
-        val areMostConfirmed = confirmedCount > inherited.size * RecoveryTuning.MAJORITY_SHARE
+        val isMajorityConfirmed = confirmedCount > inherited.size * RecoveryTuning.MAJORITY_SHARE
         val heartbeats = ConfirmedHeartbeats(inherited)
-        return inherited.filter { isUnconfirmed(it) && isMissing(it, heartbeats, areMostConfirmed) }
+        return inherited.filter { isUnconfirmed(it) && isMissing(it, heartbeats, isMajorityConfirmed) }
     }
 
     private fun isUnconfirmed(machine: Machine) = !machine.isConfirmed && !machine.isReleasing
@@ -34,10 +34,10 @@
     private fun isMissing(
         machine: Machine,
         heartbeats: ConfirmedHeartbeats,
-        areMostConfirmed: Boolean,
+        isMajorityConfirmed: Boolean,
     ): Boolean {
         if (machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE) return true
-        return areMostConfirmed && (wasBeingReturned(machine) || haveOthersReportedSince(machine, heartbeats))
+        return isMajorityConfirmed && (wasBeingReturned(machine) || haveOthersReportedSince(machine, heartbeats))
     }
 
     private fun wasBeingReturned(machine: Machine) = machine.isReturningHint && machine.consecutiveUnansweredProbes > 0
@@ -54,7 +54,7 @@
     ): Boolean {
         if (machine.consecutiveUnansweredProbes < AgentTuning.FAILED_PROBES_FOR_RELEASE) return false
         if (machine.heartbeatFirstSeenAtMs > machine.unansweredSinceMs) return false
-        return heartbeats.areMostSentAfter(machine.unansweredSinceMs)
+        return heartbeats.hasMajorityAfter(machine.unansweredSinceMs)
     }
 
     /**
@@ -79,7 +79,7 @@
         }
 
         /** Returns whether most of all inherited machines, confirmed or not, sent a heartbeat after [timeMs]. */
-        fun areMostSentAfter(timeMs: Long) =
+        fun hasMajorityAfter(timeMs: Long) =
             sentAfterMs.countAfter(timeMs) > inherited.size * RecoveryTuning.MAJORITY_SHARE
     }
 }
