--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -26,36 +26,36 @@
     private val claimDelayMs: () -> Long = { random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS) },
 ) {
     private val lease = NodeLease(storeClient, clock)
-    private val held = HeldLeadership(clock, listener)
+    private val leadership = LeadershipState(clock, listener)
     private val writer = LeadershipWriter(node, instance, storeClient, lease, clock)
-    private val check = LeadershipCheck(node, instance, storeClient, jobStore, held)
-    private val claim = LeadershipClaim(node, writer, lease, held, check, jobStore, clock, random)
-    private val confirmation = LeadershipConfirmation(storeClient, held, check, clock)
-    private val renewal = TokenRenewal(writer, held, check, clock)
+    private val check = LeadershipCheck(node, instance, storeClient, jobStore, leadership)
+    private val claim = LeadershipClaim(node, writer, lease, leadership, check, jobStore, clock, random)
+    private val confirmation = LeadershipConfirmation(storeClient, leadership, check, clock)
+    private val renewal = TokenRenewal(writer, leadership, check, clock)
 
     /** Fencing token of this node's leadership, 0 if it is not the leader. */
-    val token: Long get() = held.token
+    val token: Long get() = leadership.token
 
     /** Latest steady-clock time at which the leadership record was known to be this node's. */
-    val confirmedAtMs: Long get() = held.confirmedAtMs
+    val confirmedAtMs: Long get() = leadership.confirmedAtMs
 
     /** Steady-clock time at which this node's last term began. */
-    val electedAtMs: Long get() = held.electedAtMs
+    val electedAtMs: Long get() = leadership.electedAtMs
 
     /** Whether this node is the leader to its own knowledge; its token may already be superseded. */
-    val isLeader: Boolean get() = held.isLeader
+    val isLeader: Boolean get() = leadership.isLeader
 
     /** Whether the leadership was confirmed so recently that the leader lease can't have expired since. */
-    val hasValidLease: Boolean get() = held.hasValidLease
+    val hasValidLease: Boolean get() = leadership.hasValidLease
 
     /** Condition under which a transaction commits only while this node is the leader under [token]. */
-    val condition: Condition get() = held.condition
+    val condition: Condition get() = leadership.condition
 
     /** Records that a transaction with [condition] under [sentToken], sent at [sentAtMs], has committed. */
     fun recordConfirmation(
         sentAtMs: Long,
         sentToken: Long,
-    ) = held.recordConfirmation(sentAtMs, sentToken)
+    ) = leadership.recordConfirmation(sentAtMs, sentToken)
 
     /** Reads the leadership record after a transaction with [condition] under [sentToken] has failed. */
     fun verifyLeadership(sentToken: Long) = check.verify(sentToken)
@@ -70,7 +70,7 @@
     }
 
     /** Ends this node's leadership, if it is the leader; [reason] is logged. */
-    fun loseLeadership(reason: String) = held.lose(reason)
+    fun loseLeadership(reason: String) = leadership.lose(reason)
 
     /**
      * Releases the leadership for a node that can serve; [reason] is logged. If [recordsStepDown], a step-down because
@@ -80,10 +80,10 @@
         reason: String,
         recordsStepDown: Boolean = false,
     ) {
-        if (!held.isLeader) return
-        val oldToken = held.token
+        if (!leadership.isLeader) return
+        val oldToken = leadership.token
         claim.startCooldown()
-        held.lose(reason)
+        leadership.lose(reason)
         writer.release(oldToken, recordsStepDown = recordsStepDown)
     }
 
@@ -101,7 +101,7 @@
     fun runDueWork() {
         lease.runDueWork()
         if (!jobStore.isLoaded || !lease.isOpen) return
-        if (held.isLeader) confirmation.runDueWork() else claim.runDueWork()
+        if (leadership.isLeader) confirmation.runDueWork() else claim.runDueWork()
     }
 
     /** Claims the leadership of [leader], whose process seems to have ended, before its lease expires. */
--- a/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipCheck.kt
@@ -19,35 +19,35 @@
     private val instance: Long,
     private val storeClient: StoreClient,
     private val jobStore: JobStore,
-    private val held: HeldLeadership,
+    private val leadership: LeadershipState,
 ) {
     /** Reads the leadership record after a transaction that compared it with [sentToken] has failed. */
     fun verify(sentToken: Long) {
         // During a renewal the failure may come from the renewal itself, whose result settles it.
-        if (held.isLeader && !held.isRenewing && held.token == sentToken) compareWithStateService()
+        if (leadership.isLeader && !leadership.isRenewing && leadership.token == sentToken) compareWithStateService()
     }
 
     /** Ends this node's leadership if the record in the job store is newer and not its own renewal, or is gone. */
     fun compareWithJobStore() {
-        if (held.isLeader && jobStore.leadershipRevision > held.token &&
+        if (leadership.isLeader && jobStore.leadershipRevision > leadership.token &&
             !tryAdoptRenewal(jobStore.leadership, jobStore.leadershipRevision)
         ) {
-            held.lose(supersededReason(jobStore.leadership))
+            leadership.lose(supersededReason(jobStore.leadership))
         }
-        if (held.isLeader && jobStore.leadershipRevision == 0L && jobStore.revision >= held.token) {
-            held.lose(LEASE_EXPIRED_REASON)
+        if (leadership.isLeader && jobStore.leadershipRevision == 0L && jobStore.revision >= leadership.token) {
+            leadership.lose(LEASE_EXPIRED_REASON)
         }
     }
 
     /** Reads the record and ends this node's leadership if it is neither current nor its own renewal, or is gone. */
     fun compareWithStateService() {
-        val comparedToken = held.token
+        val comparedToken = leadership.token
         storeClient.get(Keys.leadership(0), RequestClass.CRITICAL) { result ->
-            if (held.token != comparedToken || !held.isLeader) return@get
+            if (leadership.token != comparedToken || !leadership.isLeader) return@get
             when (result) {
                 is ReadResult.Found -> compare(result.value)
 
-                ReadResult.Absent -> held.lose(LEASE_EXPIRED_REASON)
+                ReadResult.Absent -> leadership.lose(LEASE_EXPIRED_REASON)
 
                 // The next comparison decides.
                 ReadResult.Failed -> Unit
@@ -57,8 +57,8 @@
 
     private fun compare(stored: KeyValue) {
         val record = decodeRecord(LeadershipRecord.serializer(), stored.value)
-        if (stored.modRevision == held.token || tryAdoptRenewal(record, stored.modRevision)) return
-        held.lose(supersededReason(record))
+        if (stored.modRevision == leadership.token || tryAdoptRenewal(record, stored.modRevision)) return
+        leadership.lose(supersededReason(record))
     }
 
     /** Returns whether the job store already has a change that supersedes the leadership record at [revision]. */
@@ -75,8 +75,8 @@
         revision: Long,
     ): Boolean {
         val isOwn = record?.node == node && record.instance == instance
-        if (!isOwn || record.renewedToken != held.token) return false
-        held.replaceToken(revision)
+        if (!isOwn || record.renewedToken != leadership.token) return false
+        leadership.replaceToken(revision)
         return true
     }
 
--- a/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipClaim.kt
@@ -15,7 +15,7 @@
     private val node: String,
     private val writer: LeadershipWriter,
     private val lease: NodeLease,
-    private val held: HeldLeadership,
+    private val leadership: LeadershipState,
     private val check: LeadershipCheck,
     private val jobStore: JobStore,
     private val clock: Clock,
@@ -57,7 +57,7 @@
      * that leader still runs, this is an ordinary, safe change of leader.
      */
     fun challenge(leader: String) {
-        if (held.isLeader || isClaiming || !lease.isOpen || !jobStore.isLoaded) return
+        if (leadership.isLeader || isClaiming || !lease.isOpen || !jobStore.isLoaded) return
         if (jobStore.leadership?.node != leader || clock.steadyMs < cooldownUntilMs) return
         if (clock.steadyMs - challengedAtMs < ElectionTuning.MIN_CHALLENGE_INTERVAL_MS) return
         challengedAtMs = clock.steadyMs
@@ -69,11 +69,11 @@
     private fun claim(expectedRevision: Long) {
         isClaiming = true
         val sentAtMs = clock.steadyMs
-        writer.write(expectedRevision, renews = 0) { result ->
+        writer.write(expectedRevision, renewedToken = 0) { result ->
             isClaiming = false
             when (result) {
                 is TransactionResult.Committed -> {
-                    if (!check.isSuperseded(result.revision)) held.begin(result.revision, sentAtMs)
+                    if (!check.isSuperseded(result.revision)) leadership.begin(result.revision, sentAtMs)
                 }
 
                 TransactionResult.LeaseExpired -> {
--- a/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipConfirmation.kt
@@ -12,7 +12,7 @@
  */
 internal class LeadershipConfirmation(
     private val storeClient: StoreClient,
-    private val held: HeldLeadership,
+    private val leadership: LeadershipState,
     private val check: LeadershipCheck,
     private val clock: Clock,
 ) {
@@ -24,12 +24,12 @@
         if (!isDue()) return
         isRequestInFlight = true
         nextTryAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
-        val sentToken = held.token
+        val sentToken = leadership.token
         val sentAtMs = clock.steadyMs
-        storeClient.transact(listOf(held.condition), emptyList(), RequestClass.CRITICAL) { result ->
+        storeClient.transact(listOf(leadership.condition), emptyList(), RequestClass.CRITICAL) { result ->
             isRequestInFlight = false
             when (result) {
-                is TransactionResult.Committed -> held.recordConfirmation(sentAtMs, sentToken)
+                is TransactionResult.Committed -> leadership.recordConfirmation(sentAtMs, sentToken)
                 is TransactionResult.Conflict -> check.verify(sentToken)
                 else -> Unit
             }
@@ -37,8 +37,8 @@
     }
 
     private fun isDue(): Boolean {
-        if (isRequestInFlight || held.isRenewing) return false
-        if (clock.steadyMs - held.confirmedAtMs < ElectionTuning.CONFIRMATION_INTERVAL_MS) return false
+        if (isRequestInFlight || leadership.isRenewing) return false
+        if (clock.steadyMs - leadership.confirmedAtMs < ElectionTuning.CONFIRMATION_INTERVAL_MS) return false
         return clock.steadyMs >= nextTryAtMs
     }
 }
--- a/src/main/kotlin/ledgearch/election/HeldLeadership.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipState.kt
@@ -10,7 +10,7 @@
  * Holds the state of this node's leadership: the fencing token and when it was last confirmed. All changes are made
  * here and reported to [listener].
  */
-internal class HeldLeadership(
+internal class LeadershipState(
     private val clock: Clock,
     private val listener: ElectionListener,
 ) {
--- a/src/main/kotlin/ledgearch/election/LeadershipWriter.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipWriter.kt
@@ -23,15 +23,15 @@
     private val clock: Clock,
 ) {
     /**
-     * Replaces the leadership record at [expectedRevision], 0 if none exists, by this process instance's. [renews] is
+     * Replaces the leadership record at [expectedRevision], 0 if none exists, by this process instance's. [renewedToken] is
      * the token that the record renews, 0 for a claim.
      */
     fun write(
         expectedRevision: Long,
-        renews: Long,
+        renewedToken: Long,
         onResult: (TransactionResult) -> Unit,
     ) {
-        val record = LeadershipRecord(node, instance, renews)
+        val record = LeadershipRecord(node, instance, renewedToken)
         val change =
             Change(
                 put = Keys.leadership(0),
--- a/src/main/kotlin/ledgearch/election/TokenRenewal.kt
+++ b/src/main/kotlin/ledgearch/election/TokenRenewal.kt
@@ -9,7 +9,7 @@
  */
 internal class TokenRenewal(
     private val writer: LeadershipWriter,
-    private val held: HeldLeadership,
+    private val leadership: LeadershipState,
     private val check: LeadershipCheck,
     private val clock: Clock,
 ) {
@@ -20,15 +20,15 @@
      * [ElectionTuning.MIN_TOKEN_RENEWAL_INTERVAL_MS].
      */
     fun renew() {
-        if (!held.isLeader || held.isRenewing) return
+        if (!leadership.isLeader || leadership.isRenewing) return
         if (clock.steadyMs - renewedAtMs < ElectionTuning.MIN_TOKEN_RENEWAL_INTERVAL_MS) return
-        held.beginRenewal()
+        leadership.beginRenewal()
         renewedAtMs = clock.steadyMs
-        val oldToken = held.token
-        writer.write(expectedRevision = oldToken, renews = oldToken) { result ->
+        val oldToken = leadership.token
+        writer.write(expectedRevision = oldToken, renewedToken = oldToken) { result ->
             // The leadership was lost, or the renewed token was already adopted from the job store.
-            if (held.token != oldToken || !held.isRenewing) return@write
-            held.endRenewal()
+            if (leadership.token != oldToken || !leadership.isRenewing) return@write
+            leadership.endRenewal()
             handleResult(result)
         }
     }
@@ -50,7 +50,7 @@
     }
 
     private fun handleCommit(revision: Long) {
-        if (check.isSuperseded(revision)) return held.lose(LeadershipCheck.SUPERSEDED_REASON)
-        held.replaceToken(revision)
+        if (check.isSuperseded(revision)) return leadership.lose(LeadershipCheck.SUPERSEDED_REASON)
+        leadership.replaceToken(revision)
     }
 }
