--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -6,10 +6,10 @@
     const val LOAD_LOG_INTERVAL_MS = 10_000L
 
     /** A node without a state service reply for this long is unhealthy, unless the leader reports an outage. */
-    const val MAX_STATE_SILENCE_MS = 4_000L
+    const val MAX_STATE_REPLY_AGE_MS = 4_000L
 
-    /** Shorter than [MAX_STATE_SILENCE_MS], so that the leader reports an outage before other nodes turn unhealthy. */
-    const val LEADER_MAX_STATE_SILENCE_MS = 2_500L
+    /** Shorter than [MAX_STATE_REPLY_AGE_MS], so that the leader reports an outage before other nodes turn unhealthy. */
+    const val LEADER_MAX_STATE_REPLY_AGE_MS = 2_500L
 
     /** Validity of an outage reported by the leader: several times [PUBLISH_INTERVAL_MS], as reports may be late. */
     const val OUTAGE_REPORT_VALID_MS = 3_000L
--- a/src/main/kotlin/ledgearch/control/HealthCheck.kt
+++ b/src/main/kotlin/ledgearch/control/HealthCheck.kt
@@ -25,7 +25,7 @@
      */
     fun isHealthy(): Boolean {
         if (!jobStore.isLoaded || jobStore.machineTypes.isEmpty()) return false
-        return clock.steadyMs - storeClient.lastReplyAtMs < ControlTuning.MAX_STATE_SILENCE_MS ||
+        return clock.steadyMs - storeClient.lastReplyAtMs < ControlTuning.MAX_STATE_REPLY_AGE_MS ||
             clock.steadyMs - leaderOutageReportedAtMs < ControlTuning.OUTAGE_REPORT_VALID_MS
     }
 }
