--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -77,6 +77,6 @@
     /** Returns the free resources of machines in returning zones that are to be admitted soon. */
     private fun heldBackSupplies(cluster: Cluster): List<Supply> =
         cluster.machines.values
-            .filter { it.isHeldBack && it.isInService && cluster.recovery?.isSuppressed(it.zone) == false }
+            .filter { it.isReadmissionPending && it.isInService && cluster.recovery?.isSuppressed(it.zone) == false }
             .map { Supply(it.machineType, it.zone, it.spot, it.copyFreeResources()) }
 }
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -132,7 +132,7 @@
     var isReturningHint = false
 
     /** Whether the machine gets only tasks that can't wait, while its zone is readmitted in steps. */
-    var isHeldBack = false
+    var isReadmissionPending = false
 
     /** Whether tasks fail on the machine, so that none is started and it is drained and returned. */
     var isQuarantined = false
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -145,7 +145,7 @@
         machine: Machine,
         job: Job,
     ): Boolean {
-        if (machine.isHeldBack && !mayUseHeldBack(job)) return false
+        if (machine.isReadmissionPending && !mayRunBeforeReadmission(job)) return false
         return !isRateLimited(job) || mayFetchFor(machine, job)
     }
 
@@ -171,7 +171,7 @@
         group: Int,
     ) = firstUnprovenGroup < group && waitedMs(job) < RecoveryTuning.MAX_WAIT_FOR_EARLIER_GROUP_MS
 
-    override fun hasOwnLimits(job: Job) = isActive && (isRateLimited(job) || mayUseHeldBack(job))
+    override fun hasOwnLimits(job: Job) = isActive && (isRateLimited(job) || mayRunBeforeReadmission(job))
 
     /** Returns whether the start rate of [job] is limited: it is displaced, not in the first group, nor waits long. */
     private fun isRateLimited(job: Job): Boolean {
@@ -180,7 +180,7 @@
     }
 
     /** Returns whether [job] may use machines that are held back: the limits on waits and zones precede the ramp. */
-    private fun mayUseHeldBack(job: Job) = hasWaitedLong(job) || needsReturningZone(job)
+    private fun mayRunBeforeReadmission(job: Job) = hasWaitedLong(job) || needsReturningZone(job)
 
     private fun hasWaitedLong(job: Job) = waitedMs(job) > RecoveryTuning.LONG_WAIT_MS
 
--- a/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
@@ -83,7 +83,7 @@
                 )
             if (health.update(observation, clock.steadyMs)) onStateChanged(health)
         }
-        for ((zone, machines) in machinesByZone) holdBack(zones.getValue(zone), machines)
+        for ((zone, machines) in machinesByZone) updateReadmission(zones.getValue(zone), machines)
     }
 
     private fun healthOf(zone: String) = zones.getOrPut(zone) { ZoneHealth(zone) }
@@ -107,14 +107,14 @@
     }
 
     /** Holds back all but the first machines by name, so that the next leader admits the same ones. */
-    private fun holdBack(
+    private fun updateReadmission(
         health: ZoneHealth,
         machines: List<Machine>,
     ) {
         val share = health.admittedShare
-        if (share >= 1.0) return machines.forEach { it.isHeldBack = false }
+        if (share >= 1.0) return machines.forEach { it.isReadmissionPending = false }
         val admittedCount = ceil(machines.size * share).toInt()
-        machines.sortedBy { it.name }.forEachIndexed { index, machine -> machine.isHeldBack = index >= admittedCount }
+        machines.sortedBy { it.name }.forEachIndexed { index, machine -> machine.isReadmissionPending = index >= admittedCount }
     }
 
     /** Returns the statuses to publish: zones that are not up or have a penalty. */
--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -67,7 +67,7 @@
         val running = jobs.filter { it.attempts.isNotEmpty() }
         val waiting = serveByPriority(startable, usable, running)
         if (waiting.isEmpty()) return
-        val admitting = if (recovery.isActive) usable.filter { !it.isHeldBack } else usable
+        val admitting = if (recovery.isActive) usable.filter { !it.isReadmissionPending } else usable
         metrics.measure("preemption") {
             preemption.runPass(waiting, admitting, running, estimates.freedCpusPerSecond(jobs))
         }
