--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlan.kt
@@ -41,7 +41,7 @@
 
     /** Returns whether processors freed by running tasks may serve [job]. If it has starved, they evidently do not. */
     private fun mayUseFreedCpus(job: Job): Boolean =
-        !job.isService && job.spec.vcpus > 0 && job.unservedMs(clock.wallMs) <= SchedulingTuning.STARVATION_MS
+        !job.isService && job.spec.vcpus > 0 && job.msSinceLastStart(clock.wallMs) <= SchedulingTuning.STARVATION_MS
 
     /** Takes processors freed in time for [taskCount] tasks, and returns the number of tasks that they serve. */
     private fun takeFreedCpus(
--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -176,8 +176,8 @@
     /** Number of consecutive pauses of the job because its tasks failed on several machines. */
     var consecutivePauses = 0
 
-    /** Returns the ms since a task of the job was last started, or since it could have been. */
-    fun unservedMs(wallMs: Long): Long = wallMs - maxOf(lastStartAtMs, readyAtMs)
+    /** Returns the ms since a task of the job was last started, or since the job became ready. */
+    fun msSinceLastStart(wallMs: Long): Long = wallMs - maxOf(lastStartAtMs, readyAtMs)
 
     /** Returns whether the job has tasks that wait only for free resources; [nowMs] is on the steady clock. */
     fun isStartable(nowMs: Long): Boolean =
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -64,7 +64,7 @@
      * Returns whether no task of [job] was started for so long that it is served before all others. Without this bound
      * a steady stream of small or more urgent jobs would keep a large job waiting forever.
      */
-    fun isStarved(job: Job): Boolean = job.unservedMs(clock.wallMs) > SchedulingTuning.STARVATION_MS
+    fun isStarved(job: Job): Boolean = job.msSinceLastStart(clock.wallMs) > SchedulingTuning.STARVATION_MS
 
     private class RankedJob(
         val job: Job,
