--- a/src/main/kotlin/ledgearch/agents/TaskCommands.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskCommands.kt
@@ -37,7 +37,7 @@
     ) = TaskCommand(kind, attempt.taskId, attempt.number)
 
     private fun mayClear(attempt: TaskAttempt) =
-        attempt.isClearable && attempt.isSettled(attempt.machine.heartbeatSequence)
+        attempt.isClearable && attempt.hasNoPendingStart(attempt.machine.heartbeatSequence)
 
     /** Returns the stop command for [attempt], or null while it saves the checkpoint that an earlier stop asked for. */
     private fun stopCommand(attempt: TaskAttempt): TaskCommand? {
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -66,7 +66,7 @@
     /** Returns whether [attempt] may start later; its start is sent repeatedly until the agent lists it. */
     private fun mayStillStart(attempt: TaskAttempt): Boolean {
         if (attempt.isReported) return false
-        return attempt.stopMode == StopMode.NONE || !attempt.isSettled(attempt.machine.heartbeatSequence)
+        return attempt.stopMode == StopMode.NONE || !attempt.hasNoPendingStart(attempt.machine.heartbeatSequence)
     }
 
     /**
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -82,6 +82,6 @@
      * Returns whether no start of this attempt is still in flight, given the sequence number of the agent's last
      * heartbeat. Until then, a `clear` command could let the attempt start a second time.
      */
-    fun isSettled(lastReportSequence: Long): Boolean =
-        !isStartInFlight && unacknowledgedStartToken == 0L && lastReportSequence > startHeartbeatSequence
+    fun hasNoPendingStart(heartbeatSequence: Long): Boolean =
+        !isStartInFlight && unacknowledgedStartToken == 0L && heartbeatSequence > startHeartbeatSequence
 }
