--- a/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Cluster.kt
@@ -31,7 +31,7 @@
     val recovery: ZoneRecovery?
 
     /** Whether any zone is partitioned or has not fully recovered. */
-    val hasUnsettledZone: Boolean
+    val hasDegradedZone: Boolean
 
     /** Returns whether [zone] is partitioned or lost: almost none of its machines send heartbeats while others do. */
     fun isPartitioned(zone: String): Boolean
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleInPlanner.kt
@@ -42,7 +42,7 @@
         demands: List<Demand>,
     ) {
         // Tasks that may still run in a partitioned zone are not in the demand, but may need the present machines soon.
-        val hasNoDemand = demands.isEmpty() && !cluster.hasUnsettledZone
+        val hasNoDemand = demands.isEmpty() && !cluster.hasDegradedZone
         if (!hasNoDemand) {
             noDemandSinceMs = 0L
             cancelDraining(cluster)
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -241,7 +241,7 @@
     /** Applies [heartbeat] and returns the reply to it. */
     fun handle(heartbeat: Heartbeat): HeartbeatResult = heartbeatHandler.handle(heartbeat)
 
-    override val hasUnsettledZone get() = !partitionedZones.isEmpty || recovery?.hasUnsettledZone == true
+    override val hasDegradedZone get() = !partitionedZones.isEmpty || recovery?.hasDegradedZone == true
 
     override fun isPartitioned(zone: String) = zone in partitionedZones || recovery?.isLost(zone) == true
 
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -34,10 +34,10 @@
     private var lastStatuses: List<ZoneStatus> = emptyList()
     private var lastStatusesAtMs = 0L
 
-    override val isActive: Boolean get() = hasUnsettledZone || !displacedTasks.isEmpty
+    override val isActive: Boolean get() = hasDegradedZone || !displacedTasks.isEmpty
 
     /** Whether any zone is not up, so that machines which are idle now may be needed. */
-    val hasUnsettledZone: Boolean get() = zones.hasUnsettledZone
+    val hasDegradedZone: Boolean get() = zones.hasDegradedZone
 
     // --- Terms ------------------------------------------------------------------------------------------------
 
@@ -47,9 +47,9 @@
         zones.begin()
         if (clock.steadyMs - lastStatusesAtMs > RecoveryTuning.ZONE_STATUS_TTL_MS) return
         zones.restore(lastStatuses)
-        if (hasUnsettledZone) {
-            val unsettled = lastStatuses.filter { it.state != ZoneState.UP }
-            log.info("recovery continues from the zone statuses of the previous leader; zone={}", unsettled)
+        if (hasDegradedZone) {
+            val degraded = lastStatuses.filter { it.state != ZoneState.UP }
+            log.info("recovery continues from the zone statuses of the previous leader; zone={}", degraded)
         }
     }
 
@@ -87,7 +87,7 @@
         zones.update(machinesByZone, isPartitioned, isReporting)
         firstUnprovenGroup = if (order.isConfigured) firstUnprovenGroup(machinesByZone) else NO_GROUP
         displacedTasks.removeEnded()
-        if (!hasUnsettledZone && !displacedTasks.hasWaitingTasks) displacedTasks.clear()
+        if (!hasDegradedZone && !displacedTasks.hasWaitingTasks) displacedTasks.clear()
         if (isActive) startRateLimiter.update(machines.count { it.isInService }, clock.steadyMs)
     }
 
@@ -129,7 +129,7 @@
      * been displaced before the term.
      */
     fun onMachinesConfirmed(jobs: Collection<Job>) {
-        if (hasUnsettledZone) jobs.filter { it.isStartable(clock.steadyMs) }.forEach(displacedTasks::addPendingTasks)
+        if (hasDegradedZone) jobs.filter { it.isStartable(clock.steadyMs) }.forEach(displacedTasks::addPendingTasks)
     }
 
     // --- Placement --------------------------------------------------------------------------------------------
--- a/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
@@ -30,7 +30,7 @@
     val all: Collection<ZoneHealth> get() = zones.values
 
     /** Whether any zone is not up. */
-    val hasUnsettledZone: Boolean get() = zones.values.any { it.state != ZoneState.UP }
+    val hasDegradedZone: Boolean get() = zones.values.any { it.state != ZoneState.UP }
 
     private val isDetecting: Boolean get() = clock.steadyMs - termBeganAtMs < detectionMs
 
