--- a/src/main/kotlin/ledgearch/control/PlacementLoop.kt
+++ b/src/main/kotlin/ledgearch/control/PlacementLoop.kt
@@ -57,7 +57,7 @@
             teams.updateGuarantees(jobStore.jobs.values)
             updateOnDemandJobs()
         }
-        teams.countUnfound(jobStore.jobs.values)
+        teams.countUnaccounted(jobStore.jobs.values)
         lagMonitor.recordPassDuration(metrics.measureMs { placer.runPass(jobStore.jobs.values) })
     }
 
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -71,13 +71,13 @@
      * finished nor found. A job closes only when all its tasks are gone, and no earlier leader had the newer jobs, so
      * no other task can be there.
      */
-    fun countUnfound(jobs: Collection<Job>) {
+    fun countUnaccounted(jobs: Collection<Job>) {
         if (unconfirmed.isWithin(0.0, 0.0)) return
-        for (usage in usages.values) usage.unfound.set(0.0)
+        for (usage in usages.values) usage.unaccounted.set(0.0)
         for (job in jobs) {
             val usage = usages[job.spec.team]
             if (job.isAccountedFor || usage == null) continue
-            usage.unfound.addTasks(job, job.pendingCount)
+            usage.unaccounted.addTasks(job, job.pendingCount)
         }
     }
 
@@ -117,8 +117,8 @@
      */
     fun allows(job: Job): Boolean {
         val usage = usages[job.spec.team] ?: return false
-        val cpus = usage.used.cpus + unattributed.cpus + minOf(unconfirmed.cpus, usage.unfound.cpus)
-        val gpus = usage.used.gpus + unattributed.gpus + minOf(unconfirmed.gpus, usage.unfound.gpus)
+        val cpus = usage.used.cpus + unattributed.cpus + minOf(unconfirmed.cpus, usage.unaccounted.cpus)
+        val gpus = usage.used.gpus + unattributed.gpus + minOf(unconfirmed.gpus, usage.unaccounted.gpus)
         return cpus + job.spec.vcpus <= usage.team.cpusMax + Machine.TOLERANCE &&
             gpus + job.spec.accelerators <= usage.team.gpusMax + Machine.TOLERANCE
     }
@@ -230,10 +230,10 @@
         val continuing = ResourceSum()
 
         /** Upper bound on the usage on unconfirmed machines; unlimited until it is counted. */
-        val unfound = ResourceSum(Double.MAX_VALUE)
+        val unaccounted = ResourceSum(Double.MAX_VALUE)
 
         fun clear() {
-            unfound.set(Double.MAX_VALUE)
+            unaccounted.set(Double.MAX_VALUE)
             used.set(0.0)
             continuing.set(0.0)
         }
