--- a/src/main/kotlin/ledgearch/control/RecordLoader.kt
+++ b/src/main/kotlin/ledgearch/control/RecordLoader.kt
@@ -54,7 +54,7 @@
      * Whether a machine record can't be decoded. Tasks of jobs from before the term may then be on unknown machines, so
      * those jobs start no tasks in this term.
      */
-    var hasUnreadableRecord = false
+    var hasUndecodableRecord = false
         private set
 
     /** Begins a term after [clear]. */
@@ -69,7 +69,7 @@
         pendingPages.clear()
         isReading = false
         areMachinesLoaded = false
-        hasUnreadableRecord = false
+        hasUndecodableRecord = false
     }
 
     /** Requests the next page, or calls [RecordLoaderListener.onAllRecordsLoaded] when none is left. */
@@ -121,7 +121,7 @@
                 "machine record unreadable: jobs from earlier terms wait until it is removed and the term ends; key={}",
                 pair.key,
             )
-            hasUnreadableRecord = true
+            hasUndecodableRecord = true
         } else {
             machines.forEach(listener::onMachineLoaded)
         }
