--- a/src/main/kotlin/ledgearch/agents/AgentTuning.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentTuning.kt
@@ -26,7 +26,9 @@
     /** Longest time that the protocol lets an agent take between two heartbeats. */
     const val DUE_HEARTBEAT_INTERVALS = 1.25
 
-    /** Time without a heartbeat after which a machine is probed; a heartbeat that needed one retransmission still arrives earlier. */
+    /**
+     * Time without a heartbeat after which a machine is probed; one that was retransmitted once still arrives earlier.
+     */
     const val OVERDUE_HEARTBEAT_INTERVALS = 1.4
 
     /** Time without a heartbeat after which a machine is released. */
@@ -39,8 +41,8 @@
     const val MIN_REPORTING_SHARE = 0.1
 
     /**
-     * Time without heartbeats from most machines after which the leader steps down: long enough to tolerate one lost heartbeat, short
-     * enough for another leader to renew the agents' leases.
+     * Time without heartbeats from most machines after which the leader steps down: long enough to tolerate one lost
+     * heartbeat, short enough for another leader to renew the agents' leases.
      */
     const val MISSED_HEARTBEAT_INTERVALS = 2.2
 
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -32,7 +32,7 @@
     private val lostMs = (heartbeatIntervalMs * AgentTuning.LOST_HEARTBEAT_INTERVALS).toLong()
     private val leases =
         LeaseExpiry((times.leaseS * MS_PER_SECOND).toLong(), election, clock, leaseListener)
-    private val heartbeatTimeouts = HeartbeatTimeouts(heartbeatIntervalMs, election, lagMonitor, zones)
+    private val timeouts = HeartbeatTimeouts(heartbeatIntervalMs, election, lagMonitor, zones)
     private val missingMachines =
         MissingMachines(election, lagMonitor, (heartbeatIntervalMs * AgentTuning.MISSED_HEARTBEAT_INTERVALS).toLong())
     private var nextCheckAtMs = 0L
@@ -44,10 +44,10 @@
     fun runDueWork() {
         if (clock.steadyMs < nextCheckAtMs) return
         nextCheckAtMs = clock.steadyMs + AgentTuning.CHECK_INTERVAL_MS
-        heartbeatTimeouts.update()
+        timeouts.update()
         val healedZones = zones.update(machines.values, ::isReporting)
         recovery?.update(machines.values, zones::contains, ::isReporting)
-        for (machine in machines.values) machine.isHeartbeatOverdue = heartbeatTimeouts.isOverdue(machine)
+        for (machine in machines.values) machine.isHeartbeatOverdue = timeouts.isOverdue(machine)
         if (healedZones.isNotEmpty()) machines.values.filter { it.zone in healedZones }.forEach(::resetFailures)
         releaseMissing()
         releaseUnreachable()
@@ -55,7 +55,7 @@
     }
 
     private fun isReporting(machine: Machine) =
-        (machine.isConfirmed || !machine.isInherited) && !heartbeatTimeouts.hasMissedHeartbeats(machine)
+        (machine.isConfirmed || !machine.isInherited) && !timeouts.hasMissedHeartbeats(machine)
 
     /**
      * Disregards most of what [machine] left unanswered while its zone was partitioned. One failed probe stays counted,
@@ -110,27 +110,27 @@
             active.count { onlyAnswersCommands(it) } > active.size * RecoveryTuning.MAJORITY_SHARE
         for (machine in dispatcher.unreachableMachines) if (!machine.isReleasing) dispatcher.probe(machine)
         for (machine in machines.values.toList()) {
-            if (!heartbeatTimeouts.isOverdue(machine)) {
+            if (!timeouts.isOverdue(machine)) {
                 if (isPreemptionDue(machine)) releaseIfPreempted(machine)
                 continue
             }
             if (machine.isConfirmed && !machine.isReleasing) dispatcher.probe(machine)
             // The contacts are sorted only if a machine needs them.
-            if (!heartbeatTimeouts.isLost(machine) && !(failsProbes(machine) && isIsolatedFailure(machine, contacts))) continue
+            if (!timeouts.isLost(machine) && !(failsProbes(machine) && isIsolatedFailure(machine, contacts))) continue
             releaseUnlessKept(machine, isOneWayFaultLikely)
             leases.check(machine)
         }
     }
 
     /**
-     * Steps down if almost no machine sends heartbeats, since the fault is then on this node's side, unless a leader did so
-     * recently. The agents' leases expire unless a node that they can reach becomes leader soon.
+     * Steps down if almost no machine sends heartbeats, since the fault is then on this node's side, unless a leader
+     * did so recently. The agents' leases expire unless a node that they can reach becomes leader soon.
      */
     private fun stepDownIfIsolated(active: List<Machine>): Boolean {
-        val notReportingCount = active.count(heartbeatTimeouts::hasMissedHeartbeats)
-        if (notReportingCount <= 1 || active.size - notReportingCount >= active.size * AgentTuning.MIN_REPORTING_SHARE) return false
+        val missedCount = active.count(timeouts::hasMissedHeartbeats)
+        if (missedCount <= 1 || active.size - missedCount >= active.size * AgentTuning.MIN_REPORTING_SHARE) return false
         if (election.hasRecentStepDown) return false
-        election.stepDown("no heartbeats from $notReportingCount of ${active.size} machines", recordsStepDown = true)
+        election.stepDown("no heartbeats from $missedCount of ${active.size} machines", recordsStepDown = true)
         return true
     }
 
@@ -170,7 +170,7 @@
     private fun onlyAnswersCommands(machine: Machine) =
         machine.isConfirmed && machine.consecutiveFailedProbes == 0 && !machine.isUnreachable &&
             machine.lastMessageAtMs > machine.lastHeartbeatAtMs &&
-            heartbeatTimeouts.hasMissedHeartbeats(machine) &&
+            timeouts.hasMissedHeartbeats(machine) &&
             clock.steadyMs - machine.lastHeartbeatAtMs < AgentTuning.ONE_WAY_FAULT_GRACE_MS
 
     private fun failsProbes(machine: Machine) =
@@ -190,7 +190,9 @@
             contacts.hasAnyAfter(dueAtMs, machine.zone)
     }
 
-    /** Times of the last message from each of [machines], sorted once because hundreds of overdue ones may need them. */
+    /**
+     * Times of the last message from each of [machines], sorted once because hundreds of overdue ones may need them.
+     */
     private class LastContacts(
         machines: List<Machine>,
     ) {
--- a/src/main/kotlin/ledgearch/agents/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/ledgearch/agents/HeartbeatTimeouts.kt
@@ -5,8 +5,8 @@
 import ledgearch.runtime.EventLoopLagMonitor
 
 /**
- * Detects machines that send no heartbeats. Heartbeats are expected from the election and from the end of a partition of
- * the machine's zone on; time in which this node lagged and heartbeats may have waited unread is excluded.
+ * Detects machines that send no heartbeats. Heartbeats are expected from the election and from the end of a partition
+ * of the machine's zone on; time in which this node lagged and heartbeats may have waited unread is excluded.
  */
 internal class HeartbeatTimeouts(
     /** Time between two heartbeats of an agent. */
--- a/src/main/kotlin/ledgearch/agents/MissingMachines.kt
+++ b/src/main/kotlin/ledgearch/agents/MissingMachines.kt
@@ -7,8 +7,8 @@
 
 /**
  * Finds inherited machines that are most likely gone already. Every older job waits for each of them, so they are
- * released sooner than other machines without heartbeats. A wrong guess is safe: only the cloud's confirmation of the release
- * proves that a machine is gone.
+ * released sooner than other machines without heartbeats. A wrong guess is safe: only the cloud's confirmation of the
+ * release proves that a machine is gone.
  */
 internal class MissingMachines(
     private val election: Election,
--- a/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
+++ b/src/main/kotlin/ledgearch/agents/PartitionedZones.kt
@@ -52,7 +52,7 @@
         reachableSinceMs.clear()
     }
 
-    /** Returns when the last partition of [zone] ended, on the steady clock; heartbeats there are expected from then on. */
+    /** Returns when the last partition of [zone] ended, on the steady clock; heartbeats are expected from then on. */
     fun reachableSinceMs(zone: String): Long = reachableSinceMs[zone] ?: NEVER
 
     /** Finds the partitioned zones and returns those whose partition has ended. */
--- a/src/main/kotlin/ledgearch/control/ControlTuning.kt
+++ b/src/main/kotlin/ledgearch/control/ControlTuning.kt
@@ -8,7 +8,7 @@
     /** A node without a state service reply for this long is unhealthy, unless the leader reports an outage. */
     const val MAX_STATE_REPLY_AGE_MS = 4_000L
 
-    /** Shorter than [MAX_STATE_REPLY_AGE_MS], so that the leader reports an outage before other nodes turn unhealthy. */
+    /** Shorter than [MAX_STATE_REPLY_AGE_MS], so that the leader reports an outage before other nodes are unhealthy. */
     const val LEADER_MAX_STATE_REPLY_AGE_MS = 2_500L
 
     /** Validity of an outage reported by the leader: several times [PUBLISH_INTERVAL_MS], as reports may be late. */
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -131,8 +131,8 @@
      * current replica waits less. The longest wait is the same with and without standby.
      */
     private fun claimDelayMs(): Long {
-        val replicaLagDelayMs = standby?.replicaLagDelayMs() ?: return random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
-        return replicaLagDelayMs +
+        val lagDelayMs = standby?.replicaLagDelayMs() ?: return random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
+        return lagDelayMs +
             random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS - ElectionTuning.MAX_REPLICA_LAG_DELAY_MS)
     }
 
--- a/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
+++ b/src/main/kotlin/ledgearch/control/LeaderStatusExchange.kt
@@ -38,7 +38,8 @@
                 if (!hasNewPeer && current == job.lastProgress) null else current.also { job.lastProgress = it }
             }
         // A status without progress is published too: it shows that the leader is alive.
-        val isStateServiceReachable = clock.steadyMs - storeClient.lastReplyAtMs < ControlTuning.LEADER_MAX_STATE_REPLY_AGE_MS
+        val isStateServiceReachable =
+            clock.steadyMs - storeClient.lastReplyAtMs < ControlTuning.LEADER_MAX_STATE_REPLY_AGE_MS
         mesh.publish(LeaderStatus(progress, isStateServiceReachable, leader.recovery?.statuses().orEmpty()))
     }
 
--- a/src/main/kotlin/ledgearch/control/Reconciliation.kt
+++ b/src/main/kotlin/ledgearch/control/Reconciliation.kt
@@ -44,7 +44,9 @@
         // Includes machines being released: the cloud API may be down, and attempts of an earlier leader may run
         // there until the agent has seen the token.
         for (machine in machineRegistry.unconfirmed) dispatcher.probe(machine)
-        if (isComplete || recordLoader.hasUndecodableRecord || machineRegistry.unconfirmed.any { it.isInherited }) return
+        if (isComplete || recordLoader.hasUndecodableRecord || machineRegistry.unconfirmed.any { it.isInherited }) {
+            return
+        }
         isComplete = true
         failoverMs = clock.steadyMs - election.electedAtMs
         jobStore.jobs.values.forEach { it.isAccountedFor = true }
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Whether a leader stepped down because of missing heartbeats within
-     * [ElectionTuning.RECENT_STEP_DOWN_WINDOW_MS]; if they are still missing, another change of leader would not help.
+     * Whether a leader stepped down because of missing heartbeats within [ElectionTuning.RECENT_STEP_DOWN_WINDOW_MS];
+     * if they are still missing, another change of leader would not help.
      */
     val hasRecentStepDown: Boolean
         get() {
--- a/src/main/kotlin/ledgearch/election/LeadershipWriter.kt
+++ b/src/main/kotlin/ledgearch/election/LeadershipWriter.kt
@@ -23,8 +23,8 @@
     private val clock: Clock,
 ) {
     /**
-     * Replaces the leadership record at [expectedRevision], 0 if none exists, by this process instance's. [renewedToken] is
-     * the token that the record renews, 0 for a claim.
+     * Replaces the leadership record at [expectedRevision], 0 if none exists, by this process instance's.
+     * [renewedToken] is the token that the record renews, 0 for a claim.
      */
     fun write(
         expectedRevision: Long,
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -4,8 +4,8 @@
 import ledgearch.wire.MachineType
 
 /**
- * A machine of the cluster as the leader sees it: the reports of its agent, whether it can be reached and will stay, the
- * attempts that may be on it, and its free resources. [attach] and [detach] maintain the counts of the machine, the
+ * A machine of the cluster as the leader sees it: the reports of its agent, whether it can be reached and will stay,
+ * the attempts that may be on it, and its free resources. [attach] and [detach] maintain the counts of the machine, the
  * jobs and the teams. Times are steady-clock ms.
  */
 internal class Machine(
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -79,7 +79,7 @@
             (!isFinished || job == null || job.isClosed || job.recordedTasks.get(index))
 
     /**
-     * Returns whether no start of this attempt is still in flight, given the sequence number of the agent's last
+     * Returns whether no start of this attempt is still in flight, given [heartbeatSequence], that of the agent's last
      * heartbeat. Until then, a `clear` command could let the attempt start a second time.
      */
     fun hasNoPendingStart(heartbeatSequence: Long): Boolean =
--- a/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
@@ -114,7 +114,9 @@
         val share = health.admittedShare
         if (share >= 1.0) return machines.forEach { it.isReadmissionPending = false }
         val admittedCount = ceil(machines.size * share).toInt()
-        machines.sortedBy { it.name }.forEachIndexed { index, machine -> machine.isReadmissionPending = index >= admittedCount }
+        machines.sortedBy { it.name }.forEachIndexed { index, machine ->
+            machine.isReadmissionPending = index >= admittedCount
+        }
     }
 
     /** Returns the statuses to publish: zones that are not up or have a penalty. */
--- a/src/main/kotlin/ledgearch/scheduling/PreferredLists.kt
+++ b/src/main/kotlin/ledgearch/scheduling/PreferredLists.kt
@@ -3,9 +3,9 @@
 import ledgearch.model.Machine
 
 /**
- * The preferred lists of buddies within one zone. The machines of a zone, sorted by name, form a ring, and
- * the k-th buddy of each machine is at the same offset from it. So every machine is the k-th buddy of exactly one
- * other, and overloaded machines do not all transfer tasks to the same buddy.
+ * The preferred lists of buddies within one zone. The machines of a zone, sorted by name, form a ring, and the k-th
+ * buddy of each machine is at the same offset from it. So every machine is the k-th buddy of exactly one other, and
+ * overloaded machines do not all transfer tasks to the same buddy.
  */
 internal class PreferredLists(
     machines: Collection<Machine>,
--- a/src/main/kotlin/ledgearch/scheduling/UnplaceableSizes.kt
+++ b/src/main/kotlin/ledgearch/scheduling/UnplaceableSizes.kt
@@ -4,7 +4,8 @@
 import ledgearch.wire.JobSpec
 
 /**
- * The task sizes that found no room in a pass, so that the search is not repeated for tasks of the same or a larger size.
+ * The task sizes that found no room in a pass, so that the search is not repeated for tasks of the same or a larger
+ * size.
  */
 internal class UnplaceableSizes {
     /** A size that found no room in [zones]; null stands for all zones. */
--- a/src/main/kotlin/ledgearch/store/RequestBudget.kt
+++ b/src/main/kotlin/ledgearch/store/RequestBudget.kt
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Called when a request with [changeCount] changes exceeded the service's rate limits. Lower limits are
-     * announced but take effect without notice. If one may have been exceeded, all of them are used until the process
-     * ends; if they are not in force yet, this only costs throughput.
+     * Called when a request with [changeCount] changes exceeded the service's rate limits. Lower limits are announced
+     * but take effect without notice. If one may have been exceeded, all of them are used until the process ends; if
+     * they are not in force yet, this only costs throughput.
      */
     fun onRateLimitExceeded(changeCount: Int) {
         val mayBeLowerChangeLimit = changeCount > 0 && limits.lowerWriteRps < limits.writeRps
