--- a/src/main/kotlin/ledgearch/control/Failover.kt
+++ b/src/main/kotlin/ledgearch/control/Failover.kt
@@ -69,6 +69,6 @@
         val currentHints = hints ?: return
         hints = null
         currentHints.applyGlobalHints(machineRegistry.machines, estimates, jobStore, autoscaler, clock)
-        machineRegistry.setProbeOrder(currentHints.inProbeOrder(machineRegistry.unconfirmed))
+        machineRegistry.setProbeOrder(currentHints.sortedForProbing(machineRegistry.unconfirmed))
     }
 }
--- a/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
+++ b/src/main/kotlin/ledgearch/peers/FollowerConnections.kt
@@ -76,10 +76,7 @@
     fun publish(status: LeaderStatus) {
         if (followers.isEmpty()) return
         // The size of a frame is limited, so the status takes several frames when there are very many jobs.
-        for (progress in status.progress
-            .chunked(
-                PeerTuning.MAX_JOBS_PER_STATUS_FRAME,
-            ).ifEmpty { listOf(emptyList()) }) {
+        for (progress in status.progress.chunked(PeerTuning.MAX_JOBS_PER_FRAME).ifEmpty { listOf(emptyList()) }) {
             val frame = StatusFrameCodec.encode(LeaderStatus(progress, status.isStateServiceReachable, status.zones))
             followers.values.forEach { it.queue.trySend(frame) }
         }
--- a/src/main/kotlin/ledgearch/peers/FrameHeader.kt
+++ b/src/main/kotlin/ledgearch/peers/FrameHeader.kt
@@ -16,10 +16,10 @@
 /**
  * Header of every frame. Numbers are big-endian.
  *
- * | bytes | field                                                   |
- * |-------|---------------------------------------------------------|
- * | 1     | kind, [FrameKind.code]                                  |
- * | 3     | size of the body (bytes)                                |
+ * | bytes | field                                                             |
+ * |-------|-------------------------------------------------------------------|
+ * | 1     | kind, [FrameKind.code]                                            |
+ * | 3     | size of the body in bytes                                         |
  * | size  | body: [StatusFrameCodec] for a status, [StreamCodec] for a stream |
  *
  * Versions without the replication stream read all four bytes as the size. The result is the same for a status frame,
--- a/src/main/kotlin/ledgearch/peers/LeaderConnection.kt
+++ b/src/main/kotlin/ledgearch/peers/LeaderConnection.kt
@@ -61,10 +61,7 @@
                 if (connect(channel, address)) {
                     refusals = 0
                     if (isStandbyEnabled) {
-                        channel.writeAll(
-                            MeshFrameCodec.streamRequest.asByteBuffer(),
-                            HttpTuning.WRITE_TIMEOUT_MS,
-                        )
+                        channel.writeAll(MeshFrameCodec.streamRequest.asByteBuffer(), HttpTuning.WRITE_TIMEOUT_MS)
                     }
                     receiveFrames(channel, address)
                 }
@@ -126,9 +123,7 @@
 
         is MeshFrame.Stream -> {
             if (!isStandbyEnabled) {
-                throw MalformedFrameException(
-                    "stream frame without a request for the replication stream",
-                )
+                throw MalformedFrameException("stream frame without a request for the replication stream")
             }
             listener.onStandbyEvent(StandbyEvent.FrameReceived(address, frame.frame))
         }
--- a/src/main/kotlin/ledgearch/peers/Mesh.kt
+++ b/src/main/kotlin/ledgearch/peers/Mesh.kt
@@ -25,7 +25,7 @@
         body: ByteString,
     ): Boolean = false
 
-    /** Replaces the connection to the leader by a new one, over which it sends a new snapshot. */
+    /** Replaces the connection to the leader by a new one, over which the leader sends a new snapshot. */
     fun reconnect() = Unit
 
     /**
--- a/src/main/kotlin/ledgearch/peers/PeerTuning.kt
+++ b/src/main/kotlin/ledgearch/peers/PeerTuning.kt
@@ -15,7 +15,7 @@
     const val MAX_QUEUED_FRAMES = 8
 
     /** Keeps a status frame below [MAX_STATUS_BODY_BYTES] even with the longest ids. */
-    const val MAX_JOBS_PER_STATUS_FRAME = 2_000
+    const val MAX_JOBS_PER_FRAME = 2_000
 
     /** A connection on which the leader sends nothing for this long is replaced. */
     const val MAX_LEADER_SILENCE_MS = 4_000L
--- a/src/main/kotlin/ledgearch/peers/StreamCodec.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamCodec.kt
@@ -50,9 +50,7 @@
         try {
             val frame = readFrame(body)
             if (!body.exhausted()) {
-                throw MalformedFrameException(
-                    "stream frame has ${body.size} bytes after its last field",
-                )
+                throw MalformedFrameException("stream frame has ${body.size} bytes after its last field")
             }
             return frame
         } catch (_: EOFException) {
@@ -121,12 +119,7 @@
             }
 
             RecordKind.PROVISIONED_MACHINE -> {
-                ProvisionedMachine(
-                    key.name,
-                    body.readText(),
-                    body.readText(),
-                    body.readFlag(),
-                )
+                ProvisionedMachine(key.name, body.readText(), body.readText(), body.readFlag())
             }
         }
     }
--- a/src/main/kotlin/ledgearch/peers/StreamValues.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamValues.kt
@@ -44,9 +44,7 @@
  */
 internal inline fun <T> Buffer.readList(readEntry: () -> T): List<T> {
     val count = readInt()
-    if (count < 0 ||
-        count > size
-    ) {
+    if (count < 0 || count > size) {
         throw MalformedFrameException("list of $count entries in a stream frame with $size bytes remaining")
     }
     return List(count) { readEntry() }
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -47,7 +47,7 @@
     }
 
     /** Returns the [unconfirmed] machines in the order in which they are to be probed: most attempts first. */
-    fun inProbeOrder(unconfirmed: Collection<Machine>): List<Machine> =
+    fun sortedForProbing(unconfirmed: Collection<Machine>): List<Machine> =
         unconfirmed.sortedByDescending {
             machines[it.name]?.attempts?.size
                 ?: 0
--- a/src/main/kotlin/ledgearch/standby/StreamFollower.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamFollower.kt
@@ -94,8 +94,8 @@
      * [ElectionTuning.MAX_REPLICA_LAG_DELAY_MS], which also applies without a whole snapshot.
      */
     fun replicaLagDelayMs(): Long {
-        val lag = lagMs ?: return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS
-        return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS * minOf(lag, StandbyTuning.LAG_OF_MAX_DELAY_MS) /
+        val currentLagMs = lagMs ?: return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS
+        return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS * minOf(currentLagMs, StandbyTuning.LAG_OF_MAX_DELAY_MS) /
             StandbyTuning.LAG_OF_MAX_DELAY_MS
     }
 }
--- a/src/main/kotlin/ledgearch/standby/StreamLog.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamLog.kt
@@ -48,7 +48,7 @@
         private set
 
     /** Ids of the followers, in the order in which they joined. */
-    val followers: Set<Long> get() = cursors.keys
+    val followerIds: Set<Long> get() = cursors.keys
 
     /** Whether there is a follower. */
     val hasFollowers: Boolean get() = cursors.isNotEmpty()
--- a/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamPublisher.kt
@@ -65,7 +65,7 @@
                 streamLog.term,
             )
         }
-        for (followerId in streamLog.followers.toList()) sendFrame(followerId)
+        for (followerId in streamLog.followerIds.toList()) sendFrame(followerId)
     }
 
     private fun sendFrame(followerId: Long) {
--- a/src/main/kotlin/ledgearch/standby/WarmStandby.kt
+++ b/src/main/kotlin/ledgearch/standby/WarmStandby.kt
@@ -73,7 +73,7 @@
             recordsHeld = if (isLeader) streamLog.records.size else replica.records.size,
             recordsBehind = if (isLeader) streamLog.longestBacklog else replica.remainingRecords,
             msBehind = if (isLeader) 0 else streamFollower.lagMs ?: StandbyReport.NO_REPLICA,
-            followers = streamLog.followers.size,
+            followers = streamLog.followerIds.size,
             snapshotsSent = streamLog.snapshotsSent,
             streamsDropped = streamPublisher.streamsDropped,
             replicasDropped = streamFollower.replicasDropped,
--- a/src/test/kotlin/ledgearch/peers/TcpMeshTest.kt
+++ b/src/test/kotlin/ledgearch/peers/TcpMeshTest.kt
@@ -76,8 +76,8 @@
         val address = freeAddress()
         val leaderEvents = RecordedEvents()
         val leader = listenAsLeader(leaderEvents, address)
-        val plainEvents = RecordedEvents()
-        connectFollower(address, plainEvents, isStandbyEnabled = false)
+        val plainFollowerEvents = RecordedEvents()
+        connectFollower(address, plainFollowerEvents, isStandbyEnabled = false)
         val standbyFollowerEvents = RecordedEvents()
         connectFollower(address, standbyFollowerEvents, isStandbyEnabled = true)
         val joined = pollNext(leaderEvents.standbyEvents) as StandbyEvent.FollowerJoined
@@ -85,8 +85,8 @@
         onOwnerThread { leader.publish(LeaderStatus(emptyList(), true)) }
         assertEquals(StandbyEvent.FrameReceived(address, frame), pollNext(standbyFollowerEvents.standbyEvents))
         assertEquals(true, pollNext(standbyFollowerEvents.statuses)?.isStateServiceReachable)
-        assertEquals(true, pollNext(plainEvents.statuses)?.isStateServiceReachable)
-        assertNull(plainEvents.standbyEvents.poll())
+        assertEquals(true, pollNext(plainFollowerEvents.statuses)?.isStateServiceReachable)
+        assertNull(plainFollowerEvents.standbyEvents.poll())
         assertNull(leaderEvents.standbyEvents.poll())
     }
 
@@ -98,11 +98,11 @@
         val followerEvents = RecordedEvents()
         connectFollower(address, followerEvents, isStandbyEnabled = true)
         pollNext(leaderEvents.standbyEvents)
-        val jobs = List(2 * PeerTuning.MAX_JOBS_PER_STATUS_FRAME + 1) { JobProgress("job-$it", it, 1) }
+        val jobs = List(2 * PeerTuning.MAX_JOBS_PER_FRAME + 1) { JobProgress("job-$it", it, 1) }
         onOwnerThread { leader.publish(LeaderStatus(jobs, isStateServiceReachable = true)) }
         val receivedProgress = List(3) { pollNext(followerEvents.statuses)?.progress.orEmpty() }
         assertEquals(jobs, receivedProgress.flatten())
-        assertTrue(receivedProgress.all { it.size <= PeerTuning.MAX_JOBS_PER_STATUS_FRAME })
+        assertTrue(receivedProgress.all { it.size <= PeerTuning.MAX_JOBS_PER_FRAME })
     }
 
     @Test
