--- a/src/main/kotlin/ledgearch/config/Deployment.kt
+++ b/src/main/kotlin/ledgearch/config/Deployment.kt
@@ -3,85 +3,85 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What the platform says of the deployment: zones, teams, objectives and the limits of everything around. */
+/** Zones, teams and objectives of the deployment, and the limits of the services and processes that it uses. */
 @Serializable
 data class Deployment(
     /** Names of the zones. */
     val zones: List<String> = emptyList(),
-    /** At least one. */
+    /** Teams, at least one. */
     val teams: List<Team>,
     val objectives: List<Objective> = emptyList(),
     val workers: WorkerTimes,
     val state: StateLimits,
     val cloud: CloudLimits,
     val quota: NodeQuota = NodeQuota(),
-    /** ms. Bound on how far the time of day on a machine is from true time; it wanders within that. */
-    @SerialName("clock_off_ms") val clockOffMs: Double = 0.0,
+    /** Maximum error in ms of the wall clock of a machine, in either direction; the error varies over time. */
+    @SerialName("clock_off_ms") val maxClockErrorMs: Double = 0.0,
 )
 
-/** A team's guaranteed share and its quota; 0 means none. */
+/** A team with its guaranteed resources and its quota; 0 means none. */
 @Serializable
 data class Team(
     val name: String,
-    /** Processor cores guaranteed. */
+    /** Guaranteed processor cores. */
     val cpus: Double = 0.0,
-    /** Processor cores at most. */
+    /** Maximum number of processor cores. */
     @SerialName("cpus_max") val cpusMax: Double = 0.0,
-    /** Accelerators guaranteed. */
+    /** Guaranteed accelerators. */
     val gpus: Double = 0.0,
-    /** Accelerators at most. */
+    /** Maximum number of accelerators. */
     @SerialName("gpus_max") val gpusMax: Double = 0.0,
 )
 
-/** A service-level objective, as the settings state it. */
+/** A service-level objective. */
 @Serializable
 data class Objective(
-    /** What is measured, such as `wait` (time until the start) and `finished` (time until the end). */
+    /** Measured quantity: `wait` (time until the start), `finished` (time until the end) or `deadline`. */
     val kind: String,
-    /** Class of the jobs that it is about; null: all. */
+    /** Class of the jobs that the objective applies to; null for all jobs. */
     @SerialName("class") val jobClass: String? = null,
-    /** Seconds; null where the kind has no time. */
+    /** Time limit in seconds; null for kinds without one. */
     @SerialName("within_s") val withinS: Double? = null,
-    /** Share of the jobs that are to meet it, from 0 to 1. */
+    /** Share of the jobs that have to meet the objective, from 0 to 1. */
     val share: Double = 0.0,
-    /** Multiple of the deadline that counts, for the kind `deadline`. */
+    /** Multiple of the deadline within which a job has to end; only for the kind `deadline`. */
     val times: Double = 1.0,
 )
 
-/** For each class that is to start within a time, the shortest one asked for, in seconds. */
+/** Returns the shortest time limit of a `wait` objective in seconds, by class; without objectives for all jobs. */
 internal fun List<Objective>.startWithinS(): Map<String, Double> =
     this
         .filter { it.kind == "wait" && it.jobClass != null && it.withinS != null }
         .groupBy { it.jobClass.orEmpty() }
         .mapValues { (_, objectives) -> objectives.minOf { it.withinS ?: 0.0 } }
 
-/** Times of the workers. */
+/** Intervals and time limits of the workers. */
 @Serializable
 data class WorkerTimes(
-    /** Seconds between two heartbeats of a worker. */
+    /** Interval in seconds between two heartbeats of a worker. */
     @SerialName("report_s") val reportS: Double,
-    /** Seconds that a worker's lease lasts. */
+    /** Duration in seconds of a worker's lease. */
     @SerialName("lease_s") val leaseS: Double,
-    /** Seconds within which a cancellation takes effect. */
+    /** Time limit in seconds for a cancellation to take effect. */
     @SerialName("cancel_s") val cancelS: Double,
 )
 
-/** The limits of the cloud's interface. */
+/** Limits of the cloud API. */
 @Serializable
 data class CloudLimits(
-    /** Calls a second. */
+    /** Requests per second. */
     val rps: Double,
-    /** Seconds by which its lists of machines are late. */
+    /** Delay in seconds until a change of a machine appears in the machine lists. */
     @SerialName("list_lag_s") val listLagS: Double = 0.0,
 )
 
-/** What a controller's process may use. */
+/** Resource limits of a controller process. */
 @Serializable
 data class NodeQuota(
     /** Processor cores. */
     val cpu: Double = 1.0,
-    /** MB; 0: not told. */
+    /** Memory in MB; 0 if unknown. */
     @SerialName("memory_mb") val memoryMb: Double = 0.0,
-    /** Open sockets and files. */
+    /** Maximum number of open sockets and files. */
     @SerialName("fd_limit") val fdLimit: Int = 1024,
 )
--- a/src/main/kotlin/ledgearch/config/JsonElements.kt
+++ b/src/main/kotlin/ledgearch/config/JsonElements.kt
@@ -4,8 +4,8 @@
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 
-/** The element reached by [steps], names of fields and indices of lists; null when there is none. */
-internal fun JsonElement.at(steps: List<String>): JsonElement? =
+/** Returns the element at the path [steps] of field names and list indices, or null if there is none. */
+internal fun JsonElement.elementAt(steps: List<String>): JsonElement? =
     steps.fold(this as JsonElement?) { current, step ->
         when (current) {
             is JsonObject -> current[step]
--- a/src/main/kotlin/ledgearch/config/JsonProblem.kt
+++ b/src/main/kotlin/ledgearch/config/JsonErrorDescriber.kt
@@ -11,15 +11,15 @@
 import kotlinx.serialization.json.JsonPrimitive
 
 /**
- * Tells in one plain line why [text] has not the form of [descriptor]. The parser's own messages name classes and its
- * inner workings, so only the path of the field is taken from them; what is allowed there is read from [descriptor].
+ * Describes in one line why [text] does not match [descriptor]. The messages of the parser name classes and parser
+ * internals, so only the path of the field is taken from them; the allowed type is read from [descriptor].
  */
 @OptIn(ExperimentalSerializationApi::class)
-internal class JsonProblem(
+internal class JsonErrorDescriber(
     private val text: String,
     private val descriptor: SerialDescriptor,
 ) {
-    /** The field and what is allowed, for the [parseError] of the whole file. */
+    /** Returns the field that caused [parseError] and what is allowed there. */
     fun describe(parseError: SerializationException): String {
         val file =
             try {
@@ -27,20 +27,25 @@
             } catch (syntaxError: SerializationException) {
                 return describeSyntax(syntaxError.message.orEmpty())
             }
-        val field = FieldPath.parse(parseError.message.orEmpty().substringAfterLast(PATH_MARK, ""))
+        val field = FieldPath.parse(parseError.message.orEmpty().substringAfterLast(PATH_MARKER, ""))
         if (parseError is MissingFieldException) {
             return "${parseError.missingFields.joinToString { field.child(it) }}: missing"
         }
-        return "$field: ${allowed(field.descriptorIn(descriptor), field.valueIn(file))}"
+        return "$field: ${describeAllowed(field.descriptorIn(descriptor), field.valueIn(file))}"
     }
 
-    /** The message is `... at offset N: WHAT at path: ...`, without an offset where the text ends too early. */
+    /** Parses [message], `... at offset N: PROBLEM at path: ...`; if the text ends too early, it has no offset. */
     private fun describeSyntax(message: String): String {
-        val line = message.lineSequence().first().substringBeforeLast(PATH_MARK)
-        val match = OFFSET.find(line)
-        val problem = line.substring(match?.range?.let { it.last + 1 } ?: 0).removePrefix(UNREADABLE).trimEnd()
-        if (match == null) return "not valid JSON: $problem"
-        return "not valid JSON at ${position(match.groupValues[1].toInt())}: $problem"
+        val line = message.lineSequence().first().substringBeforeLast(PATH_MARKER)
+        val offsetMatch = OFFSET_PREFIX.find(line)
+        val problem =
+            line
+                .substring(
+                    offsetMatch?.range?.let { it.last + 1 } ?: 0,
+                ).removePrefix(READ_ERROR_PREFIX)
+                .trimEnd()
+        if (offsetMatch == null) return "not valid JSON: $problem"
+        return "not valid JSON at ${position(offsetMatch.groupValues[1].toInt())}: $problem"
     }
 
     private fun position(offset: Int): String {
@@ -48,42 +53,42 @@
         return "line ${before.count { it == '\n' } + 1}, column ${before.length - before.lastIndexOf('\n')}"
     }
 
-    private fun allowed(
-        wanted: SerialDescriptor?,
-        found: JsonElement?,
+    private fun describeAllowed(
+        expected: SerialDescriptor?,
+        actual: JsonElement?,
     ): String =
-        when (wanted?.kind) {
+        when (expected?.kind) {
             StructureKind.CLASS -> "must be an object"
             StructureKind.LIST -> "must be a list"
             PrimitiveKind.STRING -> "must be a string"
             PrimitiveKind.BOOLEAN -> "must be true or false"
-            PrimitiveKind.INT -> if (isInteger(found)) "must be at most ${Int.MAX_VALUE}" else "must be a whole number"
-            PrimitiveKind.DOUBLE -> if (isInfinite(found)) "must be a finite number" else "must be a number"
-            else -> "has a value that can't be used"
+            PrimitiveKind.INT -> if (isInteger(actual)) "must be at most ${Int.MAX_VALUE}" else "must be a whole number"
+            PrimitiveKind.DOUBLE -> if (isInfinite(actual)) "must be a finite number" else "must be a number"
+            else -> "has an unsupported value"
         }
 
-    private fun isInteger(found: JsonElement?): Boolean =
-        (found as? JsonPrimitive)?.content?.toBigIntegerOrNull() != null
+    private fun isInteger(actual: JsonElement?): Boolean =
+        (actual as? JsonPrimitive)?.content?.toBigIntegerOrNull() != null
 
-    private fun isInfinite(found: JsonElement?): Boolean =
-        (found as? JsonPrimitive)?.content?.toDoubleOrNull()?.isInfinite() == true
+    private fun isInfinite(actual: JsonElement?): Boolean =
+        (actual as? JsonPrimitive)?.content?.toDoubleOrNull()?.isInfinite() == true
 
     private companion object {
-        const val PATH_MARK = " at path: $"
-        const val UNREADABLE = "Cannot read Json element because of "
-        val OFFSET = Regex("""^.*? at offset (\d+): """)
+        const val PATH_MARKER = " at path: $"
+        const val READ_ERROR_PREFIX = "Cannot read Json element because of "
+        val OFFSET_PREFIX = Regex("""^.*? at offset (\d+): """)
     }
 }
 
-/** The place of a field in a file: names of fields and, for the elements of lists, their indices from 0. */
+/** Path of a field in a file: field names, and zero-based indices for list elements. */
 @OptIn(ExperimentalSerializationApi::class)
 private class FieldPath(
     private val steps: List<String>,
 ) {
-    /** The path of the field [name] of the object at this path. */
+    /** Returns the path of the field [name] of the object at this path. */
     fun child(name: String): String = FieldPath(steps + name).toString()
 
-    /** The form that this place of a file of form [root] has; null when that is not known. */
+    /** Returns the descriptor of this path in a file with the descriptor [root], or null if there is none. */
     fun descriptorIn(root: SerialDescriptor): SerialDescriptor? {
         var current = root
         for (step in steps) {
@@ -94,8 +99,8 @@
         return current
     }
 
-    /** The value at this place of [file]; null when there is none. */
-    fun valueIn(file: JsonElement): JsonElement? = file.at(steps)
+    /** Returns the value at this path of [file], or null if there is none. */
+    fun valueIn(file: JsonElement): JsonElement? = file.elementAt(steps)
 
     override fun toString(): String {
         if (steps.isEmpty()) return "the file"
@@ -105,7 +110,7 @@
     companion object {
         private val STEP = Regex("""[^.\[\]]+""")
 
-        /** Reads the parser's form, such as `.deployment.teams[0].name`. */
+        /** Parses a path as the JSON parser writes it, such as `.deployment.teams[0].name`. */
         fun parse(text: String): FieldPath =
             FieldPath(STEP.findAll(text.lineSequence().first().trim()).map { it.value }.toList())
     }
--- a/src/main/kotlin/ledgearch/config/OperatorSettings.kt
+++ b/src/main/kotlin/ledgearch/config/OperatorSettings.kt
@@ -3,48 +3,50 @@
 import kotlinx.serialization.Serializable
 
 /**
- * What operators may set beyond the platform's file; `ledgearch-operator.schema.json` says what is allowed. Without
- * such a file the defaults hold.
+ * Settings in the operators' file, which is optional; `ledgearch-operator.schema.json` specifies the allowed values.
  */
 @Serializable
 data class OperatorSettings(
-    /** Spot machines may be rented for jobs that allow them. */
+    /** Whether spot machines may be rented for jobs that allow them. */
     val spot: Boolean = true,
-    /** Machines beyond which none is rented. */
-    val maxMachines: Int = ConfigTuning.MAX_MACHINES,
-    /** Standard deviations of what a boot time brings that are kept free beyond what is expected. */
-    val reserveDeviations: Double = ConfigTuning.RESERVE_DEVIATIONS,
-    /** Seconds after which users who are turned away are told to come back. */
-    val retryAfterS: Int = ConfigTuning.RETRY_AFTER_S,
+    /** Number of machines at which renting stops. */
+    val maxMachines: Int = ConfigTuning.DEFAULT_MAX_MACHINES,
+    /**
+     * Free resources beyond those for the expected arrivals during one boot time, as a multiple of the standard deviation
+     * of these arrivals.
+     */
+    val reserveDeviations: Double = ConfigTuning.DEFAULT_RESERVE_DEVIATIONS,
+    /** Value of the Retry-After header in seconds when the request of a user is rejected. */
+    val retryAfterS: Int = ConfigTuning.DEFAULT_RETRY_AFTER_S,
     val standby: StandbySettings = StandbySettings(),
     val zoneRecovery: ZoneRecoverySettings = ZoneRecoverySettings(),
 )
 
-/** Following the leader's decisions, to be quicker when it is to be replaced. */
+/** Settings of the warm standby: followers replicate the decisions of the leader, which shortens a failover. */
 @Serializable
 data class StandbySettings(
-    /** This node streams its state to followers while it leads, and keeps a replica while it does not. */
+    /** Whether this node streams its state to followers while it is the leader, and keeps a replica otherwise. */
     val enabled: Boolean = false,
 )
 
-/** How work is placed again when a zone is lost, and how the zone is used again when it returns. */
+/** Settings for placing displaced work after the loss of a zone, and for using the zone again when it returns. */
 @Serializable
 data class ZoneRecoverySettings(
-    /** The order, the pacing and the gradual return are in effect. */
+    /** Whether the order, the pacing and the gradual return are in effect. */
     val enabled: Boolean = false,
-    /** Groups of displaced work, the first to be placed again first. Empty: in the order of serving. */
+    /** Groups of displaced jobs in the order of placement; if empty, the usual ranking of jobs applies. */
     val order: List<RecoveryGroup> = emptyList(),
 )
 
 /** Jobs whose class matches one of [classes] and whose team matches one of [teams]; an empty list matches all. */
 @Serializable
 data class RecoveryGroup(
-    /** What logs and metrics call it. */
+    /** Name in logs and metrics. */
     val name: String? = null,
-    /** Names of classes, in which `*` stands for any characters. */
+    /** Class names, where `*` matches any characters. */
     val classes: List<String> = emptyList(),
-    /** Names of teams, in which `*` stands for any characters. */
+    /** Team names, where `*` matches any characters. */
     val teams: List<String> = emptyList(),
-    /** What no other group matches belongs here; without such a group it comes last. */
+    /** Whether the group also contains the jobs that no group matches; without a default group they come last. */
     val default: Boolean = false,
 )
--- a/src/main/kotlin/ledgearch/config/PlatformCheck.kt
+++ b/src/main/kotlin/ledgearch/config/PlatformCheck.kt
@@ -1,27 +1,27 @@
 package ledgearch.config
 
-/** What is wrong with the platform's settings beyond their form. */
+/** Checks the values of the platform's settings. */
 internal object PlatformCheck {
-    /** The first reason why the service can't start: one line that names the field and what is allowed; or null. */
-    fun problem(settings: Settings): String? =
-        badAddress(settings)
+    /** Returns the first problem that prevents a start, as one line with the field and what is allowed; null if none. */
+    fun findProblem(settings: Settings): String? =
+        invalidAddress(settings)
             ?: emptyNode(settings)
-            ?: badTeams(settings.deployment.teams)
-            ?: notPositive(settings.deployment)
-            ?: tooSmall(settings.deployment.quota)
-            ?: negativeAmount(settings.deployment.teams)
+            ?: invalidTeams(settings.deployment.teams)
+            ?: nonPositiveValue(settings.deployment)
+            ?: insufficientQuota(settings.deployment.quota)
+            ?: negativeTeamValue(settings.deployment.teams)
 
-    /** What lets the service start but will not let it serve well, a line each. */
-    fun warnings(settings: Settings): List<String> {
+    /** Returns one line for each setting with which the service starts but is impaired. */
+    fun findWarnings(settings: Settings): List<String> {
         val deployment = settings.deployment
         return listOfNotNull(
-            littleMemory(deployment.quota),
-            tooFewChanges(deployment.state),
-            fewSockets(deployment.quota),
-        ) + deployment.teams.mapNotNull(::guaranteeAboveLimit)
+            lowMemory(deployment.quota),
+            lowTransactionLimit(deployment.state),
+            lowSocketLimit(deployment.quota),
+        ) + deployment.teams.mapNotNull(::guaranteeAboveQuota)
     }
 
-    private fun badAddress(settings: Settings): String? {
+    private fun invalidAddress(settings: Settings): String? {
         val addresses =
             mapOf(
                 "listen" to settings.listen,
@@ -30,30 +30,30 @@
                 "outside.state" to settings.outside.state,
             ) + settings.members.map { "members[${it.node}].addr" to it.addr }
         val (field, value) = addresses.entries.firstOrNull { !isAddress(it.value) } ?: return null
-        return "$field: \"$value\" is not HOST:PORT with a port from 1 to $LAST_PORT"
+        return "$field: \"$value\" is not HOST:PORT with a port from 1 to $MAX_PORT"
     }
 
     private fun isAddress(value: String): Boolean {
         val port = value.substringAfterLast(':', "").toIntOrNull() ?: return false
-        return value.substringBeforeLast(':').isNotEmpty() && port in 1..LAST_PORT
+        return value.substringBeforeLast(':').isNotEmpty() && port in 1..MAX_PORT
     }
 
     private fun emptyNode(settings: Settings): String? =
         if (settings.node.isBlank()) "node: must not be empty" else null
 
-    private fun badTeams(teams: List<Team>): String? {
-        if (teams.isEmpty()) return "deployment.teams: at least one team is needed"
+    private fun invalidTeams(teams: List<Team>): String? {
+        if (teams.isEmpty()) return "deployment.teams: must list at least one team"
         val (name, _) =
             teams
                 .groupBy { it.name }
                 .entries
                 .firstOrNull { it.value.size > 1 } ?: return null
-        return "deployment.teams: \"$name\" is named twice"
+        return "deployment.teams: duplicate team \"$name\""
     }
 
-    private fun notPositive(deployment: Deployment): String? {
+    private fun nonPositiveValue(deployment: Deployment): String? {
         val next = deployment.state.next
-        val amounts =
+        val values =
             listOf(
                 "deployment.workers.report_s" to deployment.workers.reportS,
                 "deployment.workers.lease_s" to deployment.workers.leaseS,
@@ -70,24 +70,22 @@
                 "deployment.quota.cpu" to deployment.quota.cpu,
                 "deployment.quota.fd_limit" to deployment.quota.fdLimit.toDouble(),
             )
-        val (field, value) = amounts.firstOrNull { (_, value) -> value != null && !isPositive(value) } ?: return null
+        val (field, value) = values.firstOrNull { (_, value) -> value != null && !isPositive(value) } ?: return null
         return "$field: $value must be above 0 and finite"
     }
 
-    /** False for what is not a number, too. */
+    /** Returns false for NaN, too. */
     private fun isPositive(value: Double): Boolean = value > 0.0 && !value.isInfinite()
 
-    /** No memory is told of by 0. */
-    private fun tooSmall(quota: NodeQuota): String? =
+    /** A memory limit of 0 means unknown. */
+    private fun insufficientQuota(quota: NodeQuota): String? =
         when {
-            quota.memoryMb > 0.0 && quota.memoryMb < ConfigTuning.LEAST_MEMORY_MB -> {
-                "deployment.quota.memory_mb: ${quota.memoryMb} can't hold the service; " +
-                    "it takes ${ConfigTuning.LEAST_MEMORY_MB}"
+            quota.memoryMb > 0.0 && quota.memoryMb < ConfigTuning.MIN_MEMORY_MB -> {
+                "deployment.quota.memory_mb: ${quota.memoryMb} must be ${ConfigTuning.MIN_MEMORY_MB} or more"
             }
 
-            quota.fdLimit < ConfigTuning.LEAST_SOCKETS -> {
-                "deployment.quota.fd_limit: ${quota.fdLimit} can't hold the service; " +
-                    "it takes ${ConfigTuning.LEAST_SOCKETS}"
+            quota.fdLimit < ConfigTuning.MIN_FD_LIMIT -> {
+                "deployment.quota.fd_limit: ${quota.fdLimit} must be ${ConfigTuning.MIN_FD_LIMIT} or more"
             }
 
             else -> {
@@ -95,44 +93,46 @@
             }
         }
 
-    private fun negativeAmount(teams: List<Team>): String? = teams.firstNotNullOfOrNull(::negativeAmount)
+    private fun negativeTeamValue(teams: List<Team>): String? = teams.firstNotNullOfOrNull(::negativeTeamValue)
 
-    private fun negativeAmount(team: Team): String? {
-        val amounts =
+    private fun negativeTeamValue(team: Team): String? {
+        val values =
             listOf(
                 "cpus" to team.cpus,
                 "cpus_max" to team.cpusMax,
                 "gpus" to team.gpus,
                 "gpus_max" to team.gpusMax,
             )
-        val (field, value) = amounts.firstOrNull { (_, value) -> !isZeroOrMore(value) } ?: return null
+        val (field, value) = values.firstOrNull { (_, value) -> !isZeroOrMore(value) } ?: return null
         return "deployment.teams.${team.name}.$field: $value must be 0 or more"
     }
 
-    /** False for what is not a number, too. */
+    /** Returns false for NaN, too. */
     private fun isZeroOrMore(value: Double): Boolean = value >= 0.0
 
-    private fun littleMemory(quota: NodeQuota): String? {
-        if (quota.memoryMb <= 0.0 || quota.memoryMb >= ConfigTuning.MEMORY_MB) return null
-        return "deployment.quota.memory_mb: ${quota.memoryMb} is little; " +
-            "the service takes up to ${ConfigTuning.MEMORY_MB}"
+    private fun lowMemory(quota: NodeQuota): String? {
+        if (quota.memoryMb <= 0.0 || quota.memoryMb >= ConfigTuning.RECOMMENDED_MEMORY_MB) return null
+        return "deployment.quota.memory_mb: ${quota.memoryMb} is low; " +
+            "${ConfigTuning.RECOMMENDED_MEMORY_MB} or more is recommended"
     }
 
-    private fun tooFewChanges(limits: StateLimits): String? {
-        if (limits.safeTxnOps >= ConfigTuning.FEW_CHANGES) return null
-        return "deployment.state.txn_ops: ${limits.safeTxnOps} is too little; " +
-            "what closes a job takes two changes in one transaction"
+    private fun lowTransactionLimit(limits: StateLimits): String? {
+        if (limits.safeTxnOps >= ConfigTuning.MIN_TXN_OPS) return null
+        return "deployment.state.txn_ops: ${limits.safeTxnOps} is too low to close jobs; " +
+            "${ConfigTuning.MIN_TXN_OPS} or more is required"
     }
 
-    private fun fewSockets(quota: NodeQuota): String? {
-        if (quota.fdLimit >= ConfigTuning.FEW_SOCKETS) return null
-        return "deployment.quota.fd_limit: ${quota.fdLimit} is little; every worker and user needs one"
+    private fun lowSocketLimit(quota: NodeQuota): String? {
+        if (quota.fdLimit >= ConfigTuning.RECOMMENDED_FD_LIMIT) return null
+        return "deployment.quota.fd_limit: ${quota.fdLimit} is low for a connection to every worker and user; " +
+            "${ConfigTuning.RECOMMENDED_FD_LIMIT} or more is recommended"
     }
 
-    private fun guaranteeAboveLimit(team: Team): String? {
+    private fun guaranteeAboveQuota(team: Team): String? {
         if (team.cpusMax >= team.cpus && team.gpusMax >= team.gpus) return null
-        return "deployment.teams.${team.name}: what is guaranteed is more than the limit"
+        return "deployment.teams.${team.name}: guaranteed cpus ${team.cpus} and gpus ${team.gpus} " +
+            "must not exceed cpus_max ${team.cpusMax} and gpus_max ${team.gpusMax}"
     }
 
-    private const val LAST_PORT = 65535
+    private const val MAX_PORT = 65535
 }
--- a/src/main/kotlin/ledgearch/config/RecoveryOrderCheck.kt
+++ b/src/main/kotlin/ledgearch/config/RecoveryOrderCheck.kt
@@ -1,21 +1,21 @@
 package ledgearch.config
 
-/** What is wrong with the operators' recovery order beyond what the schema says. */
+/** Checks the operators' recovery order for errors that the schema can't express. */
 internal object RecoveryOrderCheck {
-    /** The jobs of one class and one team; [ANY] stands for all classes or all teams. */
-    private data class JobGroup(
+    /** A class and a team as named by a group; [ANY] stands for all classes or all teams. */
+    private data class ClassAndTeam(
         val jobClass: String,
         val team: String,
     )
 
-    /** One line that names the field and what is allowed, or null. */
-    fun problem(order: List<RecoveryGroup>): String? {
-        order.forEachIndexed { index, group -> emptyGroup(index, group)?.let { return it } }
+    /** Returns the first problem as one line with the field and what is allowed, or null if there is none. */
+    fun findProblem(order: List<RecoveryGroup>): String? {
+        order.forEachIndexed { index, group -> findEmptyGroup(index, group)?.let { return it } }
         if (order.count { it.default } > 1) return "$FIELD: only one group can be the default"
-        return namedTwice(order)
+        return findDuplicate(order)
     }
 
-    private fun emptyGroup(
+    private fun findEmptyGroup(
         index: Int,
         group: RecoveryGroup,
     ): String? {
@@ -23,21 +23,21 @@
         return "$FIELD/$index: a group needs classes, teams or \"default\": true"
     }
 
-    /** A class may stand in several groups only for different teams. */
-    private fun namedTwice(order: List<RecoveryGroup>): String? {
-        val seen = HashSet<JobGroup>()
+    /** A class may appear in several groups only with different teams. */
+    private fun findDuplicate(order: List<RecoveryGroup>): String? {
+        val seen = HashSet<ClassAndTeam>()
         for ((index, group) in order.withIndex()) {
-            val repeated = jobGroups(group).firstOrNull { !seen.add(it) } ?: continue
-            return "$FIELD/$index: \"${repeated.jobClass}\" is named twice"
+            val duplicate = classesAndTeams(group).firstOrNull { !seen.add(it) } ?: continue
+            return "$FIELD/$index: duplicate class \"${duplicate.jobClass}\""
         }
         return null
     }
 
-    /** None for a default group that names neither classes nor teams. */
-    private fun jobGroups(group: RecoveryGroup): List<JobGroup> {
+    /** Returns the pairs of class and team that [group] names; none for a default group without classes and teams. */
+    private fun classesAndTeams(group: RecoveryGroup): List<ClassAndTeam> {
         if (group.classes.isEmpty() && group.teams.isEmpty()) return emptyList()
         val teams = group.teams.ifEmpty { listOf(ANY) }
-        return group.classes.ifEmpty { listOf(ANY) }.flatMap { jobClass -> teams.map { JobGroup(jobClass, it) } }
+        return group.classes.ifEmpty { listOf(ANY) }.flatMap { jobClass -> teams.map { ClassAndTeam(jobClass, it) } }
     }
 
     private const val FIELD = "zoneRecovery/order"
--- a/src/main/kotlin/ledgearch/config/SchemaProblem.kt
+++ b/src/main/kotlin/ledgearch/config/SchemaErrorDescriber.kt
@@ -9,32 +9,32 @@
 import kotlinx.serialization.json.jsonPrimitive
 
 /**
- * Tells in plain words where a [file] breaks the published [schema]. The validator's own messages speak of elements
- * and schemas, so only the places are taken from them; what is allowed is read from the schema.
+ * Describes where a [file] violates the published [schema]. The messages of the validator are about elements and
+ * schemas, so only the paths are taken from its errors; what is allowed is read from the schema.
  */
-internal class SchemaProblem(
+internal class SchemaErrorDescriber(
     private val file: JsonElement,
     private val schema: JsonElement,
 ) {
-    /** The field and what is allowed. */
+    /** Returns the field that caused [error] and what is allowed there. */
     fun describe(error: ValidationError): String {
         val field = error.objectPath.toString().removePrefix("/")
-        val rulePath = steps(error.schemaPath.toString())
-        val rule = schema.at(rulePath)
-        val holder = schema.at(rulePath.dropLast(1))
-        val value = file.at(steps(error.objectPath.toString()))
-        return when (rulePath.lastOrNull()) {
-            "type" -> "${field.ifEmpty { "the file" }}: must be ${article(rule)}"
-            "minimum" -> "$field: $value must be $rule or more"
-            "maximum" -> "$field: $value must be $rule or less"
+        val keywordPath = steps(error.schemaPath.toString())
+        val keyword = schema.elementAt(keywordPath)
+        val fieldSchema = schema.elementAt(keywordPath.dropLast(1))
+        val value = file.elementAt(steps(error.objectPath.toString()))
+        return when (keywordPath.lastOrNull()) {
+            "type" -> "${field.ifEmpty { "the file" }}: must be ${describeType(keyword)}"
+            "minimum" -> "$field: $value must be $keyword or more"
+            "maximum" -> "$field: $value must be $keyword or less"
             "minLength" -> "$field: must not be empty"
-            "required" -> "${missing(field, rule, value)}: missing"
-            "additionalProperties" -> "$field: unknown; allowed are ${allowedFields(holder)}"
+            "required" -> "${missingFields(field, keyword, value)}: missing"
+            "additionalProperties" -> "$field: unknown; allowed are ${allowedFields(fieldSchema)}"
             else -> "$field: ${error.message}"
         }
     }
 
-    private fun article(type: JsonElement?): String =
+    private fun describeType(type: JsonElement?): String =
         when (val name = (type as? JsonPrimitive)?.content) {
             "object" -> "an object"
             "array" -> "a list"
@@ -43,7 +43,7 @@
             else -> "a $name"
         }
 
-    private fun missing(
+    private fun missingFields(
         field: String,
         required: JsonElement?,
         value: JsonElement?,
@@ -52,8 +52,8 @@
         return names.filterNot { it in value?.jsonObject.orEmpty() }.joinToString { "$field/$it".removePrefix("/") }
     }
 
-    private fun allowedFields(holder: JsonElement?): String =
-        (holder as? JsonObject)
+    private fun allowedFields(fieldSchema: JsonElement?): String =
+        (fieldSchema as? JsonObject)
             ?.get("properties")
             ?.jsonObject
             ?.keys
--- a/src/main/kotlin/ledgearch/config/Settings.kt
+++ b/src/main/kotlin/ledgearch/config/Settings.kt
@@ -4,41 +4,41 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.Transient
 
-/** The platform's settings file, which says the same of the deployment to every controller. */
+/** Settings in the platform's file, where [deployment] is the same for every controller. */
 @Serializable
 data class Settings(
     /** Name of this controller. */
     val node: String,
-    /** Zone of this controller; empty when it belongs to none. */
+    /** Zone of this controller; empty if it belongs to none. */
     val area: String = "",
-    /** HOST:PORT that callers and workers reach this controller at. */
+    /** Address (HOST:PORT) of this controller for users and workers. */
     val listen: String,
-    /** HOST:PORT that the other controllers reach this one at. */
+    /** Address (HOST:PORT) of this controller for the other controllers. */
     @SerialName("mesh_addr") val meshAddress: String,
     /** The other controllers. */
     val members: List<Member> = emptyList(),
     val outside: OutsideAddresses,
     val deployment: Deployment,
-    /** What operators set in a file of their own. */
+    /** Settings in the operators' file. */
     @Transient val operator: OperatorSettings = OperatorSettings(),
 )
 
 /** Another controller of the deployment. */
 @Serializable
 data class Member(
-    /** Its name. */
+    /** Name of the controller. */
     val node: String,
-    /** Its zone; empty when it belongs to none. */
+    /** Zone of the controller; empty if it belongs to none. */
     val area: String = "",
-    /** HOST:PORT that controllers reach it at. */
+    /** Address (HOST:PORT) of the controller for other controllers. */
     val addr: String,
 )
 
-/** Addresses (HOST:PORT) of the services that belong to no zone. */
+/** Addresses (HOST:PORT) of the services that the controllers use. */
 @Serializable
 data class OutsideAddresses(
-    /** The interface of the cloud. */
+    /** Address of the cloud API. */
     val cloud: String,
-    /** The state service. */
+    /** Address of the state service. */
     val state: String,
 )
--- a/src/main/kotlin/ledgearch/config/SettingsException.kt
+++ b/src/main/kotlin/ledgearch/config/SettingsException.kt
@@ -1,6 +1,6 @@
 package ledgearch.config
 
-/** A settings file that can't be used; [message] names the file, the field and what is allowed, in one line. */
+/** Thrown for an invalid settings file; [message] is one line with the file, the field and what is allowed. */
 class SettingsException(
     message: String,
     cause: Throwable? = null,
--- a/src/main/kotlin/ledgearch/config/SettingsFile.kt
+++ b/src/main/kotlin/ledgearch/config/SettingsFile.kt
@@ -8,8 +8,8 @@
 import java.nio.file.Path
 
 /**
- * What [parse] makes of the text of the file at [path], which is to have the form of [descriptor]. Throws
- * [SettingsException] when the file can't be read or parsed.
+ * Returns the text of the file at [path] as parsed by [parse]; [descriptor] is used to describe errors. Throws
+ * [SettingsException] if the file can't be read or parsed.
  */
 internal fun <T> readSettings(
     path: Path,
@@ -20,13 +20,13 @@
         try {
             Files.readString(path)
         } catch (e: NoSuchFileException) {
-            throw SettingsException("$path: there is no such file", e)
+            throw SettingsException("$path: no such file", e)
         } catch (e: IOException) {
             throw SettingsException("$path: cannot be read: ${e.message}", e)
         }
     return try {
         parse(text)
     } catch (e: SerializationException) {
-        throw SettingsException("$path: ${JsonProblem(text, descriptor).describe(e)}", e)
+        throw SettingsException("$path: ${JsonErrorDescriber(text, descriptor).describe(e)}", e)
     }
 }
--- a/src/main/kotlin/ledgearch/config/StateLimits.kt
+++ b/src/main/kotlin/ledgearch/config/StateLimits.kt
@@ -3,30 +3,30 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** The limits of the state service, and [next]: those that it will have from some moment on, without notice. */
+/** Limits of the state service, and the limits [next] that replace them at an unknown time. */
 @Serializable
 data class StateLimits(
-    /** Requests a second. */
+    /** Requests per second. */
     val rps: Double,
-    /** Puts and removals a second. */
+    /** Changes (puts and removals) per second. */
     @SerialName("write_rps") val writeRps: Double,
-    /** KiB of a value. */
+    /** Size of a value in KiB. */
     @SerialName("value_kb") val valueKb: Double,
-    /** Puts and removals of a transaction. */
+    /** Changes in a transaction. */
     @SerialName("txn_ops") val txnOps: Int,
-    /** Null: no change of the limits is announced. */
+    /** Announced limits, or null. */
     val next: NextStateLimits? = null,
 ) {
-    /** Bytes. A value of this size is within the limit at any time. */
+    /** Size of a value in bytes that is within both the present and the announced limit. */
     val safeValueBytes: Int get() = (minOf(valueKb, next?.valueKb ?: valueKb) * BYTES_PER_KIB).toInt()
 
-    /** Puts and removals. A transaction of so many is within the limit at any time. */
+    /** Changes in a transaction that are within both the present and the announced limit. */
     val safeTxnOps: Int get() = minOf(txnOps, next?.txnOps ?: txnOps)
 
-    /** Requests a second once the limits are lowered; a limit that rises is left where it is. */
+    /** The lower of the present and the announced limit on requests per second. */
     val lowerRps: Double get() = minOf(rps, next?.rps ?: rps)
 
-    /** Puts and removals a second once the limits are lowered; a limit that rises is left where it is. */
+    /** The lower of the present and the announced limit on changes per second. */
     val lowerWriteRps: Double get() = minOf(writeRps, next?.writeRps ?: writeRps)
 
     private companion object {
@@ -34,7 +34,7 @@
     }
 }
 
-/** Limits of the state service from some moment on, in the units of [StateLimits]; what is null does not change. */
+/** Announced limits of the state service, in the units of [StateLimits]; a limit that is null does not change. */
 @Serializable
 data class NextStateLimits(
     val rps: Double? = null,
--- a/src/test/kotlin/ledgearch/config/OperatorSettingsTest.kt
+++ b/src/test/kotlin/ledgearch/config/OperatorSettingsTest.kt
@@ -12,33 +12,38 @@
 import kotlin.io.path.listDirectoryEntries
 import kotlin.io.path.writeText
 
-/** The operators' file against the published schema. */
+/** Loads operators' files that match or violate the published schema. */
 internal class OperatorSettingsTest {
     @TempDir
     lateinit var folder: Path
 
     @TestFactory
-    fun `files are accepted or refused with a reason`(): List<DynamicTest> =
+    fun `files are accepted, or rejected with a reason`(): List<DynamicTest> =
         testCases("operator-settings.txt").map { line ->
-            val (wanted, text) = line.split(" | ", limit = 2)
+            val (expected, text) = line.split(" | ", limit = 2)
             DynamicTest.dynamicTest(line) {
                 val file = folder.resolve("operator.json").apply { writeText(text) }
-                if (wanted == "fine") {
+                if (expected == "fine") {
                     OperatorLoader.load(file)
                 } else {
                     val message =
                         assertThrows(
                             SettingsException::class.java,
                         ) { OperatorLoader.load(file) }.message.orEmpty()
-                    assertTrue(wanted.removePrefix(EXACTLY) in message, message)
+                    assertTrue(expected.removePrefix(EXACT_PREFIX) in message, message)
                     assertEquals(1, message.lines().size, "one line")
-                    if (wanted.startsWith(EXACTLY)) assertEquals("$file: ${wanted.removePrefix(EXACTLY)}", message)
+                    if (expected.startsWith(
+                            EXACT_PREFIX,
+                        )
+                    ) {
+                        assertEquals("$file: ${expected.removePrefix(EXACT_PREFIX)}", message)
+                    }
                 }
             }
         }
 
     @Test
-    fun `the examples for deployments can be used`() {
+    fun `the example files of the deployment are valid`() {
         val examples = Path.of("deploy").listDirectoryEntries("operator-*.json")
         assertTrue(examples.size > 1)
         examples.forEach(OperatorLoader::load)
@@ -49,10 +54,10 @@
         val file = folder.resolve("operator.json").apply { writeText("""{"spot":false,"maxMachines":10}""") }
         val settings = OperatorLoader.load(file)
         assertEquals(false to 10, settings.spot to settings.maxMachines)
-        assertEquals(ConfigTuning.RETRY_AFTER_S, settings.retryAfterS)
+        assertEquals(ConfigTuning.DEFAULT_RETRY_AFTER_S, settings.retryAfterS)
     }
 
     private companion object {
-        const val EXACTLY = "exactly "
+        const val EXACT_PREFIX = "exactly "
     }
 }
--- a/src/test/kotlin/ledgearch/config/PlatformSettingsTest.kt
+++ b/src/test/kotlin/ledgearch/config/PlatformSettingsTest.kt
@@ -14,40 +14,40 @@
 import java.nio.file.Path
 import kotlin.io.path.writeText
 
-/** The platform's file with one value changed, or wholly another: see `platform-settings.txt`. */
+/** Loads the platform's file with one value changed, or another file: see `platform-settings.txt`. */
 internal class PlatformSettingsTest {
     @TempDir
     lateinit var folder: Path
 
     @TestFactory
-    fun `files are accepted, warned about or refused with a reason`(): List<DynamicTest> =
+    fun `files are accepted, accepted with a warning, or rejected with a reason`(): List<DynamicTest> =
         testCases("platform-settings.txt").map { line ->
-            val (wanted, path, value) = line.split(" | ", limit = 3)
+            val (expected, path, value) = line.split(" | ", limit = 3)
             DynamicTest.dynamicTest(line) {
                 val file =
                     folder.resolve("platform.json").apply {
-                        writeText(if (path == WHOLE) value else changedFile(path, value))
+                        writeText(if (path == WHOLE_FILE) value else changedBaseFile(path, value))
                     }
-                val words = wanted.substringAfter(' ', "")
-                if (wanted.startsWith("error") || wanted.startsWith("exactly")) {
+                val expectedText = expected.substringAfter(' ', "")
+                if (expected.startsWith("error") || expected.startsWith("exactly")) {
                     val message =
                         assertThrows(
                             SettingsException::class.java,
                         ) { SettingsLoader.load(file) }.message.orEmpty()
-                    assertTrue(words in message, message)
+                    assertTrue(expectedText in message, message)
                     assertEquals(1, message.lines().size, "one line")
-                    if (wanted.startsWith("exactly")) assertEquals("$file: $words", message)
+                    if (expected.startsWith("exactly")) assertEquals("$file: $expectedText", message)
                 } else {
                     val settings = SettingsLoader.load(file)
                     val warnings = SettingsLoader.warnings(settings)
-                    assertEquals(if (wanted == "fine") 0 else 1, warnings.size, warnings.toString())
-                    assertTrue(warnings.all { words in it }, warnings.toString())
+                    assertEquals(if (expected == "fine") 0 else 1, warnings.size, warnings.toString())
+                    assertTrue(warnings.all { expectedText in it }, warnings.toString())
                     assertTrue(settings.node in SettingsLoader.print(settings))
                 }
             }
         }
 
-    private fun changedFile(
+    private fun changedBaseFile(
         path: String,
         value: String,
     ): String = changed(path.split('.'), Json.parseToJsonElement(value)).toString()
@@ -55,10 +55,10 @@
     private fun changed(
         path: List<String>,
         value: JsonElement,
-        of: JsonObject = BASE,
+        original: JsonObject = BASE_FILE,
     ): JsonObject =
         JsonObject(
-            of + (
+            original + (
                 path[0] to
                     if (path.size == 1) {
                         value
@@ -66,17 +66,17 @@
                         changed(
                             path.drop(1),
                             value,
-                            of.getValue(path[0]).jsonObject,
+                            original.getValue(path[0]).jsonObject,
                         )
                     }
             ),
         )
 
     private companion object {
-        /** In place of a path: the value is the whole file. */
-        const val WHOLE = "-"
+        /** Stands in place of a path if the value is the whole file. */
+        const val WHOLE_FILE = "-"
 
-        val BASE =
+        val BASE_FILE =
             Json
                 .parseToJsonElement(
                     """{"node":"stall-0","area":"a","listen":"10.0.0.1:8080","mesh_addr":"10.0.0.1:8081",
--- a/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
@@ -94,7 +94,7 @@
     private fun operator() =
         OperatorSettings(
             spot = options["spot"] != "no",
-            maxMachines = options["max-machines"]?.toInt() ?: ConfigTuning.MAX_MACHINES,
+            maxMachines = options["max-machines"]?.toInt() ?: ConfigTuning.DEFAULT_MAX_MACHINES,
             zoneRecovery = zoneRecovery(),
         )
 
