--- a/src/main/kotlin/ledgearch/agents/AgentTuning.kt
+++ b/src/main/kotlin/ledgearch/agents/AgentTuning.kt
@@ -36,7 +36,8 @@
 
     /**
      * Share of reporting machines below which the leader is assumed to be isolated, or a zone to be partitioned. It is
-     * low because a partitioned zone can hold half of the machines, which no other leader would hear either.
+     * low because a partitioned zone can hold half of the machines, whose heartbeats would not reach another leader
+     * either.
      */
     const val MIN_REPORTING_SHARE = 0.1
 
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -28,8 +28,8 @@
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.agents")
     private val heartbeatIntervalMs = (times.reportS * MS_PER_SECOND).toLong()
-    private val dueMs = (heartbeatIntervalMs * AgentTuning.DUE_HEARTBEAT_INTERVALS).toLong()
-    private val lostMs = (heartbeatIntervalMs * AgentTuning.LOST_HEARTBEAT_INTERVALS).toLong()
+    private val maxHeartbeatIntervalMs = (heartbeatIntervalMs * AgentTuning.DUE_HEARTBEAT_INTERVALS).toLong()
+    private val lossDetectionMs = (heartbeatIntervalMs * AgentTuning.LOST_HEARTBEAT_INTERVALS).toLong()
     private val leases =
         LeaseExpiry((times.leaseS * MS_PER_SECOND).toLong(), election, clock, leaseListener)
     private val timeouts = HeartbeatTimeouts(heartbeatIntervalMs, election, lagMonitor, zones)
@@ -100,7 +100,7 @@
         !machine.isReleasing &&
             !zones.shouldKeep(machine) &&
             machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE &&
-            lagMonitor.responsiveMsSince(machine.unreachableSinceMs) > lostMs
+            lagMonitor.responsiveMsSince(machine.unreachableSinceMs) > lossDetectionMs
 
     private fun checkOverdue() {
         val active = machines.values.filter { !it.isReleasing }
@@ -134,7 +134,7 @@
         return true
     }
 
-    /** Returns whether the announced preemption time of [machine] is over and nothing was heard from it since. */
+    /** Returns whether the announced preemption time of [machine] is over and no message from it has arrived since. */
     private fun isPreemptionDue(machine: Machine) =
         machine.isConfirmed && machine.preemptionAtMs != 0L && machine.lastMessageAtMs < machine.preemptionAtMs &&
             clock.steadyMs > machine.preemptionAtMs + AgentTuning.PREEMPTION_MARGIN_MS
@@ -178,14 +178,14 @@
             machine.consecutiveFailedProbes >= AgentTuning.FAILED_PROBES_FOR_RELEASE
 
     /**
-     * Returns whether most machines, and one in the zone of [machine], were heard since its heartbeat was due. The
-     * fault is then neither this node nor a partitioned zone, and waiting for more heartbeats gains nothing.
+     * Returns whether most machines, and one in the zone of [machine], have sent messages since its heartbeat was due.
+     * The fault is then neither this node nor a partitioned zone, and waiting for more heartbeats gains nothing.
      */
     private fun isIsolatedFailure(
         machine: Machine,
         contacts: LastContacts,
     ): Boolean {
-        val dueAtMs = machine.lastMessageAtMs + dueMs
+        val dueAtMs = machine.lastMessageAtMs + maxHeartbeatIntervalMs
         return contacts.times.countAfter(dueAtMs) > contacts.times.size * RecoveryTuning.MAJORITY_SHARE &&
             contacts.hasAnyAfter(dueAtMs, machine.zone)
     }
--- a/src/main/kotlin/ledgearch/autoscaling/Supply.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Supply.kt
@@ -5,7 +5,7 @@
 import ledgearch.model.ZoneSpread
 import ledgearch.wire.MachineType
 
-/** Upcoming capacity: a machine that boots or is planned, or the [free] resources of one that is held back. */
+/** Upcoming capacity: a machine that boots or is planned, or the [free] resources of one that is not readmitted yet. */
 internal class Supply(
     private val machineType: MachineType,
     private val zone: String,
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -66,7 +66,7 @@
     private val recordWriter =
         RecordWriter(storeClient, election, jobStore, clock, settings.deployment.state.safeValueBytes)
 
-    /** Tracks when this node was behind with its own work. */
+    /** Measures the lag of this node's event loop. */
     val lagMonitor = EventLoopLagMonitor(clock, metrics)
 
     /** Provisions and releases machines on the leader; reads the machine catalog on every node. */
--- a/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
+++ b/src/main/kotlin/ledgearch/control/HeartbeatHandler.kt
@@ -107,8 +107,8 @@
 
     /**
      * Releases [machine], whose agent has restarted without its state. The agent's sequence numbers start again, so its
-     * new messages can't be told from late duplicates of old ones. The tasks that ran there are pending again once the
-     * machine is gone.
+     * new messages can't be distinguished from late duplicates of old ones. The tasks that ran there are pending again
+     * once the machine is gone.
      */
     fun handleStateLoss(machine: Machine) {
         if (machine.isReleasing) return
--- a/src/main/kotlin/ledgearch/election/Election.kt
+++ b/src/main/kotlin/ledgearch/election/Election.kt
@@ -62,7 +62,7 @@
 
     /**
      * Called when the leadership record in the job store has changed. A leader stops at a newer record, even during a
-     * renewal, before it sees anything accepted under that record, which is for the next leader to start.
+     * renewal, before it applies any job accepted under that record: the next leader starts those.
      */
     fun onLeadershipChanged() {
         check.compareWithJobStore()
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -73,7 +73,7 @@
      */
     var unacknowledgedStartToken = 0L
 
-    /** Whether the agent may forget the attempt without a loss. */
+    /** Whether the agent may remove the attempt from its list without loss of information. */
     val isClearable: Boolean get() =
         isExited &&
             (!isFinished || job == null || job.isClosed || job.recordedTasks.get(index))
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -179,7 +179,7 @@
         return group != StartRateLimiter.FIRST_GROUP && displacedTasks.isWaiting(job) && !hasWaitedLong(job)
     }
 
-    /** Returns whether [job] may use machines that are held back: the limits on waits and zones precede the ramp. */
+    /** Returns whether [job] may use machines that are not readmitted yet, since it waits long or needs their zone. */
     private fun mayRunBeforeReadmission(job: Job) = hasWaitedLong(job) || needsReturningZone(job)
 
     private fun hasWaitedLong(job: Job) = waitedMs(job) > RecoveryTuning.LONG_WAIT_MS
--- a/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneTracker.kt
@@ -6,8 +6,8 @@
 import kotlin.math.ceil
 
 /**
- * Tracks the state of each zone on the leader by the machines that report, and holds back machines beyond the admitted
- * share of their zone.
+ * Tracks the state of each zone on the leader by the machines that report, and readmits the machines of returning zones
+ * step by step.
  */
 internal class ZoneTracker(
     private val clock: Clock,
@@ -58,7 +58,7 @@
         zones[zone]?.onMachineFailed(clock.steadyMs)
     }
 
-    /** Updates all zones by the machines that report, and holds machines back accordingly. */
+    /** Updates all zones by the machines that report, and which of their machines are admitted to new tasks. */
     fun update(
         machinesByZone: Map<String, List<Machine>>,
         isPartitioned: (String) -> Boolean,
@@ -106,7 +106,7 @@
         log.info("zone state changed to {}: {}; zone={}", health.state.name.lowercase(), health.reason, health.zone)
     }
 
-    /** Holds back all but the first machines by name, so that the next leader admits the same ones. */
+    /** Admits the first machines by name, so that the next leader admits the same ones. */
     private fun updateReadmission(
         health: ZoneHealth,
         machines: List<Machine>,
--- a/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
@@ -37,7 +37,7 @@
      */
     const val PRIORITY_LEVEL_COST_CPU_S = 1e6
 
-    /** Processor seconds credited for each second of waiting and each processor that the job asks for. */
+    /** Processor seconds credited for each second of waiting and each processor that the job requests. */
     const val WAITING_CREDIT_RATE = 0.25
 
     /** Image fetch time on the slowest of the common machine types. */
