--- a/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
@@ -50,7 +50,8 @@
     // --- Displaced tasks ----------------------------------------------------------------------------------------
 
     /**
-     * Wait that ends these limits for a job: a third of the longest permitted wait while fitting resources are free.
+     * Wait after which a job may use machines that are held back and is not rate-limited: a third of the longest
+     * permitted wait while fitting resources are free.
      */
     const val LONG_WAIT_MS = 30_000L
 
