--- a/src/test/kotlin/ledgearch/simulation/faults/FaultInjection.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/FaultInjection.kt
@@ -100,17 +100,17 @@
 
     private fun executeWritesLate() {
         val faults = simulation.store.faults
-        during(seconds(5, 20), { faults.lateShare = 0.3 }, { faults.lateShare = 0.0 })
+        during(seconds(5, 20), { faults.lateExecutionShare = 0.3 }, { faults.lateExecutionShare = 0.0 })
     }
 
     private fun loseAnswersToWrites() {
         val faults = simulation.store.faults
-        during(seconds(5, 20), { faults.unansweredShare = 0.5 }, { faults.unansweredShare = 0.0 })
+        during(seconds(5, 20), { faults.lostReplyShare = 0.5 }, { faults.lostReplyShare = 0.0 })
     }
 
     private fun slowWrites() {
         val faults = simulation.store.faults
-        during(seconds(5, 20), { faults.slowMs = seconds(1, 4) }, { faults.slowMs = 0 })
+        during(seconds(5, 20), { faults.writeReplyDelayMs = seconds(1, 4) }, { faults.writeReplyDelayMs = 0 })
     }
 
     private fun cutOffFromControllers() =
--- a/src/test/kotlin/ledgearch/simulation/faults/ProductionFaults.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/ProductionFaults.kt
@@ -57,7 +57,7 @@
 
     private fun compactHistory() {
         simulation.store.compact()
-        simulation.store.faults.loseWatchAnswers(
+        simulation.store.faults.loseWatchReplies(
             simulation.nodes[random.nextInt(simulation.nodes.size)].name,
             clock.now + seconds(2, 10),
         )
@@ -112,9 +112,9 @@
         }
 
     private fun endWithLateTransactions() {
-        simulation.store.faults.lateShare = 0.5
+        simulation.store.faults.lateExecutionShare = 0.5
         clock.after(random.nextLong(CLOSE_MS)) { restart(leader(), random.nextLong(900)) }
-        clock.after(seconds(5, 15)) { simulation.store.faults.lateShare = 0.0 }
+        clock.after(seconds(5, 15)) { simulation.store.faults.lateExecutionShare = 0.0 }
     }
 
     private fun cancelAtEnds() {
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StoreExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StoreExpectations.kt
@@ -35,13 +35,13 @@
 
     /** `too-large COUNT`: checks the number of transactions refused because of their size. */
     private fun tooLarge() {
-        val count = store.rateLimits.tooLarge
+        val count = store.rateLimits.tooLargeCount
         compare("too large ${words[2]}", count, count == words[2].toInt())
     }
 
     /** `too-many COUNT`: checks that at most COUNT requests were refused because of the rate limits. */
     private fun tooMany() {
-        val count = store.rateLimits.tooMany
+        val count = store.rateLimits.tooManyCount
         compare("too many at most ${words[2]}", count, count <= words[2].toInt())
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StoreSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StoreSteps.kt
@@ -13,9 +13,9 @@
             "write" to ::write,
             "refuse-node" to ::refuseNode,
             "late-writes" to ::delayWrites,
-            "unanswered-writes" to ::loseAnswersToWrites,
+            "unanswered-writes" to ::loseRepliesToWrites,
             "late-writes-under" to ::delayWritesUnder,
-            "lose-watch-answers" to ::loseWatchAnswers,
+            "lose-watch-answers" to ::loseWatchReplies,
             "empty-pages" to { step -> store.faults.emptyPageShare = step.words[1].toDouble() },
             "compact-history" to { store.compact() },
             "state-down" to { store.beginOutage() },
@@ -38,14 +38,14 @@
 
     /** `late-writes SHARE until S`: executes that share of the writes 2 to 12 s late and loses the replies. */
     private fun delayWrites(step: Step) {
-        store.faults.lateShare = step.words[1].toDouble()
-        simulation.clock.at(step.milliseconds(3)) { store.faults.lateShare = 0.0 }
+        store.faults.lateExecutionShare = step.words[1].toDouble()
+        simulation.clock.at(step.milliseconds(3)) { store.faults.lateExecutionShare = 0.0 }
     }
 
     /** `unanswered-writes SHARE until S`: executes that share of the writes at once and loses the replies. */
-    private fun loseAnswersToWrites(step: Step) {
-        store.faults.unansweredShare = step.words[1].toDouble()
-        simulation.clock.at(step.milliseconds(3)) { store.faults.unansweredShare = 0.0 }
+    private fun loseRepliesToWrites(step: Step) {
+        store.faults.lostReplyShare = step.words[1].toDouble()
+        simulation.clock.at(step.milliseconds(3)) { store.faults.lostReplyShare = 0.0 }
     }
 
     /** `late-writes-under PREFIX by S until S`: executes writes to such keys late and loses the replies. */
@@ -54,18 +54,18 @@
     }
 
     /** `lose-watch-answers NODE until S`: loses the replies to this controller's watches. */
-    private fun loseWatchAnswers(step: Step) {
-        store.faults.loseWatchAnswers(nodeName(step.words[1]), step.milliseconds(3))
+    private fun loseWatchReplies(step: Step) {
+        store.faults.loseWatchReplies(nodeName(step.words[1]), step.milliseconds(3))
     }
 
     /** `slow-writes MS`: executes transactions that write at once and delays the replies. */
     private fun slowWrites(step: Step) {
-        store.faults.slowMs = step.words[1].toLong()
+        store.faults.writeReplyDelayMs = step.words[1].toLong()
     }
 
     /** `slow-comparisons MS`: delays the replies to transactions that only compare. */
     private fun slowComparisons(step: Step) {
-        store.faults.slowCompareMs = step.words[1].toLong()
+        store.faults.comparisonReplyDelayMs = step.words[1].toLong()
     }
 
     /** `announce-limits LIMITS`: announces the limits in the settings of controllers that start from now on. */
--- a/src/test/kotlin/ledgearch/simulation/store/FakeStore.kt
+++ b/src/test/kotlin/ledgearch/simulation/store/FakeStore.kt
@@ -16,20 +16,20 @@
 import ledgearch.wire.WireJson
 import kotlin.random.Random
 
-/** A fake of the state service, by its published protocol. */
+/** Fake of the state service by its published protocol. */
 internal class FakeStore(
     private val clock: SimulatedClock,
     random: Random,
     limits: StateLimits,
 ) {
     private val keys = StoreKeys()
-    private val leases = StoreLeases(clock, { isDown }, ::removeKeysOf)
+    private val leases = StoreLeases(clock, { isDown }, ::removeKeysOfLeases)
     val rateLimits = StoreRateLimits(clock, limits)
     val faults = StoreFaults(clock, random)
     private val watches = StoreWatches(clock, keys, faults)
     val isDown: Boolean get() = faults.isDown
 
-    /** Called after a transaction that changed such keys. */
+    /** Called after a transaction with the keys that it changed. */
     var onChanged: (keys: List<String>) -> Unit = {}
 
     fun beginOutage() {
@@ -41,13 +41,13 @@
         leases.renewAll()
     }
 
-    /** See [StoreFaults.refuse]; once that is over, the node's watches are answered again. */
+    /** Refuses the requests of [node], see [StoreFaults.refuse]. Its watches get replies again when that ends. */
     fun refuse(
         node: String,
-        until: Long,
+        untilMs: Long,
     ) {
-        faults.refuse(node, until)
-        clock.at(until + 1) { watches.wake() }
+        faults.refuse(node, untilMs)
+        clock.at(untilMs + 1) { watches.replyWithChanges() }
     }
 
     fun handle(
@@ -55,21 +55,21 @@
         method: String,
         target: String,
         body: String?,
-        answer: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     ) {
-        if (isDown || faults.isRefused(from)) return answer(Reply(503, ""))
+        if (isDown || faults.isRefused(from)) return onReply(Reply(503, ""))
         leases.expire()
         val path = target.substringBefore('?')
         val transaction = if (path == TXN) WireJson.decodeFromString(Transaction.serializer(), body.orEmpty()) else null
-        val refusal = rateLimits.refusal(transaction, body.orEmpty())
+        val refusal = rateLimits.refusalOf(transaction, body.orEmpty())
         when {
-            refusal != null -> answer(refusal)
-            transaction != null -> transact(transaction, answer)
-            path == LEASES || path.startsWith("$LEASES/") -> answer(leaseReply(path, body.orEmpty()))
-            path == CHANGES -> watches.watch(from, queryOf(target), answer)
-            path == KEYS -> answer(page(queryOf(target)))
-            method == "GET" && path.startsWith("$KEYS/") -> answer(get(path.removePrefix("$KEYS/")))
-            else -> answer(Reply(400, "{}"))
+            refusal != null -> onReply(refusal)
+            transaction != null -> transact(transaction, onReply)
+            path == LEASES || path.startsWith("$LEASES/") -> onReply(leaseReply(path, body.orEmpty()))
+            path == CHANGES -> watches.watch(from, queryOf(target), onReply)
+            path == KEYS -> onReply(page(queryOf(target)))
+            method == "GET" && path.startsWith("$KEYS/") -> onReply(get(path.removePrefix("$KEYS/")))
+            else -> onReply(Reply(400, "{}"))
         }
     }
 
@@ -89,45 +89,51 @@
             .filter { it.isNotEmpty() }
             .associate { it.substringBefore('=') to it.substringAfter('=') }
 
-    /** Executes [transaction], at once or late, and answers at once, late or never. */
+    /** Executes [transaction] at once or late, and replies at once, late or never. */
     private fun transact(
         transaction: Transaction,
-        answer: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     ) {
-        if (transaction.changes.isEmpty()) return answerAfter(faults.slowCompareMs, execute(transaction), answer)
-        val delayMs = faults.executionDelayMs(transaction)
+        if (transaction.changes.isEmpty()) {
+            return replyAfter(
+                faults.comparisonReplyDelayMs,
+                execute(transaction),
+                onReply,
+            )
+        }
+        val delayMs = faults.drawExecutionDelayMs(transaction)
         when {
             delayMs != null -> executeLater(transaction, delayMs)
-            faults.losesAnswer() -> execute(transaction)
-            else -> answerAfter(faults.slowMs, execute(transaction), answer)
+            faults.drawLostReply() -> execute(transaction)
+            else -> replyAfter(faults.writeReplyDelayMs, execute(transaction), onReply)
         }
     }
 
-    private fun answerAfter(
-        ms: Long,
+    private fun replyAfter(
+        delayMs: Long,
         reply: Reply,
-        answer: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     ) {
-        if (ms == 0L) answer(reply) else clock.after(ms) { answer(reply) }
+        if (delayMs == 0L) onReply(reply) else clock.after(delayMs) { onReply(reply) }
     }
 
     private fun executeLater(
         transaction: Transaction,
-        ms: Long,
+        delayMs: Long,
     ) {
-        clock.after(ms) {
-            // In an outage nothing is executed; what was under way is once it is over.
-            if (isDown) executeLater(transaction, ms) else execute(transaction)
+        clock.after(delayMs) {
+            // Nothing is executed during an outage; a pending transaction is executed after it.
+            if (isDown) executeLater(transaction, delayMs) else execute(transaction)
         }
     }
 
     private fun execute(transaction: Transaction): Reply {
-        val failed = transaction.conditions.filter { keys.modRevision(it.key) != it.modRevision }.map { it.key }
+        val failedKeys = transaction.conditions.filter { keys.modRevision(it.key) != it.modRevision }.map { it.key }
         if (transaction.changes.any { change -> change.leaseId?.let { it !in leases } == true }) {
             return Reply(400, """{"error":"no such lease"}""")
         }
-        if (failed.isNotEmpty()) {
-            return reply(409, TransactionReply.serializer(), TransactionReply(keys.revision, failed))
+        if (failedKeys.isNotEmpty()) {
+            return reply(409, TransactionReply.serializer(), TransactionReply(keys.revision, failedKeys))
         }
         if (transaction.changes.isNotEmpty()) apply(transaction)
         return reply(200, TransactionReply.serializer(), TransactionReply(keys.revision))
@@ -145,7 +151,7 @@
             }
         }
         onChanged(transaction.changes.map { it.put ?: it.remove.orEmpty() })
-        watches.wake()
+        watches.replyWithChanges()
     }
 
     private fun get(key: String): Reply {
@@ -155,18 +161,18 @@
 
     private fun page(query: Map<String, String>): Reply {
         val since = query["since"]
-        val limit = query["limit"]?.toInt() ?: PAGE_SIZE
-        val all = keys.under(query.getValue("under")).filter { since == null || it > since }
-        if (all.isNotEmpty() && faults.emptiesPage()) return pageReply(emptyList(), more = true)
+        val limit = query["limit"]?.toInt() ?: DEFAULT_PAGE_SIZE
+        val all = keys.withPrefix(query.getValue("under")).filter { since == null || it > since }
+        if (all.isNotEmpty() && faults.drawEmptyPage()) return pageReply(emptyList(), hasMore = true)
         return pageReply(all.take(limit), all.size > limit)
     }
 
     private fun pageReply(
         listed: List<String>,
-        more: Boolean,
+        hasMore: Boolean,
     ): Reply {
         val entries = listed.map { KeyValue(it, checkNotNull(value(it)), modRevision(it)) }
-        return reply(200, KeyPage.serializer(), KeyPage(entries, more, keys.revision))
+        return reply(200, KeyPage.serializer(), KeyPage(entries, hasMore, keys.revision))
     }
 
     private fun <T> reply(
@@ -175,32 +181,34 @@
         content: T,
     ) = Reply(status, WireJson.encodeToString(serializer, content))
 
-    private fun removeKeysOf(leaseIds: Set<Long>) {
-        val ended = keys.ofLeases(leaseIds)
-        if (ended.isEmpty()) return
+    private fun removeKeysOfLeases(leaseIds: Set<Long>) {
+        val keysOfLeases = keys.ofLeases(leaseIds)
+        if (keysOfLeases.isEmpty()) return
         keys.nextRevision()
-        ended.forEach(keys::remove)
-        watches.wake()
+        keysOfLeases.forEach(keys::remove)
+        watches.replyWithChanges()
     }
 
-    // --- For scenarios and checks ---------------------------------------------------------------------------------
+    // --- Access for scenarios and invariants ------------------------------------------------------------------------
 
-    /** A key as something else wrote it. */
+    /** Writes a key as another client would. */
     fun write(
         key: String,
         json: String,
     ) {
         keys.nextRevision()
         keys.put(key, WireJson.parseToJsonElement(json), null)
-        watches.wake()
+        watches.replyWithChanges()
     }
 
-    /** Watches that are behind the present revision are refused: they have to list their keys anew. */
+    /**
+     * Compacts the history. Watches behind the current revision are refused, so that their clients list the keys again.
+     */
     fun compact() = keys.compact()
 
-    fun keysUnder(prefix: String): List<String> = keys.under(prefix)
+    fun keysUnder(prefix: String): List<String> = keys.withPrefix(prefix)
 
-    /** A field of a stored value. */
+    /** Returns a field of a stored value, or null. */
     fun field(
         key: String,
         name: String,
@@ -220,7 +228,6 @@
         private const val CHANGES = "/changes"
         private const val KEYS = "/keys"
 
-        /** Keys on a page, unless the request names another limit. */
-        private const val PAGE_SIZE = 1000
+        private const val DEFAULT_PAGE_SIZE = 1000
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/store/StoreFaults.kt
+++ b/src/test/kotlin/ledgearch/simulation/store/StoreFaults.kt
@@ -4,85 +4,100 @@
 import ledgearch.wire.Transaction
 import kotlin.random.Random
 
-/** What goes wrong at the [FakeStore]: outages, refusals, late or lost answers, and late execution. */
+/** Faults of the [FakeStore]: outages, refusals, late or lost replies, and late execution. */
 internal class StoreFaults(
     private val clock: SimulatedClock,
     private val random: Random,
 ) {
     var isDown = false
 
-    /** ms. How late transactions that write are answered. */
-    var slowMs = 0L
+    /** Delay of the replies to transactions that write. */
+    var writeReplyDelayMs = 0L
 
-    /** ms. How late transactions that only compare are answered. */
-    var slowCompareMs = 0L
+    /** Delay of the replies to transactions that only compare. */
+    var comparisonReplyDelayMs = 0L
 
-    /** Share of the transactions that write which get no answer and are executed 2 to 12 s later. */
-    var lateShare = 0.0
+    /** Share of the writing transactions that are executed 2 to 12 s late and get no reply. */
+    var lateExecutionShare = 0.0
 
-    /** Share of the transactions that write which are executed at once and get no answer. */
-    var unansweredShare = 0.0
+    /** Share of the writing transactions that are executed at once and get no reply. */
+    var lostReplyShare = 0.0
 
-    /** Share of the pages of a listing that are empty though keys come after them. */
+    /** Share of the pages of a listing that are empty although more keys follow. */
     var emptyPageShare = 0.0
 
-    private var latePrefix = ""
-    private var lateMs = 0L
-    private var lateUntil = 0L
+    private var lateWritePrefix = ""
+    private var lateWriteDelayMs = 0L
+    private var lateWritesUntilMs = 0L
 
-    private val refusedUntil = HashMap<String, Long>()
-    private val watchAnswersLostUntil = HashMap<String, Long>()
+    private val refusedUntilMs = HashMap<String, Long>()
+    private val watchRepliesLostUntilMs = HashMap<String, Long>()
 
-    /** [node] alone gets 503 until then; its open watches wait, and its leases expire. */
+    /**
+     * Refuses the requests of [node] with 503 until [untilMs]. Its open watches get no reply, and its leases expire.
+     */
     fun refuse(
         node: String,
-        until: Long,
+        untilMs: Long,
     ) {
-        refusedUntil[node] = until
+        refusedUntilMs[node] = untilMs
     }
 
-    fun isRefused(node: String) = (refusedUntil[node] ?: 0) > clock.now
+    fun isRefused(node: String) = (refusedUntilMs[node] ?: 0) > clock.now
 
-    /** Transactions that change a key with this prefix get no answer until then, and are executed [ms] later. */
+    /** Executes transactions that change a key with [prefix] late by [delayMs] and without a reply, until [untilMs]. */
     fun delayWritesUnder(
         prefix: String,
-        ms: Long,
-        until: Long,
+        delayMs: Long,
+        untilMs: Long,
     ) {
-        latePrefix = prefix
-        lateMs = ms
-        lateUntil = until
+        lateWritePrefix = prefix
+        lateWriteDelayMs = delayMs
+        lateWritesUntilMs = untilMs
     }
 
-    /** Answers to this controller's watches are lost until then. */
-    fun loseWatchAnswers(
+    /** Loses the replies to the watches of [node] until [untilMs]. */
+    fun loseWatchReplies(
         node: String,
-        until: Long,
+        untilMs: Long,
     ) {
-        watchAnswersLostUntil[node] = until
+        watchRepliesLostUntilMs[node] = untilMs
     }
 
-    fun losesWatchAnswers(node: String) = (watchAnswersLostUntil[node] ?: 0) > clock.now
+    fun losesWatchReplies(node: String) = (watchRepliesLostUntilMs[node] ?: 0) > clock.now
 
-    /** ms. How late [transaction], which gets no answer, is executed; null: at once. Drawn for each transaction. */
-    fun executionDelayMs(transaction: Transaction): Long? =
+    /**
+     * Returns the delay of the execution of [transaction], which then gets no reply, or null to execute it at once.
+     * Draws once for each transaction if the share is set.
+     */
+    fun drawExecutionDelayMs(transaction: Transaction): Long? =
         when {
-            isUnderLatePrefix(transaction) -> lateMs
-            lateShare > 0 && random.nextDouble() < lateShare -> LATE_FROM_MS + random.nextLong(LATE_SPREAD_MS)
-            else -> null
+            hasLatePrefix(transaction) -> {
+                lateWriteDelayMs
+            }
+
+            lateExecutionShare > 0 && random.nextDouble() < lateExecutionShare -> {
+                MIN_EXECUTION_DELAY_MS +
+                    random.nextLong(EXECUTION_DELAY_SPREAD_MS)
+            }
+
+            else -> {
+                null
+            }
         }
 
-    private fun isUnderLatePrefix(transaction: Transaction) =
-        clock.now < lateUntil && transaction.changes.any { (it.put ?: it.remove.orEmpty()).startsWith(latePrefix) }
+    private fun hasLatePrefix(transaction: Transaction) =
+        clock.now < lateWritesUntilMs &&
+            transaction.changes.any { (it.put ?: it.remove.orEmpty()).startsWith(lateWritePrefix) }
 
-    /** Whether the answer to a transaction that writes is lost. Drawn for each transaction. */
-    fun losesAnswer() = unansweredShare > 0 && random.nextDouble() < unansweredShare
+    /** Returns whether the reply to a writing transaction is lost. Draws once for each if the share is set. */
+    fun drawLostReply() = lostReplyShare > 0 && random.nextDouble() < lostReplyShare
 
-    /** Whether a page of a listing is empty. Drawn for each page. */
-    fun emptiesPage() = emptyPageShare > 0 && random.nextDouble() < emptyPageShare
+    /** Returns whether a page of a listing is empty. Draws once for each page if the share is set. */
+    fun drawEmptyPage() = emptyPageShare > 0 && random.nextDouble() < emptyPageShare
 
     private companion object {
-        const val LATE_FROM_MS = 2_000L
-        const val LATE_SPREAD_MS = 10_000L
+        const val MIN_EXECUTION_DELAY_MS = 2_000L
+        const val EXECUTION_DELAY_SPREAD_MS = 10_000L
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/store/StoreKeys.kt
+++ b/src/test/kotlin/ledgearch/simulation/store/StoreKeys.kt
@@ -3,14 +3,14 @@
 import kotlinx.serialization.json.JsonElement
 import java.util.TreeMap
 
-/** A stored value with the revision of its last change, and the lease that it ends with, if any. */
+/** A stored value with the revision of its last change and the lease that removes it, if any. */
 internal class StoreEntry(
     val value: JsonElement,
     val modRevision: Long,
     val leaseId: Long?,
 )
 
-/** A key was written, or removed if there is no entry. */
+/** A change of a key: written, or removed if there is no entry. */
 internal class StoreChange(
     val revision: Long,
     val key: String,
@@ -21,30 +21,29 @@
 internal class StoreKeys {
     private val entries = TreeMap<String, StoreEntry>()
 
-    /** In the order of revisions. */
     private val history = ArrayList<StoreChange>()
     var revision = 0L
         private set
 
-    /** Changes up to this revision are no longer told to watches. */
+    /** The revision up to which changes have been compacted: watches cannot start before it. */
     var compactedRevision = 0L
         private set
 
     operator fun get(key: String): StoreEntry? = entries[key]
 
-    /** The revision of the last change of [key], or 0 without that key. */
+    /** Returns the revision of the last change of [key], or 0 if there is no such key. */
     fun modRevision(key: String): Long = entries[key]?.modRevision ?: 0
 
-    fun under(prefix: String): List<String> = entries.tailMap(prefix).keys.takeWhile { it.startsWith(prefix) }
+    fun withPrefix(prefix: String): List<String> = entries.tailMap(prefix).keys.takeWhile { it.startsWith(prefix) }
 
     fun ofLeases(leaseIds: Set<Long>): List<String> = entries.filterValues { it.leaseId in leaseIds }.keys.toList()
 
-    /** What is changed from now on has a revision of its own. */
+    /** Begins a new revision for the changes that follow. */
     fun nextRevision() {
         revision++
     }
 
-    /** Writes [value] under the present revision. */
+    /** Writes [value] at the current revision. */
     fun put(
         key: String,
         value: JsonElement,
@@ -55,7 +54,7 @@
         history.add(StoreChange(revision, key, entry))
     }
 
-    /** Removes [key], if it is there, under the present revision. */
+    /** Removes [key], if present, at the current revision. */
     fun remove(key: String) {
         if (entries.remove(key) != null) history.add(StoreChange(revision, key, null))
     }
@@ -67,7 +66,7 @@
         return history.subList(first, history.size)
     }
 
-    /** The changes so far are no longer told to watches. */
+    /** Discards the history up to the current revision. */
     fun compact() {
         compactedRevision = revision
         history.clear()
--- a/src/test/kotlin/ledgearch/simulation/store/StoreLeases.kt
+++ b/src/test/kotlin/ledgearch/simulation/store/StoreLeases.kt
@@ -5,16 +5,16 @@
 import ledgearch.wire.LeaseReply
 import ledgearch.wire.WireJson
 
-/** The leases of the [FakeStore]. While it is down none of them expires. */
+/** The leases of the [FakeStore]. None expires during an outage. */
 internal class StoreLeases(
     private val clock: SimulatedClock,
     private val isDown: () -> Boolean,
-    /** Leases have expired, and with them their keys. */
-    private val expired: (leaseIds: Set<Long>) -> Unit,
+    /** Called with the leases that have expired. */
+    private val onExpired: (leaseIds: Set<Long>) -> Unit,
 ) {
     private class Lease(
         val ttlMs: Long,
-        var endsAt: Long,
+        var expiresAtMs: Long,
     )
 
     private val leases = HashMap<Long, Lease>()
@@ -30,21 +30,21 @@
 
     fun renew(leaseId: Long): Reply {
         val lease = leases[leaseId] ?: return Reply(404, "{}")
-        lease.endsAt = clock.now + lease.ttlMs
+        lease.expiresAtMs = clock.now + lease.ttlMs
         clock.after(lease.ttlMs + 1) { expire() }
         return Reply(200, "{}")
     }
 
-    /** After an outage every lease has its whole time again. */
+    /** Renews all leases for their full duration, as the state service does after an outage. */
     fun renewAll() {
-        for (lease in leases.values) lease.endsAt = clock.now + lease.ttlMs
+        for (lease in leases.values) lease.expiresAtMs = clock.now + lease.ttlMs
     }
 
     fun expire() {
         if (isDown()) return
-        val ended = leases.filterValues { it.endsAt < clock.now }.keys.toSet()
-        if (ended.isEmpty()) return
-        leases.keys.removeAll(ended)
-        expired(ended)
+        val expired = leases.filterValues { it.expiresAtMs < clock.now }.keys.toSet()
+        if (expired.isEmpty()) return
+        leases.keys.removeAll(expired)
+        onExpired(expired)
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/store/StoreRateLimits.kt
+++ b/src/test/kotlin/ledgearch/simulation/store/StoreRateLimits.kt
@@ -6,51 +6,51 @@
 import ledgearch.simulation.SimulatedClock
 import ledgearch.wire.Transaction
 
-/** The published limits of the [FakeStore] on rates and sizes, and how often they refused a request. */
+/** The limits of the [FakeStore] on rates and sizes, with counts of the requests that they refused. */
 internal class StoreRateLimits(
     private val clock: SimulatedClock,
     private var limits: StateLimits,
 ) {
-    private val requests = TokenBucket(limits.rps)
-    private val writes = TokenBucket(limits.writeRps)
+    private val requestTokens = TokenBucket(limits.rps)
+    private val writeTokens = TokenBucket(limits.writeRps)
 
-    /** Transactions that were refused with 400 for their size. */
-    var tooLarge = 0
+    /** Number of transactions refused with 400 because of their size. */
+    var tooLargeCount = 0
         private set
 
-    /** Requests that were refused with 429. */
-    var tooMany = 0
+    /** Number of requests refused with 429. */
+    var tooManyCount = 0
         private set
 
-    /** From now on, without notice; what is stored stays readable. */
-    fun change(to: StateLimits) {
-        limits = to
-        requests.permitsPerSecond = to.rps
-        writes.permitsPerSecond = to.writeRps
+    /** Changes the limits without notice. Stored values remain readable. */
+    fun change(newLimits: StateLimits) {
+        limits = newLimits
+        requestTokens.permitsPerSecond = newLimits.rps
+        writeTokens.permitsPerSecond = newLimits.writeRps
     }
 
-    /** The answer to a request that the limits on rates or sizes refuse; otherwise none. */
-    fun refusal(
+    /** Returns the reply to a request that the limits refuse, or null if they allow it. */
+    fun refusalOf(
         transaction: Transaction?,
         body: String,
     ): Reply? {
-        if (!passes(transaction?.changes?.size ?: 0)) {
-            tooMany++
+        if (!tryAcquire(transaction?.changes?.size ?: 0)) {
+            tooManyCount++
             return Reply(429, "")
         }
         if (transaction != null && isTooLarge(transaction, body)) {
-            tooLarge++
+            tooLargeCount++
             return Reply(400, """{"error":"too large"}""")
         }
         return null
     }
 
-    private fun passes(changes: Int): Boolean {
-        requests.refill(clock.now)
-        writes.refill(clock.now)
-        if (!requests.hasPermits(1) || !writes.hasPermits(changes)) return false
-        requests.take(1)
-        writes.take(changes)
+    private fun tryAcquire(changes: Int): Boolean {
+        requestTokens.refill(clock.now)
+        writeTokens.refill(clock.now)
+        if (!requestTokens.hasPermits(1) || !writeTokens.hasPermits(changes)) return false
+        requestTokens.take(1)
+        writeTokens.take(changes)
         return true
     }
 
@@ -58,14 +58,14 @@
         transaction: Transaction,
         body: String,
     ) = transaction.changes.size > limits.txnOps ||
-        transaction.conditions.size > limits.txnOps * CONDITIONS_A_CHANGE ||
-        sizeOf(body) > TRANSACTION_BYTES ||
+        transaction.conditions.size > limits.txnOps * MAX_CONDITIONS_PER_CHANGE ||
+        sizeOf(body) > MAX_TRANSACTION_BYTES ||
         transaction.changes.any { sizeOf(it.value.toString()) > limits.valueKb * 1024 }
 
     private fun sizeOf(text: String) = text.encodeToByteArray().size
 
     private companion object {
-        const val TRANSACTION_BYTES = 64 * 1024
-        const val CONDITIONS_A_CHANGE = 4
+        const val MAX_TRANSACTION_BYTES = 64 * 1024
+        const val MAX_CONDITIONS_PER_CHANGE = 4
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/store/StoreWatches.kt
+++ b/src/test/kotlin/ledgearch/simulation/store/StoreWatches.kt
@@ -6,7 +6,7 @@
 import ledgearch.wire.WatchReply
 import ledgearch.wire.WireJson
 
-/** The open watches of the [FakeStore]: each is answered once, with changes or after its time. */
+/** The open watches of the [FakeStore]. Each gets one reply, with changes or when its time has passed. */
 internal class StoreWatches(
     private val clock: SimulatedClock,
     private val keys: StoreKeys,
@@ -16,7 +16,7 @@
         val node: String,
         val prefix: String,
         val since: Long,
-        val answer: (Reply) -> Unit,
+        val onReply: (Reply) -> Unit,
     ) {
         var isOpen = true
     }
@@ -26,39 +26,39 @@
     fun watch(
         node: String,
         query: Map<String, String>,
-        answer: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     ) {
         val since = query.getValue("since").toLong()
         val blockMs = query["blockMs"]?.toLong() ?: 0
-        if (since < keys.compactedRevision) return answer(Reply(410, "{}"))
-        val watch = Watch(node, query.getValue("under"), since, answer)
-        if (tryAnswer(watch)) return
+        if (since < keys.compactedRevision) return onReply(Reply(410, "{}"))
+        val watch = Watch(node, query.getValue("under"), since, onReply)
+        if (tryReply(watch)) return
         watches.add(watch)
         clock.after(blockMs) {
-            if (watch.isOpen && !faults.isDown && !faults.isRefused(watch.node)) finish(watch, emptyList())
+            if (watch.isOpen && !faults.isDown && !faults.isRefused(watch.node)) reply(watch, emptyList())
         }
     }
 
-    /** Answers the watches that wait for changes which are there now. */
-    fun wake() = watches.toList().forEach { tryAnswer(it) }
+    /** Replies to the watches for which there are changes. */
+    fun replyWithChanges() = watches.toList().forEach { tryReply(it) }
 
-    private fun tryAnswer(watch: Watch): Boolean {
+    private fun tryReply(watch: Watch): Boolean {
         if (faults.isRefused(watch.node)) return false
         val changes = keys.changesAfter(watch.since).filter { it.key.startsWith(watch.prefix) }
         if (changes.isEmpty()) return false
-        finish(watch, changes)
+        reply(watch, changes)
         return true
     }
 
-    private fun finish(
+    private fun reply(
         watch: Watch,
         changes: List<StoreChange>,
     ) {
         watch.isOpen = false
         watches.remove(watch)
-        if (faults.losesWatchAnswers(watch.node)) return
-        val reply = WatchReply(keys.revision, changes.map(::eventOf))
-        watch.answer(Reply(200, WireJson.encodeToString(WatchReply.serializer(), reply)))
+        if (faults.losesWatchReplies(watch.node)) return
+        val watchReply = WatchReply(keys.revision, changes.map(::eventOf))
+        watch.onReply(Reply(200, WireJson.encodeToString(WatchReply.serializer(), watchReply)))
     }
 
     private fun eventOf(change: StoreChange) =
