--- a/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
@@ -8,7 +8,7 @@
 import ledgearch.peers.StreamCodec
 import okio.ByteString
 
-/** The connections of a controller to the others. Frames of the decision stream are encoded and decoded. */
+/** The connections of a controller to the others. Frames of the replication stream are encoded and decoded. */
 internal class SimulatedMesh(
     private val simulation: Simulation,
     private val node: SimulatedNode,
@@ -46,13 +46,13 @@
 
     private fun connect(address: String) {
         if (!node.hasStandby) return
-        val connectionId = simulation.streams.newConnection(node, ::receive)
+        val connectionId = simulation.streams.openConnection(node, ::receive)
         connection = connectionId
-        simulation.clock.after(RECONNECT_DELAY_MS) { join(address, connectionId) }
+        simulation.clock.after(RECONNECT_DELAY_MS) { requestStream(address, connectionId) }
     }
 
     /** Joins the leader's stream, and retries until the leader is up and reachable. */
-    private fun join(
+    private fun requestStream(
         address: String,
         connectionId: Long,
     ) {
@@ -63,7 +63,7 @@
             peer.handle(OwnerCommand.HandleStandbyEvent(StandbyEvent.FollowerJoined(connectionId)))
             monitorConnection(address, connectionId, instance)
         } else {
-            simulation.clock.after(CHECK_INTERVAL_MS) { join(address, connectionId) }
+            simulation.clock.after(CHECK_INTERVAL_MS) { requestStream(address, connectionId) }
         }
     }
 
@@ -98,7 +98,7 @@
         try {
             node.handle(OwnerCommand.HandleStandbyEvent(StandbyEvent.FrameReceived(address, StreamCodec.decode(body))))
         } catch (_: MalformedFrameException) {
-            simulation.streams.malformedClosed++
+            simulation.streams.malformedFrameCount++
             reconnect()
         }
     }
--- a/src/test/kotlin/ledgearch/simulation/faults/ContestedRenewals.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/ContestedRenewals.kt
@@ -8,9 +8,9 @@
 import ledgearch.simulation.scenarios.ProductionWorkload
 
 /**
- * A leader renews its token over a slow link while another controller claims leadership, and users submit and cancel
- * jobs through the other controllers in those seconds. Each machine is reached by some controllers only, so that the
- * leaders choose different machines for the same job.
+ * Contests renewals of the leadership token: a leader renews over a slow link while another controller claims
+ * leadership, and users submit and cancel jobs through the other controllers. Each controller reaches only some of the
+ * machines, so that the leaders choose different machines for the same job.
  */
 internal class ContestedRenewals(
     private val simulation: Simulation,
@@ -19,72 +19,77 @@
     private val random get() = simulation.random
     private var lastNumber = FIRST_NUMBER
 
-    private fun leader() = simulation.nodes.firstOrNull { it.name == leader(simulation) } ?: simulation.nodes.first()
+    private fun leaderNode() =
+        simulation.nodes.firstOrNull { it.name == leader(simulation) } ?: simulation.nodes.first()
 
-    private fun between(
+    private fun randomBetweenMs(
         fromMs: Long,
         toMs: Long,
     ) = fromMs + random.nextLong(toMs - fromMs)
 
-    /** The leader is well but refuses connections of its peers. */
+    /** Makes the leader refuse connections of its peers, without any other fault. */
     fun refuseConnections() {
-        val leader = leader()
+        val leader = leaderNode()
         leader.refusesConnections = true
-        clock.after(between(REFUSED_FROM_MS, REFUSED_TO_MS)) { leader.refusesConnections = false }
+        clock.after(randomBetweenMs(MIN_REFUSAL_MS, MAX_REFUSAL_MS)) { leader.refusesConnections = false }
     }
 
-    /** Requests of the leader to the state service are late; answers and the watch are not. */
+    /** Delays the leader's requests to the state service, but not the replies and the watch. */
     fun slowRequestsToState() {
-        val until = clock.now + between(SLOW_FROM_MS, SLOW_TO_MS)
-        val delayMs = between(LATE_FROM_MS, LATE_TO_MS)
-        simulation.network.slowDown(leader().name, "state", until, delayMs, oneWay = true)
+        val untilMs = clock.now + randomBetweenMs(MIN_SLOW_MS, MAX_SLOW_MS)
+        val delayMs = randomBetweenMs(MIN_REQUEST_DELAY_MS, MAX_REQUEST_DELAY_MS)
+        simulation.network.slowDown(leaderNode().name, "state", untilMs, delayMs, oneWay = true)
     }
 
-    /** Direct commands to some machines are lost: the leader renews its token once they are overdue. */
+    /** Loses direct commands to some machines. The leader renews its token once they are overdue. */
     fun loseCommands() {
-        val until = clock.now + between(LOST_FROM_MS, LOST_TO_MS)
-        someMachines().forEach {
-            simulation.network.partition("nodes", it, until, hold = false, oneWay = true)
+        val untilMs = clock.now + randomBetweenMs(MIN_COMMAND_LOSS_MS, MAX_COMMAND_LOSS_MS)
+        randomMachines().forEach {
+            simulation.network.partition("nodes", it, untilMs, hold = false, oneWay = true)
         }
     }
 
-    /** Each controller is cut off from its own share of the machines. */
-    fun divideMachines() =
+    /** Partitions each controller from its own random part of the machines. */
+    fun partitionMachines() =
         simulation.nodes.forEach { node ->
-            val until = clock.now + between(DIVIDED_FROM_MS, DIVIDED_TO_MS)
-            someMachines().forEach { simulation.network.partition(node.name, it, until, hold = false) }
+            val untilMs = clock.now + randomBetweenMs(MIN_PARTITION_MS, MAX_PARTITION_MS)
+            randomMachines().forEach { simulation.network.partition(node.name, it, untilMs, hold = false) }
         }
 
-    /** Jobs of one task are submitted through the other controllers, and some are cancelled there. */
+    /** Submits jobs of one task through the other controllers, and cancels some of them there. */
     fun submitThroughOthers() {
-        val others = simulation.nodes.filter { it !== leader() }.map { it.name }
+        val others = simulation.nodes.filter { it !== leaderNode() }.map { it.name }
         var delayMs = 0L
-        while (delayMs < SUBMITTED_FOR_MS) {
+        while (delayMs < SUBMISSION_DURATION_MS) {
             val node = others[random.nextInt(others.size)]
             clock.after(delayMs) { submitThrough(node) }
-            delayMs += between(SUBMITTED_EVERY_FROM_MS, SUBMITTED_EVERY_TO_MS)
+            delayMs += randomBetweenMs(MIN_SUBMISSION_INTERVAL_MS, MAX_SUBMISSION_INTERVAL_MS)
         }
     }
 
-    /** All of these, timed so that the renewal and the claim are likely to meet. */
+    /** Injects all of these faults, timed so that the renewal and the claim are likely to overlap. */
     fun contest() {
         loseCommands()
         submitThroughOthers()
-        clock.after(between(LOST_TO_MS, OVERDUE_MS)) { divideMachines() }
-        clock.after(between(LOST_TO_MS, OVERDUE_MS)) { slowRequestsToState() }
-        clock.after(between(OVERDUE_MS - LOST_TO_MS, OVERDUE_MS + LOST_TO_MS)) { refuseConnections() }
+        clock.after(randomBetweenMs(MAX_COMMAND_LOSS_MS, COMMAND_OVERDUE_MS)) { partitionMachines() }
+        clock.after(randomBetweenMs(MAX_COMMAND_LOSS_MS, COMMAND_OVERDUE_MS)) { slowRequestsToState() }
+        clock.after(
+            randomBetweenMs(COMMAND_OVERDUE_MS - MAX_COMMAND_LOSS_MS, COMMAND_OVERDUE_MS + MAX_COMMAND_LOSS_MS),
+        ) {
+            refuseConnections()
+        }
     }
 
-    val all: List<() -> Unit> =
+    val faults: List<() -> Unit> =
         listOf(
             ::refuseConnections,
             ::slowRequestsToState,
-            ::divideMachines,
+            ::partitionMachines,
             ::submitThroughOthers,
             ::contest,
         )
 
-    private fun someMachines(): List<String> {
+    private fun randomMachines(): List<String> {
         val machines = simulation.workers.keys.shuffled(random)
         return machines.take(random.nextInt(machines.size / 2 + 1))
     }
@@ -94,39 +99,39 @@
         val team = if (random.nextBoolean()) "red" else "blue"
         val words = listOf(job, "team=$team", "tasks=1", "cpus=1", "run=20", "priority=prod")
         simulation.users.submit(jobSpecOf(words), node)
-        if (random.nextInt(CANCELLED_ONE_IN) == 0) cancelOnceAccepted(job, node)
+        if (random.nextInt(CANCEL_ONE_IN) == 0) cancelOnceAccepted(job, node)
     }
 
     private fun cancelOnceAccepted(
         job: String,
         node: String,
     ) = simulation.invariants.milestones.await(job, Milestones.Kind.ACCEPTED) {
-        clock.after(random.nextLong(CANCELLED_WITHIN_MS)) {
+        clock.after(random.nextLong(CANCEL_SPREAD_MS)) {
             simulation.users.cancel(job, node, Users.LONG_RETRY_FOR_MS)
         }
     }
 
     private companion object {
-        /** Higher than the numbers of the jobs of [ProductionWorkload]. */
+        /** Above the job numbers of [ProductionWorkload]. */
         const val FIRST_NUMBER = 1_000_000
 
-        const val REFUSED_FROM_MS = 500L
-        const val REFUSED_TO_MS = 2_000L
-        const val SLOW_FROM_MS = 3_000L
-        const val SLOW_TO_MS = 8_000L
-        const val LATE_FROM_MS = 200L
-        const val LATE_TO_MS = 900L
-        const val LOST_FROM_MS = 200L
-        const val LOST_TO_MS = 1_000L
-        const val DIVIDED_FROM_MS = 5_000L
-        const val DIVIDED_TO_MS = 30_000L
-        const val SUBMITTED_FOR_MS = 6_000L
-        const val SUBMITTED_EVERY_FROM_MS = 50L
-        const val SUBMITTED_EVERY_TO_MS = 400L
-        const val CANCELLED_ONE_IN = 3
-        const val CANCELLED_WITHIN_MS = 1_000L
-
-        /** ms. After so long a direct command that was lost leads to a new token, once its machine is reached again. */
-        const val OVERDUE_MS = 2_300L
+        const val MIN_REFUSAL_MS = 500L
+        const val MAX_REFUSAL_MS = 2_000L
+        const val MIN_SLOW_MS = 3_000L
+        const val MAX_SLOW_MS = 8_000L
+        const val MIN_REQUEST_DELAY_MS = 200L
+        const val MAX_REQUEST_DELAY_MS = 900L
+        const val MIN_COMMAND_LOSS_MS = 200L
+        const val MAX_COMMAND_LOSS_MS = 1_000L
+        const val MIN_PARTITION_MS = 5_000L
+        const val MAX_PARTITION_MS = 30_000L
+        const val SUBMISSION_DURATION_MS = 6_000L
+        const val MIN_SUBMISSION_INTERVAL_MS = 50L
+        const val MAX_SUBMISSION_INTERVAL_MS = 400L
+        const val CANCEL_ONE_IN = 3
+        const val CANCEL_SPREAD_MS = 1_000L
+
+        /** Time after which a lost direct command leads to a new token, once its machine is reachable again. */
+        const val COMMAND_OVERDUE_MS = 2_300L
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/faults/StreamFaults.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/StreamFaults.kt
@@ -6,36 +6,36 @@
 import okio.ByteString
 import okio.ByteString.Companion.toByteString
 
-/** Faults of decision streams, drawn for each frame while the fault lasts, and the connections of the streams. */
+/** Injects random faults into the frames of replication streams, and holds the connections of the streams. */
 internal class StreamFaults {
-    /** What happens to a frame. */
+    /** The kinds of faults of a frame. */
     enum class Kind {
         LOST,
         DUPLICATED,
 
-        /** It arrives after the next one. */
+        /** The frame arrives after the next one. */
         REORDERED,
 
-        /** It is cut short. */
+        /** The frame is truncated. */
         MALFORMED,
 
-        /** In its place comes the first frame that the follower was ever sent. */
+        /** The frame is replaced by the first frame ever sent to the follower. */
         OLD_TERM,
 
         /** The follower's queue is full, and its connection is closed. */
         FULL,
 
-        /** It is well formed, and its records are random. */
+        /** The frame is well formed, but its records are random. */
         CORRUPTED,
 
-        /** A defect of the stream: a record is left out, and nothing tells so. */
+        /** A planted defect: the last record is omitted without any sign of it. */
         PLANTED,
     }
 
     private class Fault(
         val kind: Kind,
         val share: Double,
-        val until: Long,
+        val untilMs: Long,
     )
 
     private class Connection(
@@ -45,40 +45,40 @@
 
     private val faults = ArrayList<Fault>()
     private val connections = HashMap<Long, Connection>()
-    private var lastConnection = 0L
+    private var lastConnectionId = 0L
     private val firstFrames = HashMap<String, ByteString>()
 
-    /** Connections closed because of a malformed frame. */
-    var malformedClosed = 0
+    /** Number of connections closed because of a malformed frame. */
+    var malformedFrameCount = 0
 
-    /** Faults injected so far. */
-    var injected = 0
+    /** Number of faults injected. */
+    var injectedCount = 0
         private set
 
-    /** Bytes sent so far. */
-    var bytes = 0L
+    /** Number of bytes sent. */
+    var sentBytes = 0L
         private set
 
-    /** Frames are corrupted, so replicas need not equal their leaders. */
-    val isCorrupted: Boolean get() = faults.any { it.kind == Kind.CORRUPTED }
+    /** Whether frames are corrupted, so that replicas need not equal the leader's state. */
+    val hasCorruptedFrames: Boolean get() = faults.any { it.kind == Kind.CORRUPTED }
 
     fun add(
         kind: Kind,
         share: Double,
-        until: Long,
+        untilMs: Long,
     ) {
-        faults.add(Fault(kind, share, until))
+        faults.add(Fault(kind, share, untilMs))
     }
 
-    fun newConnection(
+    fun openConnection(
         to: SimulatedNode,
         receive: (Long, ByteString) -> Unit,
     ): Long {
-        connections[++lastConnection] = Connection(to, receive)
-        return lastConnection
+        connections[++lastConnectionId] = Connection(to, receive)
+        return lastConnectionId
     }
 
-    /** False: the follower's queue is full, and its connection is closed. */
+    /** Sends a frame to a follower. Returns false if the follower's queue is full and its connection is closed. */
     fun send(
         simulation: Simulation,
         from: SimulatedNode,
@@ -86,26 +86,33 @@
         body: ByteString,
     ): Boolean {
         val connection = connections[follower] ?: return false
-        bytes += body.size
+        sentBytes += body.size
         val fault = drawFault(simulation)
-        val delayMs = if (fault == Kind.REORDERED) REORDERED_MS else 0L
-        for (frame in framesInPlaceOf(body, fault, connection, simulation)) {
+        val delayMs = if (fault == Kind.REORDERED) REORDER_DELAY_MS else 0L
+        for (frame in framesFor(body, fault, connection, simulation)) {
             simulation.clock.after(delayMs) {
                 simulation.network.deliver(from.name, connection.to.name) { connection.receive(follower, frame) }
             }
         }
-        if (fault == Kind.FULL) simulation.clock.after(FULL_MS) { connection.receive(follower, ByteString.EMPTY) }
+        if (fault ==
+            Kind.FULL
+        ) {
+            simulation.clock.after(CLOSE_DELAY_MS) { connection.receive(follower, ByteString.EMPTY) }
+        }
         firstFrames.putIfAbsent(connection.to.name, body)
         return fault != Kind.FULL
     }
 
     private fun drawFault(simulation: Simulation): Kind? {
-        val drawn = faults.firstOrNull { it.until > simulation.clock.now && simulation.random.nextDouble() < it.share }
-        if (drawn != null) injected++
-        return drawn?.kind
+        val fault =
+            faults.firstOrNull {
+                it.untilMs > simulation.clock.now && simulation.random.nextDouble() < it.share
+            }
+        if (fault != null) injectedCount++
+        return fault?.kind
     }
 
-    private fun framesInPlaceOf(
+    private fun framesFor(
         body: ByteString,
         fault: Kind?,
         connection: Connection,
@@ -115,8 +122,8 @@
             null, Kind.REORDERED -> listOf(body)
             Kind.LOST, Kind.FULL -> emptyList()
             Kind.DUPLICATED -> listOf(body, body)
-            Kind.MALFORMED -> listOf(cutShort(body))
-            Kind.CORRUPTED -> listOf(CorruptedStreams(simulation, simulation.random).of(body))
+            Kind.MALFORMED -> listOf(truncate(body))
+            Kind.CORRUPTED -> listOf(FrameCorrupter(simulation, simulation.random).corrupt(body))
             Kind.PLANTED -> listOf(withoutLastRecord(body))
             Kind.OLD_TERM -> listOf(firstFrames[connection.to.name] ?: body)
         }
@@ -126,13 +133,13 @@
         return StreamCodec.encode(frame.copy(records = frame.records.dropLast(1)))
     }
 
-    private fun cutShort(body: ByteString) = body.toByteArray().copyOf(body.size / 2).toByteString()
+    private fun truncate(body: ByteString) = body.toByteArray().copyOf(body.size / 2).toByteString()
 
     private companion object {
-        /** ms. Later than the frame after it. */
-        const val REORDERED_MS = 1_500L
+        /** Long enough to arrive after the next frame. */
+        const val REORDER_DELAY_MS = 1_500L
 
-        /** ms. After so long the follower sees that its connection was closed. */
-        const val FULL_MS = 200L
+        /** Time after which the follower detects that its connection was closed. */
+        const val CLOSE_DELAY_MS = 200L
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/invariants/ReplicaInvariant.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/ReplicaInvariant.kt
@@ -30,7 +30,7 @@
             leaderStates.putIfAbsent(Version(log.term, log.sequence), log.records)
         }
         val replica = standby.replica
-        if (!replica.isCurrent || simulation.streams.isCorrupted) return
+        if (!replica.isCurrent || simulation.streams.hasCorruptedFrames) return
         val expected = leaderStates[Version(replica.term, replica.sequence)] ?: return
         comparisonCount++
         if (replica.records != expected) {
--- a/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
@@ -9,7 +9,7 @@
 import ledgearch.control.ControlTuning
 import ledgearch.simulation.Simulation
 import ledgearch.simulation.SimulationOptions
-import ledgearch.simulation.faults.FaultInjection
+import ledgearch.simulation.faults.FaultInjector
 import ledgearch.simulation.invariants.Milestones
 
 /**
@@ -186,7 +186,7 @@
     ) {
         val withChains = "with-chains" in step.words
         val atProductionSize = "production" in step.words
-        FaultInjection(simulation, withChains, atProductionSize).draw(step.words[1].toInt(), step.milliseconds(3))
+        FaultInjector(simulation, withChains, atProductionSize).inject(step.words[1].toInt(), step.milliseconds(3))
     }
 
     private companion object {
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StandbyExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StandbyExpectations.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.simulation.Simulation
 
-/** Expectations on replicas and decision streams. */
+/** Expectations on replicas and replication streams. */
 internal class StandbyExpectations(
     simulation: Simulation,
     step: Step,
@@ -31,7 +31,7 @@
     }
 
     private fun streamFaults() {
-        val count = simulation.streams.injected
+        val count = simulation.streams.injectedCount
         compare("stream-faults ${words[2]}", count, count >= words[2].toInt())
     }
 
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StandbySteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StandbySteps.kt
@@ -3,7 +3,7 @@
 import ledgearch.simulation.Simulation
 import ledgearch.simulation.faults.StreamFaults
 
-/** Steps that inject faults into the decision streams between controllers. */
+/** Steps that inject faults into the replication streams between controllers. */
 internal class StandbySteps(
     simulation: Simulation,
 ) : StepFamily(simulation) {
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StoreSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StoreSteps.kt
@@ -38,8 +38,8 @@
 
     /** `late-writes SHARE until S`: executes that share of the writes 2 to 12 s late and loses the replies. */
     private fun delayWrites(step: Step) {
-        store.faults.lateExecutionShare = step.words[1].toDouble()
-        simulation.clock.at(step.milliseconds(3)) { store.faults.lateExecutionShare = 0.0 }
+        store.faults.lateWriteShare = step.words[1].toDouble()
+        simulation.clock.at(step.milliseconds(3)) { store.faults.lateWriteShare = 0.0 }
     }
 
     /** `unanswered-writes SHARE until S`: executes that share of the writes at once and loses the replies. */
--- a/src/test/kotlin/ledgearch/simulation/store/FakeStore.kt
+++ b/src/test/kotlin/ledgearch/simulation/store/FakeStore.kt
@@ -95,11 +95,7 @@
         onReply: (Reply) -> Unit,
     ) {
         if (transaction.changes.isEmpty()) {
-            return replyAfter(
-                faults.comparisonReplyDelayMs,
-                execute(transaction),
-                onReply,
-            )
+            return replyAfter(faults.comparisonReplyDelayMs, execute(transaction), onReply)
         }
         val delayMs = faults.drawExecutionDelayMs(transaction)
         when {
--- a/src/test/kotlin/ledgearch/simulation/store/StoreFaults.kt
+++ b/src/test/kotlin/ledgearch/simulation/store/StoreFaults.kt
@@ -18,7 +18,7 @@
     var comparisonReplyDelayMs = 0L
 
     /** Share of the writing transactions that are executed 2 to 12 s late and get no reply. */
-    var lateExecutionShare = 0.0
+    var lateWriteShare = 0.0
 
     /** Share of the writing transactions that are executed at once and get no reply. */
     var lostReplyShare = 0.0
@@ -72,18 +72,9 @@
      */
     fun drawExecutionDelayMs(transaction: Transaction): Long? =
         when {
-            hasLatePrefix(transaction) -> {
-                lateWriteDelayMs
-            }
-
-            lateExecutionShare > 0 && random.nextDouble() < lateExecutionShare -> {
-                MIN_EXECUTION_DELAY_MS +
-                    random.nextLong(EXECUTION_DELAY_SPREAD_MS)
-            }
-
-            else -> {
-                null
-            }
+            hasLatePrefix(transaction) -> lateWriteDelayMs
+            lateWriteShare > 0 && random.nextDouble() < lateWriteShare -> MIN_LATE_MS + random.nextLong(LATE_SPREAD_MS)
+            else -> null
         }
 
     private fun hasLatePrefix(transaction: Transaction) =
@@ -97,7 +88,7 @@
     fun drawEmptyPage() = emptyPageShare > 0 && random.nextDouble() < emptyPageShare
 
     private companion object {
-        const val MIN_EXECUTION_DELAY_MS = 2_000L
-        const val EXECUTION_DELAY_SPREAD_MS = 10_000L
+        const val MIN_LATE_MS = 2_000L
+        const val LATE_SPREAD_MS = 10_000L
     }
 }
--- a/src/test/kotlin/ledgearch/tools/FailoverRun.kt
+++ b/src/test/kotlin/ledgearch/tools/FailoverRun.kt
@@ -88,7 +88,7 @@
     private fun crashLeader() {
         val leader = simulation.nodes.first { it.name == leader(simulation) }
         val log = leader.standby?.streamLog
-        bytesASecond = simulation.streams.bytes * MS_PER_SECOND / CRASH_MS
+        bytesASecond = simulation.streams.sentBytes * MS_PER_SECOND / CRASH_MS
         if (log != null && log.sequence > 0) changesASecond = log.changes / log.sequence
         token = simulation.store.modRevision(FakeStore.LEADERSHIP_KEY)
         leader.crash()
