--- a/src/main/kotlin/ledgearch/standby/StreamFollower.kt
+++ b/src/main/kotlin/ledgearch/standby/StreamFollower.kt
@@ -20,7 +20,7 @@
     private var lastCurrentAtMs = Long.MIN_VALUE
 
     /** Replica of the state of the leader that this node follows, or followed last. */
-    val replica = Replica(StandbyTuning.REPLICA_BYTES)
+    val replica = Replica(StandbyTuning.MAX_REPLICA_BYTES)
 
     /** Number of replicas dropped because a frame could not be applied. */
     var replicasDropped = 0L
@@ -94,8 +94,8 @@
      * [ElectionTuning.MAX_REPLICA_LAG_DELAY_MS], which also applies without a whole snapshot.
      */
     fun replicaLagDelayMs(): Long {
-        val lag = lagMs ?: return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS
-        return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS * minOf(lag, StandbyTuning.LAG_OF_MAX_DELAY_MS) /
+        val currentLagMs = lagMs ?: return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS
+        return ElectionTuning.MAX_REPLICA_LAG_DELAY_MS * minOf(currentLagMs, StandbyTuning.LAG_OF_MAX_DELAY_MS) /
             StandbyTuning.LAG_OF_MAX_DELAY_MS
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/faults/FrameCorrupter.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/FrameCorrupter.kt
@@ -3,10 +3,10 @@
 import ledgearch.model.AttemptState
 import ledgearch.peers.AttemptSnapshot
 import ledgearch.peers.CachedImage
-import ledgearch.peers.ClassRunTime
+import ledgearch.peers.ClassMeanError
 import ledgearch.peers.MachineSnapshot
-import ledgearch.peers.RentedMachine
-import ledgearch.peers.ServiceTime
+import ledgearch.peers.ProvisionedMachine
+import ledgearch.peers.LastTaskStart
 import ledgearch.peers.StreamCodec
 import ledgearch.peers.StreamRecord
 import ledgearch.simulation.Simulation
@@ -32,20 +32,20 @@
                 listOf(
                     randomMachine(record.name),
                     randomMachine("host-" + random.nextInt()),
-                    randomRental(record.name),
+                    randomProvisionedMachine(record.name),
                 )
             }
 
-            is ClassRunTime -> {
-                listOf(ClassRunTime(record.jobClass, randomNumber(), randomNumber()))
+            is ClassMeanError -> {
+                listOf(ClassMeanError(record.jobClass, randomNumber(), randomNumber()))
             }
 
-            is ServiceTime -> {
-                listOf(ServiceTime(record.jobId, random.nextLong()))
+            is LastTaskStart -> {
+                listOf(LastTaskStart(record.jobId, random.nextLong()))
             }
 
-            is RentedMachine -> {
-                listOf(randomRental("host-" + random.nextInt()))
+            is ProvisionedMachine -> {
+                listOf(randomProvisionedMachine("host-" + random.nextInt()))
             }
         }
 
@@ -62,8 +62,8 @@
             ) { CachedImage("image-" + random.nextInt(MAX_COUNT), randomNumber(), random.nextBoolean()) },
         )
 
-    private fun randomRental(name: String) =
-        RentedMachine(
+    private fun randomProvisionedMachine(name: String) =
+        ProvisionedMachine(
             name,
             simulation.workers.values
                 .firstOrNull()
