--- a/src/main/kotlin/ledgearch/scheduling/Placer.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Placer.kt
@@ -35,7 +35,7 @@
         }
     private val reservations = StarvedJobReservations(clock)
 
-    /** Removes all tasks of [job], which is over, from the queues. */
+    /** Removes all tasks of [job], which has ended, from the queues. */
     fun removeFromQueues(job: Job) = queues.unbindAll(job)
 
     /**
@@ -67,7 +67,7 @@
         val running = jobs.filter { it.attempts.isNotEmpty() }
         val waiting = serveByPriority(startable, usable, running)
         if (waiting.isEmpty()) return
-        val admitting = if (recovery.isActive) usable.filter { !it.isHeldBack } else usable
+        val admitting = if (recovery.isActive) usable.filter { !it.isReadmissionPending } else usable
         metrics.measure("preemption") {
             preemption.runPass(waiting, admitting, running, estimates.freedCpusPerSecond(jobs))
         }
