--- a/src/test/kotlin/ledgearch/simulation/faults/FrameCorrupter.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/FrameCorrupter.kt
@@ -4,9 +4,9 @@
 import ledgearch.peers.AttemptSnapshot
 import ledgearch.peers.CachedImage
 import ledgearch.peers.ClassMeanError
+import ledgearch.peers.LastTaskStart
 import ledgearch.peers.MachineSnapshot
 import ledgearch.peers.ProvisionedMachine
-import ledgearch.peers.LastTaskStart
 import ledgearch.peers.StreamCodec
 import ledgearch.peers.StreamRecord
 import ledgearch.simulation.Simulation
