--- a/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
@@ -14,7 +14,7 @@
  * If the value limit is lowered, a stored record may be too large to be written again. On its next change it is split:
  * its key keeps some of the machines and the others get new keys, all in one transaction. A machine that may have a
  * task is therefore never without a record, nor in two, which earlier versions would take for two machines. Every
- * attempt at this transaction uses the same keys, so an attempt that took effect without an answer leaves no extra
+ * attempt at this transaction uses the same keys, so an attempt that took effect without a reply leaves no extra
  * record behind. If the parts don't fit into one transaction, the record stays unchanged until it has fewer machines.
  * It then still lists machines that are gone. The next leader handles these as any machine that does not report; it
  * never misses a machine.
