--- a/src/main/kotlin/ledgearch/model/Job.kt
+++ b/src/main/kotlin/ledgearch/model/Job.kt
@@ -11,9 +11,8 @@
 import java.util.BitSet
 
 /**
- * An open job: its durable record, which every node has, and the state of its tasks, which only the leader
- * has. A task is pending, taken by an attempt that may be on a machine, or finished. Tasks are identified by their
- * index, from 0.
+ * An open job: its durable record, which every node has, and the state of its tasks, which only the leader has. A task
+ * is pending, taken by an attempt that may be on a machine, or finished. Tasks are identified by their index, from 0.
  */
 internal class Job(
     /** The durable record as last read or written. */
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -19,7 +19,7 @@
     /** Resources of attempts that may belong to any team, because their jobs are no longer open. */
     private val unattributed = ResourceSum()
 
-    /** All resources of unconfirmed machines, which have not confirmed this leader's token. */
+    /** All resources of machines that an earlier leader recorded and that have not confirmed this leader's token. */
     private val unconfirmed = ResourceSum()
 
     /** Number of attempts that continue, by the ordinal of their job's priority. */
