--- a/src/test/kotlin/ledgearch/architecture/ArchitectureTest.kt
+++ b/src/test/kotlin/ledgearch/architecture/ArchitectureTest.kt
@@ -14,7 +14,10 @@
 import kotlin.io.path.readLines
 import kotlin.io.path.walk
 
-/** The structure that docs/architecture.md describes: what packages may use, and that every type is documented. */
+/**
+ * Checks the structure that docs/architecture.md describes: which packages a package may use, and that every top-level
+ * type is documented.
+ */
 internal class ArchitectureTest {
     private val classes: JavaClasses by lazy {
         ClassFileImporter()
@@ -23,32 +26,33 @@
     }
 
     @Test
-    fun `packages are free of cycles`() =
+    fun `packages have no dependency cycles`() =
         slices()
             .matching("ledgearch.(*)..")
             .should()
             .beFreeOfCycles()
             .check(classes)
 
-    /** From the bottom up; a package may use those before it, where the test above leaves a choice. */
+    /** Checks that no package depends on one that is above it in [LAYERS]. */
     @Test
-    fun `packages depend downwards only`() {
+    fun `packages depend only on lower layers`() {
         for ((index, name) in LAYERS.withIndex()) {
-            val above = LAYERS.drop(index + 1).map { "ledgearch.$it.." }
-            if (above.isEmpty()) continue
+            val higherPackages = LAYERS.drop(index + 1).map { "ledgearch.$it.." }
+            if (higherPackages.isEmpty()) continue
             noClasses()
                 .that()
                 .resideInAPackage("ledgearch.$name..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(*above.toTypedArray())
+                .resideInAnyPackage(*higherPackages.toTypedArray())
                 .check(classes)
         }
     }
 
     @Test
-    fun `every package has its place in the layers`() {
-        val packages = classes.map { it.packageName }.filter { it != ROOT }.map { it.removePrefix("$ROOT.") }
+    fun `every package belongs to one layer`() {
+        val packages =
+            classes.map { it.packageName }.filter { it != ROOT_PACKAGE }.map { it.removePrefix("$ROOT_PACKAGE.") }
         assertEquals(LAYERS.sorted(), packages.map { it.substringBefore('.') }.distinct().sorted())
     }
 
@@ -67,23 +71,23 @@
     private fun undocumentedTypes(source: Path): List<String> {
         val lines = source.readLines()
         return lines.indices
-            .filter { TYPE.containsMatchIn(lines[it]) && !isDocumented(lines, it) }
+            .filter { TYPE_DECLARATION.containsMatchIn(lines[it]) && !isDocumented(lines, it) }
             .map { "${source.name}:${it + 1}" }
     }
 
-    /** A doc comment ends on the line before the type or before its annotations. */
+    /** Returns whether a doc comment ends on the line before the type or before its annotations. */
     private fun isDocumented(
         lines: List<String>,
-        typeAt: Int,
+        typeIndex: Int,
     ): Boolean {
-        val before = lines.take(typeAt).dropLastWhile { it.startsWith("@") }
-        return before.lastOrNull()?.trimEnd()?.endsWith("*/") == true
+        val precedingLines = lines.take(typeIndex).dropLastWhile { it.startsWith("@") }
+        return precedingLines.lastOrNull()?.trimEnd()?.endsWith("*/") == true
     }
 
     private companion object {
-        const val ROOT = "ledgearch"
+        const val ROOT_PACKAGE = "ledgearch"
 
-        /** From the bottom up. */
+        /** The packages from the bottom up. */
         val LAYERS =
             listOf(
                 "wire",
@@ -109,7 +113,7 @@
                 "cli",
             )
 
-        val TYPE =
+        val TYPE_DECLARATION =
             Regex(
                 "^(?:(?:internal|public|private|data|sealed|abstract|open|enum|value|annotation|inline|fun) )*" +
                     "(?:class|interface|object) \\w",
--- a/src/test/kotlin/ledgearch/simulation/CommandQueue.kt
+++ b/src/test/kotlin/ledgearch/simulation/CommandQueue.kt
@@ -4,14 +4,14 @@
 import ledgearch.control.OwnerCommand
 
 /**
- * Executes the commands of a simulated process: at once by default, after its end while the process is frozen, in one
- * batch after another while it is slow, and collected for a while as long as batches are delayed.
+ * Executes the commands of a simulated process: normally at once, when the process resumes while it is frozen, in
+ * successive batches while it is slow, and after a delay while batches are delayed.
  */
 internal class CommandQueue(
     private val clock: SimulatedClock,
     /**
-     * Returns a number that changes when the process starts or ends. What was scheduled under an earlier number is
-     * dropped.
+     * Returns the number of the process instance, which changes when the process starts or ends. Callbacks of an
+     * earlier instance are dropped.
      */
     private val instance: () -> Int,
     private val execute: (List<OwnerCommand>) -> Unit,
--- a/src/test/kotlin/ledgearch/simulation/FakeCloud.kt
+++ b/src/test/kotlin/ledgearch/simulation/FakeCloud.kt
@@ -30,7 +30,7 @@
     )
 
     private val machines = LinkedHashMap<String, RentedMachine>()
-    private val machinesByKey = HashMap<String, List<String>>()
+    private val machinesByIdempotencyKey = HashMap<String, List<String>>()
     private var nextNumber = 1
     var isDown = false
     var capacity = 0
@@ -102,7 +102,7 @@
         )
 
     /**
-     * Maximum age of a machine list. Until it has passed, a list may omit a rented machine and contain a released one.
+     * Maximum age of a machine list. A list may omit machines rented and contain machines released within this time.
      */
     var listLagMs = 0L
     private val removed = ArrayList<RemovedMachine>()
@@ -123,11 +123,11 @@
 
     private fun rent(request: RentalRequest): Reply {
         // No controller here repeats a request with its key, so a key that comes twice was issued twice.
-        if (request.idempotencyKey in machinesByKey) {
+        if (request.idempotencyKey in machinesByIdempotencyKey) {
             simulation.reportViolation("idempotency key ${request.idempotencyKey} was used for a second request")
         }
         val names =
-            machinesByKey[request.idempotencyKey] ?: run {
+            machinesByIdempotencyKey[request.idempotencyKey] ?: run {
                 val room =
                     minOf(
                         capacity - machines.size,
@@ -136,7 +136,7 @@
                 if (room <= 0) return Reply(503, """{"error":"no capacity"}""")
                 List(minOf(room, request.count)) { newName() }.onEach { boot(it, request) }
             }
-        machinesByKey[request.idempotencyKey] = names
+        machinesByIdempotencyKey[request.idempotencyKey] = names
         return Reply(200, WireJson.encodeToString(MachineNames.serializer(), MachineNames(names)))
     }
 
--- a/src/test/kotlin/ledgearch/simulation/FakeWorker.kt
+++ b/src/test/kotlin/ledgearch/simulation/FakeWorker.kt
@@ -41,7 +41,7 @@
     /** The highest leadership token that the worker has accepted. */
     var token = 0L
         private set
-    private var targetIndex = 0
+    private var controllerIndex = 0
 
     /** Time (ms) since when a reply to a heartbeat is pending, or -1. */
     private var replyPendingSinceMs = -1L
@@ -140,7 +140,7 @@
         replyPendingSinceMs = sentAtMs
         lastHeartbeatAtMs = sentAtMs
         hasChanges = false
-        val node = simulation.nodes[targetIndex % simulation.nodes.size]
+        val node = simulation.nodes[controllerIndex % simulation.nodes.size]
         val body = WireJson.encodeToString(Heartbeat.serializer(), newHeartbeat())
         simulation.sendHeartbeat(name, node.name, body) { reply ->
             if (!isAlive || isHanging || number != heartbeatNumber || incarnationWhenSent != incarnation) {
@@ -180,8 +180,8 @@
     private fun followRedirect(reply: Reply) {
         val leader = WireJson.decodeFromString(Redirect.serializer(), reply.body).leader
         val index = simulation.nodes.indexOfFirst { it.name == leader }
-        if (index >= 0 && index != targetIndex % simulation.nodes.size) {
-            targetIndex = index
+        if (index >= 0 && index != controllerIndex % simulation.nodes.size) {
+            controllerIndex = index
             replyPendingSinceMs = -1
             lastHeartbeatAtMs = Long.MIN_VALUE / 2
         } else {
@@ -190,7 +190,7 @@
     }
 
     private fun switchController(delayMs: Long) {
-        targetIndex++
+        controllerIndex++
         heartbeatNumber++
         replyPendingSinceMs = -1
         lastHeartbeatAtMs = clock.nowMs - simulation.options.heartbeatMs + delayMs
--- a/src/test/kotlin/ledgearch/simulation/JobSpecParser.kt
+++ b/src/test/kotlin/ledgearch/simulation/JobSpecParser.kt
@@ -28,7 +28,4 @@
     )
 }
 
-private fun priorityOf(text: String) =
-    checkNotNull(Priority.Serializer.fromText(text)) {
-        "unknown priority $text"
-    }
+private fun priorityOf(text: String) = checkNotNull(Priority.Serializer.fromText(text)) { "unknown priority $text" }
--- a/src/test/kotlin/ledgearch/simulation/Network.kt
+++ b/src/test/kotlin/ledgearch/simulation/Network.kt
@@ -25,7 +25,10 @@
     /** Share of the direct commands that are executed 2 to 16 s late and get no reply. */
     var lateCommandShare = 0.0
 
-    /** The messages between two kinds of hosts, or with [oneWay] only from the first to the second, until [untilMs]. */
+    /**
+     * Selects the messages between two kinds of hosts, or with [oneWay] only those from the first to the second, until
+     * [untilMs].
+     */
     private inner class Link(
         val first: String,
         val second: String,
@@ -74,7 +77,7 @@
     ) {
         if (message.to in machinesWithoutCommands) return
         if (message.target == "/orders" && lateCommandShare > 0 && random.nextDouble() < lateCommandShare) {
-            val delayMs = LATE_COMMAND_FROM_MS + random.nextLong(LATE_COMMAND_SPREAD_MS)
+            val delayMs = MIN_LATE_COMMAND_MS + random.nextLong(LATE_COMMAND_SPREAD_MS)
             clock.after(delayMs) { handle(message) { } }
             return
         }
@@ -135,7 +138,7 @@
 
     private companion object {
         const val MAX_BODY_LENGTH = 64 * 1024
-        const val LATE_COMMAND_FROM_MS = 2_000L
+        const val MIN_LATE_COMMAND_MS = 2_000L
         const val LATE_COMMAND_SPREAD_MS = 14_000L
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedMesh.kt
@@ -16,14 +16,14 @@
 ) : Mesh {
     private var leaderAddress: String? = null
 
-    /** Number of the connection of this node to a leader, or 0. Frames of earlier connections are dropped. */
-    private var connection = 0L
+    /** The id of the connection of this node to a leader, or 0. Frames of earlier connections are dropped. */
+    private var currentConnectionId = 0L
     override val acceptedFollowerCount = simulation.nodes.size
 
     override fun follow(address: String?) {
         if (leaderAddress == address) return
         leaderAddress = address
-        connection = 0
+        currentConnectionId = 0
         if (address == null) return
         checkRefusal(address)
         connect(address)
@@ -47,16 +47,16 @@
     private fun connect(address: String) {
         if (!node.hasStandby) return
         val connectionId = simulation.streams.openConnection(node, ::receive)
-        connection = connectionId
+        currentConnectionId = connectionId
         simulation.clock.after(RECONNECT_DELAY_MS) { requestStream(address, connectionId) }
     }
 
-    /** Joins the leader's stream, and retries until the leader is up and reachable. */
+    /** Requests the leader's stream, repeatedly until the leader is up and reachable. */
     private fun requestStream(
         address: String,
         connectionId: Long,
     ) {
-        if (!isAlive() || connection != connectionId) return
+        if (!isAlive() || currentConnectionId != connectionId) return
         val peer = peerAt(address)
         if (peer.hasStandby && peer.isUp && !simulation.network.isUnreachable(node.name, peer.name)) {
             val instance = peer.instance
@@ -67,13 +67,13 @@
         }
     }
 
-    /** Connects again when the leader's process has ended. Reports to the leader when this node has left. */
+    /** Connects again when the leader's process has ended, and notifies the leader when this node has left. */
     private fun monitorConnection(
         address: String,
         connectionId: Long,
         instance: Int,
     ) {
-        if (!isAlive() || connection != connectionId) {
+        if (!isAlive() || currentConnectionId != connectionId) {
             val peer = peerAt(address)
             if (peer.instance == instance && peer.isUp) {
                 peer.handle(OwnerCommand.HandleStandbyEvent(StandbyEvent.FollowerLeft(connectionId)))
@@ -85,16 +85,16 @@
     }
 
     override fun reconnect() {
-        connection = 0
+        currentConnectionId = 0
         leaderAddress?.let(::connect)
     }
 
     private fun receive(
-        connection: Long,
+        connectionId: Long,
         body: ByteString,
     ) {
         val address = leaderAddress
-        if (!isAlive() || connection != this.connection || address == null) return
+        if (!isAlive() || connectionId != currentConnectionId || address == null) return
         try {
             node.handle(OwnerCommand.HandleStandbyEvent(StandbyEvent.FrameReceived(address, StreamCodec.decode(body))))
         } catch (_: MalformedFrameException) {
--- a/src/test/kotlin/ledgearch/simulation/SimulatedNode.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedNode.kt
@@ -170,11 +170,11 @@
             timeoutMs: Long,
             onReply: (Reply) -> Unit,
         ) {
-            var isReplied = false
+            var hasReply = false
 
             fun finish(reply: Reply) {
-                if (isReplied || callingInstance != instance) return
-                isReplied = true
+                if (hasReply || callingInstance != instance) return
+                hasReply = true
                 handle(OwnerCommand.HandleReply(reply, onReply))
             }
             clock.after(timeoutMs) { finish(Reply.NONE) }
--- a/src/test/kotlin/ledgearch/simulation/Simulation.kt
+++ b/src/test/kotlin/ledgearch/simulation/Simulation.kt
@@ -44,8 +44,8 @@
     }
 
     /** Records that an invariant does not hold at this time. */
-    fun reportViolation(what: String) {
-        invariants.violations.add("${clock.nowMs} ms: $what")
+    fun reportViolation(details: String) {
+        invariants.violations.add("${clock.nowMs} ms: $details")
     }
 
     /** Delivers a message to its recipient. */
@@ -113,7 +113,7 @@
         }
 
     /** Returns whether [worker] has no fault and some controller can exchange messages with it in both directions. */
-    fun isReached(worker: FakeWorker) =
+    fun isReachable(worker: FakeWorker) =
         isFaultless(worker) && worker.name !in network.machinesWithoutCommands && worker.name !in heartbeats.lostFrom &&
             nodes.any {
                 it.isUp && !network.isUnreachable(it.name, worker.name) && !network.isUnreachable(worker.name, it.name)
@@ -154,10 +154,9 @@
 
     companion object {
         const val CANCEL_MS = 39_000L
-
         const val IMAGE_FETCH_MS = 1000L
     }
 }
 
-/** The name of the controller that the leadership record names, or `none`. */
+/** Returns the name of the controller in the leadership record, or `none`. */
 internal fun leaderName(simulation: Simulation) = simulation.store.field(FakeStore.LEADERSHIP_KEY, "node") ?: "none"
--- a/src/test/kotlin/ledgearch/simulation/Users.kt
+++ b/src/test/kotlin/ledgearch/simulation/Users.kt
@@ -215,11 +215,11 @@
         onReply: (Reply) -> Unit,
     ) {
         val candidates = simulation.nodes.filter { if (node == null) it.isHealthy else it.name == node && it.isUp }
-        var isReplied = false
+        var hasReply = false
 
         fun finish(reply: Reply) {
-            if (isReplied) return
-            isReplied = true
+            if (hasReply) return
+            hasReply = true
             onReply(reply)
         }
         clock.after(5000) { finish(Reply.NONE) }
@@ -234,7 +234,7 @@
         val SUBMISSION_JSON = Json(WireJson) { encodeDefaults = true }
         const val RETRY_FOR_MS = 60_000L
 
-        /** A cancellation may be repeated for as long as an outage of the state service lasts. */
+        /** Long enough to repeat a cancellation until there is a reply, however long the state service is down. */
         const val LONG_RETRY_FOR_MS = 600_000L
         private val FINAL_STATUSES = setOf(200, 201, 400, 422)
         private const val MAX_CANCEL_AT_END_DELAY_MS = 60L
--- a/src/test/kotlin/ledgearch/simulation/invariants/AuditSampler.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/AuditSampler.kt
@@ -76,7 +76,7 @@
 
     private fun observedTasks() =
         simulation.workers.values.filter { it.isAlive }.flatMap { worker ->
-            val reached = simulation.isReached(worker)
+            val reached = simulation.isReachable(worker)
             worker.tasks.values
                 .filter { it.state != TaskState.EXITED }
                 .map { ObservedTask(it.taskId, it.attempt, worker.name, it.isExecuting, reached) }
--- a/src/test/kotlin/ledgearch/simulation/invariants/StarvationInvariant.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/StarvationInvariant.kt
@@ -44,7 +44,7 @@
 
     private fun freeVcpusByWorker(): Map<FakeWorker, Double> =
         simulation.workers.values
-            .filter { simulation.isReached(it) }
+            .filter { simulation.isReachable(it) }
             .associateWith { worker -> FakeCloud.STANDARD_TYPE.vcpus - specsOn(worker).sumOf { it.vcpus } }
 
     private fun specsOn(worker: FakeWorker): List<JobSpec> =
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ClusterExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ClusterExpectations.kt
@@ -11,29 +11,29 @@
 ) : ExpectationGroup(simulation, step, failures) {
     override val checks =
         mapOf(
-            "machines" to ::machines,
-            "spot-machines" to ::spotMachines,
-            "quarantined" to ::quarantined,
-            "removed" to ::removed,
+            "machines" to ::checkMachines,
+            "spot-machines" to ::checkSpotMachines,
+            "quarantined" to ::checkQuarantined,
+            "removed" to ::checkRemoved,
             "leader" to ::checkLeader,
         )
 
-    private fun machines() {
+    private fun checkMachines() {
         val count = simulation.cloud.machineNames.size
         compare("machines ${words[2]}", count, count == words[2].toInt())
     }
 
-    private fun spotMachines() {
+    private fun checkSpotMachines() {
         val count = simulation.cloud.spotCount
         compare("spot machines ${words[2]}", count, count == words[2].toInt())
     }
 
-    private fun quarantined() {
+    private fun checkQuarantined() {
         val count = store.keysUnder("m/").sumOf { store.text(it).split("\"aside\":true").size - 1 }
         compare("quarantined ${words[2]}", count, count == words[2].toInt())
     }
 
-    private fun removed() {
+    private fun checkRemoved() {
         compare("removed ${words[2]}", true, words[2] !in simulation.cloud.machineNames)
     }
 
--- a/src/test/kotlin/ledgearch/simulation/scenarios/JobExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/JobExpectations.kt
@@ -10,52 +10,52 @@
 ) : ExpectationGroup(simulation, step, failures) {
     override val checks =
         mapOf(
-            "running" to ::running,
-            "started" to ::started,
-            "starts" to ::starts,
-            "failures" to ::failedTasks,
-            "decisions" to ::decisions,
-            "terms" to ::terms,
-            "finished" to ::finished,
-            "accepted" to ::accepted,
+            "running" to ::checkRunning,
+            "started" to ::checkStarted,
+            "starts" to ::checkStarts,
+            "failures" to ::checkFailedTasks,
+            "decisions" to ::checkDecisions,
+            "terms" to ::checkTerms,
+            "finished" to ::checkFinished,
+            "accepted" to ::checkAccepted,
         )
 
-    private fun running() {
+    private fun checkRunning() {
         val count = simulation.runningTaskCount(words[2])
         compare("running ${words[2]} ${words[3]}", count, count == words[3].toInt())
     }
 
-    private fun started() {
+    private fun checkStarted() {
         val count = invariants.startCount(words[2])
         compare("started ${words[2]}", count, count > 0)
     }
 
-    private fun starts() {
+    private fun checkStarts() {
         val count = invariants.startCount(words[2])
         compare("starts ${words[2]} at most ${words[3]}", count, count <= words[3].toInt())
     }
 
-    private fun failedTasks() {
+    private fun checkFailedTasks() {
         val count = invariants.failedStartCount
         compare("failures at most ${words[2]}", count, count <= words[2].toInt())
     }
 
-    private fun decisions() {
+    private fun checkDecisions() {
         val count = invariants.lastAttempt and ATTEMPT_COUNTER_MASK
         compare("decisions at most ${words[2]}", count, count <= words[2].toInt())
     }
 
-    private fun terms() {
+    private fun checkTerms() {
         val count = invariants.termCount
         compare("terms ${words[2]}", count, count == words[2].toInt())
     }
 
-    private fun finished() {
+    private fun checkFinished() {
         val count = invariants.completedTaskCount(words[2])
         compare("finished ${words[2]} ${words[3]}", count, count == words[3].toInt())
     }
 
-    private fun accepted() {
+    private fun checkAccepted() {
         compare("accepted ${words[2]}", false, invariants.isAccepted(words[2]))
     }
 
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ReplyExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ReplyExpectations.kt
@@ -14,13 +14,13 @@
 ) : ExpectationGroup(simulation, step, failures) {
     override val checks =
         mapOf(
-            "up" to ::up,
-            "submission" to ::submission,
-            "answer" to ::answer,
-            "prompt-answer" to ::promptAnswer,
+            "up" to ::checkUp,
+            "submission" to ::checkSubmission,
+            "answer" to ::checkAnswer,
+            "prompt-answer" to ::checkPromptAnswer,
         )
 
-    private fun up() {
+    private fun checkUp() {
         simulation.sendUserRequest("GET", "/up", null, words[2]) {
             compare("up ${words[2]} ${words[3]}", it.status, it.status == words[3].toInt())
         }
@@ -30,7 +30,7 @@
      * `submission NODE STATUS JOB WORDS`: submits a job to the controller and checks the status of the reply. The words
      * are those of `submit`; `without=FIELD` removes a field and `FIELD:JSON` sets one.
      */
-    private fun submission() {
+    private fun checkSubmission() {
         val sentAtMs = simulation.clock.nowMs
         val description = words.drop(4)
         if (words[3] == "201") {
@@ -43,14 +43,14 @@
     }
 
     /** `answer METHOD TARGET STATUS [BODY]`: checks the status of a reply. */
-    private fun answer() {
+    private fun checkAnswer() {
         simulation.sendUserRequest(words[2], words[3], words.getOrNull(5), null) {
             compare("reply to ${words[2]} ${words[3]}", it.status, it.status == words[4].toInt())
         }
     }
 
     /** `prompt-answer METHOD TARGET STATUS [BODY] [at=NODE]`: checks the status and the delay of a reply. */
-    private fun promptAnswer() {
+    private fun checkPromptAnswer() {
         val sentAtMs = simulation.clock.nowMs
         val (node, body) = words.drop(5).partition { it.startsWith("at=") }
         simulation.sendUserRequest(words[2], words[3], body.firstOrNull(), node.firstOrNull()?.substringAfter('=')) {
@@ -68,10 +68,7 @@
     private fun body(description: List<String>): String {
         val (fields, words) = description.partition { ':' in it }
         val submission =
-            Users.SUBMISSION_JSON.encodeToJsonElement(
-                JobSpec.serializer(),
-                parseJobSpec(words),
-            ) as JsonObject
+            Users.SUBMISSION_JSON.encodeToJsonElement(JobSpec.serializer(), parseJobSpec(words)) as JsonObject
         val removedFields = description.filter { it.startsWith("without=") }.map { it.substringAfter('=') }
         val setFields = fields.joinToString("") { ",\"${it.substringBefore(':')}\":${it.substringAfter(':')}" }
         return JsonObject(submission - removedFields.toSet()).toString().dropLast(1) + setFields + "}"
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StateExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StateExpectations.kt
@@ -19,12 +19,12 @@
 
     override val checks =
         mapOf(
-            "everyone-known" to ::everyoneKnown,
-            "everyone-served" to ::everyoneServed,
-            "cancelled-everywhere" to ::cancelledEverywhere,
+            "everyone-known" to ::checkEveryoneKnown,
+            "everyone-served" to ::checkEveryoneServed,
+            "cancelled-everywhere" to ::checkCancelledEverywhere,
         )
 
-    private fun everyoneKnown() {
+    private fun checkEveryoneKnown() {
         invariants.acceptedJobs.forEach { job ->
             expectKnown(job, simulation.clock.nowMs + FORGOTTEN_AFTER_MS) {
                 compare("everyone known", "no reply with status 200 for $job", false)
@@ -38,7 +38,7 @@
      * spread over that time and omit jobs that a reply has reported as ended: the invariants have checked those, and a
      * poll of a job that a controller no longer caches takes two reads.
      */
-    private fun everyoneServed() {
+    private fun checkEveryoneServed() {
         val isSpread = words.size > 2
         val spreadMs = if (isSpread) step.parseMs(3) else 0L
         val jobs = invariants.acceptedJobs.filter { !isSpread || !invariants.isObservedEnded(it) }
@@ -62,7 +62,7 @@
      * `cancelled-everywhere FIRST COUNT`: checks that every controller reports COUNT jobs, numbered from FIRST, as
      * cancelled.
      */
-    private fun cancelledEverywhere() {
+    private fun checkCancelledEverywhere() {
         repeat(words[3].toInt()) { i ->
             val job = "job-${words[2].toInt() + i}"
             simulation.nodes.forEach { expectCancelled(job, it.name) }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/StoreExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/StoreExpectations.kt
@@ -10,37 +10,37 @@
 ) : ExpectationGroup(simulation, step, failures) {
     override val checks =
         mapOf(
-            "keys" to ::keys,
-            "keys-at-most" to ::keysAtMost,
-            "values-over" to ::valuesOver,
-            "too-large" to ::tooLarge,
-            "too-many" to ::tooMany,
+            "keys" to ::checkKeys,
+            "keys-at-most" to ::checkKeysAtMost,
+            "values-over" to ::checkValuesOver,
+            "too-large" to ::checkTooLarge,
+            "too-many" to ::checkTooMany,
         )
 
-    private fun keys() {
+    private fun checkKeys() {
         val count = store.keysUnder(words[2]).size
         compare("keys ${words[2]} ${words[3]}", count, count == words[3].toInt())
     }
 
-    private fun keysAtMost() {
+    private fun checkKeysAtMost() {
         val count = store.keysUnder(words[2]).size
         compare("keys ${words[2]} at most ${words[3]}", count, count <= words[3].toInt())
     }
 
     /** `values-over PREFIX BYTES COUNT`: checks the number of values above that size. */
-    private fun valuesOver() {
+    private fun checkValuesOver() {
         val count = store.keysUnder(words[2]).count { store.text(it).length > words[3].toInt() }
         compare("values ${words[2]} over ${words[3]} ${words[4]}", count, count == words[4].toInt())
     }
 
     /** `too-large COUNT`: checks the number of transactions refused because of their size. */
-    private fun tooLarge() {
+    private fun checkTooLarge() {
         val count = store.rateLimits.tooLargeCount
         compare("too large ${words[2]}", count, count == words[2].toInt())
     }
 
     /** `too-many COUNT`: checks that at most COUNT requests were refused because of the rate limits. */
-    private fun tooMany() {
+    private fun checkTooMany() {
         val count = store.rateLimits.tooManyCount
         compare("too many at most ${words[2]}", count, count <= words[2].toInt())
     }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ZoneExpectations.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ZoneExpectations.kt
@@ -11,11 +11,11 @@
 ) : ExpectationGroup(simulation, step, failures) {
     override val checks =
         mapOf(
-            "zone" to ::zoneState,
-            "admitted" to ::admitted,
-            "starts-in" to ::startCount,
-            "fully-running-before" to ::fullyRunningBefore,
-            "displaced" to ::displaced,
+            "zone" to ::checkZoneState,
+            "admitted" to ::checkAdmitted,
+            "starts-in" to ::checkStartCount,
+            "fully-running-before" to ::checkFullyRunningBefore,
+            "displaced" to ::checkDisplaced,
         )
 
     private fun leaderRecovery() =
@@ -27,19 +27,19 @@
     private fun zoneReport() = leaderRecovery()?.zones?.firstOrNull { it.zone == words[2] }
 
     /** `zone ZONE up|suspect|lost|returning`: compares the state that the leader reports. */
-    private fun zoneState() {
+    private fun checkZoneState() {
         val state = zoneReport()?.state ?: "unknown"
         compare("zone ${words[2]} ${words[3]}", state, state == words[3])
     }
 
     /** `admitted ZONE MIN MAX`: checks the share of the zone's machines that may take new work. */
-    private fun admitted() {
+    private fun checkAdmitted() {
         val share = zoneReport()?.admittedShare ?: -1.0
         compare("admitted ${words[2]}", share, share in words[3].toDouble()..words[4].toDouble())
     }
 
     /** `starts-in ZONE at most COUNT`: checks the number of task starts in the zone since the scenario began. */
-    private fun startCount() {
+    private fun checkStartCount() {
         val count = invariants.placementTimes.startCountIn(words[2])
         compare("starts in ${words[2]} at most ${words[5]}", count, count <= words[5].toInt())
     }
@@ -48,14 +48,14 @@
      * `fully-running-before JOB OTHER`: checks that all tasks of JOB last came to run together before those of OTHER
      * did.
      */
-    private fun fullyRunningBefore() {
+    private fun checkFullyRunningBefore() {
         val (first, second) = words.slice(2..3).map { invariants.placementTimes.lastFullyRunningAtMs(it) }
         val holds = first != null && (second == null || first < second)
         compare("${words[2]} fully running before ${words[3]}", "$first and $second ms", holds)
     }
 
     /** `displaced GROUP COUNT`: checks that at least COUNT tasks of the group wait to be restarted. */
-    private fun displaced() {
+    private fun checkDisplaced() {
         val count = leaderRecovery()?.displaced?.get(words[2]) ?: 0
         compare("displaced ${words[2]} ${words[3]}", count, count >= words[3].toInt())
     }
--- a/src/test/kotlin/ledgearch/testkit/TestCases.kt
+++ b/src/test/kotlin/ledgearch/testkit/TestCases.kt
@@ -4,7 +4,7 @@
 import java.nio.file.Path
 import kotlin.io.path.readLines
 
-/** The test cases in a text file of the test resources: a line each, without blank lines and comments. */
+/** Returns the test cases in a text file of the test resources: its lines without blank lines and comments. */
 internal fun testCases(file: String): List<String> =
     Path
         .of("src/test/resources", file)
