--- a/src/test/kotlin/ledgearch/simulation/scenarios/ExpectationGroup.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ExpectationGroup.kt
@@ -19,10 +19,10 @@
     abstract val checks: Map<String, () -> Unit>
 
     protected fun compare(
-        what: String,
+        expectation: String,
         actual: Any?,
         holds: Boolean,
     ) {
-        if (!holds) failures.add("line ${step.line}: $what: got $actual")
+        if (!holds) failures.add("line ${step.line}: $expectation: got $actual")
     }
 }
--- a/src/test/kotlin/ledgearch/simulation/scenarios/NetworkSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/NetworkSteps.kt
@@ -8,12 +8,12 @@
 ) : StepGroup(simulation) {
     override val actions =
         mapOf<String, (Step) -> Unit>(
-            "cut" to ::cut,
+            "cut" to ::partition,
             "lose-incoming" to ::loseIncoming,
             "lose-commands" to ::loseCommands,
             "lose-heartbeats" to ::loseHeartbeats,
-            "lose-heartbeat-answers" to ::loseHeartbeatAnswers,
-            "slow" to ::slow,
+            "lose-heartbeat-answers" to ::loseHeartbeatReplies,
+            "slow" to ::slowDown,
             "replay-heartbeats" to ::replayHeartbeats,
             "duplicate-heartbeats" to ::duplicateHeartbeats,
             "refuse-connections" to ::refuseConnections,
@@ -23,7 +23,7 @@
      * `cut NODE HOSTS until S lost|hold`: partitions the controller from the hosts. Messages are lost, or held until
      * the partition ends.
      */
-    private fun cut(step: Step) {
+    private fun partition(step: Step) {
         val words = step.words
         simulation.network.partition(nodeName(words[1]), words[2], step.parseMs(4), words[5] == "hold")
     }
@@ -48,7 +48,7 @@
      * `lose-heartbeat-answers MACHINE`: loses the replies to heartbeats of the machine. Its heartbeats and direct
      * commands are delivered.
      */
-    private fun loseHeartbeatAnswers(step: Step) {
+    private fun loseHeartbeatReplies(step: Step) {
         simulation.heartbeats.repliesLostTo.add(machineName(step.words[1]))
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** `slow A B until S MS [oneway]`: delays messages between the hosts, or only those from A to B. */
-    private fun slow(step: Step) {
+    private fun slowDown(step: Step) {
         val words = step.words
         val oneWay = words.getOrNull(6) == "oneway"
         simulation.network.slowDown(
--- a/src/test/kotlin/ledgearch/simulation/scenarios/ProductionWorkload.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/ProductionWorkload.kt
@@ -43,8 +43,8 @@
 
     /** Polls every accepted job that no reply has reported as ended, once in each [everyMs]. */
     fun pollOpen(everyMs: Long) {
-        val open = simulation.invariants.acceptedJobs.filter { !simulation.invariants.isObservedEnded(it) }
-        for (job in open) clock.after(random.nextLong(everyMs)) { users.poll(job) { _, _ -> } }
+        val openJobs = simulation.invariants.acceptedJobs.filter { !simulation.invariants.isObservedEnded(it) }
+        for (job in openJobs) clock.after(random.nextLong(everyMs)) { users.poll(job) { _, _ -> } }
         clock.after(everyMs) { pollOpen(everyMs) }
     }
 
