--- a/src/main/kotlin/ledgearch/config/OperatorSettings.kt
+++ b/src/main/kotlin/ledgearch/config/OperatorSettings.kt
@@ -12,8 +12,8 @@
     /** Number of machines at which renting stops. */
     val maxMachines: Int = ConfigTuning.DEFAULT_MAX_MACHINES,
     /**
-     * Free resources beyond those for the expected arrivals during one boot time, as a multiple of the standard deviation
-     * of these arrivals.
+     * Free resources beyond those for the expected arrivals during one boot time, as a multiple of the standard
+     * deviation of these arrivals.
      */
     val reserveDeviations: Double = ConfigTuning.DEFAULT_RESERVE_DEVIATIONS,
     /** Value of the Retry-After header in seconds when the request of a user is rejected. */
--- a/src/main/kotlin/ledgearch/config/PlatformCheck.kt
+++ b/src/main/kotlin/ledgearch/config/PlatformCheck.kt
@@ -2,7 +2,7 @@
 
 /** Checks the values of the platform's settings. */
 internal object PlatformCheck {
-    /** Returns the first problem that prevents a start, as one line with the field and what is allowed; null if none. */
+    /** Returns the first problem that prevents a start as one line with the field and what is allowed, or null. */
     fun findProblem(settings: Settings): String? =
         invalidAddress(settings)
             ?: emptyNode(settings)
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -241,7 +241,7 @@
     /** Applies [heartbeat] and returns the reply to it. */
     fun handle(heartbeat: Heartbeat): HeartbeatResult = heartbeatHandler.handle(heartbeat)
 
-    override val hasUnsettledZone get() = !partitionedZones.isEmpty || recovery?.hasUnsettledZone == true
+    override val hasDegradedZone get() = !partitionedZones.isEmpty || recovery?.hasDegradedZone == true
 
     override fun isPartitioned(zone: String) = zone in partitionedZones || recovery?.isLost(zone) == true
 
@@ -288,7 +288,7 @@
             clock: Clock,
         ): ZoneRecovery? {
             if (!settings.operator.zoneRecovery.enabled) return null
-            // A running agent sends a heartbeat within this time, so a new leader can then tell partitioned zones.
+            // A running agent sends a heartbeat within this time, so a new leader then recognizes partitioned zones.
             val detectionMs =
                 settings.deployment.workers.reportS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEAT_INTERVALS
             return ZoneRecovery(settings.operator.zoneRecovery, clock, detectionMs.toLong())
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -34,10 +34,10 @@
     private var lastStatuses: List<ZoneStatus> = emptyList()
     private var lastStatusesAtMs = 0L
 
-    override val isActive: Boolean get() = hasUnsettledZone || !displacedTasks.isEmpty
+    override val isActive: Boolean get() = hasDegradedZone || !displacedTasks.isEmpty
 
     /** Whether any zone is not up, so that machines which are idle now may be needed. */
-    val hasUnsettledZone: Boolean get() = zones.hasUnsettledZone
+    val hasDegradedZone: Boolean get() = zones.hasDegradedZone
 
     // --- Terms ------------------------------------------------------------------------------------------------
 
@@ -47,9 +47,9 @@
         zones.begin()
         if (clock.steadyMs - lastStatusesAtMs > RecoveryTuning.ZONE_STATUS_TTL_MS) return
         zones.restore(lastStatuses)
-        if (hasUnsettledZone) {
-            val unsettled = lastStatuses.filter { it.state != ZoneState.UP }
-            log.info("recovery continues from the zone statuses of the previous leader; zone={}", unsettled)
+        if (hasDegradedZone) {
+            val degraded = lastStatuses.filter { it.state != ZoneState.UP }
+            log.info("recovery continues from the zone statuses of the previous leader; zone={}", degraded)
         }
     }
 
@@ -87,7 +87,7 @@
         zones.update(machinesByZone, isPartitioned, isReporting)
         firstUnprovenGroup = if (order.isConfigured) firstUnprovenGroup(machinesByZone) else NO_GROUP
         displacedTasks.removeEnded()
-        if (!hasUnsettledZone && !displacedTasks.hasWaitingTasks) displacedTasks.clear()
+        if (!hasDegradedZone && !displacedTasks.hasWaitingTasks) displacedTasks.clear()
         if (isActive) startRateLimiter.update(machines.count { it.isInService }, clock.steadyMs)
     }
 
@@ -129,7 +129,7 @@
      * been displaced before the term.
      */
     fun onMachinesConfirmed(jobs: Collection<Job>) {
-        if (hasUnsettledZone) jobs.filter { it.isStartable(clock.steadyMs) }.forEach(displacedTasks::addPendingTasks)
+        if (hasDegradedZone) jobs.filter { it.isStartable(clock.steadyMs) }.forEach(displacedTasks::addPendingTasks)
     }
 
     // --- Placement --------------------------------------------------------------------------------------------
@@ -145,7 +145,7 @@
         machine: Machine,
         job: Job,
     ): Boolean {
-        if (machine.isHeldBack && !mayUseHeldBack(job)) return false
+        if (machine.isReadmissionPending && !mayRunBeforeReadmission(job)) return false
         return !isRateLimited(job) || mayFetchFor(machine, job)
     }
 
@@ -171,7 +171,7 @@
         group: Int,
     ) = firstUnprovenGroup < group && waitedMs(job) < RecoveryTuning.MAX_WAIT_FOR_EARLIER_GROUP_MS
 
-    override fun hasOwnLimits(job: Job) = isActive && (isRateLimited(job) || mayUseHeldBack(job))
+    override fun hasOwnLimits(job: Job) = isActive && (isRateLimited(job) || mayRunBeforeReadmission(job))
 
     /** Returns whether the start rate of [job] is limited: it is displaced, not in the first group, nor waits long. */
     private fun isRateLimited(job: Job): Boolean {
@@ -180,7 +180,7 @@
     }
 
     /** Returns whether [job] may use machines that are held back: the limits on waits and zones precede the ramp. */
-    private fun mayUseHeldBack(job: Job) = hasWaitedLong(job) || needsReturningZone(job)
+    private fun mayRunBeforeReadmission(job: Job) = hasWaitedLong(job) || needsReturningZone(job)
 
     private fun hasWaitedLong(job: Job) = waitedMs(job) > RecoveryTuning.LONG_WAIT_MS
 
