--- a/src/main/kotlin/ledgearch/agents/DispatchLimits.kt
+++ b/src/main/kotlin/ledgearch/agents/DispatchLimits.kt
@@ -17,7 +17,7 @@
             DispatchLimits(
                 AgentTuning.maxConcurrentProbes(deployment.quota.cpu),
                 AgentTuning.maxConcurrentCommands(deployment.quota.fdLimit),
-                (deployment.workers.reportS * MS_PER_SECOND * AgentTuning.DUE_HEARTBEAT_INTERVALS).toLong(),
+                (deployment.workers.heartbeatIntervalS * MS_PER_SECOND * AgentTuning.DUE_HEARTBEAT_INTERVALS).toLong(),
             )
     }
 }
--- a/src/main/kotlin/ledgearch/agents/FailureDetector.kt
+++ b/src/main/kotlin/ledgearch/agents/FailureDetector.kt
@@ -27,7 +27,7 @@
     private val lagMonitor: EventLoopLagMonitor,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.agents")
-    private val heartbeatIntervalMs = (times.reportS * MS_PER_SECOND).toLong()
+    private val heartbeatIntervalMs = (times.heartbeatIntervalS * MS_PER_SECOND).toLong()
     private val dueMs = (heartbeatIntervalMs * AgentTuning.DUE_HEARTBEAT_INTERVALS).toLong()
     private val lostMs = (heartbeatIntervalMs * AgentTuning.LOST_HEARTBEAT_INTERVALS).toLong()
     private val leases =
--- a/src/main/kotlin/ledgearch/agents/RecentLeaderZones.kt
+++ b/src/main/kotlin/ledgearch/agents/RecentLeaderZones.kt
@@ -12,6 +12,6 @@
     /** Returns the zones of the leaders of the last [RecoveryTuning.ZONE_OUTAGE_GRACE_MS]. */
     fun current(): Set<String> {
         val leaders = jobStore.recentLeaders(settings.node, RecoveryTuning.ZONE_OUTAGE_GRACE_MS)
-        return settings.members.filter { it.node in leaders }.mapTo(HashSet()) { it.area }
+        return settings.members.filter { it.node in leaders }.mapTo(HashSet()) { it.zone }
     }
 }
--- a/src/main/kotlin/ledgearch/api/UserApi.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -23,7 +23,7 @@
     clock: Clock,
 ) {
     private val deployment = settings.deployment
-    private val maxViewAgeMs = (deployment.workers.cancelS * MS_PER_SECOND * ApiTuning.MAX_VIEW_AGE_SHARE).toLong()
+    private val maxViewAgeMs = (deployment.workers.maxCancelS * MS_PER_SECOND * ApiTuning.MAX_VIEW_AGE_SHARE).toLong()
     private val limits = SubmissionLimits(deployment.teams.associateBy { it.name }, deployment.state.safeValueBytes)
     private val responses = JobResponses(leadership, settings.operator.retryAfterS)
     private val freshness = DependencyFreshness(jobStore, clock, maxViewAgeMs)
--- a/src/main/kotlin/ledgearch/api/Validation.kt
+++ b/src/main/kotlin/ledgearch/api/Validation.kt
@@ -42,8 +42,8 @@
         if (team == null) return Infeasibility.UNKNOWN_TEAM
         val minTasks = if (spec.kind == JobKind.SERVICE) spec.taskCount else 1
         return when {
-            spec.vcpus * minTasks > team.cpusMax + Machine.TOLERANCE -> Infeasibility.VCPUS_ABOVE_LIMIT
-            spec.accelerators * minTasks > team.gpusMax + Machine.TOLERANCE -> Infeasibility.ACCELERATORS_ABOVE_LIMIT
+            spec.vcpus * minTasks > team.maxCpus + Machine.TOLERANCE -> Infeasibility.VCPUS_ABOVE_LIMIT
+            spec.accelerators * minTasks > team.maxGpus + Machine.TOLERANCE -> Infeasibility.ACCELERATORS_ABOVE_LIMIT
             machineTypes.none { isAllowed(spec, it) && holdsTask(it, spec) } -> Infeasibility.NO_FITTING_MACHINE_TYPE
             else -> null
         }
--- a/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
@@ -54,7 +54,7 @@
     private val clock: Clock,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.autoscaling")
-    private val address = settings.outside.cloud
+    private val address = settings.externalServices.cloud
 
     /** Calls per second that this node plans to make at most. */
     val callsPerSecond = settings.deployment.cloud.rps * RuntimeTuning.USED_RATE_LIMIT_SHARE
--- a/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Headroom.kt
@@ -52,7 +52,7 @@
 
     private val reserveDeviations = settings.operator.reserveDeviations
 
-    private val teamMaxCpus = settings.deployment.teams.associate { it.name to it.cpusMax }
+    private val teamMaxCpus = settings.deployment.teams.associate { it.name to it.maxCpus }
 
     /** By job class. */
     private val startObjectivesS: Map<String, Double> = settings.deployment.objectives.startWithinS()
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -75,7 +75,8 @@
             group,
             socketShare(DaemonTuning.INCOMING_SOCKET_SHARE),
             { it.path == RequestRouter.HEARTBEAT_PATH },
-            (settings.deployment.workers.reportS * MS_PER_SECOND * DaemonTuning.MIN_EVICTION_IDLE_INTERVALS).toLong(),
+            (settings.deployment.workers.heartbeatIntervalS * MS_PER_SECOND * DaemonTuning.MIN_EVICTION_IDLE_INTERVALS)
+                .toLong(),
             requestHandler::respond,
         )
 
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -57,11 +57,11 @@
 
     /** Runs the controller for [ROUND_COUNT] rounds of requests, then ends the process with [ExitCodes.OK]. */
     fun run() {
-        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::respondAsStateService).start(settings.outside.state)
-        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::respondAsCloudOrWorker).start(settings.outside.cloud)
+        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::handleStateRequest).start(settings.externalServices.state)
+        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::handleCloudOrWorkerRequest).start(settings.externalServices.cloud)
         TcpMesh(scope, group, NoOpMeshListener).follow(settings.meshAddress)
         val peer = TcpMesh(scope, group, NoOpMeshListener)
-        peer.listen(settings.members.first().addr)
+        peer.listen(settings.members.first().meshAddress)
         Daemon(settings).start()
         val client = HttpClient(group)
         runBlocking(Dispatchers.Unconfined) {
@@ -108,7 +108,7 @@
         val heartbeat =
             Heartbeat(
                 machine = MACHINE,
-                endpoint = settings.outside.cloud,
+                endpoint = settings.externalServices.cloud,
                 machineType = "r",
                 zone = "z",
                 incarnation = 1,
@@ -119,7 +119,7 @@
         return WireJson.encodeToString(Heartbeat.serializer(), heartbeat)
     }
 
-    private suspend fun respondAsStateService(request: Request): Response {
+    private suspend fun handleStateRequest(request: Request): Response {
         val path = request.path
         return when {
             path.startsWith("/leases") -> Response(HttpStatus.OK, """{"permit":7}""")
@@ -159,12 +159,12 @@
     }
 
     private fun machineRecord(): String {
-        val attributes = """"endpoint":"${settings.outside.cloud}","rack":0,"hall":"z","borrowed":false"""
+        val attributes = """"endpoint":"${settings.externalServices.cloud}","rack":0,"hall":"z","borrowed":false"""
         val machine = """{"name":"$MACHINE",$attributes}"""
         return """{"key":"m/$MACHINE","v":{"block":0,"racks":[$MACHINE_TYPE],"machines":[$machine]},"stamp":3}"""
     }
 
-    private suspend fun respondAsCloudOrWorker(request: Request): Response =
+    private suspend fun handleCloudOrWorkerRequest(request: Request): Response =
         when (request.path) {
             "/catalog" -> Response(HttpStatus.OK, """{"racks":[$MACHINE_TYPE]}""")
             "/orders" -> commandResponse(request)
--- a/src/main/kotlin/ledgearch/config/Deployment.kt
+++ b/src/main/kotlin/ledgearch/config/Deployment.kt
@@ -24,13 +24,13 @@
 data class Team(
     val name: String,
     /** Guaranteed processor cores. */
-    val cpus: Double = 0.0,
+    @SerialName("cpus") val guaranteedCpus: Double = 0.0,
     /** Maximum number of processor cores. */
-    @SerialName("cpus_max") val cpusMax: Double = 0.0,
+    @SerialName("cpus_max") val maxCpus: Double = 0.0,
     /** Guaranteed accelerators. */
-    val gpus: Double = 0.0,
+    @SerialName("gpus") val guaranteedGpus: Double = 0.0,
     /** Maximum number of accelerators. */
-    @SerialName("gpus_max") val gpusMax: Double = 0.0,
+    @SerialName("gpus_max") val maxGpus: Double = 0.0,
 )
 
 /** A service-level objective. */
@@ -45,7 +45,7 @@
     /** Share of the jobs that have to meet the objective, from 0 to 1. */
     val share: Double = 0.0,
     /** Multiple of the deadline within which a job has to end; only for the kind `deadline`. */
-    val times: Double = 1.0,
+    @SerialName("times") val deadlineMultiple: Double = 1.0,
 )
 
 /** Returns the shortest time limit of a `wait` objective in seconds, by class; without objectives for all jobs. */
@@ -59,11 +59,11 @@
 @Serializable
 data class WorkerTimes(
     /** Interval in seconds between two heartbeats of a worker. */
-    @SerialName("report_s") val reportS: Double,
+    @SerialName("report_s") val heartbeatIntervalS: Double,
     /** Duration in seconds of a worker's lease. */
     @SerialName("lease_s") val leaseS: Double,
     /** Time limit in seconds for a cancellation to take effect. */
-    @SerialName("cancel_s") val cancelS: Double,
+    @SerialName("cancel_s") val maxCancelS: Double,
 )
 
 /** Limits of the cloud API. */
--- a/src/main/kotlin/ledgearch/config/PlatformCheck.kt
+++ b/src/main/kotlin/ledgearch/config/PlatformCheck.kt
@@ -26,9 +26,9 @@
             mapOf(
                 "listen" to settings.listen,
                 "mesh_addr" to settings.meshAddress,
-                "outside.cloud" to settings.outside.cloud,
-                "outside.state" to settings.outside.state,
-            ) + settings.members.map { "members[${it.node}].addr" to it.addr }
+                "outside.cloud" to settings.externalServices.cloud,
+                "outside.state" to settings.externalServices.state,
+            ) + settings.members.map { "members[${it.node}].addr" to it.meshAddress }
         val (field, value) = addresses.entries.firstOrNull { !isAddress(it.value) } ?: return null
         return "$field: \"$value\" is not HOST:PORT with a port from 1 to $MAX_PORT"
     }
@@ -55,9 +55,9 @@
         val next = deployment.state.next
         val values =
             listOf(
-                "deployment.workers.report_s" to deployment.workers.reportS,
+                "deployment.workers.report_s" to deployment.workers.heartbeatIntervalS,
                 "deployment.workers.lease_s" to deployment.workers.leaseS,
-                "deployment.workers.cancel_s" to deployment.workers.cancelS,
+                "deployment.workers.cancel_s" to deployment.workers.maxCancelS,
                 "deployment.state.rps" to deployment.state.rps,
                 "deployment.state.write_rps" to deployment.state.writeRps,
                 "deployment.state.value_kb" to deployment.state.valueKb,
@@ -98,10 +98,10 @@
     private fun negativeTeamValue(team: Team): String? {
         val values =
             listOf(
-                "cpus" to team.cpus,
-                "cpus_max" to team.cpusMax,
-                "gpus" to team.gpus,
-                "gpus_max" to team.gpusMax,
+                "cpus" to team.guaranteedCpus,
+                "cpus_max" to team.maxCpus,
+                "gpus" to team.guaranteedGpus,
+                "gpus_max" to team.maxGpus,
             )
         val (field, value) = values.firstOrNull { (_, value) -> !isZeroOrMore(value) } ?: return null
         return "deployment.teams.${team.name}.$field: $value must be 0 or more"
@@ -129,9 +129,9 @@
     }
 
     private fun guaranteeAboveQuota(team: Team): String? {
-        if (team.cpusMax >= team.cpus && team.gpusMax >= team.gpus) return null
-        return "deployment.teams.${team.name}: guaranteed cpus ${team.cpus} and gpus ${team.gpus} " +
-            "must not exceed cpus_max ${team.cpusMax} and gpus_max ${team.gpusMax}"
+        if (team.maxCpus >= team.guaranteedCpus && team.maxGpus >= team.guaranteedGpus) return null
+        return "deployment.teams.${team.name}: guaranteed cpus ${team.guaranteedCpus} and " +
+            "gpus ${team.guaranteedGpus} must not exceed cpus_max ${team.maxCpus} and gpus_max ${team.maxGpus}"
     }
 
     private const val MAX_PORT = 65535
--- a/src/main/kotlin/ledgearch/config/Settings.kt
+++ b/src/main/kotlin/ledgearch/config/Settings.kt
@@ -10,14 +10,14 @@
     /** Name of this controller. */
     val node: String,
     /** Zone of this controller; empty if it belongs to none. */
-    val area: String = "",
+    @SerialName("area") val zone: String = "",
     /** Address (HOST:PORT) of this controller for users and workers. */
     val listen: String,
     /** Address (HOST:PORT) of this controller for the other controllers. */
     @SerialName("mesh_addr") val meshAddress: String,
     /** The other controllers. */
     val members: List<Member> = emptyList(),
-    val outside: OutsideAddresses,
+    @SerialName("outside") val externalServices: ExternalServiceAddresses,
     val deployment: Deployment,
     /** Settings in the operators' file. */
     @Transient val operator: OperatorSettings = OperatorSettings(),
@@ -29,14 +29,14 @@
     /** Name of the controller. */
     val node: String,
     /** Zone of the controller; empty if it belongs to none. */
-    val area: String = "",
-    /** Address (HOST:PORT) of the controller for other controllers. */
-    val addr: String,
+    @SerialName("area") val zone: String = "",
+    /** Address (HOST:PORT) of the controller for the other controllers. */
+    @SerialName("addr") val meshAddress: String,
 )
 
 /** Addresses (HOST:PORT) of the services that the controllers use. */
 @Serializable
-data class OutsideAddresses(
+data class ExternalServiceAddresses(
     /** Address of the cloud API. */
     val cloud: String,
     /** Address of the state service. */
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -38,19 +38,19 @@
     finalRecordCacheSize: Long,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.control")
-    private val meshAddressByNode = settings.members.associate { it.node to it.addr }
+    private val meshAddressByNode = settings.members.associate { it.node to it.meshAddress }
 
     /** The time of the current batch. */
     val clock = Clock()
 
     /** Counters, latencies and the time that the owner spends on each kind of work. */
     val metrics = Metrics(clock, nanoTime)
-    private val meteredTransport = MeteredTransport(transport, settings.outside, metrics, clock)
+    private val meteredTransport = MeteredTransport(transport, settings.externalServices, metrics, clock)
 
     /** Client of the state service. */
     val storeClient =
         StoreClient(
-            settings.outside.state,
+            settings.externalServices.state,
             settings.deployment.state,
             settings.members.size + 1,
             meteredTransport,
--- a/src/main/kotlin/ledgearch/control/Leader.kt
+++ b/src/main/kotlin/ledgearch/control/Leader.kt
@@ -290,7 +290,7 @@
             if (!settings.operator.zoneRecovery.enabled) return null
             // A running agent sends a heartbeat within this time, so a new leader then recognizes partitioned zones.
             val detectionMs =
-                settings.deployment.workers.reportS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEAT_INTERVALS
+                settings.deployment.workers.heartbeatIntervalS * MS_PER_SECOND * AgentTuning.LOST_HEARTBEAT_INTERVALS
             return ZoneRecovery(settings.operator.zoneRecovery, clock, detectionMs.toLong())
         }
     }
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -7,9 +7,9 @@
 
 /**
  * Upper bound on the resources that each team's tasks may use, and whether more tasks may start. A team has a quota,
- * the most that its tasks may use at one time ([Team.cpusMax], [Team.gpusMax]), and within it a guaranteed share
- * ([Team.cpus], [Team.gpus]). Usage beyond that share is surplus. Amounts are in processors and accelerators;
- * comparisons allow a difference of [Machine.TOLERANCE].
+ * the most that its tasks may use at one time ([Team.maxCpus], [Team.maxGpus]), and within it a guaranteed share
+ * ([Team.guaranteedCpus], [Team.guaranteedGpus]). Usage beyond that share is surplus. Amounts are in processors and
+ * accelerators; comparisons allow a difference of [Machine.TOLERANCE].
  */
 internal class TeamQuotas(
     teams: List<Team>,
@@ -41,7 +41,7 @@
             val team = usages[job.spec.team]?.team ?: continue
             val guaranteed = guaranteedByTeam.getOrPut(job.spec.team) { ResourceSum() }
             guaranteed.addTasks(job, job.spec.taskCount)
-            job.isGuaranteed = guaranteed.isWithin(team.cpus, team.gpus)
+            job.isGuaranteed = guaranteed.isWithin(team.guaranteedCpus, team.guaranteedGpus)
         }
     }
 
@@ -119,8 +119,8 @@
         val usage = usages[job.spec.team] ?: return false
         val cpus = usage.used.cpus + unattributed.cpus + minOf(unconfirmed.cpus, usage.unaccounted.cpus)
         val gpus = usage.used.gpus + unattributed.gpus + minOf(unconfirmed.gpus, usage.unaccounted.gpus)
-        return cpus + job.spec.vcpus <= usage.team.cpusMax + Machine.TOLERANCE &&
-            gpus + job.spec.accelerators <= usage.team.gpusMax + Machine.TOLERANCE
+        return cpus + job.spec.vcpus <= usage.team.maxCpus + Machine.TOLERANCE &&
+            gpus + job.spec.accelerators <= usage.team.maxGpus + Machine.TOLERANCE
     }
 
     /** Returns whether [job] is guaranteed and [more] more of its tasks fit into its team's guaranteed share. */
@@ -130,8 +130,8 @@
     ): Boolean {
         val usage = usages[job.spec.team] ?: return false
         return job.isGuaranteed &&
-            usage.continuing.cpus + more * job.spec.vcpus <= usage.team.cpus + Machine.TOLERANCE &&
-            usage.continuing.gpus + more * job.spec.accelerators <= usage.team.gpus + Machine.TOLERANCE
+            usage.continuing.cpus + more * job.spec.vcpus <= usage.team.guaranteedCpus + Machine.TOLERANCE &&
+            usage.continuing.gpus + more * job.spec.accelerators <= usage.team.guaranteedGpus + Machine.TOLERANCE
     }
 
     /**
@@ -146,18 +146,18 @@
         val usage = usages[job.spec.team] ?: return false
         val selectedOfTeam = selected.filter { it.spec.team == job.spec.team }
         return usage.continuing.cpus - job.spec.vcpus - selectedOfTeam.sumOf { it.spec.vcpus } >=
-            usage.team.cpus - Machine.TOLERANCE &&
+            usage.team.guaranteedCpus - Machine.TOLERANCE &&
             usage.continuing.gpus - job.spec.accelerators - selectedOfTeam.sumOf { it.spec.accelerators } >=
-            usage.team.gpus - Machine.TOLERANCE
+            usage.team.guaranteedGpus - Machine.TOLERANCE
     }
 
     /** Returns how many more tasks of [job] its team's quota allows once all stopping attempts are gone. */
     fun roomAfterStops(job: Job): Int {
         val usage = usages[job.spec.team] ?: return 0
         return FreeResources.taskCapacity(
-            usage.team.cpusMax - usage.continuing.cpus,
+            usage.team.maxCpus - usage.continuing.cpus,
             job.spec.vcpus,
-            usage.team.gpusMax - usage.continuing.gpus,
+            usage.team.maxGpus - usage.continuing.gpus,
             job.spec.accelerators,
             job.spec.taskCount,
         )
@@ -170,9 +170,9 @@
     ): Int {
         val usage = usages[job.spec.team] ?: return 0
         return FreeResources.taskCapacity(
-            usage.team.cpusMax - usage.used.cpus - reservedCpus,
+            usage.team.maxCpus - usage.used.cpus - reservedCpus,
             job.spec.vcpus,
-            usage.team.gpusMax - usage.used.gpus,
+            usage.team.maxGpus - usage.used.gpus,
             job.spec.accelerators,
             job.spec.taskCount,
         )
--- a/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
+++ b/src/main/kotlin/ledgearch/runtime/MeteredTransport.kt
@@ -1,12 +1,12 @@
 package ledgearch.runtime
 
-import ledgearch.config.OutsideAddresses
+import ledgearch.config.ExternalServiceAddresses
 import ledgearch.http.Reply
 
 /** Counts and times all calls that the owner makes through [inner], by the kind of peer. */
 internal class MeteredTransport(
     private val inner: Transport,
-    private val outside: OutsideAddresses,
+    private val externalServices: ExternalServiceAddresses,
     private val metrics: Metrics,
     private val clock: Clock,
 ) : Transport {
@@ -38,8 +38,8 @@
 
     private fun peerAt(address: String): Peer =
         when (address) {
-            outside.cloud -> Peer.CLOUD
-            outside.state -> Peer.STATE
+            externalServices.cloud -> Peer.CLOUD
+            externalServices.state -> Peer.STATE
             else -> Peer.WORKER
         }
 
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -21,7 +21,7 @@
     private val deadlineMultiples: Map<String, List<Double>> =
         objectives
             .filter { it.kind == "deadline" && it.jobClass != null }
-            .groupBy({ it.jobClass.orEmpty() }, { it.times })
+            .groupBy({ it.jobClass.orEmpty() }, { it.deadlineMultiple })
             .mapValues { it.value.sorted() }
 
     private val cachedEndsS = HashMap<Job, List<Double>>()
--- a/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
+++ b/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
@@ -2,10 +2,10 @@
 
 import ledgearch.config.CloudLimits
 import ledgearch.config.Deployment
+import ledgearch.config.ExternalServiceAddresses
 import ledgearch.config.NodeQuota
 import ledgearch.config.Objective
 import ledgearch.config.OperatorSettings
-import ledgearch.config.OutsideAddresses
 import ledgearch.config.Settings
 import ledgearch.config.StateLimits
 import ledgearch.config.Team
@@ -42,7 +42,7 @@
             listen = "n1:8080",
             meshAddress = "n1:8081",
             members = emptyList(),
-            outside = OutsideAddresses("cloud:1", "state:1"),
+            externalServices = ExternalServiceAddresses("cloud:1", "state:1"),
             deployment =
                 Deployment(
                     zones = listOf("a"),
--- a/src/test/kotlin/ledgearch/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/ledgearch/loopback/LoopbackCluster.kt
@@ -6,9 +6,9 @@
 import ledgearch.client.StatusReader
 import ledgearch.config.CloudLimits
 import ledgearch.config.Deployment
+import ledgearch.config.ExternalServiceAddresses
 import ledgearch.config.Member
 import ledgearch.config.NodeQuota
-import ledgearch.config.OutsideAddresses
 import ledgearch.config.Settings
 import ledgearch.config.Team
 import ledgearch.config.WorkerTimes
@@ -70,11 +70,11 @@
     private fun settings(name: String) =
         Settings(
             node = name,
-            area = ZONES.first(),
+            zone = ZONES.first(),
             listen = listenAddresses.getValue(name),
             meshAddress = meshAddresses.getValue(name),
             members = NAMES.filter { it != name }.map { Member(it, ZONES.first(), meshAddresses.getValue(it)) },
-            outside = OutsideAddresses(simulation.cloudAddress, simulation.stateAddress),
+            externalServices = ExternalServiceAddresses(simulation.cloudAddress, simulation.stateAddress),
             deployment =
                 Deployment(
                     zones = ZONES,
--- a/src/test/kotlin/ledgearch/simulation/SimulatedNode.kt
+++ b/src/test/kotlin/ledgearch/simulation/SimulatedNode.kt
@@ -3,10 +3,10 @@
 import ledgearch.cli.DaemonTuning
 import ledgearch.config.CloudLimits
 import ledgearch.config.Deployment
+import ledgearch.config.ExternalServiceAddresses
 import ledgearch.config.Member
 import ledgearch.config.NodeQuota
 import ledgearch.config.Objective
-import ledgearch.config.OutsideAddresses
 import ledgearch.config.Settings
 import ledgearch.config.StandbySettings
 import ledgearch.config.Team
@@ -133,13 +133,13 @@
             listen = "$name:8080",
             meshAddress = "$name:8081",
             members = (1..options.nodeCount).map { "n$it" }.filter { it != name }.map(::member),
-            outside = OutsideAddresses("cloud:1", "state:1"),
+            externalServices = ExternalServiceAddresses("cloud:1", "state:1"),
             deployment =
                 Deployment(
                     zones = listOf("a", "b"),
                     teams =
                         listOf(
-                            Team("red", 8.0, options.teamMaxVcpus, gpusMax = 2.0),
+                            Team("red", 8.0, options.teamMaxVcpus, maxGpus = 2.0),
                             Team("blue", 8.0, options.teamMaxVcpus),
                         ),
                     objectives = listOf(Objective("wait", "web", 1.0, 0.9)),
