--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -58,7 +58,12 @@
     /** Runs the controller for [ROUND_COUNT] rounds of requests, then ends the process with [ExitCodes.OK]. */
     fun run() {
         HttpServer(scope, group, MAX_CONNECTIONS, handler = ::handleStateRequest).start(settings.externalServices.state)
-        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::handleCloudOrWorkerRequest).start(settings.externalServices.cloud)
+        HttpServer(
+            scope,
+            group,
+            MAX_CONNECTIONS,
+            handler = ::handleCloudOrWorkerRequest,
+        ).start(settings.externalServices.cloud)
         TcpMesh(scope, group, NoOpMeshListener).follow(settings.meshAddress)
         val peer = TcpMesh(scope, group, NoOpMeshListener)
         peer.listen(settings.members.first().meshAddress)
