--- a/src/test/kotlin/ledgearch/simulation/invariants/AuditSampler.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/AuditSampler.kt
@@ -76,22 +76,18 @@
 
     private fun observedTasks() =
         simulation.workers.values.filter { it.isAlive }.flatMap { worker ->
-            val reached = simulation.isReachable(worker)
+            val isReachable = simulation.isReachable(worker)
             worker.tasks.values
                 .filter { it.state != TaskState.EXITED }
-                .map { ObservedTask(it.taskId, it.attempt, worker.name, it.isExecuting, reached) }
+                .map { ObservedTask(it.taskId, it.attempt, worker.name, it.isExecuting, isReachable) }
         }
 
     private companion object {
         const val SAMPLE_INTERVAL_MS = 1_000L
-
         const val SETTLED_SAMPLE_INTERVAL_MS = 5_000L
-
         const val POLL_INTERVAL_MS = 100L
 
-        /**
-         * A task that has executed for so long has been reported to the leader and published to the other controllers.
-         */
+        /** Time in which an executing task is reported to the leader and published to the other controllers. */
         const val KNOWN_AFTER_MS = 20_000L
 
         const val REPLY_WAIT_MS = 4_000L
--- a/src/test/kotlin/ledgearch/simulation/invariants/DependencyInvariants.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/DependencyInvariants.kt
@@ -55,10 +55,13 @@
     /** Returns whether a dependency of [job] has not completed, so that [job] must not start. */
     fun isWaiting(job: String) = dependenciesOf(job).any { !invariants.isCompleted(it) }
 
-    /** Returns whether a cancellation of [job] or of a dependency was requested for a job not observed as done. */
+    /**
+     * Returns whether [job] or a dependency may be cancelled: a user requested it, and no reply reports that job as
+     * done.
+     */
     fun mayBeCancelled(job: String) = mayEndCancelled(job) || mayBeCancelledWithDependency(job)
 
-    /** Returns whether a cancellation of a dependency was requested for a job not observed as done. */
+    /** Returns whether a dependency of [job] may be cancelled: a user requested it, and no reply reports it as done. */
     fun mayBeCancelledWithDependency(job: String) = dependenciesOf(job).any(::mayEndCancelled)
 
     private fun mayEndCancelled(job: String) = invariants.isCancelRequested(job) && !invariants.isObservedDone(job)
--- a/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/Scenario.kt
@@ -158,7 +158,7 @@
         }
     }
 
-    /** `when JOB accepted|ended|cancelled after S STEP`: runs the step S after the job first reached that state. */
+    /** `when JOB accepted|ended|cancelled after S STEP`: runs STEP, S after the job first reached that state. */
     private fun await(
         step: Step,
         simulation: Simulation,
