--- a/src/main/kotlin/ledgearch/agents/TaskCommands.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskCommands.kt
@@ -42,9 +42,7 @@
     /** Returns the stop command for [attempt], or null while it saves the checkpoint that an earlier stop asked for. */
     private fun stopCommand(attempt: TaskAttempt): TaskCommand? {
         val graceS =
-            if (attempt.stopMode ==
-                StopMode.CHECKPOINT_FIRST
-            ) {
+            if (attempt.stopMode == StopMode.CHECKPOINT_FIRST) {
                 attempt.job?.spec?.checkpointSaveS ?: NO_GRACE_S
             } else {
                 NO_GRACE_S
--- a/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/agents/TaskStatusHandler.kt
@@ -160,8 +160,7 @@
             }
 
             ExitCause.FULL, ExitCause.BUSY -> {
-                machine.startsPausedUntilMs =
-                    clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
+                machine.startsPausedUntilMs = clock.steadyMs + AgentTuning.REFUSED_START_PAUSE_MS
             }
 
             ExitCause.UNKNOWN_TASK -> {
--- a/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
@@ -42,10 +42,7 @@
         pools: List<MachinePool>,
     ): List<MachinePool> {
         val reachable =
-            pools.filter {
-                !cluster.isPartitioned(it.zone) &&
-                    cluster.recovery?.isSuppressed(it.zone) != true
-            }
+            pools.filter { !cluster.isPartitioned(it.zone) && cluster.recovery?.isSuppressed(it.zone) != true }
         // During a recovery, pools without capacity are left out: when no other zone has capacity for displaced work, a
         // probe machine is provisioned to detect the return of its zone.
         return if (cluster.recovery?.isActive == true) reachable.filter(provisioner::mayHaveCapacity) else reachable
--- a/src/main/kotlin/ledgearch/config/JsonErrorDescriber.kt
+++ b/src/main/kotlin/ledgearch/config/JsonErrorDescriber.kt
@@ -39,11 +39,7 @@
         val line = message.lineSequence().first().substringBeforeLast(PATH_MARKER)
         val offsetMatch = OFFSET_PREFIX.find(line)
         val problem =
-            line
-                .substring(
-                    offsetMatch?.range?.let { it.last + 1 } ?: 0,
-                ).removePrefix(READ_ERROR_PREFIX)
-                .trimEnd()
+            line.substring(offsetMatch?.range?.let { it.last + 1 } ?: 0).removePrefix(READ_ERROR_PREFIX).trimEnd()
         if (offsetMatch == null) return "not valid JSON: $problem"
         return "not valid JSON at ${position(offsetMatch.groupValues[1].toInt())}: $problem"
     }
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -132,8 +132,7 @@
      */
     private fun claimDelayMs(): Long {
         val lagDelayMs = standby?.replicaLagDelayMs() ?: return random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS)
-        return lagDelayMs +
-            random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS - ElectionTuning.MAX_REPLICA_LAG_DELAY_MS)
+        return lagDelayMs + random.nextLong(ElectionTuning.MAX_CLAIM_DELAY_MS - ElectionTuning.MAX_REPLICA_LAG_DELAY_MS)
     }
 
     private inner class JobStoreEvents : JobStoreListener {
--- a/src/main/kotlin/ledgearch/control/JobLifecycle.kt
+++ b/src/main/kotlin/ledgearch/control/JobLifecycle.kt
@@ -87,8 +87,7 @@
     ) {
         // Attempts are counted by priority: those of the job are subtracted before the change and added after it.
         val countedAttempts =
-            machineRegistry.machines.values
-                .flatMap { machine -> machine.attempts.values.filter { it.job === job } }
+            machineRegistry.machines.values.flatMap { machine -> machine.attempts.values.filter { it.job === job } }
         countedAttempts.forEach { it.machine.adjustCounts(it, -1) }
         job.priority = priority
         countedAttempts.forEach { it.machine.adjustCounts(it, 1) }
--- a/src/main/kotlin/ledgearch/model/FreeResources.kt
+++ b/src/main/kotlin/ledgearch/model/FreeResources.kt
@@ -78,10 +78,7 @@
             perTaskOther: Double,
             maxTasks: Int,
         ): Int =
-            minOf(
-                capacity(free, perTask),
-                capacity(freeOther, perTaskOther),
-            ).coerceIn(0.0, maxTasks.toDouble()).toInt()
+            minOf(capacity(free, perTask), capacity(freeOther, perTaskOther)).coerceIn(0.0, maxTasks.toDouble()).toInt()
 
         private fun capacity(
             free: Double,
--- a/src/main/kotlin/ledgearch/model/Machine.kt
+++ b/src/main/kotlin/ledgearch/model/Machine.kt
@@ -233,11 +233,7 @@
     fun couldFit(job: Job): Boolean {
         val free = FreeResources(machineType)
         for (attempt in attempts.values) {
-            if (!attempt.isExited &&
-                attempt.job?.isService != false
-            ) {
-                free.take(attempt.job)
-            }
+            if (!attempt.isExited && attempt.job?.isService != false) free.take(attempt.job)
         }
         return free.fits(job)
     }
--- a/src/main/kotlin/ledgearch/model/TaskAttempt.kt
+++ b/src/main/kotlin/ledgearch/model/TaskAttempt.kt
@@ -75,8 +75,7 @@
 
     /** Whether the agent may remove the attempt from its list without loss of information. */
     val isClearable: Boolean get() =
-        isExited &&
-            (!isFinished || job == null || job.isClosed || job.recordedTasks.get(index))
+        isExited && (!isFinished || job == null || job.isClosed || job.recordedTasks.get(index))
 
     /**
      * Returns whether no start of this attempt is still in flight, given [heartbeatSequence], that of the agent's last
--- a/src/main/kotlin/ledgearch/model/TeamQuotas.kt
+++ b/src/main/kotlin/ledgearch/model/TeamQuotas.kt
@@ -107,8 +107,7 @@
     /** Returns whether any attempt of a lower priority than that of [job] continues. */
     fun hasLowerPriorityAttempts(job: Job): Boolean =
         (job.priority.ordinal + 1 until continuing.size).any {
-            continuing[it] >
-                0
+            continuing[it] > 0
         }
 
     /**
--- a/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SpotReliability.kt
@@ -97,9 +97,7 @@
 
     private class GainingJob(
         val job: Job,
-        /**
-         * Expected number of objectives missed due to spot losses, per processor second of remaining work.
-         */
+        /** Expected number of objectives missed due to spot losses, per processor second of remaining work. */
         val gain: Double,
     )
 
--- a/src/main/kotlin/ledgearch/standby/LeaderStateReader.kt
+++ b/src/main/kotlin/ledgearch/standby/LeaderStateReader.kt
@@ -62,8 +62,6 @@
             machine.incarnation,
             machine.isReleasing,
             machine.attempts.values.map { AttemptSnapshot(it.taskId, it.number, it.state) },
-            machine.imageSizesGb.map { (name, sizeGb) ->
-                CachedImage(name, sizeGb, name in machine.fetchedImages)
-            },
+            machine.imageSizesGb.map { (name, sizeGb) -> CachedImage(name, sizeGb, name in machine.fetchedImages) },
         )
 }
--- a/src/main/kotlin/ledgearch/store/StoreClient.kt
+++ b/src/main/kotlin/ledgearch/store/StoreClient.kt
@@ -49,12 +49,7 @@
         done: (TransactionResult) -> Unit,
     ) = queue.add(requestClass, StoreRequest.transaction(conditions, changes)) { reply ->
         if (reply.status != StoreStatus.OK) {
-            log.debug(
-                "transaction of {} changes failed with status {}: {}",
-                changes.size,
-                reply.status,
-                reply.body,
-            )
+            log.debug("transaction of {} changes failed with status {}: {}", changes.size, reply.status, reply.body)
         }
         done(StoreReplies.transaction(reply))
     }
--- a/src/test/kotlin/ledgearch/config/OperatorSettingsTest.kt
+++ b/src/test/kotlin/ledgearch/config/OperatorSettingsTest.kt
@@ -27,15 +27,10 @@
                     OperatorLoader.load(file)
                 } else {
                     val message =
-                        assertThrows(
-                            SettingsException::class.java,
-                        ) { OperatorLoader.load(file) }.message.orEmpty()
+                        assertThrows(SettingsException::class.java) { OperatorLoader.load(file) }.message.orEmpty()
                     assertTrue(expected.removePrefix(EXACT_PREFIX) in message, message)
                     assertEquals(1, message.lines().size, "one line")
-                    if (expected.startsWith(
-                            EXACT_PREFIX,
-                        )
-                    ) {
+                    if (expected.startsWith(EXACT_PREFIX)) {
                         assertEquals("$file: ${expected.removePrefix(EXACT_PREFIX)}", message)
                     }
                 }
--- a/src/test/kotlin/ledgearch/config/PlatformSettingsTest.kt
+++ b/src/test/kotlin/ledgearch/config/PlatformSettingsTest.kt
@@ -31,9 +31,7 @@
                 val expectedText = expected.substringAfter(' ', "")
                 if (expected.startsWith("error") || expected.startsWith("exactly")) {
                     val message =
-                        assertThrows(
-                            SettingsException::class.java,
-                        ) { SettingsLoader.load(file) }.message.orEmpty()
+                        assertThrows(SettingsException::class.java) { SettingsLoader.load(file) }.message.orEmpty()
                     assertTrue(expectedText in message, message)
                     assertEquals(1, message.lines().size, "one line")
                     if (expected.startsWith("exactly")) assertEquals("$file: $expectedText", message)
--- a/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
+++ b/src/test/kotlin/ledgearch/control/FailingCommandsTest.kt
@@ -78,9 +78,7 @@
     }
 
     private val failingCommand =
-        OwnerCommand.HandleReply(
-            Reply.NONE,
-        ) { throw IllegalStateException("the callback fails") }
+        OwnerCommand.HandleReply(Reply.NONE) { throw IllegalStateException("the callback fails") }
 
     private fun runBatch(vararg commands: OwnerCommand) = controller.runBatch(1_000, 1_000, commands.toList())
 
@@ -105,9 +103,7 @@
     @Test
     fun `an error is not caught like an exception of a command`() {
         assertThrows<StackOverflowError> {
-            runBatch(
-                OwnerCommand.HandleReply(Reply.NONE) { throw StackOverflowError() },
-            )
+            runBatch(OwnerCommand.HandleReply(Reply.NONE) { throw StackOverflowError() })
         }
     }
 }
--- a/src/test/kotlin/ledgearch/control/HeartbeatCostTest.kt
+++ b/src/test/kotlin/ledgearch/control/HeartbeatCostTest.kt
@@ -29,9 +29,7 @@
 
     private fun bytesPerHeartbeat(machines: Int): Long {
         val simulation =
-            Simulation(
-                SimulationOptions(nodeCount = 1, seed = 1, teamMaxVcpus = machines * CPUS_PER_MACHINE),
-            )
+            Simulation(SimulationOptions(nodeCount = 1, seed = 1, teamMaxVcpus = machines * CPUS_PER_MACHINE))
         simulation.cloud.capacity = machines
         repeat(machines) { simulation.cloud.add("a", spot = false) }
         simulation.nodes.forEach { it.start() }
--- a/src/test/kotlin/ledgearch/peers/StatusFrameCodecTest.kt
+++ b/src/test/kotlin/ledgearch/peers/StatusFrameCodecTest.kt
@@ -57,9 +57,7 @@
                 ZoneStatus("zone-c", ZoneState.LOST, 3.0, 0.0),
             )
         val status =
-            StatusFrameCodec.readOrNull(
-                Buffer().write(StatusFrameCodec.encode(LeaderStatus(emptyList(), true, zones))),
-            )
+            StatusFrameCodec.readOrNull(Buffer().write(StatusFrameCodec.encode(LeaderStatus(emptyList(), true, zones))))
         assertEquals(zones, status?.zones)
         assertEquals(true to emptyList<Any>(), status?.isStateServiceReachable to status?.progress)
     }
--- a/src/test/kotlin/ledgearch/simulation/Users.kt
+++ b/src/test/kotlin/ledgearch/simulation/Users.kt
@@ -169,9 +169,7 @@
                     invariants.dependentsOf(it).isNotEmpty()
             }
         for (job in dependencies.shuffled(simulation.random).take(count)) {
-            clock.after(simulation.random.nextLong(CANCEL_SPREAD_MS)) {
-                cancel(job, retryForMs = retryForMs)
-            }
+            clock.after(simulation.random.nextLong(CANCEL_SPREAD_MS)) { cancel(job, retryForMs = retryForMs) }
         }
     }
 
--- a/src/test/kotlin/ledgearch/simulation/faults/ContestedRenewals.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/ContestedRenewals.kt
@@ -44,9 +44,7 @@
     /** Loses direct commands to some machines. The leader renews its token once they are overdue. */
     fun loseCommands() {
         val untilMs = clock.nowMs + randomBetweenMs(MIN_COMMAND_LOSS_MS, MAX_COMMAND_LOSS_MS)
-        randomMachines().forEach {
-            simulation.network.partition("nodes", it, untilMs, hold = false, oneWay = true)
-        }
+        randomMachines().forEach { simulation.network.partition("nodes", it, untilMs, hold = false, oneWay = true) }
     }
 
     /** Partitions each controller from some random machines. */
--- a/src/test/kotlin/ledgearch/simulation/faults/FaultInjector.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/FaultInjector.kt
@@ -133,9 +133,7 @@
         val endMs = randomEndMs(5, 40)
         val isolated = leaderName()
         for (other in listOf("state") + simulation.nodes.map { it.name }) {
-            if (other != isolated) {
-                simulation.network.partition(isolated, other, endMs, hold = random.nextBoolean())
-            }
+            if (other != isolated) simulation.network.partition(isolated, other, endMs, hold = random.nextBoolean())
         }
     }
 
--- a/src/test/kotlin/ledgearch/simulation/faults/StreamFaults.kt
+++ b/src/test/kotlin/ledgearch/simulation/faults/StreamFaults.kt
@@ -103,9 +103,7 @@
 
     private fun drawFault(simulation: Simulation): Kind? {
         val fault =
-            faults.firstOrNull {
-                it.untilMs > simulation.clock.nowMs && simulation.random.nextDouble() < it.share
-            }
+            faults.firstOrNull { it.untilMs > simulation.clock.nowMs && simulation.random.nextDouble() < it.share }
         if (fault != null) injectedCount++
         return fault?.kind
     }
--- a/src/test/kotlin/ledgearch/simulation/invariants/ExecutionAuditTest.kt
+++ b/src/test/kotlin/ledgearch/simulation/invariants/ExecutionAuditTest.kt
@@ -21,10 +21,7 @@
     /** Inspects the same tasks for longer than an unwanted task may stay. */
     private fun inspectSettledLongEnough(vararg tasks: ObservedTask) {
         for (nowMs in 0L..ExecutionAudit.SETTLING_MS + SAMPLE_MS step SAMPLE_MS) {
-            audit.inspectSettled(
-                nowMs,
-                tasks.toList(),
-            )
+            audit.inspectSettled(nowMs, tasks.toList())
         }
     }
 
--- a/src/test/kotlin/ledgearch/simulation/scenarios/NetworkSteps.kt
+++ b/src/test/kotlin/ledgearch/simulation/scenarios/NetworkSteps.kt
@@ -30,13 +30,7 @@
 
     /** `lose-incoming MACHINE until S`: delivers the heartbeats of the machine and loses all that is sent to it. */
     private fun loseIncoming(step: Step) {
-        simulation.network.partition(
-            "nodes",
-            machineName(step.words[1]),
-            step.parseMs(3),
-            hold = false,
-            oneWay = true,
-        )
+        simulation.network.partition("nodes", machineName(step.words[1]), step.parseMs(3), hold = false, oneWay = true)
     }
 
     /** `lose-commands MACHINE`: delivers replies to heartbeats to the machine and loses direct commands. */
--- a/src/test/kotlin/ledgearch/standby/ReplicaTest.kt
+++ b/src/test/kotlin/ledgearch/standby/ReplicaTest.kt
@@ -48,11 +48,7 @@
         val replica = Replica(machine.memoryBytes.toLong())
         assertEquals(ApplyResult.Applied, replica.apply(frame.copy(records = listOf(machine))))
         val nextFrame =
-            frame.copy(
-                startsSnapshot = false,
-                sequence = 10,
-                records = listOf(machine.copy(name = "host-2")),
-            )
+            frame.copy(startsSnapshot = false, sequence = 10, records = listOf(machine.copy(name = "host-2")))
         assertTrue(replica.apply(nextFrame) is ApplyResult.Rejected)
         assertTrue(replica.records.isEmpty())
     }
