--- a/src/main/kotlin/ledgearch/api/ApiTuning.kt
+++ b/src/main/kotlin/ledgearch/api/ApiTuning.kt
@@ -17,7 +17,7 @@
      */
     const val MAX_SUBMISSION_DEPTH = 200
 
-    /** Applies to queued submissions, polls and lookups in flight, each; further requests get a 503 at once. */
+    /** Limits queued submissions, polls and lookups in flight, each; further requests get a 503 at once. */
     const val MAX_PENDING_REQUESTS = 512
 
     /**
--- a/src/main/kotlin/ledgearch/api/DependencyFreshness.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyFreshness.kt
@@ -13,7 +13,7 @@
     private val clock: Clock,
     private val maxViewAgeMs: Long,
 ) {
-    /** Whether the job store contained all changes so recently that a cancelled dependency is reported in time. */
+    /** Whether the job store was complete recently enough that a cancelled dependency is reported in time. */
     val isViewFresh: Boolean get() = clock.steadyMs - jobStore.completeAsOfMs < maxViewAgeMs
 
     /**
--- a/src/main/kotlin/ledgearch/api/JobLookup.kt
+++ b/src/main/kotlin/ledgearch/api/JobLookup.kt
@@ -76,7 +76,7 @@
         id: String,
         stored: KeyValue,
     ) = if (decodeRecord(JobRecord.serializer(), stored.value)?.spec?.dependsOn != null) {
-        // Its transaction may have been executed long after its dependencies ended, which only the job store shows.
+        // It may have been accepted long after a dependency was cancelled, which only the job store shows.
         responses.unavailable()
     } else {
         responses.pending(id)
--- a/src/main/kotlin/ledgearch/api/PollBatch.kt
+++ b/src/main/kotlin/ledgearch/api/PollBatch.kt
@@ -10,8 +10,8 @@
     val receivedAtMs: Long,
     val respond: Respond,
 ) {
-    /** Whether the transaction of this poll compares that the job is still open, not that it was never accepted. */
-    var wasOpen = false
+    /** Whether the conditions for this poll require that the job is open, not that it was never accepted. */
+    var expectsOpen = false
 }
 
 /** The polls that one transaction confirms, and the conditions that it compares for them. */
@@ -31,7 +31,7 @@
         job: Job?,
     ) {
         polls.add(poll)
-        poll.wasOpen = job != null
+        poll.expectsOpen = job != null
         keyRevisions[Keys.job(poll.id)] = job?.modRevision ?: 0
         if (job == null) keyRevisions[Keys.final(poll.id)] = 0
     }
--- a/src/main/kotlin/ledgearch/api/Polls.kt
+++ b/src/main/kotlin/ledgearch/api/Polls.kt
@@ -114,7 +114,7 @@
             job != null -> poll.respond(responses.open(job))
 
             // The job has ended since, and this node has not cached its final record.
-            poll.wasOpen -> lookup.respondWithState(poll.id, poll.respond) { poll.respond(responses.unavailable()) }
+            poll.expectsOpen -> lookup.respondWithState(poll.id, poll.respond) { poll.respond(responses.unavailable()) }
 
             else -> poll.respond(responses.jobNotFound())
         }
--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -81,8 +81,8 @@
     /** Reads the machine list, releases machines and plans, each if it is due. Called on the leader only. */
     fun runDueWork(cluster: Cluster) {
         machineListReader.runDueWork(cluster)
-        // A leader that is partitioned with its zone misses all other machines. Its calls may be carried out after the
-        // partition: hundreds of machines that serve the next leader are released, and hundreds provisioned.
+        // A leader that is partitioned together with its zone gets no heartbeats of the other machines. Its calls, if
+        // carried out later, would release hundreds of machines that serve the next leader, and provision hundreds.
         if (!election.hasValidLease) return
         releaseQueue.runDueWork(cluster)
         if (clock.steadyMs < nextPlanAtMs) return
--- a/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
@@ -16,7 +16,7 @@
     /** The cloud's maximum. */
     const val LIST_PAGE_SIZE = 500
 
-    /** One call reads the page; the time of the others is left for provisioning and releasing. */
+    /** One call reads the page; the others are left for provisioning and releasing. */
     const val CALLS_PER_LIST_PAGE = 3
 
     /** The cloud's maximum for one call. */
@@ -39,7 +39,7 @@
     /** Time after which the cloud's list shows every machine that the previous leader provisioned. */
     const val RENTAL_HINT_TTL_MS = 10_000L
 
-    /** Lower bound; late heartbeats and machine lists contain released machines for some minutes. */
+    /** Released machines appear in late heartbeats and machine lists for some minutes. */
     const val MIN_RELEASED_NAMES_KEPT = 2_000
 
     // --- Planning -----------------------------------------------------------------------------------------------
@@ -62,7 +62,7 @@
     /** Time without demand before machines are drained. */
     const val SCALE_IN_DELAY_MS = 6_000L
 
-    /** Each round of draining shows in the load before the next. */
+    /** Long enough for a round of draining to show in the load before the next. */
     const val SCALE_IN_INTERVAL_MS = 3_000L
 
     /** Time constant of the decay of a load peak, about a boot time. */
--- a/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/BootTimeouts.kt
@@ -43,7 +43,7 @@
     ) {
         val machineType = jobStore.machineTypes[listed.machineType] ?: return
         if (listed.ageS > machineType.bootS * AutoscalingTuning.BOOT_TIMEOUT_FACTOR) {
-            log.info("machine queued for release: it has exceeded the boot time-out; machine={}", listed.name)
+            log.info("machine queued for release: it has exceeded the boot timeout; machine={}", listed.name)
             bootingMachines.remove(listed.name)
             releaseQueue.add(listed.name)
             return
--- a/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/PoolSelector.kt
@@ -18,9 +18,9 @@
     fun shortestBootS(): Double = jobStore.machineTypes.values.minOfOrNull { it.bootS } ?: 0.0
 
     /**
-     * Returns the cheapest pool for [demand] that may have capacity, or null if there is none; among equals, the one in
-     * whose zone the fewest machines boot or are planned in this round ([plannedCounts]). In a partitioned zone, only a
-     * probe machine is provisioned.
+     * Returns the cheapest pool for [demand] that may have capacity, or null if there is none; among equals, the one
+     * with the fewest machines that boot in its zone or are planned for it in this round ([plannedCounts]). In a
+     * partitioned zone, only a probe machine is provisioned.
      */
     fun cheapestPool(
         cluster: Cluster,
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -49,7 +49,7 @@
         val supplies = bootingSupplies(cluster)
         val hints = rentalHints.validHints(bootingMachines.names, cluster.machines.keys)
         supplies += hintedSupplies(hints)
-        supplies += heldBackSupplies(cluster)
+        supplies += pendingReadmissionSupplies(cluster)
         val knownCount = cluster.machines.size + bootingMachines.count + hints.size
         val maxPlanned = minOf(maxMachinesPerPlan(cluster), maxMachines - knownCount)
         return ScaleOutPlan(cluster, clock, poolSelector, supplies, maxPlanned, freedCpusPerSecond)
@@ -75,7 +75,7 @@
         }
 
     /** Returns the free resources of machines in returning zones that are to be admitted soon. */
-    private fun heldBackSupplies(cluster: Cluster): List<Supply> =
+    private fun pendingReadmissionSupplies(cluster: Cluster): List<Supply> =
         cluster.machines.values
             .filter { it.isReadmissionPending && it.isInService && cluster.recovery?.isSuppressed(it.zone) == false }
             .map { Supply(it.machineType, it.zone, it.spot, it.copyFreeResources()) }
--- a/src/main/kotlin/ledgearch/http/ConnectionPool.kt
+++ b/src/main/kotlin/ledgearch/http/ConnectionPool.kt
@@ -16,7 +16,7 @@
     var isReusable = false
 
     /** Time of the last return to the pool, in ms of [SteadyTime]. */
-    var idleSince = 0L
+    var idleSinceMs = 0L
 }
 
 /**
@@ -73,13 +73,13 @@
     private fun isExpired(
         connection: PooledConnection,
         nowMs: Long,
-    ): Boolean = nowMs - connection.idleSince > HttpTuning.POOLED_IDLE_TIMEOUT_MS
+    ): Boolean = nowMs - connection.idleSinceMs > HttpTuning.POOLED_IDLE_TIMEOUT_MS
 
     private fun putBack(
         address: String,
         connection: PooledConnection,
     ) {
-        connection.idleSince = SteadyTime.nowMs()
+        connection.idleSinceMs = SteadyTime.nowMs()
         // Removed and inserted again, so that this address becomes the most recently used one.
         val queue = idle.remove(address) ?: ArrayDeque()
         queue.addLast(connection)
--- a/src/main/kotlin/ledgearch/http/EventLoop.kt
+++ b/src/main/kotlin/ledgearch/http/EventLoop.kt
@@ -49,7 +49,7 @@
     private val isWakeUpPending = AtomicBoolean()
 
     /** Number of coroutine resumptions caused by sockets. */
-    private var socketEvents = 0L
+    private var socketEventCount = 0L
 
     /**
      * Dispatches work once no socket has events left, but at the latest after polling the sockets for
@@ -64,7 +64,7 @@
                 block: Runnable,
             ) {
                 val untilMs = nowMs() + HttpTuning.MAX_SOCKET_POLLING_MS
-                execute { afterSockets(block, untilMs) }
+                execute { runAfterSockets(block, untilMs) }
             }
         }
 
@@ -73,13 +73,13 @@
      * again. One poll returns tasks and sockets in any order, so socket events of the current poll may still follow
      * this task.
      */
-    private fun afterSockets(
+    private fun runAfterSockets(
         block: Runnable,
         untilMs: Long,
     ) {
-        val eventsBefore = socketEvents
+        val countBefore = socketEventCount
         execute {
-            if (socketEvents == eventsBefore || nowMs() >= untilMs) block.run() else afterSockets(block, untilMs)
+            if (socketEventCount == countBefore || nowMs() >= untilMs) block.run() else runAfterSockets(block, untilMs)
         }
     }
 
@@ -116,7 +116,7 @@
 
     /** Counts a coroutine resumption by a socket and runs what is ready. */
     private fun onSocketEvent() {
-        socketEvents++
+        socketEventCount++
         runReady()
     }
 
--- a/src/main/kotlin/ledgearch/http/HttpTuning.kt
+++ b/src/main/kotlin/ledgearch/http/HttpTuning.kt
@@ -1,6 +1,6 @@
 package ledgearch.http
 
-/** Limits and time-outs of sockets and HTTP. */
+/** Limits and timeouts of sockets and HTTP. */
 internal object HttpTuning {
     /** Limit of the protocol for a request body. */
     const val MAX_REQUEST_BODY_BYTES = 64 * 1024
@@ -15,7 +15,7 @@
     const val READ_BUFFER_BYTES = 2 * 1024
 
     /** A buffer that grew beyond this multiple of [READ_BUFFER_BYTES] is replaced once its message is read. */
-    const val MAX_KEPT_READ_BUFFERS = 4
+    const val MAX_KEPT_BUFFER_FACTOR = 4
 
     /** Line before a chunk: its size and any extensions, which no known peer sends. */
     const val MAX_CHUNK_LINE_BYTES = 64
@@ -50,7 +50,7 @@
     /** Every peer is normally called more often. */
     const val POOLED_IDLE_TIMEOUT_MS = 20_000L
 
-    /** No time-out or pause needs a finer resolution. */
+    /** No timeout or pause needs a finer resolution. */
     const val TIMER_RESOLUTION_MS = 50L
 
     /**
--- a/src/main/kotlin/ledgearch/http/MessageReader.kt
+++ b/src/main/kotlin/ledgearch/http/MessageReader.kt
@@ -120,7 +120,7 @@
         bodyStart = NONE
         chunkStart = NONE
         head = null
-        val isLarge = bytes.size > HttpTuning.READ_BUFFER_BYTES * HttpTuning.MAX_KEPT_READ_BUFFERS
+        val isLarge = bytes.size > HttpTuning.READ_BUFFER_BYTES * HttpTuning.MAX_KEPT_BUFFER_FACTOR
         if (endIndex == 0 && isLarge) bytes = ByteArray(HttpTuning.READ_BUFFER_BYTES)
     }
 
--- a/src/main/kotlin/ledgearch/http/Nio.kt
+++ b/src/main/kotlin/ledgearch/http/Nio.kt
@@ -60,7 +60,7 @@
         try {
             return acceptNext()
         } catch (e: IOException) {
-            log.warn("accept failed: {}", e.message)
+            log.warn("accepting a connection failed: {}", e.message)
             delay(HttpTuning.ACCEPT_RETRY_DELAY_MS)
         }
     }
@@ -78,7 +78,7 @@
 
 /**
  * Reads at least one byte into [buffer]; returns the number of bytes, or -1 at the end of the stream. Throws
- * [IOException] after [timeoutMs]; 0 means no time-out. Each time-out costs a timer, so where many connections wait,
+ * [IOException] after [timeoutMs]; 0 means no timeout. Each timeout costs a timer, so where many connections wait,
  * one periodic check should bound them all.
  */
 internal suspend fun AsynchronousSocketChannel.readSome(
--- a/src/main/kotlin/ledgearch/http/SteadyTime.kt
+++ b/src/main/kotlin/ledgearch/http/SteadyTime.kt
@@ -1,6 +1,6 @@
 package ledgearch.http
 
-/** Steady clock for the time-outs of connections: it never jumps, and its origin has no meaning. */
+/** Steady clock for the timeouts of connections: it never jumps, and its origin has no meaning. */
 internal object SteadyTime {
     const val NANOS_PER_MS = 1_000_000L
 
--- a/src/main/kotlin/ledgearch/peers/StatusFrameCodec.kt
+++ b/src/main/kotlin/ledgearch/peers/StatusFrameCodec.kt
@@ -60,7 +60,7 @@
         val bodySize = FrameHeader.peek(buffer)
         if (bodySize !in 0..PeerTuning.MAX_STATUS_BODY_BYTES) {
             throw MalformedFrameException(
-                "frame body of $bodySize bytes, allowed are 0 to ${PeerTuning.MAX_STATUS_BODY_BYTES}",
+                "status frame body of $bodySize bytes, must be from 0 to ${PeerTuning.MAX_STATUS_BODY_BYTES}",
             )
         }
         if (buffer.size < FrameHeader.SIZE_BYTES + bodySize) return null
--- a/src/main/kotlin/ledgearch/peers/StreamRecord.kt
+++ b/src/main/kotlin/ledgearch/peers/StreamRecord.kt
@@ -46,7 +46,7 @@
     val name: String,
     /** Incarnation of the worker in the last heartbeat that the leader received. */
     val incarnation: Long,
-    /** Whether the machine is being returned to the cloud, so that no new task should be started on it. */
+    /** Whether the machine is being released to the cloud, so that no new task should be started on it. */
     val isReleasing: Boolean,
     /** Attempts assigned to the machine. */
     val attempts: List<AttemptSnapshot>,
--- a/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
+++ b/src/main/kotlin/ledgearch/recovery/RecoveryTuning.kt
@@ -10,15 +10,15 @@
     /** A suspect zone is up if at least this share of its machines reports. */
     const val UP_FROM_REPORTING_SHARE = 0.9
 
-    /** If a larger share of the machines reports or replies, this node is not the cause of the others' silence. */
+    /** If a larger share of the machines reports or replies, this node is not the cause of missing heartbeats. */
     const val MAJORITY_SHARE = 0.5
 
-    /** Fewer machines of one zone may be silent at the same time without a partition. */
+    /** Fewer machines of one zone may miss heartbeats at the same time without a partition. */
     const val MIN_ZONE_MACHINES = 5
 
     /**
      * Time for which machines of a partitioned zone are kept if that helps. Most zones return after about a minute, and
-     * no job may wait for almost four.
+     * users accept waits of less than four minutes.
      */
     const val ZONE_OUTAGE_GRACE_MS = 120_000L
 
@@ -50,8 +50,8 @@
     // --- Displaced tasks ----------------------------------------------------------------------------------------
 
     /**
-     * Wait after which a job may use machines that are held back and is not rate-limited: a third of the longest
-     * permitted wait while fitting resources are free.
+     * Wait after which a job may use machines that are not readmitted yet and is not rate-limited: a third of the
+     * longest permitted wait while fitting resources are free.
      */
     const val LONG_WAIT_MS = 30_000L
 
--- a/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneHealth.kt
@@ -81,7 +81,7 @@
         nowMs: Long,
     ) {
         when {
-            observation.isPartitioned || isSilent(observation) -> {
+            observation.isPartitioned || hasNoReportingMachine(observation) -> {
                 lose("lost again, none of ${observation.machineCount} machines heard", nowMs)
             }
 
@@ -99,8 +99,8 @@
         }
     }
 
-    /** Returns whether no machine reports; the zone may have too few machines left to count as partitioned. */
-    private fun isSilent(observation: ZoneObservation) =
+    /** A zone may have too few machines left to count as partitioned. */
+    private fun hasNoReportingMachine(observation: ZoneObservation) =
         observation.isAnyZoneHealthy && observation.machineCount > 0 && observation.reportingCount == 0
 
     private fun lose(
--- a/src/main/kotlin/ledgearch/recovery/ZoneObservation.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneObservation.kt
@@ -7,7 +7,7 @@
     /** Number of these machines that report. */
     val reportingCount: Int,
     val isPartitioned: Boolean,
-    /** Whether most machines of any zone report, so that this node is not the cause of silence. */
+    /** Whether most machines of any zone report, so that this node is not the cause of missing heartbeats. */
     val isAnyZoneHealthy: Boolean,
 ) {
     /** Share of the machines that report; 1 if there are no machines. */
--- a/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneRecovery.kt
@@ -173,13 +173,13 @@
 
     override fun hasOwnLimits(job: Job) = isActive && (isRateLimited(job) || mayRunBeforeReadmission(job))
 
-    /** Returns whether the start rate of [job] is limited: it is displaced, not in the first group, nor waits long. */
+    /** Returns whether [job] is rate-limited: it is displaced, not in the first group and has not waited long. */
     private fun isRateLimited(job: Job): Boolean {
         val group = displacedTasks.groupOf(job) ?: return false
         return group != StartRateLimiter.FIRST_GROUP && displacedTasks.isWaiting(job) && !hasWaitedLong(job)
     }
 
-    /** Returns whether [job] may use machines that are not readmitted yet, since it waits long or needs their zone. */
+    /** Returns whether [job] may use machines that are not readmitted yet: it has waited long or needs their zone. */
     private fun mayRunBeforeReadmission(job: Job) = hasWaitedLong(job) || needsReturningZone(job)
 
     private fun hasWaitedLong(job: Job) = waitedMs(job) > RecoveryTuning.LONG_WAIT_MS
--- a/src/main/kotlin/ledgearch/recovery/ZoneState.kt
+++ b/src/main/kotlin/ledgearch/recovery/ZoneState.kt
@@ -9,7 +9,7 @@
     /** The zone gets new tasks like any other. */
     UP(0),
 
-    /** Too few of its machines report. No machine is held back, but tasks lost there count as displaced. */
+    /** Too few of its machines report. All of them get new tasks, but tasks lost there count as displaced. */
     SUSPECT(1),
 
     /** Almost none of its machines report while most of another zone do. */
--- a/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
+++ b/src/main/kotlin/ledgearch/runtime/EventLoopLagMonitor.kt
@@ -5,7 +5,7 @@
  * queue as heartbeats and replies, so its lag is their queueing delay, and it also covers the scheduling delay of a
  * process that gets no processor time or is frozen. While the lag is above [RuntimeTuning.LAG_THRESHOLD_MS], and for
  * [RuntimeTuning.CATCH_UP_MS] afterwards, heartbeats and replies may wait here unread. Silence during that time proves
- * nothing about the peers, and a time-out may be caused by this node itself.
+ * nothing about the peers, and a timeout may be caused by this node itself.
  *
  * It also paces the placement passes, so that they do not increase the lag. Times are ms of [Clock.steadyMs].
  */
@@ -31,7 +31,7 @@
 
     private var lastPassDurationMs = 0L
 
-    /** Measures the lag at the start of a batch, before the batch evaluates any time-out. */
+    /** Measures the lag at the start of a batch, before the batch evaluates any timeout. */
     fun measureLag() {
         if (tickQueuedAtMs == 0L) return
         val lagMs = clock.steadyMs - tickQueuedAtMs - RuntimeTuning.TICK_INTERVAL_MS
--- a/src/main/kotlin/ledgearch/runtime/Metrics.kt
+++ b/src/main/kotlin/ledgearch/runtime/Metrics.kt
@@ -86,7 +86,8 @@
     fun recordTickGap(gapMs: Long) = tickGapsMs.recordValue(gapMs.coerceIn(0, RuntimeTuning.MAX_RECORDED_LATENCY_MS))
 
     /** Returns the load of the owner thread since the process started. */
-    fun ownerLoad() = OwnerLoad(summary(batchDurationsUs), summary(queueLengths), summary(tickGapsMs), spentMs())
+    fun ownerLoad() =
+        OwnerLoad(distributionOf(batchDurationsUs), distributionOf(queueLengths), distributionOf(tickGapsMs), spentMs())
 
     /** Returns the counts of events and of replies, sorted by label. */
     fun counters(): Map<String, Long> = counters.toSortedMap()
@@ -94,12 +95,13 @@
     /** Returns the distribution of latencies (ms) by kind of exchange. */
     fun latencies(): Map<String, Distribution> =
         latencies.toSortedMap().mapValues { (_, histogram) ->
-            summary(histogram)
+            distributionOf(histogram)
         }
 
-    private fun histogram(highest: Long) = IntCountsHistogram(highest, RuntimeTuning.HISTOGRAM_SIGNIFICANT_DIGITS)
+    private fun histogram(maxRecordedValue: Long) =
+        IntCountsHistogram(maxRecordedValue, RuntimeTuning.HISTOGRAM_SIGNIFICANT_DIGITS)
 
-    private fun summary(histogram: IntCountsHistogram) =
+    private fun distributionOf(histogram: IntCountsHistogram) =
         Distribution(
             count = histogram.totalCount,
             p50 = histogram.getValueAtPercentile(PERCENTILE_50),
--- a/src/main/kotlin/ledgearch/runtime/RuntimeTuning.kt
+++ b/src/main/kotlin/ledgearch/runtime/RuntimeTuning.kt
@@ -2,7 +2,7 @@
 
 /** Limits and intervals of the owner thread and its queue. */
 internal object RuntimeTuning {
-    /** Commands. A full queue suspends the connections and so applies backpressure to their clients. */
+    /** In commands. A full queue suspends the connections and so applies backpressure to their clients. */
     const val QUEUE_CAPACITY = 1024
 
     /** A twentieth of the shortest wait that users ask for. */
@@ -11,7 +11,7 @@
     /** All nodes together plan to use this share of a service's limits; the rest allows for clock skew and bursts. */
     const val USED_RATE_LIMIT_SHARE = 0.9
 
-    /** Longer than any request is waited for; longer latencies are recorded as this value. */
+    /** Longer than any request timeout; longer latencies are recorded as this value. */
     const val MAX_RECORDED_LATENCY_MS = 60_000L
 
     /** Longer batches are recorded as this value; by then the service has already stopped responding. */
@@ -22,7 +22,7 @@
 
     /**
      * Event-loop lag above which the node counts as lagging. A message is queued for the owner thread about four times
-     * on its way in and out, so the reply to a probe is then late by about the time-out of the probe.
+     * on its way in and out, so the reply to a probe is then late by about the timeout of the probe.
      */
     const val LAG_THRESHOLD_MS = 200L
 
--- a/src/main/kotlin/ledgearch/status/MetricsReport.kt
+++ b/src/main/kotlin/ledgearch/status/MetricsReport.kt
@@ -20,7 +20,7 @@
     val machines: Int,
     /** Number of task attempts that may be on those machines; only the leader reports it. */
     val tasks: Int,
-    /** Load of the owner, the thread that has all state. */
+    /** Load of the owner, the thread that holds all state. */
     val owner: OwnerLoad,
     /** Counts of events by name. */
     val counters: Map<String, Long>,
