--- a/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Autoscaler.kt
@@ -25,14 +25,14 @@
     private val cloud = CloudClient(settings, transport, clock)
     private val catalogReader = CatalogReader(cloud, election, jobStore, recordWriter, clock)
     private val bootingMachines = BootingMachines()
-    private val rentalHints = RentalHints(clock)
+    private val provisioningHints = ProvisioningHints(clock)
     private val releaseQueue = ReleaseQueue(cloud, election, clock, bootingMachines)
     private val bootTimeouts = BootTimeouts(settings, jobStore, clock, lagMonitor, bootingMachines, releaseQueue)
     private val machineListReader = MachineListReader(cloud, election, clock, bootTimeouts, releaseQueue)
     private val provisioner = Provisioner(cloud, election, clock, bootingMachines)
     private val poolSelector = PoolSelector(settings, jobStore, bootingMachines, provisioner)
     private val scaleOutPlanner =
-        ScaleOutPlanner(settings, jobStore, clock, bootingMachines, rentalHints, poolSelector, provisioner)
+        ScaleOutPlanner(settings, jobStore, clock, bootingMachines, provisioningHints, poolSelector, provisioner)
     private val scaleInPlanner = ScaleInPlanner(jobStore, clock, poolSelector, releaseQueue)
 
     /** Steady-clock ms of the next planning round. */
@@ -41,7 +41,7 @@
     /** Clears the state of the leadership term. */
     fun end() {
         bootingMachines.clear()
-        rentalHints.clear()
+        provisioningHints.clear()
         bootTimeouts.clear()
         releaseQueue.clear()
         provisioner.clear()
@@ -61,13 +61,13 @@
     fun release(machine: Machine) = releaseQueue.add(machine)
 
     /** Returns the provisioned machines that have not sent a heartbeat yet. */
-    fun bootingMachines(): List<RentalHint> =
+    fun bootingMachines(): List<ProvisioningHint> =
         bootingMachines.map { name, machine ->
-            RentalHint(name, machine.pool.machineType.name, machine.pool.zone, machine.pool.spot)
+            ProvisioningHint(name, machine.pool.machineType.name, machine.pool.zone, machine.pool.spot)
         }
 
     /** Adds a machine that the previous leader may have provisioned and that the cloud's list may not show yet. */
-    fun addRentalHint(hint: RentalHint) = rentalHints.add(hint)
+    fun addProvisioningHint(hint: ProvisioningHint) = provisioningHints.add(hint)
 
     /** Returns the boot time of the machine type that boots fastest, in seconds, or 0 while no catalog is known. */
     fun shortestBootS(): Double = poolSelector.shortestBootS()
--- a/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/AutoscalingTuning.kt
@@ -37,7 +37,7 @@
     const val UNREPORTED_TIMEOUT_MS = 30_000L
 
     /** Time after which the cloud's list shows every machine that the previous leader provisioned. */
-    const val RENTAL_HINT_TTL_MS = 10_000L
+    const val PROVISIONING_HINT_TTL_MS = 10_000L
 
     /** Released machines appear in late heartbeats and machine lists for some minutes. */
     const val MIN_RELEASED_NAMES_KEPT = 2_000
--- a/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/CloudClient.kt
@@ -12,7 +12,7 @@
 import ledgearch.wire.MachineList
 import ledgearch.wire.MachineNames
 import ledgearch.wire.MachineType
-import ledgearch.wire.RentalRequest
+import ledgearch.wire.ProvisionRequest
 import ledgearch.wire.WireJson
 import org.slf4j.LoggerFactory
 
@@ -96,10 +96,10 @@
 
     /** Provisions machines; a second call with the same idempotency key provisions no more. */
     fun provision(
-        request: RentalRequest,
+        request: ProvisionRequest,
         onResult: (ProvisionResult) -> Unit,
     ) {
-        val body = WireJson.encodeToString(RentalRequest.serializer(), request)
+        val body = WireJson.encodeToString(ProvisionRequest.serializer(), request)
         call("POST", "/hosts", body) { reply -> onResult(provisionResult(reply)) }
     }
 
--- a/src/main/kotlin/ledgearch/autoscaling/Provisioner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/Provisioner.kt
@@ -2,7 +2,7 @@
 
 import ledgearch.election.Election
 import ledgearch.runtime.Clock
-import ledgearch.wire.RentalRequest
+import ledgearch.wire.ProvisionRequest
 import org.slf4j.LoggerFactory
 
 /**
@@ -72,9 +72,9 @@
     private fun createRequest(
         pool: MachinePool,
         count: Int,
-    ): RentalRequest {
+    ): ProvisionRequest {
         val idempotencyKey = "b-${election.token}-${++lastRequestNumber}"
-        return RentalRequest(idempotencyKey, pool.machineType.name, pool.zone, pool.spot, count)
+        return ProvisionRequest(idempotencyKey, pool.machineType.name, pool.zone, pool.spot, count)
     }
 
     private fun onProvisioned(
--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -14,7 +14,7 @@
     private val jobStore: JobStore,
     private val clock: Clock,
     private val bootingMachines: BootingMachines,
-    private val rentalHints: RentalHints,
+    private val provisioningHints: ProvisioningHints,
     private val poolSelector: PoolSelector,
     private val provisioner: Provisioner,
 ) {
@@ -47,7 +47,7 @@
         freedCpusPerSecond: Double,
     ): ScaleOutPlan {
         val supplies = bootingSupplies(cluster)
-        val hints = rentalHints.validHints(bootingMachines.names, cluster.machines.keys)
+        val hints = provisioningHints.validHints(bootingMachines.names, cluster.machines.keys)
         supplies += hintedSupplies(hints)
         supplies += pendingReadmissionSupplies(cluster)
         val knownCount = cluster.machines.size + bootingMachines.count + hints.size
@@ -69,7 +69,7 @@
             .map { Supply(it.pool) }
             .toMutableList()
 
-    private fun hintedSupplies(hints: List<RentalHint>): List<Supply> =
+    private fun hintedSupplies(hints: List<ProvisioningHint>): List<Supply> =
         hints.mapNotNull { hint ->
             jobStore.machineTypes[hint.machineType]?.let { Supply(it, hint.zone, hint.spot) }
         }
--- a/src/main/kotlin/ledgearch/http/HeadParser.kt
+++ b/src/main/kotlin/ledgearch/http/HeadParser.kt
@@ -16,7 +16,7 @@
     /** Parses [text], a head without its final empty line. Throws [MalformedMessageException] if it is malformed. */
     fun parse(text: String): Head {
         val startLine = text.substringBefore(LINE_END)
-        val fields = Fields(closesConnection = startLine.endsWith("HTTP/1.0"))
+        val fields = Fields(closes = startLine.endsWith("HTTP/1.0"))
         var lineStart = startLine.length + LINE_END.length
         while (lineStart < text.length) {
             val lineEnd = text.indexOf(LINE_END, lineStart).let { if (it < 0) text.length else it }
@@ -34,7 +34,7 @@
 
     /** Values of the evaluated header fields read so far. */
     private class Fields(
-        private var closesConnection: Boolean,
+        private var closes: Boolean,
     ) {
         private var length: Int? = null
         private var isChunked = false
@@ -51,10 +51,7 @@
             } else if (isNamed(text, from, colon, TRANSFER_ENCODING)) {
                 readEncoding(text.substring(colon + 1, lineEnd).trim())
             } else if (isNamed(text, from, colon, CONNECTION)) {
-                if (text.substring(colon + 1, lineEnd).trim().equals("close", ignoreCase = true)) {
-                    closesConnection =
-                        true
-                }
+                if (text.substring(colon + 1, lineEnd).trim().equals("close", ignoreCase = true)) closes = true
             }
         }
 
@@ -98,7 +95,7 @@
             ) {
                 throw malformedMessage("both Content-Length and Transfer-Encoding are given")
             }
-            return Head(startLine, length ?: 0, isChunked, closesConnection)
+            return Head(startLine, length ?: 0, isChunked, closes)
         }
     }
 
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -1,7 +1,7 @@
 package ledgearch.standby
 
 import ledgearch.autoscaling.Autoscaler
-import ledgearch.autoscaling.RentalHint
+import ledgearch.autoscaling.ProvisioningHint
 import ledgearch.jobs.JobStore
 import ledgearch.model.Machine
 import ledgearch.model.ModelTuning
@@ -102,6 +102,6 @@
         hint: ProvisionedMachine,
     ) {
         if (hint.name in knownMachines) return
-        autoscaler.addRentalHint(RentalHint(hint.name, hint.machineType, hint.zone, hint.isSpot))
+        autoscaler.addProvisioningHint(ProvisioningHint(hint.name, hint.machineType, hint.zone, hint.isSpot))
     }
 }
--- a/src/main/kotlin/ledgearch/wire/Cloud.kt
+++ b/src/main/kotlin/ledgearch/wire/Cloud.kt
@@ -35,22 +35,22 @@
     @SerialName("racks") val machineTypes: List<MachineType>,
 )
 
-/** A request for new machines; repeating it with the same [idempotencyKey] rents no more machines. */
+/** A request for new machines; repeating it with the same [idempotencyKey] provisions no more. */
 @Serializable
-data class RentalRequest(
+data class ProvisionRequest(
     /** Identifies the request; no node ever uses it for another one. */
     @SerialName("booking") val idempotencyKey: String,
     /** The machine type's name. */
     @SerialName("rack") val machineType: String,
     /** The zone's name. */
     @SerialName("hall") val zone: String,
-    /** Whether to rent spot machines instead of on-demand ones. */
+    /** Whether to provision spot machines instead of on-demand ones. */
     @SerialName("borrowed") val spot: Boolean,
     /** Number of machines, at most 50; the reply may name fewer. */
     @SerialName("howMany") val count: Int,
 )
 
-/** Names of machines: the reply to a rental, and the body of a release. */
+/** Names of machines: the reply to a [ProvisionRequest], and the body of a release. */
 @Serializable
 data class MachineNames(
     /** At most 100 in a release. */
@@ -72,7 +72,7 @@
     @SerialName("borrowed") val spot: Boolean = false,
     /** The state at the time that the list describes. */
     @SerialName("status") val state: MachineState,
-    /** Time from the rental request to the time that the list describes (seconds). */
+    /** Time from the request for the machine to the time that the list describes (seconds). */
     @SerialName("heldS") val ageS: Double = 0.0,
 )
 
@@ -81,7 +81,7 @@
 enum class MachineState(
     override val text: String,
 ) : WireEnum {
-    /** Rented and already charged, but not up yet. */
+    /** Provisioned and already charged, but not up yet. */
     BOOTING("booting"),
 
     /** Up; a machine that is lost is still listed as running for a while. */
--- a/src/test/kotlin/ledgearch/simulation/FakeCloud.kt
+++ b/src/test/kotlin/ledgearch/simulation/FakeCloud.kt
@@ -7,7 +7,7 @@
 import ledgearch.wire.MachineNames
 import ledgearch.wire.MachineState
 import ledgearch.wire.MachineType
-import ledgearch.wire.RentalRequest
+import ledgearch.wire.ProvisionRequest
 import ledgearch.wire.WireJson
 
 /** Fake of the cloud by its published protocol, with two machine types in two zones. */
@@ -76,7 +76,7 @@
             }
 
             path == "/hosts" && method == "POST" -> {
-                onReply(rent(WireJson.decodeFromString(RentalRequest.serializer(), body.orEmpty())))
+                onReply(rent(WireJson.decodeFromString(ProvisionRequest.serializer(), body.orEmpty())))
             }
 
             path == "/hosts" -> {
@@ -121,7 +121,7 @@
         removed.add(RemovedMachine(simulation.clock.nowMs, machine))
     }
 
-    private fun rent(request: RentalRequest): Reply {
+    private fun rent(request: ProvisionRequest): Reply {
         // No controller here repeats a request with its key, so a key that comes twice was issued twice.
         if (request.idempotencyKey in machinesByIdempotencyKey) {
             simulation.reportViolation("idempotency key ${request.idempotencyKey} was used for a second request")
@@ -142,7 +142,7 @@
 
     private fun boot(
         name: String,
-        request: RentalRequest,
+        request: ProvisionRequest,
     ) {
         val willBoot = failingBootCount-- <= 0
         val machine =
