--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -57,13 +57,8 @@
 
     /** Runs the controller for [ROUND_COUNT] rounds of requests, then ends the process with [ExitCodes.OK]. */
     fun run() {
-        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::handleStateRequest).start(settings.externalServices.state)
-        HttpServer(
-            scope,
-            group,
-            MAX_CONNECTIONS,
-            handler = ::handleCloudOrWorkerRequest,
-        ).start(settings.externalServices.cloud)
+        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::serveState).start(settings.externalServices.state)
+        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::serveCloudOrWorker).start(settings.externalServices.cloud)
         TcpMesh(scope, group, NoOpMeshListener).follow(settings.meshAddress)
         val peer = TcpMesh(scope, group, NoOpMeshListener)
         peer.listen(settings.members.first().meshAddress)
@@ -124,7 +119,7 @@
         return WireJson.encodeToString(Heartbeat.serializer(), heartbeat)
     }
 
-    private suspend fun handleStateRequest(request: Request): Response {
+    private suspend fun serveState(request: Request): Response {
         val path = request.path
         return when {
             path.startsWith("/leases") -> Response(HttpStatus.OK, """{"permit":7}""")
@@ -169,7 +164,7 @@
         return """{"key":"m/$MACHINE","v":{"block":0,"racks":[$MACHINE_TYPE],"machines":[$machine]},"stamp":3}"""
     }
 
-    private suspend fun handleCloudOrWorkerRequest(request: Request): Response =
+    private suspend fun serveCloudOrWorker(request: Request): Response =
         when (request.path) {
             "/catalog" -> Response(HttpStatus.OK, """{"racks":[$MACHINE_TYPE]}""")
             "/orders" -> commandResponse(request)
--- a/src/test/kotlin/ledgearch/loopback/ControllerProcess.kt
+++ b/src/test/kotlin/ledgearch/loopback/ControllerProcess.kt
@@ -4,34 +4,31 @@
 import java.util.concurrent.TimeUnit
 import kotlin.io.path.readLines
 
-/**
- * One controller in a process of its own, which may be killed and started again. Its output is appended to [logFile].
- * [operatorFile] is passed on as it is.
- */
+/** A controller process that can be killed, frozen and restarted. Its output is appended to [logFile]. */
 internal class ControllerProcess(
     val name: String,
     private val configFile: Path,
     private val operatorFile: Path?,
     private val logFile: Path,
-    /** A deployment file whose `run` line starts the process; null: the class path of the tests does. */
+    /** Deployment file whose `run` line starts the process; if null, it runs from the class path of the tests. */
     private val deployFile: Path? = null,
 ) {
     private var process: Process? = null
 
     /** Whether the process is stopped by [freeze]. */
     @Volatile
-    var frozen = false
+    var isFrozen = false
         private set
 
-    val alive: Boolean get() = process?.isAlive == true
+    val isAlive: Boolean get() = process?.isAlive == true
 
     fun start() {
-        check(!alive) { "$name runs already" }
+        check(!isAlive) { "$name is already running" }
         val builder = ProcessBuilder(command())
         builder.environment()["LOG_LEVEL"] = "info"
         builder.redirectErrorStream(true)
         builder.redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()))
-        frozen = false
+        isFrozen = false
         process = builder.start()
     }
 
@@ -41,51 +38,53 @@
         val operator = operatorFile?.let { listOf("--operator", it.toString()) }.orEmpty()
         if (deployFile != null) return deployedCommand(deployFile) + configFile.toString() + operator
         val java = Path.of(System.getProperty("java.home"), "bin", "java").toString()
-        val program = listOf("-cp", classPath(), "ledgearch.cli.MainKt", "serve", "--config", configFile.toString())
-        return listOf(java) + VM_OPTIONS + program + operator
+        val controllerArguments =
+            listOf("-cp", classPath(), "ledgearch.cli.MainKt", "serve", "--config", configFile.toString())
+        return listOf(java) + VM_OPTIONS + controllerArguments + operator
     }
 
     private fun deployedCommand(file: Path): List<String> {
-        val line = file.readLines().first { it.startsWith(RUN_LINE) }
-        return line.removePrefix(RUN_LINE).removeSuffix("\"").split(' ')
+        val line = file.readLines().first { it.startsWith(RUN_LINE_PREFIX) }
+        return line.removePrefix(RUN_LINE_PREFIX).removeSuffix("\"").split(' ')
     }
 
-    /** Surefire keeps the class path of the tests in a property of its own. */
+    /** Returns the class path of the tests, which Surefire keeps in a separate property. */
     private fun classPath(): String =
         System.getProperty("surefire.test.class.path") ?: System.getProperty("java.class.path")
 
-    /** Ends the process at once, without a chance to say goodbye, and waits until the system has ended it. */
+    /** Kills the process without a graceful shutdown and waits until it has ended. */
     fun kill() {
         val killed = process ?: return
         killed.destroyForcibly()
-        check(killed.waitFor(END_S, TimeUnit.SECONDS)) { "$name (process ${killed.pid()}) could not be ended" }
-        frozen = false
+        check(killed.waitFor(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS)) { "$name (process ${killed.pid()}) did not end" }
+        isFrozen = false
     }
 
-    /** SIGSTOP: the process stands still while its sockets stay open and its leases run on. */
+    /** Stops the process with SIGSTOP; its sockets stay open and its leases continue to run out. */
     fun freeze() {
         signal("STOP")
-        frozen = true
+        isFrozen = true
     }
 
-    /** SIGCONT after [freeze]. */
+    /** Continues the process with SIGCONT after [freeze]. */
     fun resume() {
         signal("CONT")
-        frozen = false
+        isFrozen = false
     }
 
     private fun signal(name: String) {
-        val target = checkNotNull(process) { "${this.name} was never started" }.pid()
-        val sender = ProcessBuilder("kill", "-$name", target.toString()).start()
-        check(sender.waitFor(END_S, TimeUnit.SECONDS) && sender.exitValue() == 0) { "SIG$name to $target failed" }
+        val pid = checkNotNull(process) { "${this.name} was never started" }.pid()
+        val sender = ProcessBuilder("kill", "-$name", pid.toString()).start()
+        check(sender.waitFor(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS) && sender.exitValue() == 0) {
+            "SIG$name to process $pid failed"
+        }
     }
 
     private companion object {
-        /** s. */
-        const val END_S = 10L
-        const val RUN_LINE = "run = \""
+        const val SIGNAL_TIMEOUT_S = 10L
+        const val RUN_LINE_PREFIX = "run = \""
 
-        /** As in `deploy/service.toml`, without the class archive, which belongs to the jar. */
+        /** Some options of `deploy/service.toml`, with a smaller heap; its class archive works only with the jar. */
         val VM_OPTIONS =
             listOf(
                 "-XX:+UseSerialGC",
--- a/src/test/kotlin/ledgearch/loopback/FreePorts.kt
+++ b/src/test/kotlin/ledgearch/loopback/FreePorts.kt
@@ -3,20 +3,20 @@
 import java.net.InetAddress
 import java.net.ServerSocket
 
-/** Addresses on loopback that were free a moment ago. No address is given out twice by one instance. */
+/** Provides loopback addresses that are not in use; each instance returns an address only once. */
 internal class FreePorts {
-    private val used = HashSet<Int>()
+    private val usedPorts = HashSet<Int>()
 
     fun next(): String {
-        repeat(MOST_TRIES) {
+        repeat(MAX_ATTEMPTS) {
             val port = ServerSocket(0, 1, InetAddress.getByName(HOST)).use { it.localPort }
-            if (used.add(port)) return "$HOST:$port"
+            if (usedPorts.add(port)) return "$HOST:$port"
         }
-        error("no free port on $HOST after $MOST_TRIES tries")
+        error("no free port on $HOST after $MAX_ATTEMPTS attempts")
     }
 
     private companion object {
         const val HOST = "127.0.0.1"
-        const val MOST_TRIES = 100
+        const val MAX_ATTEMPTS = 100
     }
 }
--- a/src/test/kotlin/ledgearch/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/ledgearch/loopback/LoopbackCluster.kt
@@ -22,7 +22,7 @@
 
 /**
  * Three controller processes, [machineCount] workers, the state service and the cloud, all on loopback. [close] ends
- * every process; it must be called, whatever happens.
+ * every process and must always be called.
  */
 internal class LoopbackCluster(
     private val folder: Path,
@@ -33,7 +33,7 @@
     private val ports = FreePorts()
     private val listenAddresses = NAMES.associateWith { ports.next() }
     private val meshAddresses = NAMES.associateWith { ports.next() }
-    val simulation = LoopbackSimulation(ports, NAMES.size, listenAddresses, ::serves)
+    val simulation = LoopbackSimulation(ports, NAMES.size, listenAddresses, ::receivesUsers)
     val controllers =
         NAMES.associateWith {
             ControllerProcess(
@@ -45,12 +45,12 @@
             )
         }
 
-    /** Also when the program is interrupted, no controller outlives it. */
-    private val endOfProgram = Thread { endControllers() }
+    /** Ends the controllers when the program is interrupted. */
+    private val shutdownHook = Thread { endControllers() }
 
     fun start() {
-        Runtime.getRuntime().addShutdownHook(endOfProgram)
-        NAMES.forEach { configFile(it).writeText(SETTINGS_FORMAT.encodeToString(Settings.serializer(), settings(it))) }
+        Runtime.getRuntime().addShutdownHook(shutdownHook)
+        NAMES.forEach { configFile(it).writeText(SETTINGS_JSON.encodeToString(Settings.serializer(), settings(it))) }
         simulation.start()
         simulation.call {
             simulation.cloud.capacity = machineCount
@@ -64,8 +64,8 @@
 
     private fun logFile(name: String) = folder.resolve("$name.log")
 
-    /** The load balancer of the users: it leaves out a controller that has ended or does not answer. */
-    private fun serves(name: String) = controllers.getValue(name).let { it.alive && !it.frozen }
+    /** Returns whether the load balancer sends users to [name], which excludes ended and frozen controllers. */
+    private fun receivesUsers(name: String) = controllers.getValue(name).let { it.isAlive && !it.isFrozen }
 
     private fun settings(name: String) =
         Settings(
@@ -78,10 +78,10 @@
             deployment =
                 Deployment(
                     zones = ZONES,
-                    teams = listOf(Team("red", CPUS_GUARANTEED, LoopbackSimulation.TEAM_CPUS)),
+                    teams = listOf(Team("red", GUARANTEED_CPUS, LoopbackSimulation.TEAM_CPUS)),
                     workers =
                         WorkerTimes(
-                            LoopbackSimulation.HEARTBEAT_MS / MS_PER_S,
+                            LoopbackSimulation.HEARTBEAT_INTERVAL_MS / MS_PER_S,
                             LoopbackSimulation.WORKER_LEASE_MS / MS_PER_S,
                             Simulation.CANCEL_MS / MS_PER_S,
                         ),
@@ -91,65 +91,65 @@
                 ),
         )
 
-    /** The controller that the leadership record names and that runs, or null. */
-    fun leader(): ControllerProcess? = simulation.call { recordedLeader() }?.takeIf { it.alive }
+    /** Returns the controller in the leadership record if its process is alive, or null. */
+    fun leader(): ControllerProcess? = simulation.call { recordedLeader() }?.takeIf { it.isAlive }
 
     private fun recordedLeader() = simulation.store.field(FakeStore.LEADERSHIP_KEY, "node")?.let(controllers::getValue)
 
-    /** The token of the present leader, or 0. */
+    /** Returns the token of the leader, or 0 if there is none. */
     fun token(): Long = simulation.call { simulation.store.modRevision(FakeStore.LEADERSHIP_KEY) }
 
-    /** Whether every machine follows the present leader. */
-    fun everyMachineConfirmed(): Boolean =
+    /** Returns whether every worker has received the token of the leader. */
+    fun areAllMachinesConfirmed(): Boolean =
         simulation.call {
             val token = simulation.store.modRevision(FakeStore.LEADERSHIP_KEY)
             token != 0L && simulation.workers.values.all { it.token >= token }
         }
 
-    /** Whether [name] answers as one that users may be sent to. */
+    /** Returns whether the health check of [name] succeeds. */
     fun isReady(name: String): Boolean {
         var status = 0
         simulation.call { simulation.sendUserRequest("GET", "/up", null, name) { status = it.status } }
-        return waitFor(READY_ANSWER_MS) { simulation.call { status } != 0 } && status == OK
+        return waitFor(READY_TIMEOUT_MS) { simulation.call { status } != 0 } && status == OK
     }
 
-    /** Checks again and again; false when [condition] did not become true within [limitMs]. */
+    /** Polls [condition] and returns false if it is not true within [timeoutMs]. */
     fun waitFor(
-        limitMs: Long,
+        timeoutMs: Long,
         condition: () -> Boolean,
     ): Boolean {
-        val until = System.nanoTime() + limitMs * NANOS_PER_MS
+        val deadlineNanos = System.nanoTime() + timeoutMs * NANOS_PER_MS
         while (!condition()) {
-            if (System.nanoTime() > until) return false
-            Thread.sleep(CHECK_MS)
+            if (System.nanoTime() > deadlineNanos) return false
+            Thread.sleep(CHECK_INTERVAL_MS)
         }
         return true
     }
 
-    /** Fails with what is known when [condition] does not become true within [limitMs]. */
+    /** Waits for [condition]; fails with a report if it is not true within [timeoutMs]. */
     fun await(
         what: String,
-        limitMs: Long,
+        timeoutMs: Long,
         condition: () -> Boolean,
-    ) = check(waitFor(limitMs, condition)) { "not within $limitMs ms: $what\n${report()}" }
+    ) = check(waitFor(timeoutMs, condition)) { "not within $timeoutMs ms: $what\n${describeState()}" }
 
-    private fun report(): String {
-        val seen =
+    private fun describeState(): String {
+        val events =
             simulation.call {
                 simulation.invariants.violations + simulation.notes + simulation.invariants.summary
             }
         val logs = NAMES.filter { logFile(it).toFile().exists() }.flatMap { name -> lastLines(name) }
-        return (seen + logs).joinToString("\n")
+        return (events + logs).joinToString("\n")
     }
 
-    private fun lastLines(name: String) = logOf(name).takeLast(LOG_LINES).map { "$name: $it" }
+    private fun lastLines(name: String) = logOf(name).takeLast(MAX_REPORTED_LOG_LINES).map { "$name: $it" }
 
-    /** What the controller has logged so far. */
+    /** Returns the lines that the controller has logged so far. */
     fun logOf(name: String): List<String> = logFile(name).readLines()
 
     private val statusLoop = lazy(LazyThreadSafetyMode.NONE) { EventLoop("loopback-status") }
 
-    /** The status of the controller as the command line asks for it. */
+    /** Returns the status of the controller as the `status` command reads it. */
     fun status(name: String): ControllerStatus {
         val loop = statusLoop.value
         val reader = StatusReader(HttpClient(loop.group))
@@ -160,7 +160,7 @@
         endControllers()
         simulation.close()
         if (statusLoop.isInitialized()) statusLoop.value.group.shutdownNow()
-        runCatching { Runtime.getRuntime().removeShutdownHook(endOfProgram) }
+        runCatching { Runtime.getRuntime().removeShutdownHook(shutdownHook) }
     }
 
     private fun endControllers() {
@@ -171,14 +171,14 @@
     companion object {
         private val NAMES = listOf("n1", "n2", "n3")
         private val ZONES = listOf("a", "b")
-        private val SETTINGS_FORMAT = Json { encodeDefaults = true }
-        private const val CPUS_GUARANTEED = 8.0
+        private val SETTINGS_JSON = Json { encodeDefaults = true }
+        private const val GUARANTEED_CPUS = 8.0
         private const val CLOUD_RPS = 5.0
         private const val MS_PER_S = 1000.0
         private const val NANOS_PER_MS = 1_000_000L
-        private const val CHECK_MS = 20L
-        private const val READY_ANSWER_MS = 6_000L
-        private const val LOG_LINES = 20
+        private const val CHECK_INTERVAL_MS = 20L
+        private const val READY_TIMEOUT_MS = 6_000L
+        private const val MAX_REPORTED_LOG_LINES = 20
         private const val OK = 200
     }
 }
--- a/src/test/kotlin/ledgearch/loopback/LoopbackSimulation.kt
+++ b/src/test/kotlin/ledgearch/loopback/LoopbackSimulation.kt
@@ -21,23 +21,23 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * The fakes of the simulation, served over HTTP on loopback and driven in real time on one thread. Its controllers
- * are processes outside, so none of the nodes of the simulation is started; they only lend their names. The
- * invariants of the simulation hold here too, since they see only workers and answers.
+ * Serves the fakes of the simulation over HTTP on loopback and runs them in real time on one thread. The controllers
+ * are separate processes: the simulated nodes are never started, and only their names are used. The invariants of the
+ * simulation apply, since they depend only on workers and replies.
  */
 internal class LoopbackSimulation(
     private val ports: FreePorts,
     controllerCount: Int,
     /** Addresses of the controllers by name. */
     private val controllers: Map<String, String>,
-    /** Whether users are sent to this controller. */
-    private val serves: (name: String) -> Boolean,
+    /** Returns whether users are sent to a controller. */
+    private val receivesUsers: (name: String) -> Boolean,
 ) : Simulation(
         SimulationOptions(
             nodeCount = controllerCount,
             seed = 1,
             teamMaxVcpus = TEAM_CPUS,
-            heartbeatMs = HEARTBEAT_MS,
+            heartbeatMs = HEARTBEAT_INTERVAL_MS,
             stateLimits = STATE_LIMITS,
             leaseMs = WORKER_LEASE_MS,
         ),
@@ -47,20 +47,20 @@
     private val scope = CoroutineScope(executor.asCoroutineDispatcher() + SupervisorJob())
     private val group = AsynchronousChannelGroup.withThreadPool(executor)
     private val client = HttpClient(group)
-    private val beganAt = System.nanoTime()
+    private val startedNanos = System.nanoTime()
     private val endpoints = HashMap<String, String>()
     val stateAddress = ports.next()
     val cloudAddress = ports.next()
 
     fun start() {
-        serve(stateAddress) { request, answer ->
-            store.handle(ANY_CONTROLLER, request.method, request.target, request.body, answer)
+        serve(stateAddress) { request, onReply ->
+            store.handle(ANY_CONTROLLER, request.method, request.target, request.body, onReply)
         }
-        serve(cloudAddress) { request, answer -> cloud.handle(request.method, request.target, request.body, answer) }
-        executor.scheduleWithFixedDelay(::advance, 0, CLOCK_STEP_MS, TimeUnit.MILLISECONDS)
+        serve(cloudAddress) { request, onReply -> cloud.handle(request.method, request.target, request.body, onReply) }
+        executor.scheduleWithFixedDelay(::advance, 0, CLOCK_INTERVAL_MS, TimeUnit.MILLISECONDS)
     }
 
-    /** Runs [action] on the thread of the fakes, at the present time. */
+    /** Runs [action] on the thread of the fakes after advancing their clock, and returns its result. */
     fun <T> call(action: () -> T): T =
         executor
             .submit(
@@ -68,16 +68,16 @@
                     advance()
                     action()
                 },
-            ).get(CALL_S, TimeUnit.SECONDS)
+            ).get(CALL_TIMEOUT_S, TimeUnit.SECONDS)
 
     /**
-     * Carries out what is due. A failure of a fake, whatever it is, counts as a violation, so that the run fails:
-     * thrown on, it would only end the schedule of the executor, and the run would go on without it.
+     * Runs the actions of the fakes that are due. Any exception of a fake is reported as a violation, so that the test
+     * fails; if rethrown, it would only cancel the periodic task of the executor.
      */
     @Suppress("TooGenericExceptionCaught")
     private fun advance() {
         try {
-            clock.runUntil((System.nanoTime() - beganAt) / NANOS_PER_MS)
+            clock.runUntil((System.nanoTime() - startedNanos) / NANOS_PER_MS)
         } catch (failure: RuntimeException) {
             reportViolation("a fake failed: ${failure.stackTraceToString()}")
         }
@@ -85,10 +85,10 @@
 
     private fun serve(
         address: String,
-        handle: (Request, answer: (Reply) -> Unit) -> Unit,
+        handle: (Request, onReply: (Reply) -> Unit) -> Unit,
     ) {
         val server =
-            HttpServer(scope, group, MOST_CONNECTIONS) { request ->
+            HttpServer(scope, group, MAX_CONNECTIONS) { request ->
                 val response = CompletableDeferred<Response>()
                 advance()
                 handle(request) { response.complete(Response(it.status, it.body)) }
@@ -105,13 +105,13 @@
         zone: String,
         spot: Boolean,
     ) {
-        serve(endpointOf(name)) { request, answer ->
-            workers[name]?.handle(request.method, request.path, request.body, answer)
+        serve(endpointOf(name)) { request, onReply ->
+            workers[name]?.handle(request.method, request.path, request.body, onReply)
         }
         super.bootWorker(name, type, zone, spot)
     }
 
-    /** A controller gave the machine back to the cloud, though tasks may be on it. */
+    /** Removes the worker of a machine that a controller released; adds a note if it still has tasks. */
     override fun removeWorker(name: String) {
         val tasks =
             workers[name]
@@ -127,36 +127,36 @@
         from: String,
         to: String,
         body: String,
-        answer: (Reply) -> Unit,
-    ) = exchange(to, "POST", "/checkin", body, WORKER_PATIENCE_MS, answer)
+        onReply: (Reply) -> Unit,
+    ) = sendToController(to, "POST", "/checkin", body, WORKER_TIMEOUT_MS, onReply)
 
     override fun sendUserRequest(
         method: String,
         target: String,
         body: String?,
         node: String?,
-        answer: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     ) {
-        val served = if (node == null) nodes.map { it.name }.filter(serves) else listOf(node)
-        if (served.isEmpty()) {
-            clock.after(USER_PATIENCE_MS) { answer(Reply.NONE) }
+        val candidates = if (node == null) nodes.map { it.name }.filter(receivesUsers) else listOf(node)
+        if (candidates.isEmpty()) {
+            clock.after(USER_TIMEOUT_MS) { onReply(Reply.NONE) }
         } else {
-            exchange(served.random(random), method, target, body, USER_PATIENCE_MS, answer)
+            sendToController(candidates.random(random), method, target, body, USER_TIMEOUT_MS, onReply)
         }
     }
 
-    private fun exchange(
+    private fun sendToController(
         controller: String,
         method: String,
         target: String,
         body: String?,
         timeoutMs: Long,
-        answer: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     ) {
         scope.launch {
             val reply = client.call(controllers.getValue(controller), method, target, body, timeoutMs)
             advance()
-            answer(reply)
+            onReply(reply)
         }
     }
 
@@ -167,19 +167,19 @@
     }
 
     companion object {
-        /** ms. Short beside the published deployments, so that a run is short. */
-        const val HEARTBEAT_MS = 1_000L
+        /** Shorter than in the published deployments, so that tests are short. */
+        const val HEARTBEAT_INTERVAL_MS = 1_000L
 
-        /** ms. Longer than a busy machine is likely to hold a run up: a task lost with its lease may start again. */
+        /** Longer than the pauses of a busy machine, since a task that is lost with its lease may be started again. */
         const val WORKER_LEASE_MS = 30_000L
         const val TEAM_CPUS = 10_000.0
         val STATE_LIMITS = StateLimits(rps = 1_000.0, writeRps = 400.0, valueKb = 8.0, txnOps = 16)
         private const val ANY_CONTROLLER = "controller"
-        private const val CLOCK_STEP_MS = 2L
-        private const val WORKER_PATIENCE_MS = 4_000L
-        private const val USER_PATIENCE_MS = 5_000L
-        private const val MOST_CONNECTIONS = 500
-        private const val CALL_S = 20L
+        private const val CLOCK_INTERVAL_MS = 2L
+        private const val WORKER_TIMEOUT_MS = 4_000L
+        private const val USER_TIMEOUT_MS = 5_000L
+        private const val MAX_CONNECTIONS = 500
+        private const val CALL_TIMEOUT_S = 20L
         private const val NANOS_PER_MS = 1_000_000L
     }
 }
--- a/src/test/kotlin/ledgearch/loopback/LoopbackWorkload.kt
+++ b/src/test/kotlin/ledgearch/loopback/LoopbackWorkload.kt
@@ -3,19 +3,19 @@
 import ledgearch.simulation.parseJobSpec
 import ledgearch.wire.JobKind
 
-/** What users submit on loopback, and whether all of it was served, each task once. */
+/** Submits and polls jobs as users, and checks that all are done and each task is started once. */
 internal class LoopbackWorkload(
     private val simulation: LoopbackSimulation,
 ) {
     private var submittedCount = 0
 
-    /** Services of one replica each, which fill most of a machine, so that the fleet keeps every machine. */
+    /** Submits services with one replica that needs most of a machine, so that no machine is released. */
     fun submitServices(count: Int) =
         repeat(count) {
             submit(null, "service=yes", "tasks=1", "cpus=$SERVICE_CPUS", "class=web")
         }
 
-    /** Arrays of short tasks, submitted to [controller] or to any that serves users. */
+    /** Submits arrays of short tasks to [controller], or to any that receives users. */
     fun submitArrays(
         count: Int,
         controller: String? = null,
@@ -31,15 +31,15 @@
         simulation.call { simulation.users.submit(parseJobSpec(listOf(job) + words), controller) }
     }
 
-    /** Every [POLL_MS] users ask for each job that is not over for them. */
-    fun beginPolling() =
+    /** Starts to poll the completed arrays whose users have not yet seen them as done. */
+    fun startPolling() =
         simulation.call {
             poll()
         }
 
     private fun poll() {
         openArrays().filter(simulation.invariants::isCompleted).forEach { job -> simulation.poll(job) { _, _ -> } }
-        simulation.clock.after(POLL_MS, ::poll)
+        simulation.clock.after(POLL_INTERVAL_MS, ::poll)
     }
 
     private fun arrays() =
@@ -54,28 +54,28 @@
 
     private fun openArrays() = arrays().filterNot(simulation.invariants::isObservedDone)
 
-    /** Every user was told that the array is accepted. */
-    fun allAccepted(): Boolean =
+    /** Returns whether every submission was accepted. */
+    fun areAllAccepted(): Boolean =
         simulation.call {
             simulation.invariants.submittedJobs.keys
                 .all(simulation.invariants::isAccepted)
         }
 
-    /** Whether all replicas of every service run. */
-    fun servicesRun(): Boolean = simulation.call { services().all(simulation.invariants::isFullyRunning) }
+    /** Returns whether all replicas of every service run. */
+    fun areServicesRunning(): Boolean = simulation.call { services().all(simulation.invariants::isFullyRunning) }
 
-    /** Whether every array is done for its user and every service runs fully. */
-    fun allServed(): Boolean =
+    /** Returns whether users have seen every array as done, and all replicas of every service run. */
+    fun areAllJobsDone(): Boolean =
         simulation.call {
             openArrays().isEmpty() &&
                 services().all(simulation.invariants::isFullyRunning)
         }
 
-    /** Whether so many tasks of arrays run at this moment. */
-    fun runningArrayTasks(): Int = simulation.call { arrays().sumOf(simulation::runningTaskCount) }
+    /** Returns how many tasks of arrays are running. */
+    fun runningArrayTaskCount(): Int = simulation.call { arrays().sumOf(simulation::runningTaskCount) }
 
-    /** Jobs whose workers began more or fewer tasks than the job has, though each task has to begin once. */
-    fun jobsNotStartedOnce(): List<String> =
+    /** Describes the jobs for which the number of task starts differs from the number of tasks. */
+    fun describeWrongStartCounts(): List<String> =
         simulation.call {
             simulation.invariants.submittedJobs
                 .filter { (job, spec) -> simulation.invariants.startCount(job) != spec.taskCount }
@@ -84,7 +84,7 @@
                 }
         }
 
-    /** Violations of invariants, and tasks that were lost with a worker's lease or a released machine. */
+    /** Returns violations of invariants, and notes such as tasks lost with a released machine. */
     fun violations(): List<String> = simulation.call { simulation.invariants.violations + simulation.notes }
 
     companion object {
@@ -92,6 +92,6 @@
         private const val ARRAY_CPUS = 1
         private const val ARRAY_RUN_S = 1.5
         private const val SERVICE_CPUS = 5
-        private const val POLL_MS = 500L
+        private const val POLL_INTERVAL_MS = 500L
     }
 }
--- a/src/test/kotlin/ledgearch/loopback/ProcessorTimes.kt
+++ b/src/test/kotlin/ledgearch/loopback/ProcessorTimes.kt
@@ -6,18 +6,18 @@
 import kotlin.io.path.listDirectoryEntries
 import kotlin.io.path.readText
 
-/** Processor time that threads of one name used. */
+/** Processor time used by the threads with the same name. */
 internal class ThreadTime(
     val thread: String,
     val ms: Double,
 )
 
-/** Processor time of one process by the names of its threads, and its memory, as Linux tells them. */
+/** Processor time of a process by thread name, and its peak memory, read from Linux's `/proc`. */
 internal class ProcessorTimes private constructor(
     private val nanosByThread: Map<String, Long>,
     val peakMemoryKb: Long,
 ) {
-    /** What was used after [before] was taken, in milliseconds, greatest first. */
+    /** Returns the processor time used since [before] by thread name, in descending order. */
     fun msSince(before: ProcessorTimes): List<ThreadTime> =
         nanosByThread
             .map { (thread, nanos) ->
@@ -34,13 +34,13 @@
             val nanos = HashMap<String, Long>()
             for (task in process.resolve("task").listDirectoryEntries()) {
                 val name = task.resolve("comm").readText().trim()
-                val used =
+                val taskNanos =
                     task
                         .resolve("schedstat")
                         .readText()
                         .substringBefore(' ')
                         .toLong()
-                nanos.merge(name, used, Long::plus)
+                nanos.merge(name, taskNanos, Long::plus)
             }
             return ProcessorTimes(nanos, peakMemoryKb(process))
         }
--- a/src/test/kotlin/ledgearch/loopback/ZoneLossTest.kt
+++ b/src/test/kotlin/ledgearch/loopback/ZoneLossTest.kt
@@ -12,33 +12,33 @@
 import kotlin.io.path.writeText
 
 /**
- * Three real controller processes lose the workers of one zone, which return later with what they ran. Order and safety
- * are asserted, never a speed.
+ * Three real controller processes lose the workers of one zone, which return later with their tasks. Checks order and
+ * safety, not speed.
  */
 internal class ZoneLossTest {
     @TempDir
     lateinit var folder: Path
 
     @Test
-    @Timeout(TEST_LIMIT_S)
-    fun `a zone is lost and returns, the lobby runs fully before the nightly work, nothing runs twice`() {
+    @Timeout(TEST_TIMEOUT_S)
+    fun `a zone is lost and returns, the lobby runs fully before the night job, no task runs twice`() {
         val settings = folder.resolve("operator.json").apply { writeText(SETTINGS) }
         LoopbackCluster(folder, MACHINES, settings).use { cluster ->
             cluster.start()
-            cluster.await("a leader whom all follow", STEP_LIMIT_MS) { cluster.everyMachineConfirmed() }
-            cluster.await("every job accepted", STEP_LIMIT_MS) { submitted(cluster) }
-            cluster.await("all jobs run", STEP_LIMIT_MS) { allRun(cluster) }
+            cluster.await("all machines confirmed by a leader", STEP_TIMEOUT_MS) { cluster.areAllMachinesConfirmed() }
+            cluster.await("every job accepted", STEP_TIMEOUT_MS) { submitAll(cluster) }
+            cluster.await("all jobs run", STEP_TIMEOUT_MS) { areAllRunning(cluster) }
 
-            val lostAt = cluster.simulation.call { cluster.simulation.clock.nowMs }
-            hang(cluster, true)
-            cluster.await("zone b is lost", STEP_LIMIT_MS) { zoneB(cluster)?.state == "lost" }
-            // Tasks on workers that stand still count as running: the lobby must have been started anew.
-            cluster.await("the lobby runs fully again", STEP_LIMIT_MS) {
-                fullyRunningAgainAt(cluster, LOBBY, lostAt) != null
+            val lostAtMs = cluster.simulation.call { cluster.simulation.clock.nowMs }
+            setHanging(cluster, true)
+            cluster.await("zone b is lost", STEP_TIMEOUT_MS) { zoneB(cluster)?.state == "lost" }
+            // Tasks on hanging workers count as running, so a start of the lobby after the loss is awaited.
+            cluster.await("the lobby runs fully again", STEP_TIMEOUT_MS) {
+                fullyRunningAgainAtMs(cluster, LOBBY, lostAtMs) != null
             }
-            hang(cluster, false)
-            cluster.await("zone b is back", STEP_LIMIT_MS) { zoneB(cluster)?.state in setOf("returning", "up") }
-            cluster.await("all jobs run again", STEP_LIMIT_MS) { allRun(cluster) }
+            setHanging(cluster, false)
+            cluster.await("zone b is back", STEP_TIMEOUT_MS) { zoneB(cluster)?.state in setOf("returning", "up") }
+            cluster.await("all jobs run again", STEP_TIMEOUT_MS) { areAllRunning(cluster) }
 
             assertEquals(
                 emptyList<String>(),
@@ -47,15 +47,15 @@
                         .toList()
                 },
             )
-            val lobby = checkNotNull(fullyRunningAgainAt(cluster, LOBBY, lostAt))
-            val night = fullyRunningAgainAt(cluster, NIGHT, lostAt)
-            assertTrue(night == null || lobby <= night, "lobby at $lobby, nightly work at $night")
+            val lobbyMs = checkNotNull(fullyRunningAgainAtMs(cluster, LOBBY, lostAtMs))
+            val nightMs = fullyRunningAgainAtMs(cluster, NIGHT, lostAtMs)
+            assertTrue(nightMs == null || lobbyMs <= nightMs, "lobby at $lobbyMs ms, night job at $nightMs ms")
         }
     }
 
-    private fun submitted(cluster: LoopbackCluster): Boolean {
+    private fun submitAll(cluster: LoopbackCluster): Boolean {
         cluster.simulation.call { JOBS.forEach { cluster.simulation.submit(parseJobSpec(it.split(' '))) } }
-        return cluster.waitFor(ACCEPTED_MS) {
+        return cluster.waitFor(ACCEPT_TIMEOUT_MS) {
             cluster.simulation.call {
                 listOf(
                     SPREAD,
@@ -66,34 +66,34 @@
         }
     }
 
-    private fun running(
+    private fun runningTaskCount(
         cluster: LoopbackCluster,
         job: String,
     ) = cluster.simulation.call { cluster.simulation.runningTaskCount(job) }
 
-    private fun allRun(cluster: LoopbackCluster) =
-        running(cluster, SPREAD) == SPREAD_TASKS && running(cluster, LOBBY) == LOBBY_TASKS &&
-            running(cluster, NIGHT) == NIGHT_TASKS
+    private fun areAllRunning(cluster: LoopbackCluster) =
+        runningTaskCount(cluster, SPREAD) == SPREAD_TASKS && runningTaskCount(cluster, LOBBY) == LOBBY_TASKS &&
+            runningTaskCount(cluster, NIGHT) == NIGHT_TASKS
 
-    /** When a start first made the job run fully again after the loss (ms), or null. */
-    private fun fullyRunningAgainAt(
+    /** Returns the time of the first start after the loss with which all tasks of [job] run, or null. */
+    private fun fullyRunningAgainAtMs(
         cluster: LoopbackCluster,
         job: String,
-        lostAt: Long,
+        lostAtMs: Long,
     ): Long? =
         cluster.simulation.call {
             cluster.simulation.invariants.placementTimes
-                .firstFullyRunningAtMs(job, lostAt)
+                .firstFullyRunningAtMs(job, lostAtMs)
         }
 
-    /** The workers of zone b stand still, and with them what they run. */
-    private fun hang(
+    /** Makes the workers of zone b hang or continue, together with their tasks. */
+    private fun setHanging(
         cluster: LoopbackCluster,
-        hanging: Boolean,
+        isHanging: Boolean,
     ) = cluster.simulation.call {
         cluster.simulation.workers.values
             .filter { it.zone == "b" }
-            .forEach { it.isHanging = hanging }
+            .forEach { it.isHanging = isHanging }
     }
 
     private fun zoneB(cluster: LoopbackCluster): ZoneReport? {
@@ -121,8 +121,8 @@
                 "$NIGHT class=night tasks=$NIGHT_TASKS cpus=1 run=600",
             )
         const val SETTINGS = """{"zoneRecovery":{"enabled":true,"order":[{"classes":["lobby"]},{"default":true}]}}"""
-        const val ACCEPTED_MS = 3_000L
-        const val STEP_LIMIT_MS = 60_000L
-        const val TEST_LIMIT_S = 240L
+        const val ACCEPT_TIMEOUT_MS = 3_000L
+        const val STEP_TIMEOUT_MS = 60_000L
+        const val TEST_TIMEOUT_S = 240L
     }
 }
--- a/src/test/kotlin/ledgearch/tools/FailoverLoad.kt
+++ b/src/test/kotlin/ledgearch/tools/FailoverLoad.kt
@@ -1,7 +1,7 @@
 package ledgearch.tools
 
+import ledgearch.loopback.FailoverObserver
 import ledgearch.loopback.FailoverTimes
-import ledgearch.loopback.FailoverWatch
 import ledgearch.loopback.LoopbackCluster
 import ledgearch.loopback.LoopbackWorkload
 import org.HdrHistogram.Histogram
@@ -10,18 +10,17 @@
 import kotlin.system.exitProcess
 
 /**
- * Kills the leader again and again and prints how long each step of the failover took: `java -Dkills=10 -Dmachines=24
- * -Doperator=FILE -Dfreeze=true -cp ... ledgearch.tools.FailoverLoadKt`. All properties may be left out; with
- * `freeze` the leader is stopped until it is deposed, in place of being killed. The exit code is 1 when an invariant
- * was violated.
+ * Kills the leader repeatedly and prints how long each step of the failover took: `java -Dkills=10 -Dmachines=24
+ * -Doperator=FILE -Dfreeze=true -cp ... ledgearch.tools.FailoverLoadKt`. All properties are optional; with `freeze` the
+ * leader is not killed but stopped until another one has taken over. The exit code is 1 if an invariant was violated.
  */
 fun main() {
     val options =
         LoadOptions(
-            kills = System.getProperty("kills")?.toInt() ?: LoadOptions.KILLS,
-            machines = System.getProperty("machines")?.toInt() ?: LoadOptions.MACHINES,
+            failureCount = System.getProperty("kills")?.toInt() ?: LoadOptions.DEFAULT_KILLS,
+            machines = System.getProperty("machines")?.toInt() ?: LoadOptions.DEFAULT_MACHINES,
             operatorFile = System.getProperty("operator")?.let { Path.of(it).toAbsolutePath() },
-            freeze = System.getProperty("freeze").toBoolean(),
+            freezesLeader = System.getProperty("freeze").toBoolean(),
         )
     val folder = Files.createTempDirectory("ledgearch-loopback")
     val problems =
@@ -33,60 +32,62 @@
     exitProcess(if (problems.isEmpty()) 0 else 1)
 }
 
-/** How often [FailoverLoad] makes the leader fail, and among how many machines. */
+/** Options of [FailoverLoad]. */
 internal class LoadOptions(
-    val kills: Int,
+    val failureCount: Int,
     val machines: Int,
     val operatorFile: Path?,
-    val freeze: Boolean,
+    val freezesLeader: Boolean,
 ) {
     init {
-        require(kills in 1..MOST_KILLS) { "kills must be from 1 to $MOST_KILLS" }
-        require(machines in 1..MOST_MACHINES) { "machines must be from 1 to $MOST_MACHINES" }
+        require(failureCount in 1..MAX_KILLS) { "kills must be from 1 to $MAX_KILLS" }
+        require(machines in 1..MAX_MACHINES) { "machines must be from 1 to $MAX_MACHINES" }
     }
 
     companion object {
-        const val KILLS = 10
-        const val MACHINES = 24
-        private const val MOST_KILLS = 100
-        private const val MOST_MACHINES = 200
+        const val DEFAULT_KILLS = 10
+        const val DEFAULT_MACHINES = 24
+        private const val MAX_KILLS = 100
+        private const val MAX_MACHINES = 200
     }
 }
 
-/** One run of the load tool on a [cluster] that it starts. */
+/** Starts [cluster] and makes its leader fail repeatedly. */
 internal class FailoverLoad(
     private val cluster: LoopbackCluster,
     private val options: LoadOptions,
 ) {
     private val workload = LoopbackWorkload(cluster.simulation)
-    private val elected = Histogram(DIGITS)
-    private val confirmed = Histogram(DIGITS)
-    private val firstStart = Histogram(DIGITS)
+    private val electedMs = Histogram(SIGNIFICANT_DIGITS)
+    private val confirmedMs = Histogram(SIGNIFICANT_DIGITS)
+    private val firstStartMs = Histogram(SIGNIFICANT_DIGITS)
 
-    /** Prints the distributions and returns the violations. */
+    /** Prints the distributions of the times and returns the problems found. */
     fun run(): List<String> {
         cluster.start()
-        cluster.await("a leader whom all follow", LIMIT_MS) { cluster.everyMachineConfirmed() }
-        workload.beginPolling()
+        cluster.await("all machines confirmed by a leader", STEP_TIMEOUT_MS) { cluster.areAllMachinesConfirmed() }
+        workload.startPolling()
         workload.submitServices(options.machines)
-        cluster.await("services run", LIMIT_MS) { workload.servicesRun() }
-        repeat(options.kills) { changeLeader(it + 1) }
+        cluster.await("services run", STEP_TIMEOUT_MS) { workload.areServicesRunning() }
+        repeat(options.failureCount) { failLeader(it + 1) }
         return printResults()
     }
 
-    private fun changeLeader(number: Int) {
-        cluster.controllers.keys.forEach { name -> cluster.await("$name is ready", LIMIT_MS) { cluster.isReady(name) } }
-        cluster.await("a leader whom all follow", LIMIT_MS) { cluster.everyMachineConfirmed() }
-        workload.submitArrays(ARRAYS)
-        cluster.await("arrays run", LIMIT_MS) { workload.runningArrayTasks() > 0 }
+    private fun failLeader(number: Int) {
+        cluster.controllers.keys.forEach { name ->
+            cluster.await("$name is ready", STEP_TIMEOUT_MS) { cluster.isReady(name) }
+        }
+        cluster.await("all machines confirmed by a leader", STEP_TIMEOUT_MS) { cluster.areAllMachinesConfirmed() }
+        workload.submitArrays(ARRAY_COUNT)
+        cluster.await("arrays run", STEP_TIMEOUT_MS) { workload.runningArrayTaskCount() > 0 }
         val leader = checkNotNull(cluster.leader()) { "no leader" }
-        val watch = cluster.simulation.call { FailoverWatch(cluster.simulation) }
-        if (options.freeze) leader.freeze() else leader.kill()
-        workload.submitArrays(ARRAYS)
-        cluster.await("failover", LIMIT_MS) { cluster.simulation.call { watch.times.complete } }
-        if (options.freeze) leader.resume() else leader.start()
-        cluster.await("all jobs served", LIMIT_MS) { workload.allServed() }
-        record(number, leader.name, watch.times)
+        val observer = cluster.simulation.call { FailoverObserver(cluster.simulation) }
+        if (options.freezesLeader) leader.freeze() else leader.kill()
+        workload.submitArrays(ARRAY_COUNT)
+        cluster.await("failover", STEP_TIMEOUT_MS) { cluster.simulation.call { observer.times.isComplete } }
+        if (options.freezesLeader) leader.resume() else leader.start()
+        cluster.await("all jobs done", STEP_TIMEOUT_MS) { workload.areAllJobsDone() }
+        record(number, leader.name, observer.times)
     }
 
     private fun record(
@@ -94,21 +95,23 @@
         leader: String,
         times: FailoverTimes,
     ) {
-        elected.recordValue(checkNotNull(times.elected))
-        confirmed.recordValue(checkNotNull(times.confirmed))
-        firstStart.recordValue(checkNotNull(times.firstStart))
-        println("$number: $leader; ms: elected ${times.elected}, all ${times.confirmed}, start ${times.firstStart}")
+        electedMs.recordValue(checkNotNull(times.electedMs))
+        confirmedMs.recordValue(checkNotNull(times.confirmedMs))
+        firstStartMs.recordValue(checkNotNull(times.firstStartMs))
+        println(
+            "$number: $leader; ms: elected ${times.electedMs}, all ${times.confirmedMs}, start ${times.firstStartMs}",
+        )
     }
 
     private fun printResults(): List<String> {
-        val problems = workload.violations() + workload.jobsNotStartedOnce()
-        val what = if (options.freeze) "freezes" else "kills"
+        val problems = workload.violations() + workload.describeWrongStartCounts()
+        val failureKind = if (options.freezesLeader) "freezes" else "kills"
         val summary = cluster.simulation.call { cluster.simulation.invariants.summary }
-        println("${options.kills} $what, $summary; ms from the failure of the leader:")
+        println("${options.failureCount} $failureKind, $summary; ms from the failure of the leader:")
         println("| step | min | p50 | p90 | max |\n| --- | --- | --- | --- | --- |")
-        printRow("another controller is elected", elected)
-        printRow("every machine has confirmed it", confirmed)
-        printRow("first task sent under it", firstStart)
+        printRow("another controller is elected", electedMs)
+        printRow("every machine has confirmed it", confirmedMs)
+        printRow("first task that it started", firstStartMs)
         problems.forEach(::println)
         println("${problems.size} problems")
         return problems
@@ -118,16 +121,16 @@
         step: String,
         values: Histogram,
     ) {
-        val median = values.getValueAtPercentile(MEDIAN)
-        val high = values.getValueAtPercentile(HIGH)
-        println("| $step | ${values.minValue} | $median | $high | ${values.maxValue} |")
+        val p50 = values.getValueAtPercentile(MEDIAN_PERCENTILE)
+        val p90 = values.getValueAtPercentile(HIGH_PERCENTILE)
+        println("| $step | ${values.minValue} | $p50 | $p90 | ${values.maxValue} |")
     }
 
     private companion object {
-        const val DIGITS = 3
-        const val MEDIAN = 50.0
-        const val HIGH = 90.0
-        const val ARRAYS = 4
-        const val LIMIT_MS = 60_000L
+        const val SIGNIFICANT_DIGITS = 3
+        const val MEDIAN_PERCENTILE = 50.0
+        const val HIGH_PERCENTILE = 90.0
+        const val ARRAY_COUNT = 4
+        const val STEP_TIMEOUT_MS = 60_000L
     }
 }
--- a/src/test/kotlin/ledgearch/tools/ProcessorLoad.kt
+++ b/src/test/kotlin/ledgearch/tools/ProcessorLoad.kt
@@ -8,14 +8,14 @@
 
 /**
  * Prints the processor time of controllers by phase and thread: `java -Dmachines=200 -Dseconds=20 -Ddeploy=FILE
- * -Doperator=FILE -cp ... ledgearch.tools.ProcessorLoadKt`. All properties may be left out; with `deploy` the
- * controllers run by the command line of that file, with `operator` by that operators' settings file. The exit code is
- * 1 when an invariant was violated.
+ * -Doperator=FILE -cp ... ledgearch.tools.ProcessorLoadKt`. All properties are optional; `deploy` names a file with the
+ * command line of the controllers, `operator` an operators' settings file. The exit code is 1 if an invariant was
+ * violated.
  */
 fun main() {
-    val machines = System.getProperty("machines")?.toInt() ?: LoadOptions.MACHINES
-    val seconds = System.getProperty("seconds")?.toInt() ?: ProcessorLoad.SECONDS
-    require(machines in 1..ProcessorLoad.MOST_MACHINES && seconds in 1..ProcessorLoad.MOST_SECONDS)
+    val machines = System.getProperty("machines")?.toInt() ?: LoadOptions.DEFAULT_MACHINES
+    val seconds = System.getProperty("seconds")?.toInt() ?: ProcessorLoad.DEFAULT_SECONDS
+    require(machines in 1..ProcessorLoad.MAX_MACHINES && seconds in 1..ProcessorLoad.MAX_SECONDS)
     val folder = Files.createTempDirectory("ledgearch-processor")
     val deploy = System.getProperty("deploy")?.let(Path::of)
     val operator = System.getProperty("operator")?.let { Path.of(it).toAbsolutePath() }
@@ -30,7 +30,7 @@
     exitProcess(if (problems.isEmpty()) 0 else 1)
 }
 
-/** Plays the phases of a controller's life one after the other and prints what each cost. */
+/** Runs start, idle, load and restarts of the controllers one after the other and prints the cost of each phase. */
 internal class ProcessorLoad(
     private val cluster: LoopbackCluster,
     private val machines: Int,
@@ -39,64 +39,64 @@
     private val workload = LoopbackWorkload(cluster.simulation)
 
     fun run(): List<String> {
-        phase("start, election and first confirmation") {
+        measurePhase("start, election and first confirmation") {
             cluster.start()
-            cluster.await("a leader whom all follow", LIMIT_MS) { cluster.everyMachineConfirmed() }
+            cluster.await("all machines confirmed by a leader", STEP_TIMEOUT_MS) { cluster.areAllMachinesConfirmed() }
         }
-        workload.beginPolling()
+        workload.startPolling()
         workload.submitServices(machines)
-        cluster.await("services run", LIMIT_MS) { workload.servicesRun() }
-        phase("$seconds s with heartbeats only") { Thread.sleep(seconds * MS_PER_S) }
-        phase("$seconds s with $ARRAYS arrays a second") {
+        cluster.await("services run", STEP_TIMEOUT_MS) { workload.areServicesRunning() }
+        measurePhase("$seconds s with heartbeats only") { Thread.sleep(seconds * MS_PER_S) }
+        measurePhase("$seconds s with $ARRAYS_PER_SECOND arrays a second") {
             repeat(seconds) {
-                workload.submitArrays(ARRAYS)
+                workload.submitArrays(ARRAYS_PER_SECOND)
                 Thread.sleep(MS_PER_S)
             }
         }
-        cluster.await("all jobs served", LIMIT_MS) { workload.allServed() }
-        repeat(RESTARTS) { restartAll() }
-        val problems = workload.violations() + workload.jobsNotStartedOnce()
+        cluster.await("all jobs done", STEP_TIMEOUT_MS) { workload.areAllJobsDone() }
+        repeat(RESTART_COUNT) { restartAll() }
+        val problems = workload.violations() + workload.describeWrongStartCounts()
         problems.forEach(::println)
         return problems
     }
 
     private fun restartAll() {
-        val endedToken = cluster.token()
+        val previousToken = cluster.token()
         cluster.controllers.values.forEach { it.kill() }
-        phase("all ended and started: until all machines are confirmed") {
+        measurePhase("restart of all controllers, until all machines are confirmed") {
             cluster.controllers.values.forEach { it.start() }
-            cluster.await("a new leader whom all follow", LIMIT_MS) {
-                cluster.token() > endedToken && cluster.everyMachineConfirmed()
+            cluster.await("all machines confirmed by a new leader", STEP_TIMEOUT_MS) {
+                cluster.token() > previousToken && cluster.areAllMachinesConfirmed()
             }
         }
     }
 
-    private fun phase(
+    private fun measurePhase(
         name: String,
-        play: () -> Unit,
+        runPhase: () -> Unit,
     ) {
         val before = cluster.controllers.mapValues { (_, controller) -> controller.processorTimes() }
-        play()
+        runPhase()
         val leader = cluster.leader()?.name
         println("| $name | all, ms | by thread, ms | peak, MB |\n| --- | --- | --- | --- |")
         for ((node, controller) in cluster.controllers) {
             val after = controller.processorTimes()
             val used = after.msSince(before.getValue(node))
-            val threads = used.filter { it.ms >= LEAST_MS }.joinToString { "${it.thread} %.0f".format(it.ms) }
+            val threads = used.filter { it.ms >= MIN_REPORTED_MS }.joinToString { "${it.thread} %.0f".format(it.ms) }
             val role = if (node == leader) "leader" else "other"
             println("| $role | %.0f | $threads | ${after.peakMemoryKb / KB_PER_MB} |".format(used.sumOf { it.ms }))
         }
     }
 
     companion object {
-        const val SECONDS = 10
-        const val MOST_SECONDS = 600
-        const val MOST_MACHINES = 400
-        private const val ARRAYS = 4
-        private const val RESTARTS = 3
+        const val DEFAULT_SECONDS = 10
+        const val MAX_SECONDS = 600
+        const val MAX_MACHINES = 400
+        private const val ARRAYS_PER_SECOND = 4
+        private const val RESTART_COUNT = 3
         private const val MS_PER_S = 1000L
         private const val KB_PER_MB = 1024
-        private const val LIMIT_MS = 60_000L
-        private const val LEAST_MS = 0.5
+        private const val STEP_TIMEOUT_MS = 60_000L
+        private const val MIN_REPORTED_MS = 0.5
     }
 }
--- a/src/test/kotlin/ledgearch/tools/RecoveryMeasurement.kt
+++ b/src/test/kotlin/ledgearch/tools/RecoveryMeasurement.kt
@@ -2,10 +2,7 @@
 
 import org.junit.jupiter.api.Test
 
-/**
- * What zone recovery changes, in simulated time; run by hand with `-Dtest=RecoveryMeasurement`. It asserts nothing
- * about speed.
- */
+/** Measures zone recovery in simulated time, without assertions; run manually with `-Dtest=RecoveryMeasurement`. */
 internal class RecoveryMeasurement {
     @Test
     fun measure() {
@@ -17,21 +14,23 @@
     }
 
     private fun measure(mode: RecoveryMode) {
-        val runs = (1L..SEEDS).map { RecoveryRun(it, mode).play() }
+        val runs = (1L..SEED_COUNT).map { RecoveryRun(it, mode).play() }
         val fullyRunning =
             RecoveryRun.ORDERED_JOBS.indices.joinToString { job ->
                 val times = runs.map { it.fullyRunningAfterMs[job] ?: Long.MAX_VALUE }.sorted()
-                listOf(times[times.size / 2], times.last()).joinToString("/") { seconds(it) }
+                listOf(times[times.size / 2], times.last()).joinToString("/") { formatSeconds(it) }
             }
-        val peaks = "${runs.maxOf { it.peakStartsASecond }} | ${runs.maxOf { it.peakFetches }}"
-        val restarts = runs.map { it.replicaRestarts }.sorted().let { "${it[it.size / 2]}/${it.last()}" }
-        println("measured | $mode | $fullyRunning | $peaks | $restarts | ${runs.sumOf { it.violations }} violations")
+        val peaks = "${runs.maxOf { it.peakStartsPerSecond }} | ${runs.maxOf { it.peakFetchCount }}"
+        val restarts = runs.map { it.replicaRestartCount }.sorted().let { "${it[it.size / 2]}/${it.last()}" }
+        println(
+            "measured | $mode | $fullyRunning | $peaks | $restarts | ${runs.sumOf { it.violationCount }} violations",
+        )
     }
 
-    private fun seconds(ms: Long) = if (ms == Long.MAX_VALUE) "never" else "%.1f".format(ms / MS_PER_SECOND)
+    private fun formatSeconds(ms: Long) = if (ms == Long.MAX_VALUE) "never" else "%.1f".format(ms / MS_PER_SECOND)
 
     private companion object {
-        const val SEEDS = 7L
+        const val SEED_COUNT = 7L
         const val MS_PER_SECOND = 1000.0
     }
 }
--- a/src/test/kotlin/ledgearch/tools/RecoveryRun.kt
+++ b/src/test/kotlin/ledgearch/tools/RecoveryRun.kt
@@ -9,21 +9,21 @@
 import ledgearch.simulation.parseJobSpec
 import ledgearch.wire.TaskState
 
-/** What one loss and return of a zone did, in simulated ms from the loss; null: it did not happen. */
-internal class RecoveryFigures(
-    /** When each job had all its tasks running again, in the operators' order. */
+/** Measurements of one loss and return of a zone, with times in simulated ms since the loss. */
+internal class RecoveryMeasurements(
+    /** Times at which all tasks of each job were running again, in the operators' order; null if they never were. */
     val fullyRunningAfterMs: List<Long?>,
-    val peakStartsASecond: Int,
-    val peakFetches: Int,
-    /** Starts of replicas beyond the first of each: displaced ones, and those moved or lost once more. */
-    val replicaRestarts: Int,
-    val violations: Int,
+    val peakStartsPerSecond: Int,
+    val peakFetchCount: Int,
+    /** Starts of replicas beyond the first of each, after displacement, moves and further losses. */
+    val replicaRestartCount: Int,
+    val violationCount: Int,
 )
 
-/** Zone recovery is off, on, or on with the order that the operators state. */
+/** Zone recovery: off, on, or on with an order set by the operators. */
 internal enum class RecoveryMode { OFF, ON, ORDERED }
 
-/** A zone with half of the machines is lost for a while, returns, and is lost for moments twice more. */
+/** Partitions a zone with half of the machines for a while, and twice more briefly after its return. */
 internal class RecoveryRun(
     seed: Long,
     mode: RecoveryMode,
@@ -31,33 +31,33 @@
     private val simulation =
         Simulation(
             SimulationOptions(
-                NODES,
+                NODE_COUNT,
                 seed,
                 OperatorSettings(zoneRecovery = settings(mode)),
-                teamMaxVcpus = TEAM_MAX,
+                teamMaxVcpus = TEAM_MAX_VCPUS,
                 stateLimits = StateLimits(200.0, 60.0, 8.0, 16),
             ),
         )
     private val clock = simulation.clock
-    private var peakFetches = 0
+    private var peakFetchCount = 0
 
-    fun play(): RecoveryFigures {
-        simulation.cloud.capacity = 2 * MACHINES
-        simulation.cloud.zoneCapacity = MACHINES
-        repeat(2 * MACHINES) { simulation.cloud.add(if (it % 2 == 0) "a" else "b", false) }
+    fun play(): RecoveryMeasurements {
+        simulation.cloud.capacity = 2 * MACHINES_PER_ZONE
+        simulation.cloud.zoneCapacity = MACHINES_PER_ZONE
+        repeat(2 * MACHINES_PER_ZONE) { simulation.cloud.add(if (it % 2 == 0) "a" else "b", false) }
         simulation.nodes.forEach { it.start() }
         clock.at(SUBMIT_MS) { JOBS.forEach { simulation.submit(parseJobSpec(it.split(' '))) } }
-        cut(LOST_MS, BACK_MS)
-        for (loss in 1..FLAPS) {
-            val from = BACK_MS + loss * FLAP_EVERY_MS
-            cut(from, from + FLAP_MS)
+        partitionZone(LOSS_MS, RETURN_MS)
+        for (flap in 1..FLAP_COUNT) {
+            val fromMs = RETURN_MS + flap * FLAP_INTERVAL_MS
+            partitionZone(fromMs, fromMs + FLAP_DURATION_MS)
         }
-        clock.at(LOST_MS) { watchFetches() }
+        clock.at(LOSS_MS) { watchFetches() }
         clock.runUntil(END_MS)
-        return figures()
+        return measurements()
     }
 
-    private fun cut(
+    private fun partitionZone(
         fromMs: Long,
         toMs: Long,
     ) = clock.at(fromMs) { simulation.network.partition("zone-b", "nodes", toMs, hold = false) }
@@ -67,31 +67,31 @@
             simulation.workers.values.sumOf { worker ->
                 worker.tasks.values.count { it.state == TaskState.FETCHING }
             }
-        peakFetches = maxOf(peakFetches, fetching)
-        clock.after(CHECK_MS, ::watchFetches)
+        peakFetchCount = maxOf(peakFetchCount, fetching)
+        clock.after(CHECK_INTERVAL_MS, ::watchFetches)
     }
 
-    private fun figures(): RecoveryFigures {
+    private fun measurements(): RecoveryMeasurements {
         val placementTimes = simulation.invariants.placementTimes
         val fullyRunning =
-            ORDERED_JOBS.map { job -> placementTimes.firstFullyRunningAtMs(job, LOST_MS)?.let { it - LOST_MS } }
+            ORDERED_JOBS.map { job -> placementTimes.firstFullyRunningAtMs(job, LOSS_MS)?.let { it - LOSS_MS } }
         val restarts = SERVICES.entries.sumOf { (job, tasks) -> simulation.invariants.startCount(job) - tasks }
-        val violations = simulation.invariants.violations.size
-        return RecoveryFigures(
+        val violationCount = simulation.invariants.violations.size
+        return RecoveryMeasurements(
             fullyRunning,
-            placementTimes.peakStartsPerSecond(LOST_MS),
-            peakFetches,
+            placementTimes.peakStartsPerSecond(LOSS_MS),
+            peakFetchCount,
             restarts,
-            violations,
+            violationCount,
         )
     }
 
     companion object {
-        /** Lobby, slips, storefront and nightly work, in the operators' order. */
+        /** Jobs of the classes lobby, slips, web and night, in the operators' order. */
         val ORDERED_JOBS = listOf("job-1", "job-2", "job-3", "job-4")
         private val SERVICES = mapOf("job-1" to 30, "job-3" to 30, "job-9" to 40)
 
-        /** They fill nine tenths of both zones; job-9 needs both, so that machines of a lost zone are kept. */
+        /** Jobs that fill 90% of both zones; job-9 needs both, so that machines of a lost zone are kept. */
         private val JOBS =
             listOf(
                 "job-9 class=spread service=yes priority=prod team=blue spread=yes tasks=40 cpus=1",
@@ -109,16 +109,16 @@
             )
         }
 
-        private const val NODES = 3
-        private const val MACHINES = 20
-        private const val TEAM_MAX = 10_000.0
+        private const val NODE_COUNT = 3
+        private const val MACHINES_PER_ZONE = 20
+        private const val TEAM_MAX_VCPUS = 10_000.0
         private const val SUBMIT_MS = 3_000L
-        private const val LOST_MS = 60_000L
-        private const val BACK_MS = 130_000L
-        private const val FLAPS = 2
-        private const val FLAP_EVERY_MS = 25_000L
-        private const val FLAP_MS = 12_000L
+        private const val LOSS_MS = 60_000L
+        private const val RETURN_MS = 130_000L
+        private const val FLAP_COUNT = 2
+        private const val FLAP_INTERVAL_MS = 25_000L
+        private const val FLAP_DURATION_MS = 12_000L
         private const val END_MS = 330_000L
-        private const val CHECK_MS = 200L
+        private const val CHECK_INTERVAL_MS = 200L
     }
 }
