--- a/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
+++ b/src/main/kotlin/ledgearch/autoscaling/ScaleOutPlanner.kt
@@ -14,7 +14,7 @@
     private val jobStore: JobStore,
     private val clock: Clock,
     private val bootingMachines: BootingMachines,
-    private val rentalHints: RentalHints,
+    private val provisioningHints: ProvisioningHints,
     private val poolSelector: PoolSelector,
     private val provisioner: Provisioner,
 ) {
@@ -47,9 +47,9 @@
         freedCpusPerSecond: Double,
     ): ScaleOutPlan {
         val supplies = bootingSupplies(cluster)
-        val hints = rentalHints.validHints(bootingMachines.names, cluster.machines.keys)
+        val hints = provisioningHints.validHints(bootingMachines.names, cluster.machines.keys)
         supplies += hintedSupplies(hints)
-        supplies += heldBackSupplies(cluster)
+        supplies += pendingReadmissionSupplies(cluster)
         val knownCount = cluster.machines.size + bootingMachines.count + hints.size
         val maxPlanned = minOf(maxMachinesPerPlan(cluster), maxMachines - knownCount)
         return ScaleOutPlan(cluster, clock, poolSelector, supplies, maxPlanned, freedCpusPerSecond)
@@ -69,13 +69,13 @@
             .map { Supply(it.pool) }
             .toMutableList()
 
-    private fun hintedSupplies(hints: List<RentalHint>): List<Supply> =
+    private fun hintedSupplies(hints: List<ProvisioningHint>): List<Supply> =
         hints.mapNotNull { hint ->
             jobStore.machineTypes[hint.machineType]?.let { Supply(it, hint.zone, hint.spot) }
         }
 
     /** Returns the free resources of machines in returning zones that are to be admitted soon. */
-    private fun heldBackSupplies(cluster: Cluster): List<Supply> =
+    private fun pendingReadmissionSupplies(cluster: Cluster): List<Supply> =
         cluster.machines.values
             .filter { it.isReadmissionPending && it.isInService && cluster.recovery?.isSuppressed(it.zone) == false }
             .map { Supply(it.machineType, it.zone, it.spot, it.copyFreeResources()) }
