--- a/src/main/kotlin/ledgearch/model/LoadState.kt
+++ b/src/main/kotlin/ledgearch/model/LoadState.kt
@@ -1,6 +1,9 @@
 package ledgearch.model
 
-/** Load state of a machine by the length of its queue; the thresholds are those of section 2 of the paper. */
+/**
+ * Load state of a machine by the length of its queue. The thresholds are those of section 2 of the paper by Y.-C. Chang
+ * and K. G. Shin, "Optimal Load Sharing in Distributed Real-Time Systems" (1993).
+ */
 internal enum class LoadState {
     /** At most TH_u tasks wait: the machine takes surplus tasks from its buddies. */
     UNDERLOADED,
--- a/src/main/kotlin/ledgearch/model/ModelTuning.kt
+++ b/src/main/kotlin/ledgearch/model/ModelTuning.kt
@@ -5,7 +5,7 @@
     /** Keeps a heartbeat, at about 110 bytes per task, below 64 KiB. */
     const val MAX_TASKS_PER_MACHINE = 400
 
-    /** The paper's TH_u: a machine with at most this many bound tasks is underloaded. */
+    /** TH_u of [LoadState]'s paper: a machine with at most this many bound tasks is underloaded. */
     const val MAX_UNDERLOADED_TASKS = 0
 
     /** The paper's TH_f: a machine with more than TH_u and at most this many bound tasks is at medium load. */
--- a/src/main/kotlin/ledgearch/scheduling/QueueBinder.kt
+++ b/src/main/kotlin/ledgearch/scheduling/QueueBinder.kt
@@ -9,9 +9,10 @@
 import ledgearch.wire.JobSpec
 
 /**
- * Binds tasks that found no room to the queues of machines, by the load sharing algorithm of section 2 of the paper: a
- * task is bound to a home machine or, if that is overloaded, to the first underloaded buddy on the home's preferred
- * list; if there is none, it waits unbound. Homes are chosen round-robin among the machines that fit the task.
+ * Binds tasks that found no room to the queues of machines, by the load sharing algorithm of section 2 of [LoadState]'s
+ * paper: a task is bound to a home machine or, if that is overloaded, to the first underloaded buddy on the home's
+ * preferred list; if there is none, it waits unbound. Homes are chosen round-robin among the machines that fit the
+ * task.
  */
 internal class QueueBinder(
     private val machines: Map<String, Machine>,
--- a/src/main/kotlin/ledgearch/scheduling/Ranking.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Ranking.kt
@@ -7,9 +7,9 @@
 import ledgearch.runtime.MS_PER_SECOND
 
 /**
- * Determines the order in which jobs are served. The paper serves equal tasks in order of arrival; here tasks differ,
- * so within a priority, jobs in their team's guaranteed share come first, then those that miss fewer service-level
- * objectives, then those with less expected work, where waiting time counts in a job's favour.
+ * Determines the order in which jobs are served. [ledgearch.model.LoadState]'s paper serves equal tasks in order of
+ * arrival; here tasks differ, so within a priority, jobs in their team's guaranteed share come first, then those that
+ * miss fewer service-level objectives, then those with less expected work, where waiting time counts in a job's favour.
  */
 internal class Ranking(
     objectives: List<Objective>,
--- a/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
+++ b/src/main/kotlin/ledgearch/scheduling/SchedulingTuning.kt
@@ -2,7 +2,7 @@
 
 /** Constants of placement and preemption. */
 internal object SchedulingTuning {
-    /** Length of a preferred list. The paper finds 10 to 15 buddies sufficient for any system size. */
+    /** Length of a preferred list; [ledgearch.model.LoadState]'s paper finds 10 to 15 enough at any system size. */
     const val MAX_BUDDIES = 10
 
     /** A job for which nothing was started for this long is served first: half of the longest wait users accept. */
