--- a/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
+++ b/src/main/kotlin/ledgearch/control/AgentStatusHandler.kt
@@ -99,9 +99,7 @@
         machine.highestSeenToken = token
         if (token == election.token && machine.isConfirmed) dispatcher.markReachable(machine)
         for (attempt in machine.attempts.values) {
-            if (attempt.unacknowledgedStartToken in
-                1 until machine.highestSeenToken
-            ) {
+            if (attempt.unacknowledgedStartToken in 1 until machine.highestSeenToken) {
                 attempt.unacknowledgedStartToken = 0
             }
         }
--- a/src/main/kotlin/ledgearch/http/HeadParser.kt
+++ b/src/main/kotlin/ledgearch/http/HeadParser.kt
@@ -21,9 +21,7 @@
         while (lineStart < text.length) {
             val lineEnd = text.indexOf(LINE_END, lineStart).let { if (it < 0) text.length else it }
             val colon = text.indexOf(':', lineStart)
-            if (colon <= lineStart ||
-                colon >= lineEnd
-            ) {
+            if (colon <= lineStart || colon >= lineEnd) {
                 throw malformedMessage("header line without a field name and colon")
             }
             fields.read(text, lineStart, colon, lineEnd)
@@ -90,9 +88,7 @@
 
         fun head(startLine: String): Head {
             // The two give different ends of the message where they disagree, so a message with both is ambiguous.
-            if (isChunked &&
-                length != null
-            ) {
+            if (isChunked && length != null) {
                 throw malformedMessage("both Content-Length and Transfer-Encoding are given")
             }
             return Head(startLine, length ?: 0, isChunked, closes)
--- a/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
+++ b/src/main/kotlin/ledgearch/persistence/MachineRecords.kt
@@ -127,9 +127,7 @@
         val partitions = sizes.partition(group.machines.values)
         // A single machine may exceed the planned size and still be within the service's limit, so it is sent.
         if (partitions.size == 1) return true
-        if (partitions.size > maxChanges ||
-            partitions.size * sizes.plannedBytes > StoreTuning.MAX_TRANSACTION_BYTES
-        ) {
+        if (partitions.size > maxChanges || partitions.size * sizes.plannedBytes > StoreTuning.MAX_TRANSACTION_BYTES) {
             return false
         }
         val movedPartitions = partitions.drop(1)
--- a/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
+++ b/src/main/kotlin/ledgearch/persistence/RecordWriter.kt
@@ -186,9 +186,7 @@
     ) {
         val hasLeadershipConflict = Keys.leadership(0) in failedKeys
         val delayMs =
-            if (failedKeys.isEmpty() ||
-                hasLeadershipConflict
-            ) {
+            if (failedKeys.isEmpty() || hasLeadershipConflict) {
                 StoreTuning.RETRY_DELAY_MS
             } else {
                 RuntimeTuning.TICK_INTERVAL_MS
--- a/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
+++ b/src/main/kotlin/ledgearch/scheduling/Deadlines.kt
@@ -49,9 +49,7 @@
         cachedEndsS[job]?.let { return it }
         // Also ends the recursion if records contain a dependency cycle.
         cachedEndsS[job] = own
-        val candidates =
-            dependents.map { dependent -> latestStartsS(dependent, depth - 1) } +
-                listOf(own)
+        val candidates = dependents.map { dependent -> latestStartsS(dependent, depth - 1) } + listOf(own)
         val earliest = candidates.filter { it.isNotEmpty() }.minByOrNull { it.first() }.orEmpty()
         cachedEndsS[job] = earliest
         return earliest
--- a/src/main/kotlin/ledgearch/standby/FailoverHints.kt
+++ b/src/main/kotlin/ledgearch/standby/FailoverHints.kt
@@ -49,8 +49,7 @@
     /** Returns the [unconfirmed] machines in the order in which they are to be probed: most attempts first. */
     fun sortedForProbing(unconfirmed: Collection<Machine>): List<Machine> =
         unconfirmed.sortedByDescending {
-            machines[it.name]?.attempts?.size
-                ?: 0
+            machines[it.name]?.attempts?.size ?: 0
         }
 
     /** Applies the hints that do not concern a single known machine, once the new leader has read all records. */
--- a/src/test/kotlin/ledgearch/config/PlatformSettingsTest.kt
+++ b/src/test/kotlin/ledgearch/config/PlatformSettingsTest.kt
@@ -61,11 +61,7 @@
                     if (path.size == 1) {
                         value
                     } else {
-                        changed(
-                            path.drop(1),
-                            value,
-                            original.getValue(path[0]).jsonObject,
-                        )
+                        changed(path.drop(1), value, original.getValue(path[0]).jsonObject)
                     }
             ),
         )
