--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -36,8 +36,8 @@
     private val log = LoggerFactory.getLogger("ledgearch.cli")
     private val loop = EventLoop("ledgearch")
     private val fatalErrorHandler = FatalErrorHandler { code -> Runtime.getRuntime().halt(code) }
-    private val failureHandler = CoroutineExceptionHandler { _, failure -> fatalErrorHandler.handleUncaught(failure) }
-    private val scope = CoroutineScope(loop + SupervisorJob() + failureHandler)
+    private val exceptionHandler = CoroutineExceptionHandler { _, failure -> fatalErrorHandler.handleUncaught(failure) }
+    private val scope = CoroutineScope(loop + SupervisorJob() + exceptionHandler)
     private val group = loop.group
     private val client = HttpClient(group, socketShare(DaemonTuning.OUTGOING_SOCKET_SHARE))
     private val queue = OwnerQueue()
--- a/src/main/kotlin/ledgearch/cli/Main.kt
+++ b/src/main/kotlin/ledgearch/cli/Main.kt
@@ -49,14 +49,14 @@
 
 private fun checkConfig(files: SettingsFiles): Int {
     val settings = loadOrPrintProblem(files) ?: return ExitCodes.SETTINGS
-    return printText(SettingsLoader.print(settings))
+    return printText(SettingsLoader.toJson(settings))
 }
 
 /** Loads the settings and prints the warnings about them; if they are invalid, prints the problem and returns null. */
 private fun loadOrPrintProblem(files: SettingsFiles): Settings? =
     try {
         val settings = loadSettings(files)
-        SettingsLoader.warnings(settings).forEach { printProblem("warning: $it") }
+        SettingsLoader.findWarnings(settings).forEach { printProblem("warning: $it") }
         settings
     } catch (e: SettingsException) {
         printProblem(e.message.orEmpty())
--- a/src/main/kotlin/ledgearch/config/Deployment.kt
+++ b/src/main/kotlin/ledgearch/config/Deployment.kt
@@ -69,7 +69,7 @@
 /** Limits of the cloud API. */
 @Serializable
 data class CloudLimits(
-    /** Requests per second. */
+    /** Maximum number of requests per second. */
     val rps: Double,
     /** Delay in seconds until a change of a machine appears in the machine lists. */
     @SerialName("list_lag_s") val listLagS: Double = 0.0,
--- a/src/main/kotlin/ledgearch/config/JsonErrorDescriber.kt
+++ b/src/main/kotlin/ledgearch/config/JsonErrorDescriber.kt
@@ -37,15 +37,10 @@
     /** Parses [message], `... at offset N: PROBLEM at path: ...`; if the text ends too early, it has no offset. */
     private fun describeSyntax(message: String): String {
         val line = message.lineSequence().first().substringBeforeLast(PATH_MARKER)
-        val offsetMatch = OFFSET_PREFIX.find(line)
-        val problem =
-            line
-                .substring(
-                    offsetMatch?.range?.let { it.last + 1 } ?: 0,
-                ).removePrefix(READ_ERROR_PREFIX)
-                .trimEnd()
-        if (offsetMatch == null) return "not valid JSON: $problem"
-        return "not valid JSON at ${position(offsetMatch.groupValues[1].toInt())}: $problem"
+        val match = OFFSET_PREFIX.find(line)
+        val problem = line.substring(match?.range?.let { it.last + 1 } ?: 0).removePrefix(ERROR_PREFIX).trimEnd()
+        if (match == null) return "not valid JSON: $problem"
+        return "not valid JSON at ${position(match.groupValues[1].toInt())}: $problem"
     }
 
     private fun position(offset: Int): String {
@@ -75,7 +70,7 @@
 
     private companion object {
         const val PATH_MARKER = " at path: $"
-        const val READ_ERROR_PREFIX = "Cannot read Json element because of "
+        const val ERROR_PREFIX = "Cannot read Json element because of "
         val OFFSET_PREFIX = Regex("""^.*? at offset (\d+): """)
     }
 }
--- a/src/main/kotlin/ledgearch/config/PlatformCheck.kt
+++ b/src/main/kotlin/ledgearch/config/PlatformCheck.kt
@@ -4,24 +4,24 @@
 internal object PlatformCheck {
     /** Returns the first problem that prevents a start as one line with the field and what is allowed, or null. */
     fun findProblem(settings: Settings): String? =
-        invalidAddress(settings)
-            ?: emptyNode(settings)
-            ?: invalidTeams(settings.deployment.teams)
-            ?: nonPositiveValue(settings.deployment)
-            ?: insufficientQuota(settings.deployment.quota)
-            ?: negativeTeamValue(settings.deployment.teams)
+        checkAddresses(settings)
+            ?: checkNode(settings)
+            ?: checkTeams(settings.deployment.teams)
+            ?: checkPositiveValues(settings.deployment)
+            ?: checkQuota(settings.deployment.quota)
+            ?: checkTeamValues(settings.deployment.teams)
 
     /** Returns one line for each setting with which the service starts but is impaired. */
     fun findWarnings(settings: Settings): List<String> {
         val deployment = settings.deployment
         return listOfNotNull(
-            lowMemory(deployment.quota),
-            lowTransactionLimit(deployment.state),
-            lowSocketLimit(deployment.quota),
-        ) + deployment.teams.mapNotNull(::guaranteeAboveQuota)
+            checkMemory(deployment.quota),
+            checkTransactionLimit(deployment.state),
+            checkSocketLimit(deployment.quota),
+        ) + deployment.teams.mapNotNull(::checkGuarantee)
     }
 
-    private fun invalidAddress(settings: Settings): String? {
+    private fun checkAddresses(settings: Settings): String? {
         val addresses =
             mapOf(
                 "listen" to settings.listen,
@@ -38,10 +38,10 @@
         return value.substringBeforeLast(':').isNotEmpty() && port in 1..MAX_PORT
     }
 
-    private fun emptyNode(settings: Settings): String? =
+    private fun checkNode(settings: Settings): String? =
         if (settings.node.isBlank()) "node: must not be empty" else null
 
-    private fun invalidTeams(teams: List<Team>): String? {
+    private fun checkTeams(teams: List<Team>): String? {
         if (teams.isEmpty()) return "deployment.teams: must list at least one team"
         val (name, _) =
             teams
@@ -51,7 +51,7 @@
         return "deployment.teams: duplicate team \"$name\""
     }
 
-    private fun nonPositiveValue(deployment: Deployment): String? {
+    private fun checkPositiveValues(deployment: Deployment): String? {
         val next = deployment.state.next
         val values =
             listOf(
@@ -78,7 +78,7 @@
     private fun isPositive(value: Double): Boolean = value > 0.0 && !value.isInfinite()
 
     /** A memory limit of 0 means unknown. */
-    private fun insufficientQuota(quota: NodeQuota): String? =
+    private fun checkQuota(quota: NodeQuota): String? =
         when {
             quota.memoryMb > 0.0 && quota.memoryMb < ConfigTuning.MIN_MEMORY_MB -> {
                 "deployment.quota.memory_mb: ${quota.memoryMb} must be ${ConfigTuning.MIN_MEMORY_MB} or more"
@@ -93,9 +93,9 @@
             }
         }
 
-    private fun negativeTeamValue(teams: List<Team>): String? = teams.firstNotNullOfOrNull(::negativeTeamValue)
+    private fun checkTeamValues(teams: List<Team>): String? = teams.firstNotNullOfOrNull(::checkTeamValues)
 
-    private fun negativeTeamValue(team: Team): String? {
+    private fun checkTeamValues(team: Team): String? {
         val values =
             listOf(
                 "cpus" to team.guaranteedCpus,
@@ -110,25 +110,25 @@
     /** Returns false for NaN, too. */
     private fun isZeroOrMore(value: Double): Boolean = value >= 0.0
 
-    private fun lowMemory(quota: NodeQuota): String? {
+    private fun checkMemory(quota: NodeQuota): String? {
         if (quota.memoryMb <= 0.0 || quota.memoryMb >= ConfigTuning.RECOMMENDED_MEMORY_MB) return null
         return "deployment.quota.memory_mb: ${quota.memoryMb} is low; " +
             "${ConfigTuning.RECOMMENDED_MEMORY_MB} or more is recommended"
     }
 
-    private fun lowTransactionLimit(limits: StateLimits): String? {
+    private fun checkTransactionLimit(limits: StateLimits): String? {
         if (limits.safeTxnOps >= ConfigTuning.MIN_TXN_OPS) return null
         return "deployment.state.txn_ops: ${limits.safeTxnOps} is too low to close jobs; " +
             "${ConfigTuning.MIN_TXN_OPS} or more is required"
     }
 
-    private fun lowSocketLimit(quota: NodeQuota): String? {
+    private fun checkSocketLimit(quota: NodeQuota): String? {
         if (quota.fdLimit >= ConfigTuning.RECOMMENDED_FD_LIMIT) return null
         return "deployment.quota.fd_limit: ${quota.fdLimit} is low for a connection to every worker and user; " +
             "${ConfigTuning.RECOMMENDED_FD_LIMIT} or more is recommended"
     }
 
-    private fun guaranteeAboveQuota(team: Team): String? {
+    private fun checkGuarantee(team: Team): String? {
         if (team.maxCpus >= team.guaranteedCpus && team.maxGpus >= team.guaranteedGpus) return null
         return "deployment.teams.${team.name}: guaranteed cpus ${team.guaranteedCpus} and " +
             "gpus ${team.guaranteedGpus} must not exceed cpus_max ${team.maxCpus} and gpus_max ${team.maxGpus}"
--- a/src/main/kotlin/ledgearch/config/SettingsLoader.kt
+++ b/src/main/kotlin/ledgearch/config/SettingsLoader.kt
@@ -24,12 +24,12 @@
     }
 
     /** Returns the settings in effect as JSON, with the defaults included. */
-    fun print(settings: Settings): String {
+    fun toJson(settings: Settings): String {
         val platform = prettyJson.encodeToJsonElement(Settings.serializer(), settings).jsonObject
         val operator = prettyJson.encodeToJsonElement(OperatorSettings.serializer(), settings.operator)
         return prettyJson.encodeToString(JsonObject.serializer(), JsonObject(platform + ("operator" to operator)))
     }
 
     /** Returns one line for each setting with which the service starts but is impaired. */
-    fun warnings(settings: Settings): List<String> = PlatformCheck.findWarnings(settings)
+    fun findWarnings(settings: Settings): List<String> = PlatformCheck.findWarnings(settings)
 }
--- a/src/main/kotlin/ledgearch/config/StateLimits.kt
+++ b/src/main/kotlin/ledgearch/config/StateLimits.kt
@@ -6,13 +6,13 @@
 /** Limits of the state service, and the limits [next] that replace them at an unknown time. */
 @Serializable
 data class StateLimits(
-    /** Requests per second. */
+    /** Maximum number of requests per second. */
     val rps: Double,
-    /** Changes (puts and removals) per second. */
+    /** Maximum number of changes (puts and removals) per second. */
     @SerialName("write_rps") val writeRps: Double,
-    /** Size of a value in KiB. */
+    /** Maximum size of a value in KiB. */
     @SerialName("value_kb") val valueKb: Double,
-    /** Changes in a transaction. */
+    /** Maximum number of changes in a transaction. */
     @SerialName("txn_ops") val txnOps: Int,
     /** Announced limits, or null. */
     val next: NextStateLimits? = null,
--- a/src/test/kotlin/ledgearch/config/PlatformSettingsTest.kt
+++ b/src/test/kotlin/ledgearch/config/PlatformSettingsTest.kt
@@ -26,7 +26,7 @@
             DynamicTest.dynamicTest(line) {
                 val file =
                     folder.resolve("platform.json").apply {
-                        writeText(if (path == WHOLE_FILE) value else changedBaseFile(path, value))
+                        writeText(if (path == WHOLE_FILE) value else baseFileWith(path, value))
                     }
                 val expectedText = expected.substringAfter(' ', "")
                 if (expected.startsWith("error") || expected.startsWith("exactly")) {
@@ -39,20 +39,20 @@
                     if (expected.startsWith("exactly")) assertEquals("$file: $expectedText", message)
                 } else {
                     val settings = SettingsLoader.load(file)
-                    val warnings = SettingsLoader.warnings(settings)
+                    val warnings = SettingsLoader.findWarnings(settings)
                     assertEquals(if (expected == "fine") 0 else 1, warnings.size, warnings.toString())
                     assertTrue(warnings.all { expectedText in it }, warnings.toString())
-                    assertTrue(settings.node in SettingsLoader.print(settings))
+                    assertTrue(settings.node in SettingsLoader.toJson(settings))
                 }
             }
         }
 
-    private fun changedBaseFile(
+    private fun baseFileWith(
         path: String,
         value: String,
-    ): String = changed(path.split('.'), Json.parseToJsonElement(value)).toString()
+    ): String = replaceValue(path.split('.'), Json.parseToJsonElement(value)).toString()
 
-    private fun changed(
+    private fun replaceValue(
         path: List<String>,
         value: JsonElement,
         original: JsonObject = BASE_FILE,
@@ -63,7 +63,7 @@
                     if (path.size == 1) {
                         value
                     } else {
-                        changed(
+                        replaceValue(
                             path.drop(1),
                             value,
                             original.getValue(path[0]).jsonObject,
--- a/src/test/kotlin/ledgearch/loopback/FailoverObserver.kt
+++ b/src/test/kotlin/ledgearch/loopback/FailoverObserver.kt
@@ -42,11 +42,7 @@
     private fun observe() {
         val elapsedMs = simulation.clock.nowMs - startedAtMs
         if (times.electedMs == null && token() != 0L && leader() != previousLeader) times.electedMs = elapsedMs
-        if (times.electedMs != null && times.confirmedMs == null &&
-            areAllConfirmed()
-        ) {
-            times.confirmedMs = elapsedMs
-        }
+        if (times.electedMs != null && times.confirmedMs == null && areAllConfirmed()) times.confirmedMs = elapsedMs
         if (times.firstStartMs == null && term() > previousTerm) times.firstStartMs = elapsedMs
         if (!times.isComplete && elapsedMs < MAX_DURATION_MS) simulation.clock.after(CHECK_INTERVAL_MS, ::observe)
     }
--- a/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
+++ b/src/test/kotlin/ledgearch/records/MixedVersionsTest.kt
@@ -176,7 +176,7 @@
         val nextLimits = NextStateLimits(writeRps = 18.0, valueKb = 2.0, txnOps = 5)
         val expectedLimits = StateLimits(rps = 200.0, writeRps = 80.0, valueKb = 16.0, txnOps = 24, next = nextLimits)
         assertEquals(expectedLimits, settings.deployment.state)
-        assertEquals(emptyList<String>(), SettingsLoader.warnings(settings))
+        assertEquals(emptyList<String>(), SettingsLoader.findWarnings(settings))
     }
 
     private companion object {
--- a/src/test/kotlin/ledgearch/tools/FailoverLoad.kt
+++ b/src/test/kotlin/ledgearch/tools/FailoverLoad.kt
@@ -18,14 +18,14 @@
     val options =
         LoadOptions(
             failureCount = System.getProperty("kills")?.toInt() ?: LoadOptions.DEFAULT_KILLS,
-            machines = System.getProperty("machines")?.toInt() ?: LoadOptions.DEFAULT_MACHINES,
+            machineCount = System.getProperty("machines")?.toInt() ?: LoadOptions.DEFAULT_MACHINES,
             operatorFile = System.getProperty("operator")?.let { Path.of(it).toAbsolutePath() },
             freezesLeader = System.getProperty("freeze").toBoolean(),
         )
     val folder = Files.createTempDirectory("ledgearch-loopback")
     val problems =
         try {
-            LoopbackCluster(folder, options.machines, options.operatorFile).use { FailoverLoad(it, options).run() }
+            LoopbackCluster(folder, options.machineCount, options.operatorFile).use { FailoverLoad(it, options).run() }
         } finally {
             folder.toFile().deleteRecursively()
         }
@@ -35,13 +35,13 @@
 /** Options of [FailoverLoad]. */
 internal class LoadOptions(
     val failureCount: Int,
-    val machines: Int,
+    val machineCount: Int,
     val operatorFile: Path?,
     val freezesLeader: Boolean,
 ) {
     init {
         require(failureCount in 1..MAX_KILLS) { "kills must be from 1 to $MAX_KILLS" }
-        require(machines in 1..MAX_MACHINES) { "machines must be from 1 to $MAX_MACHINES" }
+        require(machineCount in 1..MAX_MACHINES) { "machines must be from 1 to $MAX_MACHINES" }
     }
 
     companion object {
@@ -67,7 +67,7 @@
         cluster.start()
         cluster.await("all machines confirmed by a leader", STEP_TIMEOUT_MS) { cluster.areAllMachinesConfirmed() }
         workload.startPolling()
-        workload.submitServices(options.machines)
+        workload.submitServices(options.machineCount)
         cluster.await("services run", STEP_TIMEOUT_MS) { workload.areServicesRunning() }
         repeat(options.failureCount) { failLeader(it + 1) }
         return printResults()
