--- a/src/main/kotlin/ledgearch/api/ApiTuning.kt
+++ b/src/main/kotlin/ledgearch/api/ApiTuning.kt
@@ -1,44 +1,41 @@
 package ledgearch.api
 
-/** Requests of users: constants with their unit and the reason for their value. */
+/** Timeouts and limits of users' requests. */
 internal object ApiTuning {
-    /** ms. A submission waits this long for its durable record, then its user gets a 503 with a `Retry-After`. */
+    /** A submission whose record is not durable after this time gets a 503 with a `Retry-After`. */
     const val SUBMISSION_TIMEOUT_MS = 2_500L
 
-    /** ms. The user waits 2 s for the response to a poll. */
+    /** Users wait 2 s for the response to a poll. */
     const val POLL_TIMEOUT_MS = 1_500L
 
-    /** ms. A cancellation waits this long for the leader, then its user gets a 503 with a `Retry-After`. */
+    /** A cancellation of a job that has not ended after this time gets a 503 with a `Retry-After`. */
     const val CANCELLATION_TIMEOUT_MS = 3_000L
 
     /**
-     * Levels. Objects and arrays within one another. A submission needs two; the parser recurses once a level, and its
-     * stack must not overflow.
+     * Maximum depth of objects and arrays within one another. A submission needs two levels. The parser recurses once
+     * per level, and its stack must not overflow.
      */
-    const val SUBMISSION_DEPTH = 200
+    const val MAX_SUBMISSION_DEPTH = 200
 
-    /** Requests. Waiting for the state service at one time; beyond it users get a 503 at once (backpressure). */
-    const val REQUEST_BACKLOG = 512
+    /** Applies to queued submissions, polls and lookups in flight, each; further requests get a 503 at once. */
+    const val MAX_PENDING_REQUESTS = 512
 
     /**
-     * Share of the time in which a cancellation has to take effect. A job with unfinished dependencies is reported as
-     * pending only from a replicated job store that was complete so recently: an answer that rests on two such stores
-     * is still within half of that time.
+     * Maximum age of the job store's view from which a job with unfinished dependencies is accepted or reported as
+     * pending, as a share of the time within which a cancellation must take effect. A response that rests on two such
+     * views then shows a state that is at most half of that time old.
      */
-    const val FRESHNESS_SHARE = 0.25
+    const val MAX_VIEW_AGE_SHARE = 0.25
 
-    /** Tasks. The protocol's limit for one job. */
-    const val JOB_TASKS_MAX = 100_000
+    /** The protocol's limit. */
+    const val MAX_TASKS_PER_JOB = 100_000
 
-    /** The unit of the field. Far above every machine and duration, and far below where sums lose precision. */
-    const val AMOUNT_MAX = 1e9
+    /** Far above every machine size and duration, and far below the values where sums lose precision. */
+    const val MAX_AMOUNT = 1e9
 
-    /** Conditions. A poll compares the revisions of the open and the final record at most. */
-    const val POLL_CONDITIONS = 2
+    /** A poll compares the revisions of the open and the final record. */
+    const val MAX_CONDITIONS_PER_POLL = 2
 
-    /**
-     * Factor. A value is counted this many times over against the planned size of a transaction, which leaves room for
-     * its conditions and for the JSON around it.
-     */
-    const val VALUE_SIZE_FACTOR = 2
+    /** Planned size of a transaction per byte of its values: leaves room for conditions and the surrounding JSON. */
+    const val PLANNED_SIZE_FACTOR = 2
 }
--- a/src/main/kotlin/ledgearch/api/Cancellations.kt
+++ b/src/main/kotlin/ledgearch/api/Cancellations.kt
@@ -15,67 +15,70 @@
 import ledgearch.wire.KeyValue
 
 /**
- * Cancellations of jobs. Marks a job's open record as cancelled, which makes the user's request durable, and answers
- * once the job is over; the leader carries the cancellation out.
+ * Handles requests to cancel jobs. Sets `cancelRequested` in the job's open record, which makes the request durable,
+ * and responds once the job has ended. The leader stops the tasks and closes the job.
  */
 internal class Cancellations(
     private val jobStore: JobStore,
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val clock: Clock,
     private val lookup: JobLookup,
-    private val answers: JobAnswers,
+    private val responses: JobResponses,
 ) {
-    /** A cancellation that came at [receivedAt] (steady ms). */
+    /** A request to cancel a job that arrived at [receivedAtMs] on the steady clock. */
     private class Cancellation(
-        val receivedAt: Long,
+        val receivedAtMs: Long,
         val respond: Respond,
     )
 
-    /** By job: the requests that wait for its end. */
+    /** The requests that wait for the end of a job, by job id. */
     private val waiting = HashMap<String, MutableList<Cancellation>>()
 
-    /** By job whose mark is being written: when it may be written again (steady ms). */
-    private val markAgainAt = HashMap<String, Long>()
+    /** For each job whose `cancelRequested` is being written, the steady-clock ms from which it is written again. */
+    private val nextWriteAtMs = HashMap<String, Long>()
 
-    /** A user cancels the job [id]. */
+    /** Adds a request to cancel the job [id]. */
     fun add(
         id: String,
         respond: Respond,
     ) {
-        if (!Validation.isJobId(id)) return respond(answers.unknownJob())
-        jobStore.finalRecord(id)?.let { return respond(answers.over(id, it)) }
+        if (!Validation.isJobId(id)) return respond(responses.jobNotFound())
+        jobStore.finalRecord(id)?.let { return respond(responses.ended(id, it)) }
         val cancellation = Cancellation(clock.steadyMs, respond)
         if (jobStore.jobs.containsKey(id)) return awaitEnd(id, cancellation)
-        // It may have been accepted at another node a moment ago; only an end is an answer to a cancellation.
-        lookup.read(id, respond, unknown = { respond(answers.unknownJob()) }) { open ->
-            openRecordRead(id, cancellation, open)
+        // Another node may have accepted the job a moment ago. If it is open, the response must wait for its end.
+        lookup.read(id, respond, onAbsent = { respond(responses.jobNotFound()) }) { stored ->
+            onOpenRecordRead(id, cancellation, stored)
         }
     }
 
-    /** The job [id] is over: answers the requests that wait for that. */
-    fun closed(id: String) {
-        markAgainAt.remove(id)
+    /** Called when the job [id] has ended: responds to the requests that wait for its end. */
+    fun onJobClosed(id: String) {
+        nextWriteAtMs.remove(id)
         val cancellations = waiting.remove(id) ?: return
-        val answer = jobStore.finalRecord(id)?.let { answers.over(id, it) } ?: answers.tryAgain()
-        cancellations.forEach { it.respond(answer) }
+        val response = jobStore.finalRecord(id)?.let { responses.ended(id, it) } ?: responses.unavailable()
+        cancellations.forEach { it.respond(response) }
     }
 
-    /** Turns away the requests that have waited too long, or whose job's end this node can't learn now. */
-    fun expire() {
+    /**
+     * Rejects the requests that have timed out and, while the state service refuses this node, those that are durable
+     * already.
+     */
+    fun rejectExpired() {
         val lists = waiting.values.iterator()
         while (lists.hasNext()) {
             val list = lists.next()
-            list.removeAll(::expired)
+            list.removeAll(::rejectIfExpired)
             if (list.isEmpty()) lists.remove()
         }
-        if (state.isRefused) turnAwayMarked()
+        if (storeClient.isRefused) rejectDurable()
     }
 
-    /** Marks the jobs that are to be cancelled and are not marked yet. */
-    fun markOpenJobs() {
+    /** Writes `cancelRequested` for the jobs whose cancellation is requested and not durable yet. */
+    fun writeCancelRequests() {
         for (id in waiting.keys) {
             val job = jobStore.jobs[id] ?: continue
-            if (!job.record.cancelRequested) mark(job.record, job.modRevision)
+            if (!job.record.cancelRequested) writeCancelRequest(job.record, job.modRevision)
         }
     }
 
@@ -86,66 +89,67 @@
         waiting.getOrPut(id) { ArrayList() }.add(cancellation)
     }
 
-    /** The open record of the job [id] was read as [open]; the job may have ended since. */
-    private fun openRecordRead(
+    /** Called with the open record of the job [id] as it was [stored]; the job may have ended since. */
+    private fun onOpenRecordRead(
         id: String,
         cancellation: Cancellation,
-        open: KeyValue,
+        stored: KeyValue,
     ) {
-        jobStore.finalRecord(id)?.let { return cancellation.respond(answers.over(id, it)) }
-        val record = decodeRecord(JobRecord.serializer(), open.value) ?: return cancellation.respond(answers.tryAgain())
+        jobStore.finalRecord(id)?.let { return cancellation.respond(responses.ended(id, it)) }
+        val record =
+            decodeRecord(JobRecord.serializer(), stored.value) ?: return cancellation.respond(responses.unavailable())
         awaitEnd(id, cancellation)
-        if (!record.cancelRequested) mark(record, open.modRevision)
+        if (!record.cancelRequested) writeCancelRequest(record, stored.modRevision)
     }
 
-    /** Turns [cancellation] away if it has waited too long; returns whether it did. */
-    private fun expired(cancellation: Cancellation): Boolean {
-        if (clock.steadyMs - cancellation.receivedAt < ApiTuning.CANCELLATION_TIMEOUT_MS) return false
-        cancellation.respond(answers.tryAgain())
+    /** Rejects [cancellation] if it has timed out; returns whether it did. */
+    private fun rejectIfExpired(cancellation: Cancellation): Boolean {
+        if (clock.steadyMs - cancellation.receivedAtMs < ApiTuning.CANCELLATION_TIMEOUT_MS) return false
+        cancellation.respond(responses.unavailable())
         return true
     }
 
-    /** The requests for marked jobs are durable already, and this node can't see those jobs end now. */
-    private fun turnAwayMarked() {
+    /** Rejects the requests that are durable already: this node can't see the end of their jobs now. */
+    private fun rejectDurable() {
         val lists = waiting.entries.iterator()
         while (lists.hasNext()) {
             val (id, cancellations) = lists.next()
             if (jobStore.jobs[id]?.record?.cancelRequested != true) continue
-            cancellations.forEach { it.respond(answers.tryAgain()) }
+            cancellations.forEach { it.respond(responses.unavailable()) }
             lists.remove()
         }
     }
 
-    /** Marks [record], as it stands at [modRevision], as cancelled, unless that was tried a moment ago. */
-    private fun mark(
+    /** Sets `cancelRequested` in [record], stored at [modRevision], unless that was tried a moment ago. */
+    private fun writeCancelRequest(
         record: JobRecord,
         modRevision: Long,
     ) {
         val id = record.spec.id
-        if (clock.steadyMs < (markAgainAt[id] ?: Long.MIN_VALUE)) return
-        markAgainAt[id] = clock.steadyMs + StoreTuning.REQUEST_TIMEOUT_MS
+        if (clock.steadyMs < (nextWriteAtMs[id] ?: Long.MIN_VALUE)) return
+        nextWriteAtMs[id] = clock.steadyMs + StoreTuning.REQUEST_TIMEOUT_MS
         val value = encodeRecord(JobRecord.serializer(), record.copy(cancelRequested = true))
         val condition = Condition(Keys.job(id), modRevision)
         val change = Change(put = Keys.job(id), value = value)
-        state.transact(listOf(condition), listOf(change), RequestClass.ORDINARY) { marked(id, it) }
+        storeClient.transact(listOf(condition), listOf(change), RequestClass.ORDINARY) { onWriteResult(id, it) }
     }
 
-    private fun marked(
+    private fun onWriteResult(
         id: String,
         result: TransactionResult,
     ) {
-        // Once it is written, the watch brings the mark.
-        markAgainAt[id] = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
+        // After a commit, the watch updates the job store, which ends the attempts to write.
+        nextWriteAtMs[id] = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
         when (result) {
-            // The user's next request tries again.
+            // The user repeats the request.
             TransactionResult.Refused, TransactionResult.TooLarge -> {
-                markAgainAt.remove(id)
-                waiting.remove(id)?.forEach { it.respond(answers.tryAgain()) }
+                nextWriteAtMs.remove(id)
+                waiting.remove(id)?.forEach { it.respond(responses.unavailable()) }
             }
 
-            // Over, or marked by another node, and this node's job store is behind.
+            // The job has ended or another node has changed its record, and this node's job store is behind.
             is TransactionResult.Conflict -> {
-                lookup.refreshFinal(id)
+                lookup.refreshFinalRecord(id)
             }
 
             is TransactionResult.Committed, TransactionResult.LeaseExpired, TransactionResult.Unknown -> {
--- a/src/main/kotlin/ledgearch/api/DependencyAdmission.kt
+++ b/src/main/kotlin/ledgearch/api/DependencyAdmission.kt
@@ -4,35 +4,35 @@
 import ledgearch.records.FinalRecord
 import ledgearch.wire.JobState
 
-/** Whether a submitted job can be accepted, as far as its DAG dependencies decide it. */
+/** Whether the DAG dependencies of a submitted job allow its acceptance. */
 internal enum class Admission {
-    /** It can be accepted as open. */
+    /** The job can be accepted as open. */
     OPEN,
 
-    /** A dependency was cancelled: the job is cancelled as it is accepted. */
+    /** A direct or indirect dependency was cancelled: the job is accepted as cancelled. */
     CANCELLED,
 
-    /** Records of dependencies are still being read: it is decided later. */
+    /** Records of dependencies are still being read; a later call decides. */
     UNDECIDED,
 
-    /** This node's job store is too old to decide it: the user has to come back. */
+    /** This node's view of the dependencies is too old to decide: the submission is rejected with a 503. */
     STALE,
 }
 
-/** Decides on the admission of submissions from what this node knows of their DAG dependencies. */
+/** Decides on the admission of submissions from this node's view of their DAG dependencies. */
 internal class DependencyAdmission(
     private val jobStore: JobStore,
-    private val knowledge: DependencyKnowledge,
+    private val freshness: DependencyFreshness,
 ) {
-    /** Decides on [submission] now; called again for each transaction that may include it. */
+    /** Decides on [submission]; called again for each transaction that may include it. */
     fun decide(submission: Submission): Admission {
         val unfinished = unfinishedDependencies(submission)
         return when {
-            unfinished.isNotEmpty() && !knowledge.isFresh -> Admission.STALE
+            unfinished.isNotEmpty() && !freshness.isViewFresh -> Admission.STALE
 
             unfinished.any { isCancelled(it, submission) } -> Admission.CANCELLED
 
-            // A dependency of theirs that is still to be read may have been cancelled long ago.
+            // An indirect dependency whose record has not been read yet may have been cancelled long ago.
             !unfinished.all(jobStore.dependencies::isOpenWithDependencies) -> Admission.UNDECIDED
 
             else -> Admission.OPEN
@@ -41,17 +41,17 @@
 
     private fun unfinishedDependencies(submission: Submission): List<String> {
         val dependencies = submission.record.spec.dependsOn
-        return dependencies.orEmpty().filter { finalOf(it, submission)?.state != JobState.DONE }
+        return dependencies.orEmpty().filter { finalRecordOf(it, submission)?.state != JobState.DONE }
     }
 
-    /** The dependency [id] is not done: where it is over all the same, it was cancelled. */
+    /** Returns whether the dependency [id], which is not done, was cancelled: if it has ended, it was. */
     private fun isCancelled(
         id: String,
         submission: Submission,
-    ) = finalOf(id, submission) != null || jobStore.jobs[id]?.dependencyCancelled == true
+    ) = finalRecordOf(id, submission) != null || jobStore.jobs[id]?.dependencyCancelled == true
 
-    private fun finalOf(
+    private fun finalRecordOf(
         id: String,
         submission: Submission,
-    ): FinalRecord? = submission.endedDependencies[id] ?: jobStore.finalRecord(id)
+    ): FinalRecord? = submission.dependencyFinalRecords[id] ?: jobStore.finalRecord(id)
 }
--- a/src/main/kotlin/ledgearch/api/JobLookup.kt
+++ b/src/main/kotlin/ledgearch/api/JobLookup.kt
@@ -7,19 +7,19 @@
 import ledgearch.records.decodeRecord
 import ledgearch.wire.KeyValue
 
-/** Answers requests by reading the records of one job; limits how many such reads are in flight. */
+/** Serves requests by reading the records of single jobs, and limits the number of lookups in flight. */
 internal class JobLookup(
     private val jobStore: JobStore,
-    private val knowledge: DependencyKnowledge,
-    private val answers: JobAnswers,
+    private val freshness: DependencyFreshness,
+    private val responses: JobResponses,
 ) {
     private var inFlight = 0
 
-    /** No further read may begin for a request. */
-    val isFull: Boolean get() = inFlight >= ApiTuning.REQUEST_BACKLOG
+    /** Whether the limit of lookups in flight is reached. */
+    val isFull: Boolean get() = inFlight >= ApiTuning.MAX_PENDING_REQUESTS
 
-    /** Counts a read as in flight until the returned function, which calls [done], is called. */
-    fun <T> counted(done: (T) -> Unit): (T) -> Unit {
+    /** Counts a lookup as in flight until the returned function, which calls [done], is called. */
+    fun <T> countInFlight(done: (T) -> Unit): (T) -> Unit {
         inFlight++
         return { result ->
             inFlight--
@@ -27,57 +27,58 @@
         }
     }
 
-    /** Reads the job [id] and answers with its state; calls [unknown] instead where it was never accepted. */
-    fun answer(
+    /** Reads the job [id] and responds with its state, or calls [onAbsent] if it was never accepted. */
+    fun respondWithState(
         id: String,
         respond: Respond,
-        unknown: () -> Unit,
-    ) = read(id, respond, unknown) { open -> respond(openAnswer(id, open)) }
+        onAbsent: () -> Unit,
+    ) = read(id, respond, onAbsent) { stored -> respond(openJobResponse(id, stored)) }
 
     /**
-     * Reads the job [id] and calls [open] with its open record, or [unknown] where it has no record. A final record is
-     * answered, and so is a state service that gives no conclusive answer or a backlog that is full.
+     * Reads the job [id] and calls [onOpen] with its open record, or [onAbsent] if it was never accepted. Responds
+     * itself if the job has ended, if the state service gives no conclusive reply and if [isFull].
      */
     fun read(
         id: String,
         respond: Respond,
-        unknown: () -> Unit,
-        open: (KeyValue) -> Unit,
+        onAbsent: () -> Unit,
+        onOpen: (KeyValue) -> Unit,
     ) {
-        if (isFull) return respond(answers.tryAgain())
+        if (isFull) return respond(responses.unavailable())
         val done =
-            counted<JobReadResult> { reading ->
-                when (reading) {
-                    is JobReadResult.Open -> open(reading.stored)
-                    is JobReadResult.Ended -> respond(answers.over(id, reading.record))
-                    JobReadResult.Absent -> unknown()
-                    JobReadResult.Unknown -> respond(answers.tryAgain())
+            countInFlight<JobReadResult> { result ->
+                when (result) {
+                    is JobReadResult.Open -> onOpen(result.stored)
+                    is JobReadResult.Ended -> respond(responses.ended(id, result.record))
+                    JobReadResult.Absent -> onAbsent()
+                    JobReadResult.Unknown -> respond(responses.unavailable())
                 }
             }
         jobStore.recordReader.read(id, done)
     }
 
-    /** Reads whether the job [id] is over, so that this node's job store remembers it. */
-    fun refreshFinal(id: String) = jobStore.recordReader.readFinalRecord(id, counted { })
+    /** Reads the final record of the job [id], if it has one, into the job store. */
+    fun refreshFinalRecord(id: String) = jobStore.recordReader.readFinalRecord(id, countInFlight { })
 
-    /** The answer for a job whose open record was read as [open]; it may have ended since. */
-    private fun openAnswer(
+    /** Returns the response for a job whose open record was read as [stored]; the job may have ended since. */
+    private fun openJobResponse(
         id: String,
-        open: KeyValue,
-    ) = jobStore.finalRecord(id)?.let { answers.over(id, it) }
-        ?: jobStore.jobs[id]?.let(::storedAnswer)
-        ?: unstoredAnswer(id, open)
+        stored: KeyValue,
+    ) = jobStore.finalRecord(id)?.let { responses.ended(id, it) }
+        ?: jobStore.jobs[id]?.let(::replicatedJobResponse)
+        ?: unreplicatedJobResponse(id, stored)
 
-    private fun storedAnswer(job: Job) = if (knowledge.mayReportOpen(job)) answers.open(job) else answers.tryAgain()
+    private fun replicatedJobResponse(job: Job) =
+        if (freshness.mayReportOpen(job)) responses.open(job) else responses.unavailable()
 
-    /** The job has not reached this node's job store yet. */
-    private fun unstoredAnswer(
+    /** Returns the response for an open job that is not in this node's job store yet. */
+    private fun unreplicatedJobResponse(
         id: String,
-        open: KeyValue,
-    ) = if (decodeRecord(JobRecord.serializer(), open.value)?.spec?.dependsOn != null) {
-        // Its transaction may have been executed long after its dependencies were over: the job store will show it.
-        answers.tryAgain()
+        stored: KeyValue,
+    ) = if (decodeRecord(JobRecord.serializer(), stored.value)?.spec?.dependsOn != null) {
+        // Its transaction may have been executed long after its dependencies ended, which only the job store shows.
+        responses.unavailable()
     } else {
-        answers.pending(id)
+        responses.pending(id)
     }
 }
--- a/src/main/kotlin/ledgearch/api/JobAnswers.kt
+++ b/src/main/kotlin/ledgearch/api/JobResponses.kt
@@ -9,32 +9,32 @@
 import ledgearch.wire.JobStatus
 import ledgearch.wire.WireJson
 
-/** Takes the answer to a request; called exactly once for each. */
+/** Sends the response to a request; called exactly once per request. */
 internal typealias Respond = (Response) -> Unit
 
-/** The answer with HTTP [status] to a request that failed; [reason] is the error text in its body. */
+/** Returns the response to a failed request, with the HTTP [status] and [reason] as the error text of its body. */
 internal fun errorResponse(
     status: Int,
     reason: String,
 ) = Response(status, WireJson.encodeToString(ErrorBody.serializer(), ErrorBody(reason)))
 
 /**
- * Builds the answers to requests about jobs. Whether an answer may be given is for the callers to decide.
- * [retryAfterS]: when a user who is turned away has to come back (seconds).
+ * Builds the responses to requests about jobs; the callers decide whether the state that they report is up to date.
+ * [retryAfterS] is the `Retry-After` of a 503 in seconds.
  */
-internal class JobAnswers(
+internal class JobResponses(
     private val leadership: LeadershipView,
     private val retryAfterS: Int,
 ) {
-    /** 201: a submission was accepted and its job is in [state]. */
+    /** Returns a 201: the job [id] was accepted and is in [state]. */
     fun accepted(
         id: String,
         state: JobState,
     ) = response(HttpStatus.CREATED, JobStatus(id, state))
 
     /**
-     * 200: the open [job] with its progress, which the leader knows from the job's own tasks and the other nodes from
-     * the leader's last status.
+     * Returns a 200: [job] is open. The leader takes its progress from the job's tasks, the other nodes from the
+     * leader's last status.
      */
     fun open(job: Job): Response {
         val running = if (leadership.isLeader) job.runningCount else job.lastProgress?.running ?: 0
@@ -43,11 +43,11 @@
         return response(HttpStatus.OK, JobStatus(job.id, state, done, running))
     }
 
-    /** 200: the job [id] is open; nothing more is known of it here. */
+    /** Returns a 200: the job [id] is open, and this node has no view of its progress. */
     fun pending(id: String) = response(HttpStatus.OK, JobStatus(id, JobState.PENDING))
 
-    /** 200: the job [id] is over. */
-    fun over(
+    /** Returns a 200: the job [id] has ended with [record]. */
+    fun ended(
         id: String,
         record: FinalRecord,
     ): Response {
@@ -55,11 +55,11 @@
         return response(HttpStatus.OK, JobStatus(id, record.state, done, 0))
     }
 
-    /** 404: the job was never accepted. */
-    fun unknownJob() = errorResponse(HttpStatus.NOT_FOUND, "no such job")
+    /** Returns a 404: the job was never accepted. */
+    fun jobNotFound() = errorResponse(HttpStatus.NOT_FOUND, "no such job")
 
-    /** 503: nothing can be confirmed now; the user has to come back. */
-    fun tryAgain() = Response(HttpStatus.UNAVAILABLE, TRY_AGAIN, retryAfterS)
+    /** Returns a 503 with a `Retry-After`: the request can't be served now. */
+    fun unavailable() = Response(HttpStatus.UNAVAILABLE, UNAVAILABLE_BODY, retryAfterS)
 
     private fun response(
         status: Int,
@@ -67,6 +67,6 @@
     ) = Response(status, WireJson.encodeToString(JobStatus.serializer(), body))
 
     private companion object {
-        const val TRY_AGAIN = """{"error":"try again later"}"""
+        const val UNAVAILABLE_BODY = """{"error":"try again later"}"""
     }
 }
--- a/src/main/kotlin/ledgearch/api/LeadershipView.kt
+++ b/src/main/kotlin/ledgearch/api/LeadershipView.kt
@@ -2,20 +2,20 @@
 
 import ledgearch.wire.Condition
 
-/** This node's leadership as far as submissions need it: a leader accepts jobs under its own leadership record. */
+/** This node's leadership as submissions use it: a leader accepts jobs under its own leadership record. */
 internal interface LeadershipView {
-    /** Whether this node leads now. */
+    /** Whether this node is the leader. */
     val isLeader: Boolean
 
-    /** Holds while this node's leadership record is unchanged; meaningful only while [isLeader]. */
+    /** The condition that this node's leadership record is unchanged; meaningful only while [isLeader]. */
     val condition: Condition
 
     /**
-     * A transaction that compared the leadership record with revision [under] was committed. It was sent at [sentAt]
-     * (steady ms), so this node led at some moment after that.
+     * Records that a transaction with [condition] under [sentToken], sent at [sentAtMs] on the steady clock, has
+     * committed, so this node was the leader at some time after it was sent.
      */
-    fun leadershipConfirmed(
-        sentAt: Long,
-        under: Long,
+    fun recordConfirmation(
+        sentAtMs: Long,
+        sentToken: Long,
     )
 }
--- a/src/main/kotlin/ledgearch/api/MalformedSubmission.kt
+++ b/src/main/kotlin/ledgearch/api/MalformedSubmission.kt
@@ -1,6 +1,6 @@
 package ledgearch.api
 
-/** A submission that is malformed; answered with 400 and [message]. Carries no stack trace. */
+/** Thrown for a malformed submission, which gets a 400 with [message] as its error. Has no stack trace. */
 internal class MalformedSubmission(
     message: String,
 ) : Exception(message, null, false, false)
--- a/src/main/kotlin/ledgearch/api/PollBatch.kt
+++ b/src/main/kotlin/ledgearch/api/PollBatch.kt
@@ -4,38 +4,38 @@
 import ledgearch.records.Keys
 import ledgearch.wire.Condition
 
-/** A poll for the job [id] that came at [receivedAt] (steady ms). */
+/** A poll for the state of the job [id] that arrived at [receivedAtMs] on the steady clock. */
 internal class Poll(
     val id: String,
-    val receivedAt: Long,
+    val receivedAtMs: Long,
     val respond: Respond,
 ) {
-    /** The transaction that carries this poll compares that the job is open, not that it was never accepted. */
-    var comparedAsOpen = false
+    /** Whether the transaction of this poll compares that the job is still open, not that it was never accepted. */
+    var wasOpen = false
 }
 
-/** The polls that one transaction answers, and what it compares for them. */
+/** The polls that one transaction confirms, and the conditions that it compares for them. */
 internal class PollBatch(
     private val maxConditions: Int,
 ) {
-    /** The polls in the batch, in the order in which they are answered. */
+    /** The polls in the order in which they were added. */
     val polls = ArrayList<Poll>()
     private val keyRevisions = LinkedHashMap<String, Long>()
 
-    /** Whether one more poll certainly fits. */
-    val hasRoom: Boolean get() = keyRevisions.size + ApiTuning.POLL_CONDITIONS <= maxConditions
+    /** Whether there is room for the conditions of another poll. */
+    val hasRoom: Boolean get() = keyRevisions.size + ApiTuning.MAX_CONDITIONS_PER_POLL <= maxConditions
 
-    /** Adds [poll]; [job] is its open job as this node knows it, or null. */
+    /** Adds [poll]; [job] is its job if it is open in this node's view, otherwise null. */
     fun add(
         poll: Poll,
         job: Job?,
     ) {
         polls.add(poll)
-        poll.comparedAsOpen = job != null
+        poll.wasOpen = job != null
         keyRevisions[Keys.job(poll.id)] = job?.modRevision ?: 0
         if (job == null) keyRevisions[Keys.final(poll.id)] = 0
     }
 
-    /** What the transaction compares: each key once, however many polls ask for its job. */
+    /** Returns the conditions of the transaction: one per key, even if several polls are for the same job. */
     fun conditions(): List<Condition> = keyRevisions.map { (key, modRevision) -> Condition(key, modRevision) }
 }
--- a/src/main/kotlin/ledgearch/api/Polls.kt
+++ b/src/main/kotlin/ledgearch/api/Polls.kt
@@ -9,123 +9,124 @@
 import ledgearch.store.TransactionResult
 
 /**
- * Polls for jobs. One for an unfinished job is answered only after a transaction, sent after the poll came, has
- * compared the revisions of all polled jobs at once with those that this node knows.
+ * Handles polls for the state of jobs. A poll for a job that has not ended gets a response only after a transaction
+ * that was sent after the poll arrived has confirmed the revision in this node's view. One transaction compares the
+ * revisions of many polled jobs.
  */
 internal class Polls(
     private val jobStore: JobStore,
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val clock: Clock,
-    private val knowledge: DependencyKnowledge,
+    private val freshness: DependencyFreshness,
     private val lookup: JobLookup,
-    private val answers: JobAnswers,
+    private val responses: JobResponses,
 ) {
     private val waiting = ArrayDeque<Poll>()
-    private var transactionInFlight = false
+    private var isTransactionInFlight = false
 
-    /** Steady ms before which no transaction is sent. */
-    private var retryAt = 0L
+    /** Steady-clock ms before which no transaction is sent. */
+    private var retryAtMs = 0L
 
-    /** A user asks for the state of the job [id]. */
+    /** Adds a poll for the state of the job [id]. */
     fun add(
         id: String,
         respond: Respond,
     ) {
-        if (!Validation.isJobId(id)) return respond(answers.unknownJob())
-        jobStore.finalRecord(id)?.let { return respond(answers.over(id, it)) }
-        if (waiting.size >= ApiTuning.REQUEST_BACKLOG) return respond(answers.tryAgain())
+        if (!Validation.isJobId(id)) return respond(responses.jobNotFound())
+        jobStore.finalRecord(id)?.let { return respond(responses.ended(id, it)) }
+        if (waiting.size >= ApiTuning.MAX_PENDING_REQUESTS) return respond(responses.unavailable())
         waiting.addLast(Poll(id, clock.steadyMs, respond))
     }
 
-    /** Turns away the polls that have waited too long. */
-    fun expire() {
-        while (waiting.isNotEmpty() && clock.steadyMs - waiting.first().receivedAt >= ApiTuning.POLL_TIMEOUT_MS) {
-            waiting.removeFirst().respond(answers.tryAgain())
+    /** Rejects the polls that have timed out. */
+    fun rejectExpired() {
+        while (waiting.isNotEmpty() && clock.steadyMs - waiting.first().receivedAtMs >= ApiTuning.POLL_TIMEOUT_MS) {
+            waiting.removeFirst().respond(responses.unavailable())
         }
     }
 
-    /** Confirms what is known of the polled jobs unless a transaction is in flight. */
-    fun flush() {
-        if (transactionInFlight || waiting.isEmpty() || clock.steadyMs < retryAt) return
+    /** Sends a transaction that compares the polled jobs, unless one is in flight or a retry must wait. */
+    fun sendIfDue() {
+        if (isTransactionInFlight || waiting.isEmpty() || clock.steadyMs < retryAtMs) return
         val batch = nextBatch()
         if (batch.polls.isEmpty()) return
-        transactionInFlight = true
-        state.transact(batch.conditions(), emptyList(), RequestClass.ORDINARY) { result ->
-            transactionInFlight = false
-            completed(batch, result)
+        isTransactionInFlight = true
+        storeClient.transact(batch.conditions(), emptyList(), RequestClass.ORDINARY) { result ->
+            isTransactionInFlight = false
+            onCompleted(batch, result)
         }
     }
 
     private fun nextBatch(): PollBatch {
-        val batch = PollBatch(state.maxConditions)
-        val heldBack = ArrayList<Poll>()
+        val batch = PollBatch(storeClient.maxConditions)
+        val deferred = ArrayList<Poll>()
         while (waiting.isNotEmpty() && batch.hasRoom) {
             val poll = waiting.removeFirst()
             val job = jobStore.jobs[poll.id]
-            val final = jobStore.finalRecord(poll.id)
+            val finalRecord = jobStore.finalRecord(poll.id)
             when {
-                final != null -> poll.respond(answers.over(poll.id, final))
+                finalRecord != null -> poll.respond(responses.ended(poll.id, finalRecord))
 
-                // Cancelled through a dependency, with its final record about to be written; or too little is known of
-                // its dependencies.
-                job != null && !knowledge.mayReportOpen(job) -> heldBack.add(poll)
+                // A dependency was cancelled and the final record is not written yet, or this node's view of the
+                // dependencies is incomplete or too old.
+                job != null && !freshness.mayReportOpen(job) -> deferred.add(poll)
 
                 else -> batch.add(poll, job)
             }
         }
-        heldBack.asReversed().forEach(waiting::addFirst)
+        deferred.asReversed().forEach(waiting::addFirst)
         return batch
     }
 
-    private fun completed(
+    private fun onCompleted(
         batch: PollBatch,
         result: TransactionResult,
     ) {
         when (result) {
             is TransactionResult.Committed -> {
-                batch.polls.forEach(::confirmed)
+                batch.polls.forEach(::onConfirmed)
             }
 
             is TransactionResult.Conflict -> {
-                batch.polls.asReversed().forEach { conflicted(it, result.failedKeys) }
+                batch.polls.asReversed().forEach { onConflict(it, result.failedKeys) }
             }
 
             TransactionResult.Refused, TransactionResult.TooLarge, TransactionResult.LeaseExpired -> {
-                batch.polls.forEach { it.respond(answers.tryAgain()) }
+                batch.polls.forEach { it.respond(responses.unavailable()) }
             }
 
             TransactionResult.Unknown -> {
-                retryAt = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
+                retryAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
                 batch.polls.asReversed().forEach(waiting::addFirst)
             }
         }
     }
 
-    /** [poll]'s job was open at the revision known here, or unknown to the state service, as it was compared. */
-    private fun confirmed(poll: Poll) {
-        val final = jobStore.finalRecord(poll.id)
+    /** Called when the transaction has confirmed this node's view of the job of [poll]: open, or never accepted. */
+    private fun onConfirmed(poll: Poll) {
+        val finalRecord = jobStore.finalRecord(poll.id)
         val job = jobStore.jobs[poll.id]
         when {
-            final != null -> poll.respond(answers.over(poll.id, final))
+            finalRecord != null -> poll.respond(responses.ended(poll.id, finalRecord))
 
-            job != null && !knowledge.mayReportOpen(job) -> waiting.addFirst(poll)
+            job != null && !freshness.mayReportOpen(job) -> waiting.addFirst(poll)
 
-            job != null -> poll.respond(answers.open(job))
+            job != null -> poll.respond(responses.open(job))
 
-            // It ended since, and its final record is not remembered here.
-            poll.comparedAsOpen -> lookup.answer(poll.id, poll.respond) { poll.respond(answers.tryAgain()) }
+            // The job has ended since, and this node has not cached its final record.
+            poll.wasOpen -> lookup.respondWithState(poll.id, poll.respond) { poll.respond(responses.unavailable()) }
 
-            else -> poll.respond(answers.unknownJob())
+            else -> poll.respond(responses.jobNotFound())
         }
     }
 
-    /** The conditions on the keys in [failed] did not hold: if [poll]'s job is among them it is read. */
-    private fun conflicted(
+    /** Called when the conditions on [failedKeys] did not hold: reads the job of [poll] if it is among them. */
+    private fun onConflict(
         poll: Poll,
-        failed: List<String>,
+        failedKeys: List<String>,
     ) {
-        if (Keys.job(poll.id) in failed || Keys.final(poll.id) in failed) {
-            lookup.answer(poll.id, poll.respond) { poll.respond(answers.unknownJob()) }
+        if (Keys.job(poll.id) in failedKeys || Keys.final(poll.id) in failedKeys) {
+            lookup.respondWithState(poll.id, poll.respond) { poll.respond(responses.jobNotFound()) }
         } else {
             waiting.addFirst(poll)
         }
--- a/src/main/kotlin/ledgearch/api/Submission.kt
+++ b/src/main/kotlin/ledgearch/api/Submission.kt
@@ -5,50 +5,51 @@
 import ledgearch.records.JobRecord
 
 /**
- * An admitted job that waits to be accepted, with the requests that wait for its answer. A submission is an idempotent
- * request: repeats of it join the one under way.
+ * A job that passed all checks and waits for its durable record, with the requests that wait for a response.
+ * Submissions are idempotent: a repeated request joins the queued one.
  *
- * [queuedAt]: steady ms. [endedDependencies]: final records that were read for it, by job.
+ * [queuedAtMs] is on the steady clock. [dependencyFinalRecords] holds the final records that the check of its
+ * dependencies read, by job id.
  */
 internal class Submission(
     val record: JobRecord,
-    val queuedAt: Long,
-    val endedDependencies: Map<String, FinalRecord>,
+    val queuedAtMs: Long,
+    val dependencyFinalRecords: Map<String, FinalRecord>,
 ) {
     /** The job's id. */
     val id: String get() = record.spec.id
 
     private val initial = ArrayList<Respond>()
     private val repeated = ArrayList<Respond>()
-    private var sent = false
+    private var isSent = false
 
-    /** Requests that came before the transaction was first sent: its result is their answer. */
+    /** Requests that arrived before the transaction was first sent; its result determines their response. */
     val initialRequests: List<Respond> get() = initial
 
     /**
-     * Requests that came later. The transaction may have been committed, and a later state of the job reported, before
-     * they came, so the state that the transaction gave the job may be too old for them.
+     * Requests that arrived later. The transaction may have been committed, and a later state of the job reported,
+     * before they arrived, so the result of the transaction may be too old for them.
      */
     val repeatedRequests: List<Respond> get() = repeated
 
-    /** The same job was submitted again. */
+    /** Adds a request that submits this job. */
     fun join(respond: Respond) {
-        val requests = if (sent) repeated else initial
+        val requests = if (isSent) repeated else initial
         requests.add(respond)
     }
 
-    /** A request with this job's id, whose own body was refused, waits for the answer as a repeat. */
+    /** Adds a request with this job's id whose own body was rejected, as a repeated request. */
     fun joinAsRepeat(respond: Respond) {
         repeated.add(respond)
     }
 
-    /** The transaction is about to be sent. */
+    /** Records that a transaction with this submission is about to be sent. */
     fun markSent() {
-        sent = true
+        isSent = true
     }
 
-    /** Gives every request the same answer; none of them waits any longer. */
-    fun answer(response: Response) {
+    /** Sends [response] to all requests and removes them. */
+    fun respondToAll(response: Response) {
         initial.forEach { it(response) }
         repeated.forEach { it(response) }
         initial.clear()
--- a/src/main/kotlin/ledgearch/api/SubmissionBatch.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionBatch.kt
@@ -10,44 +10,44 @@
 import ledgearch.wire.JobState
 
 /**
- * One transaction that accepts several jobs, each on the condition that it has no record yet. [leadershipCondition] is
- * compared too; null on a node that does not lead. [maxChanges]: how many jobs it may accept.
+ * A transaction that accepts at most [maxChanges] jobs, on the condition that none of them has a record yet and that
+ * [leadershipCondition] holds, which is null on a node that is not the leader.
  */
 internal class SubmissionBatch(
     val leadershipCondition: Condition?,
     private val maxChanges: Int,
 ) {
-    /** The submissions in the batch, in the order in which they were added. */
+    /** The submissions in the order in which they were added. */
     val submissions = ArrayList<Submission>()
 
-    /** What the transaction compares. */
+    /** The conditions of the transaction. */
     val conditions = ArrayList(listOfNotNull(leadershipCondition))
 
-    /** What the transaction writes: one record for each submission. */
+    /** The changes of the transaction: one record per submission. */
     val changes = ArrayList<Change>()
 
-    /** Submissions of jobs that are cancelled as they are accepted. */
-    val cancelled = HashSet<Submission>()
+    /** The submissions whose jobs are accepted as cancelled. */
+    val cancelledSubmissions = HashSet<Submission>()
     private var plannedBytes = 0
 
     /**
-     * Adds [submission] and marks it as sent; [isCancelled]: its job is accepted as cancelled. False, with nothing
-     * changed, when the batch has no room for it. The first one always has room.
+     * Adds [submission] and marks it as sent; its job is accepted as cancelled if [isCancelled]. Returns false and
+     * changes nothing if there is no room for it. There is always room for the first one.
      */
     fun add(
         submission: Submission,
         isCancelled: Boolean,
     ): Boolean {
         val change = if (isCancelled) cancelledChange(submission.id) else openChange(submission.record)
-        val size = plannedSizeOf(change)
-        val isFull = changes.size >= maxChanges || plannedBytes + size > StoreTuning.MAX_TRANSACTION_BYTES
+        val sizeBytes = plannedSizeBytes(change)
+        val isFull = changes.size >= maxChanges || plannedBytes + sizeBytes > StoreTuning.MAX_TRANSACTION_BYTES
         if (isFull && submissions.isNotEmpty()) return false
-        plannedBytes += size
+        plannedBytes += sizeBytes
         submissions.add(submission)
-        conditions.add(Condition(Keys.job(submission.id), ABSENT))
-        conditions.add(Condition(Keys.final(submission.id), ABSENT))
+        conditions.add(Condition(Keys.job(submission.id), ABSENT_REVISION))
+        conditions.add(Condition(Keys.final(submission.id), ABSENT_REVISION))
         changes.add(change)
-        if (isCancelled) cancelled.add(submission)
+        if (isCancelled) cancelledSubmissions.add(submission)
         submission.markSent()
         return true
     }
@@ -60,14 +60,13 @@
     private fun openChange(record: JobRecord) =
         Change(put = Keys.job(record.spec.id), value = encodeRecord(JobRecord.serializer(), record))
 
-    /** Bytes. */
-    private fun plannedSizeOf(change: Change): Int {
+    private fun plannedSizeBytes(change: Change): Int {
         val text = change.value.toString()
-        return text.encodeToByteArray().size * ApiTuning.VALUE_SIZE_FACTOR
+        return text.encodeToByteArray().size * ApiTuning.PLANNED_SIZE_FACTOR
     }
 
     private companion object {
-        /** The revision that a condition names for a key that does not exist. */
-        const val ABSENT = 0L
+        /** In a condition: the key must not exist. */
+        const val ABSENT_REVISION = 0L
     }
 }
--- a/src/main/kotlin/ledgearch/api/SubmissionField.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionField.kt
@@ -1,6 +1,6 @@
 package ledgearch.api
 
-/** The protocol's names of the fields of a submitted job. */
+/** Names of the JSON fields of a submitted job. */
 internal object SubmissionField {
     const val ID = "ref"
     const val JOB_CLASS = "menu"
--- a/src/main/kotlin/ledgearch/api/SubmissionQueue.kt
+++ b/src/main/kotlin/ledgearch/api/SubmissionQueue.kt
@@ -12,97 +12,100 @@
 import ledgearch.wire.JobState
 
 /**
- * The admitted jobs that wait to be accepted. Accepts them in batches, by one transaction at a time, and answers the
- * requests for them.
+ * The submitted jobs that passed all checks and wait for their durable record. Accepts them in batches, with one
+ * transaction at a time, and responds to their requests.
  */
 internal class SubmissionQueue(
     private val jobStore: JobStore,
-    private val state: StoreClient,
+    private val storeClient: StoreClient,
     private val leadership: LeadershipView,
     private val clock: Clock,
     private val admission: DependencyAdmission,
     private val lookup: JobLookup,
     private val polls: Polls,
-    private val answers: JobAnswers,
+    private val responses: JobResponses,
 ) {
-    /** By job, in the order in which they came. */
+    /** The queued submissions by job id, in the order in which they were added. */
     private val waiting = LinkedHashMap<String, Submission>()
-    private var transactionInFlight = false
+    private var isTransactionInFlight = false
 
-    /** Steady ms before which no transaction is sent. */
-    private var retryAt = 0L
+    /** Steady-clock ms before which no transaction is sent. */
+    private var retryAtMs = 0L
 
-    /** No further job can be queued. */
-    val isFull: Boolean get() = waiting.size >= ApiTuning.REQUEST_BACKLOG
+    /** Whether the queue is full. */
+    val isFull: Boolean get() = waiting.size >= ApiTuning.MAX_PENDING_REQUESTS
 
-    /** Joins the submission of the job [id] that is under way; false when there is none. */
+    /** Adds a request to the queued submission of the job [id]; returns false if there is none. */
     fun join(
         id: String,
         respond: Respond,
     ): Boolean {
-        val underWay = waiting[id] ?: return false
-        underWay.join(respond)
+        val queued = waiting[id] ?: return false
+        queued.join(respond)
         return true
     }
 
-    /** Like [join], for a request whose own body was refused: it gets the job's state after its acceptance. */
+    /** Like [join], for a request whose own body was rejected: it gets the state of the job once that is accepted. */
     fun joinAsRepeat(
         id: String,
         respond: Respond,
     ): Boolean {
-        val underWay = waiting[id] ?: return false
-        underWay.joinAsRepeat(respond)
+        val queued = waiting[id] ?: return false
+        queued.joinAsRepeat(respond)
         return true
     }
 
-    /** Queues the job of [record], which passed all checks; it may have become known while they were made. */
+    /** Queues the job of [record], which passed all checks; another request may have had it accepted meanwhile. */
     fun add(
         record: JobRecord,
         respond: Respond,
-        endedDependencies: Map<String, FinalRecord> = emptyMap(),
+        dependencyFinalRecords: Map<String, FinalRecord> = emptyMap(),
     ) {
         val id = record.spec.id
         if (jobStore.finalRecord(id) != null || jobStore.jobs.containsKey(id)) return polls.add(id, respond)
         if (join(id, respond)) return
-        val submission = Submission(record, clock.steadyMs, endedDependencies)
+        val submission = Submission(record, clock.steadyMs, dependencyFinalRecords)
         submission.join(respond)
         waiting[id] = submission
     }
 
-    /** Turns away the submissions that have waited too long. */
-    fun expire() {
+    /** Rejects the submissions that have timed out. */
+    fun rejectExpired() {
         val submissions = waiting.values.iterator()
         while (submissions.hasNext()) {
             val submission = submissions.next()
-            if (clock.steadyMs - submission.queuedAt < ApiTuning.SUBMISSION_TIMEOUT_MS) continue
+            if (clock.steadyMs - submission.queuedAtMs < ApiTuning.SUBMISSION_TIMEOUT_MS) continue
             submissions.remove()
-            submission.answer(answers.tryAgain())
+            submission.respondToAll(responses.unavailable())
         }
     }
 
-    /** Sends the next transaction unless one is in flight or the pause after an unknown result lasts. */
-    fun flush() {
-        if (transactionInFlight || waiting.isEmpty() || clock.steadyMs < retryAt) return
+    /** Sends the next transaction, unless one is in flight or a retry must wait. */
+    fun sendIfDue() {
+        if (isTransactionInFlight || waiting.isEmpty() || clock.steadyMs < retryAtMs) return
         val batch = nextBatch()
         if (batch.submissions.isEmpty()) return
-        transactionInFlight = true
-        val sentAt = clock.steadyMs
-        state.transact(batch.conditions, batch.changes, RequestClass.ORDINARY) { result ->
-            transactionInFlight = false
-            completed(batch, result, sentAt)
+        isTransactionInFlight = true
+        val sentAtMs = clock.steadyMs
+        storeClient.transact(batch.conditions, batch.changes, RequestClass.ORDINARY) { result ->
+            isTransactionInFlight = false
+            onCompleted(batch, result, sentAtMs)
         }
     }
 
     private fun nextBatch(): SubmissionBatch {
-        val batch = SubmissionBatch(leadership.condition.takeIf { leadership.isLeader }, state.maxChanges)
+        val batch = SubmissionBatch(leadership.condition.takeIf { leadership.isLeader }, storeClient.maxChanges)
         for (submission in waiting.values.toList()) {
-            if (!offer(submission, batch)) break
+            if (!addToBatch(submission, batch)) break
         }
         return batch
     }
 
-    /** False when [batch] has no room for [submission]; one that can't be decided yet is passed over. */
-    private fun offer(
+    /**
+     * Adds [submission] to [batch] if it is admitted, rejects it if the view is too old, and skips it if undecided.
+     * Returns false if the batch has no room for it.
+     */
+    private fun addToBatch(
         submission: Submission,
         batch: SubmissionBatch,
     ): Boolean =
@@ -120,80 +123,80 @@
             }
 
             Admission.STALE -> {
-                turnAway(submission)
+                reject(submission)
                 true
             }
         }
 
-    private fun completed(
+    private fun onCompleted(
         batch: SubmissionBatch,
         result: TransactionResult,
-        sentAt: Long,
+        sentAtMs: Long,
     ) {
         when (result) {
             is TransactionResult.Committed -> {
-                committed(batch, result.revision, sentAt)
+                onCommitted(batch, result.revision, sentAtMs)
             }
 
             is TransactionResult.Conflict -> {
-                batch.submissions.forEach { conflicted(it, result.failedKeys) }
+                batch.submissions.forEach { onConflict(it, result.failedKeys) }
             }
 
-            // Not executed: the users are turned away at once, with the time to come back.
+            // Not executed: the requests are rejected at once with a `Retry-After`.
             TransactionResult.Refused, TransactionResult.TooLarge, TransactionResult.LeaseExpired -> {
-                batch.submissions.forEach(::turnAway)
+                batch.submissions.forEach(::reject)
             }
 
-            // A repeat is harmless: if the first was committed, its condition fails and the job is found.
+            // The retry is harmless: if the transaction was committed, the conditions fail and the job is read.
             TransactionResult.Unknown -> {
-                retryAt = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
+                retryAtMs = clock.steadyMs + StoreTuning.RETRY_DELAY_MS
             }
         }
     }
 
-    private fun committed(
+    private fun onCommitted(
         batch: SubmissionBatch,
         revision: Long,
-        sentAt: Long,
+        sentAtMs: Long,
     ) {
         val condition = batch.leadershipCondition
-        if (condition != null) leadership.leadershipConfirmed(sentAt, condition.modRevision)
+        if (condition != null) leadership.recordConfirmation(sentAtMs, condition.modRevision)
         for (submission in batch.submissions) {
             waiting.remove(submission.id, submission)
             val isUnderLeadership = condition != null && leadership.isLeader
-            if (submission in batch.cancelled) {
+            if (submission in batch.cancelledSubmissions) {
                 jobStore.addFinalRecord(submission.id, FinalRecord(JobState.CANCELLED))
-                accepted(submission, JobState.CANCELLED)
+                respondAccepted(submission, JobState.CANCELLED)
             } else {
                 if (isUnderLeadership) jobStore.openAcceptedJob(submission.record, revision)
-                accepted(submission, JobState.PENDING)
+                respondAccepted(submission, JobState.PENDING)
             }
         }
     }
 
-    private fun accepted(
+    private fun respondAccepted(
         submission: Submission,
         state: JobState,
     ) {
-        submission.initialRequests.forEach { it(answers.accepted(submission.id, state)) }
+        submission.initialRequests.forEach { it(responses.accepted(submission.id, state)) }
         submission.repeatedRequests.forEach { polls.add(submission.id, it) }
     }
 
-    /** Conditions on the keys in [failed] did not hold: if [submission]'s job has a record already, it is read. */
-    private fun conflicted(
+    /** Called when the conditions on [failedKeys] did not hold: reads the job of [submission] if it has a record. */
+    private fun onConflict(
         submission: Submission,
-        failed: List<String>,
+        failedKeys: List<String>,
     ) {
         val id = submission.id
-        if (Keys.job(id) !in failed && Keys.final(id) !in failed) return
+        if (Keys.job(id) !in failedKeys && Keys.final(id) !in failedKeys) return
         waiting.remove(id, submission)
         for (respond in submission.initialRequests + submission.repeatedRequests) {
-            lookup.answer(id, respond) { respond(answers.tryAgain()) }
+            lookup.respondWithState(id, respond) { respond(responses.unavailable()) }
         }
     }
 
-    private fun turnAway(submission: Submission) {
+    private fun reject(submission: Submission) {
         waiting.remove(submission.id, submission)
-        submission.answer(answers.tryAgain())
+        submission.respondToAll(responses.unavailable())
     }
 }
--- a/src/main/kotlin/ledgearch/api/Submissions.kt
+++ b/src/main/kotlin/ledgearch/api/Submissions.kt
@@ -8,17 +8,17 @@
 import ledgearch.wire.JobSpec
 import ledgearch.wire.WireJson
 
-/** What bounds a submission, from the settings: the [teams] by name, and the size of a record ([valueBytes]). */
+/** Limits of a submission from the settings: the [teams] by name, and the size of a record in the state service. */
 internal class SubmissionLimits(
     val teams: Map<String, Team>,
-    val valueBytes: Int,
+    val maxValueBytes: Int,
 )
 
 /**
- * Checks submitted jobs and answers the requests, or passes admissible jobs to the [queue].
+ * Checks submitted jobs; rejects those that are invalid and passes the others to the [queue].
  *
- * A job accepted earlier stays accepted, whatever its body or the catalog says now: a job is refused only when it was
- * never accepted.
+ * A job that was accepted earlier stays accepted, even if the body of a repeated request is invalid or the catalog has
+ * changed: only a job that was never accepted is rejected.
  */
 internal class Submissions(
     private val limits: SubmissionLimits,
@@ -26,63 +26,70 @@
     private val clock: Clock,
     private val lookup: JobLookup,
     private val polls: Polls,
-    private val answers: JobAnswers,
+    private val responses: JobResponses,
     private val queue: SubmissionQueue,
 ) {
     private val dependencyCheck = DependencyCheck(jobStore)
 
-    /** A user submits a job: [body] is the request's. */
+    /** Handles a submission with this request [body]. */
     fun add(
         body: String,
         respond: Respond,
     ) {
         val submitted =
             try {
-                SubmittedJob.read(body)
+                SubmittedJob.parse(body)
             } catch (malformed: MalformedSubmission) {
                 return respond(errorResponse(HttpStatus.BAD_REQUEST, malformed.message.orEmpty()))
             }
         val id = submitted.id
-        jobStore.finalRecord(id)?.let { return respond(answers.over(id, it)) }
+        jobStore.finalRecord(id)?.let { return respond(responses.ended(id, it)) }
         if (jobStore.jobs.containsKey(id)) return polls.add(id, respond)
         val spec =
             try {
-                submitted.request()
+                submitted.toJobSpec()
             } catch (malformed: MalformedSubmission) {
-                return refuse(id, HttpStatus.BAD_REQUEST, malformed.message.orEmpty(), respond)
+                return rejectUnlessAccepted(id, HttpStatus.BAD_REQUEST, malformed.message.orEmpty(), respond)
             }
-        check(JobRecord(spec, clock.wallMs), respond)
+        validate(JobRecord(spec, clock.wallMs), respond)
     }
 
-    /** Turns away the submissions that have waited too long. */
-    fun expire() = queue.expire()
+    /** Rejects the submissions that have timed out. */
+    fun rejectExpired() = queue.rejectExpired()
 
     /** Sends the next transaction that accepts jobs, if one is due. */
-    fun flush() = queue.flush()
+    fun sendIfDue() = queue.sendIfDue()
 
-    private fun check(
+    private fun validate(
         record: JobRecord,
         respond: Respond,
     ) {
         val spec = record.spec
         val id = spec.id
-        if (!fitsOneValue(record)) return refuse(id, HttpStatus.BAD_REQUEST, "too large", respond)
+        if (!fitsInOneValue(record)) {
+            return rejectUnlessAccepted(
+                id,
+                HttpStatus.BAD_REQUEST,
+                "the job record is larger than ${limits.maxValueBytes} bytes",
+                respond,
+            )
+        }
         if (queue.join(id, respond)) return
-        // Without a catalog nothing can be decided yet.
-        if (jobStore.machineTypes.isEmpty() || queue.isFull) return respond(answers.tryAgain())
+        // Without a catalog the feasibility can't be checked.
+        if (jobStore.machineTypes.isEmpty() || queue.isFull) return respond(responses.unavailable())
         val infeasibility = infeasibilityOf(spec)
         when {
-            infeasibility != null -> refuse(id, HttpStatus.UNPROCESSABLE, infeasibility.text, respond)
+            infeasibility != null -> rejectUnlessAccepted(id, HttpStatus.UNPROCESSABLE, infeasibility.text, respond)
             spec.dependsOn == null -> queue.add(record, respond)
             else -> checkDependencies(record, spec.dependsOn, respond)
         }
     }
 
-    /** Whether the record fits into one value of the state service, also with the mark of a cancellation. */
-    private fun fitsOneValue(record: JobRecord): Boolean {
-        val marked = record.copy(cancelRequested = true)
-        val encoded = WireJson.encodeToString(JobRecord.serializer(), marked).encodeToByteArray()
-        return encoded.size <= limits.valueBytes
+    /** Returns whether [record] fits into one value of the state service, even once `cancelRequested` is set. */
+    private fun fitsInOneValue(record: JobRecord): Boolean {
+        val cancelledRecord = record.copy(cancelRequested = true)
+        val encoded = WireJson.encodeToString(JobRecord.serializer(), cancelledRecord).encodeToByteArray()
+        return encoded.size <= limits.maxValueBytes
     }
 
     private fun infeasibilityOf(spec: JobSpec) =
@@ -93,34 +100,34 @@
         dependencies: List<String>,
         respond: Respond,
     ) {
-        if (lookup.isFull) return respond(answers.tryAgain())
-        dependencyCheck.check(dependencies, lookup.counted { dependenciesChecked(record, it, respond) })
+        if (lookup.isFull) return respond(responses.unavailable())
+        dependencyCheck.check(dependencies, lookup.countInFlight { onDependenciesChecked(record, it, respond) })
     }
 
-    private fun dependenciesChecked(
+    private fun onDependenciesChecked(
         record: JobRecord,
         result: DependencyCheckResult,
         respond: Respond,
     ) {
         val reason =
             when (result) {
-                is DependencyCheckResult.AllAccepted -> return queue.add(record, respond, result.ended)
-                is DependencyCheckResult.NeverAccepted -> "${result.job} was never accepted"
-                is DependencyCheckResult.IsService -> "${result.job} is a service and never done"
-                DependencyCheckResult.Unknown -> return respond(answers.tryAgain())
+                is DependencyCheckResult.AllAccepted -> return queue.add(record, respond, result.finalRecords)
+                is DependencyCheckResult.NeverAccepted -> "${result.id} was never accepted"
+                is DependencyCheckResult.IsService -> "${result.id} is a service, which is never done"
+                DependencyCheckResult.Unknown -> return respond(responses.unavailable())
             }
         val error = "${SubmissionField.DEPENDS_ON}: $reason"
-        refuse(record.spec.id, HttpStatus.UNPROCESSABLE, error, respond)
+        rejectUnlessAccepted(record.spec.id, HttpStatus.UNPROCESSABLE, error, respond)
     }
 
-    /** Answers with [status] and [reason] unless the job [id] is being accepted or was accepted before. */
-    private fun refuse(
+    /** Responds with [status] and [reason] unless the job [id] is queued or was accepted before. */
+    private fun rejectUnlessAccepted(
         id: String,
         status: Int,
         reason: String,
         respond: Respond,
     ) {
         if (queue.joinAsRepeat(id, respond)) return
-        lookup.answer(id, respond) { respond(errorResponse(status, reason)) }
+        lookup.respondWithState(id, respond) { respond(errorResponse(status, reason)) }
     }
 }
--- a/src/main/kotlin/ledgearch/api/SubmittedJob.kt
+++ b/src/main/kotlin/ledgearch/api/SubmittedJob.kt
@@ -8,92 +8,97 @@
 import ledgearch.wire.Priority
 import ledgearch.wire.WireJson
 
-/** The body of a submission: a JSON object that names a job by [id], with its other fields not yet checked. */
+/** The parsed body of a submission: a JSON object with a valid job [id], whose other [fields] are not checked yet. */
 internal class SubmittedJob private constructor(
     val id: String,
     private val fields: TypedFields,
 ) {
     /**
-     * The job's description. Throws [MalformedSubmission] for the first field that is missing or invalid: fields are
-     * read one by one, so that the error names the field. Only what may be null may be left out.
+     * Returns the job's specification. Throws [MalformedSubmission] for the first field that is missing or invalid;
+     * only fields that may be null may be missing. Fields are read one by one so that the error names the field.
      */
-    fun request(): JobSpec {
+    fun toJobSpec(): JobSpec {
         val spec =
             JobSpec(
                 id = id,
-                jobClass = fields.text(SubmissionField.JOB_CLASS),
-                team = fields.text(SubmissionField.TEAM),
+                jobClass = fields.string(SubmissionField.JOB_CLASS),
+                team = fields.string(SubmissionField.TEAM),
                 kind = fields.enumValue(SubmissionField.KIND, JobKind.Serializer),
                 priority = fields.enumValue(SubmissionField.PRIORITY, Priority.Serializer),
-                taskCount = fields.count(SubmissionField.TASK_COUNT, 1, ApiTuning.JOB_TASKS_MAX),
-                vcpus = fields.amount(SubmissionField.VCPUS),
-                accelerators = fields.amount(SubmissionField.ACCELERATORS),
-                memoryGb = fields.amount(SubmissionField.MEMORY_GB),
-                machineTypes = fields.textsOrNull(SubmissionField.MACHINE_TYPES),
-                zone = fields.textOrNull(SubmissionField.ZONE),
-                singleZone = fields.flag(SubmissionField.SINGLE_ZONE),
-                spreadZones = fields.flag(SubmissionField.SPREAD_ZONES),
-                allowsSpot = fields.flag(SubmissionField.ALLOWS_SPOT),
-                image = fields.text(SubmissionField.IMAGE),
-                imageGb = fields.amount(SubmissionField.IMAGE_GB),
-                estimatedRunS = fields.amount(SubmissionField.ESTIMATED_RUN_S),
-                checkpointIntervalS = fields.amount(SubmissionField.CHECKPOINT_INTERVAL_S),
-                checkpointS = fields.amount(SubmissionField.CHECKPOINT_S),
-                deadlineS = fields.amountOrNull(SubmissionField.DEADLINE_S),
+                taskCount = fields.int(SubmissionField.TASK_COUNT, 1, ApiTuning.MAX_TASKS_PER_JOB),
+                vcpus = fields.nonNegativeNumber(SubmissionField.VCPUS),
+                accelerators = fields.nonNegativeNumber(SubmissionField.ACCELERATORS),
+                memoryGb = fields.nonNegativeNumber(SubmissionField.MEMORY_GB),
+                machineTypes = fields.stringsOrNull(SubmissionField.MACHINE_TYPES),
+                zone = fields.stringOrNull(SubmissionField.ZONE),
+                singleZone = fields.boolean(SubmissionField.SINGLE_ZONE),
+                spreadZones = fields.boolean(SubmissionField.SPREAD_ZONES),
+                allowsSpot = fields.boolean(SubmissionField.ALLOWS_SPOT),
+                image = fields.string(SubmissionField.IMAGE),
+                imageGb = fields.nonNegativeNumber(SubmissionField.IMAGE_GB),
+                estimatedRunS = fields.nonNegativeNumber(SubmissionField.ESTIMATED_RUN_S),
+                checkpointIntervalS = fields.nonNegativeNumber(SubmissionField.CHECKPOINT_INTERVAL_S),
+                checkpointS = fields.nonNegativeNumber(SubmissionField.CHECKPOINT_S),
+                deadlineS = fields.nonNegativeNumberOrNull(SubmissionField.DEADLINE_S),
                 dependsOn = dependenciesOrNull(),
             )
         if (spec.vcpus <= 0 && spec.accelerators <= 0 && spec.memoryGb <= 0) {
-            throw MalformedSubmission("${SubmissionField.VCPUS}: a task must take something")
+            throw MalformedSubmission("${SubmissionField.VCPUS}: must be above 0 if the task needs no other resource")
         }
         return spec
     }
 
-    /** Each dependency once; null where there is none. */
+    /** Returns the distinct ids of the dependencies; null if there are none. */
     private fun dependenciesOrNull(): List<String>? {
         val name = SubmissionField.DEPENDS_ON
-        val ids = fields.textsOrNull(name)?.distinct().orEmpty()
+        val ids = fields.stringsOrNull(name)?.distinct().orEmpty()
         for (dependency in ids) {
             if (!Validation.isJobId(dependency)) throw MalformedSubmission("$name: \"$dependency\" is not a job id")
-            if (dependency == id) throw MalformedSubmission("$name: a job can't wait for itself")
+            if (dependency == id) throw MalformedSubmission("$name: a job can't depend on itself")
         }
         return ids.ifEmpty { null }
     }
 
     companion object {
-        /** Reads [body] as far as the job's id. Throws [MalformedSubmission] where it is no object with one. */
-        fun read(body: String): SubmittedJob {
-            if (nestingOf(body) > ApiTuning.SUBMISSION_DEPTH) throw MalformedSubmission("too deep")
-            val json = objectOf(body)
+        /** Parses [body] and checks the job's id. Throws [MalformedSubmission] if it is not an object with a valid id. */
+        fun parse(body: String): SubmittedJob {
+            if (nestingDepth(body) > ApiTuning.MAX_SUBMISSION_DEPTH) {
+                throw MalformedSubmission("the body is nested more than ${ApiTuning.MAX_SUBMISSION_DEPTH} levels deep")
+            }
+            val json = parseObject(body)
             val id =
                 (json[SubmissionField.ID] as? JsonPrimitive)?.takeIf { it.isString }?.content
                     ?: throw MalformedSubmission("${SubmissionField.ID}: missing")
-            if (!Validation.isJobId(id)) throw MalformedSubmission("${SubmissionField.ID}: not a job id")
+            if (!Validation.isJobId(id)) {
+                throw MalformedSubmission("${SubmissionField.ID}: must be job- followed by 1 to 18 digits")
+            }
             return SubmittedJob(id, TypedFields(json))
         }
 
-        private fun objectOf(body: String): JsonObject =
+        private fun parseObject(body: String): JsonObject =
             try {
-                WireJson.parseToJsonElement(body) as? JsonObject ?: throw MalformedSubmission("not an object")
+                WireJson.parseToJsonElement(body) as? JsonObject
+                    ?: throw MalformedSubmission("the body is not a JSON object")
             } catch (_: SerializationException) {
-                throw MalformedSubmission("not JSON")
+                throw MalformedSubmission("the body is not valid JSON")
             }
 
-        /** How deep brackets outside strings nest in [body], which need not be JSON. */
-        private fun nestingOf(body: String): Int {
+        /** Returns how deep brackets outside strings are nested in [body], which may be invalid JSON. */
+        private fun nestingDepth(body: String): Int {
             var depth = 0
-            var deepest = 0
+            var maxDepth = 0
             var inString = false
             var index = 0
             while (index < body.length) {
                 when (body[index]) {
                     '"' -> inString = !inString
                     '\\' -> if (inString) index++
-                    '[', '{' -> if (!inString) deepest = maxOf(deepest, ++depth)
+                    '[', '{' -> if (!inString) maxDepth = maxOf(maxDepth, ++depth)
                     ']', '}' -> if (!inString) depth--
                 }
                 index++
             }
-            return deepest
+            return maxDepth
         }
     }
 }
--- a/src/main/kotlin/ledgearch/api/TypedFields.kt
+++ b/src/main/kotlin/ledgearch/api/TypedFields.kt
@@ -12,64 +12,64 @@
 import ledgearch.wire.WireEnumSerializer
 
 /**
- * Reads the fields of a JSON object by name and type. Every function throws [MalformedSubmission], which names the
- * field, for a value of another type or out of range; those whose name ends in `OrNull` return null for a field that is
- * absent or null, the others throw.
+ * Reads the fields of a JSON object by name and type. Every function throws a [MalformedSubmission] that names the field
+ * if the value has another type or is out of range. Functions whose name ends in `OrNull` return null for a field that
+ * is absent or null; the others throw.
  */
 internal class TypedFields(
     private val json: JsonObject,
 ) {
-    /** A string that is not empty. */
-    fun text(name: String): String = textOrNull(name) ?: missing(name)
+    /** Returns a non-empty string. */
+    fun string(name: String): String = stringOrNull(name) ?: missing(name)
 
-    /** A string that is not empty. */
-    fun textOrNull(name: String): String? = value(name)?.let { nonEmptyString(name, it) }
+    /** Returns a non-empty string. */
+    fun stringOrNull(name: String): String? = value(name)?.let { nonEmptyString(name, it) }
 
-    /** An array of strings, none of which is empty. */
-    fun textsOrNull(name: String): List<String>? {
+    /** Returns an array of non-empty strings. */
+    fun stringsOrNull(name: String): List<String>? {
         val value = value(name) ?: return null
         val array = value as? JsonArray ?: throw MalformedSubmission("$name: must be an array")
         return array.map { nonEmptyString(name, it) }
     }
 
-    /** One of the protocol's texts for an enum. */
+    /** Returns the enum value of one of the protocol's texts. */
     fun <E> enumValue(
         name: String,
         values: WireEnumSerializer<E>,
     ): E where E : Enum<E>, E : WireEnum =
-        values.of(text(name)) ?: throw MalformedSubmission("$name: must be one of ${values.texts}")
+        values.of(string(name)) ?: throw MalformedSubmission("$name: must be one of ${values.texts}")
 
-    /** A boolean. */
-    fun flag(name: String): Boolean {
+    /** Returns a boolean. */
+    fun boolean(name: String): Boolean {
         val value = value(name) ?: missing(name)
         return (value as? JsonPrimitive)?.takeIf { !it.isString }?.booleanOrNull
             ?: throw MalformedSubmission("$name: must be true or false")
     }
 
-    /** An integer in [least]..[most]. */
-    fun count(
+    /** Returns an integer in [min]..[max]. */
+    fun int(
         name: String,
-        least: Int,
-        most: Int,
+        min: Int,
+        max: Int,
     ): Int {
-        val number = number(name) ?: missing(name)
-        val count = number.longOrNull ?: throw MalformedSubmission("$name: must be an integer")
-        if (count < least || count > most) throw MalformedSubmission("$name: must be from $least to $most")
-        return count.toInt()
+        val number = jsonNumberOrNull(name) ?: missing(name)
+        val value = number.longOrNull ?: throw MalformedSubmission("$name: must be an integer")
+        if (value < min || value > max) throw MalformedSubmission("$name: $value must be from $min to $max")
+        return value.toInt()
     }
 
-    /** A decimal number in 0..[ApiTuning.AMOUNT_MAX]. */
-    fun amount(name: String): Double = amountOrNull(name) ?: missing(name)
+    /** Returns a decimal number in 0..[ApiTuning.MAX_AMOUNT]. */
+    fun nonNegativeNumber(name: String): Double = nonNegativeNumberOrNull(name) ?: missing(name)
 
-    /** A decimal number in 0..[ApiTuning.AMOUNT_MAX]. */
-    fun amountOrNull(name: String): Double? {
-        val number = number(name) ?: return null
-        val amount = number.doubleOrNull
-        // Written so that a NaN is out of range.
-        if (amount == null || !(amount >= 0 && amount <= ApiTuning.AMOUNT_MAX)) {
-            throw MalformedSubmission("$name: must be a number that is not negative")
+    /** Returns a decimal number in 0..[ApiTuning.MAX_AMOUNT]. */
+    fun nonNegativeNumberOrNull(name: String): Double? {
+        val number = jsonNumberOrNull(name) ?: return null
+        val value = number.doubleOrNull
+        // The negation makes a NaN out of range.
+        if (value == null || !(value >= 0 && value <= ApiTuning.MAX_AMOUNT)) {
+            throw MalformedSubmission("$name: must be a number from 0 to ${ApiTuning.MAX_AMOUNT}")
         }
-        return amount
+        return value
     }
 
     private fun value(name: String): JsonElement? = json[name]?.takeIf { it !is JsonNull }
@@ -82,12 +82,12 @@
     ): String {
         val primitive = element as? JsonPrimitive
         if (primitive == null || !primitive.isString || primitive.content.isEmpty()) {
-            throw MalformedSubmission("$name: must be a string")
+            throw MalformedSubmission("$name: must be a non-empty string")
         }
         return primitive.content
     }
 
-    private fun number(name: String): JsonPrimitive? {
+    private fun jsonNumberOrNull(name: String): JsonPrimitive? {
         val value = value(name) ?: return null
         val primitive = value as? JsonPrimitive
         if (primitive == null || primitive.isString || !NUMBER.matches(primitive.content)) {
@@ -97,7 +97,7 @@
     }
 
     private companion object {
-        /** A number as JSON has it; the parser alone would let `1f` or `NaN` through. */
+        /** The syntax of a JSON number; the parser alone would accept `1f` or `NaN`. */
         val NUMBER = Regex("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
     }
 }
--- a/src/main/kotlin/ledgearch/api/UserApi.kt
+++ b/src/main/kotlin/ledgearch/api/UserApi.kt
@@ -9,31 +9,31 @@
 import ledgearch.store.StoreClient
 
 /**
- * The users' interface on every node: routes each request to the class that answers it. Run by the owner alone.
+ * The users' HTTP interface of a node: routes each request to its handler. Only the owner thread may use it.
  *
- * One rule holds for every answer: all that it rests on was read from the state service after the request came, or is
- * final.
+ * A response reports a job only as it was read from the state service after the request arrived, or from its final
+ * record, which never changes. For dependencies see [DependencyFreshness].
  */
 internal class UserApi(
     settings: Settings,
     jobStore: JobStore,
-    state: StoreClient,
+    storeClient: StoreClient,
     leadership: LeadershipView,
     clock: Clock,
 ) {
     private val deployment = settings.deployment
-    private val freshMs = (deployment.workers.cancelS * MS_PER_SECOND * ApiTuning.FRESHNESS_SHARE).toLong()
+    private val maxViewAgeMs = (deployment.workers.cancelS * MS_PER_SECOND * ApiTuning.MAX_VIEW_AGE_SHARE).toLong()
     private val limits = SubmissionLimits(deployment.teams.associateBy { it.name }, deployment.state.safeValueBytes)
-    private val answers = JobAnswers(leadership, settings.operator.retryAfterS)
-    private val knowledge = DependencyKnowledge(jobStore, clock, freshMs)
-    private val lookup = JobLookup(jobStore, knowledge, answers)
-    private val polls = Polls(jobStore, state, clock, knowledge, lookup, answers)
-    private val admission = DependencyAdmission(jobStore, knowledge)
-    private val queue = SubmissionQueue(jobStore, state, leadership, clock, admission, lookup, polls, answers)
-    private val submissions = Submissions(limits, jobStore, clock, lookup, polls, answers, queue)
-    private val cancellations = Cancellations(jobStore, state, clock, lookup, answers)
-
-    /** Answers [request] by [respond], at once or when its answer is known. Each request gets exactly one answer. */
+    private val responses = JobResponses(leadership, settings.operator.retryAfterS)
+    private val freshness = DependencyFreshness(jobStore, clock, maxViewAgeMs)
+    private val lookup = JobLookup(jobStore, freshness, responses)
+    private val polls = Polls(jobStore, storeClient, clock, freshness, lookup, responses)
+    private val admission = DependencyAdmission(jobStore, freshness)
+    private val queue = SubmissionQueue(jobStore, storeClient, leadership, clock, admission, lookup, polls, responses)
+    private val submissions = Submissions(limits, jobStore, clock, lookup, polls, responses, queue)
+    private val cancellations = Cancellations(jobStore, storeClient, clock, lookup, responses)
+
+    /** Handles [request]; calls [respond] exactly once, at once or later, when the response is known. */
     fun handle(
         request: Request,
         respond: Respond,
@@ -41,15 +41,15 @@
         val segments = request.path.split('/')
         when {
             request.path == JOBS_PATH -> {
-                allowing(POST, request, respond) { submissions.add(request.body, respond) }
+                ifMethodIs(POST, request, respond) { submissions.add(request.body, respond) }
             }
 
             isJobPath(segments) -> {
-                allowing(GET, request, respond) { polls.add(segments[JOB_ID_AT], respond) }
+                ifMethodIs(GET, request, respond) { polls.add(segments[JOB_ID_INDEX], respond) }
             }
 
             isCancellationPath(segments) -> {
-                allowing(POST, request, respond) { cancellations.add(segments[JOB_ID_AT], respond) }
+                ifMethodIs(POST, request, respond) { cancellations.add(segments[JOB_ID_INDEX], respond) }
             }
 
             else -> {
@@ -58,34 +58,34 @@
         }
     }
 
-    /** The job [id] is over: answers the cancellations that wait for it. */
-    fun closed(id: String) = cancellations.closed(id)
+    /** Called when the job [id] has ended. */
+    fun onJobClosed(id: String) = cancellations.onJobClosed(id)
 
-    /** Turns away the requests that have waited too long, then sends the transactions that are due. */
+    /** Rejects the requests that have timed out, then sends the transactions that are due. */
     fun drive() {
-        submissions.expire()
-        polls.expire()
-        cancellations.expire()
-        submissions.flush()
-        polls.flush()
-        cancellations.markOpenJobs()
+        submissions.rejectExpired()
+        polls.rejectExpired()
+        cancellations.rejectExpired()
+        submissions.sendIfDue()
+        polls.sendIfDue()
+        cancellations.writeCancelRequests()
     }
 
-    private fun isJobPath(segments: List<String>) = segments.size == JOB_SEGMENTS && segments[1] == JOBS_SEGMENT
+    private fun isJobPath(segments: List<String>) = segments.size == JOB_SEGMENT_COUNT && segments[1] == JOBS_SEGMENT
 
     private fun isCancellationPath(segments: List<String>) =
-        segments.size == CANCELLATION_SEGMENTS && segments[1] == JOBS_SEGMENT && segments.last() == CANCEL_SEGMENT
+        segments.size == CANCELLATION_SEGMENT_COUNT && segments[1] == JOBS_SEGMENT && segments.last() == CANCEL_SEGMENT
 
-    private fun allowing(
+    private fun ifMethodIs(
         method: String,
         request: Request,
         respond: Respond,
-        serve: () -> Unit,
+        action: () -> Unit,
     ) {
         if (request.method == method) {
-            serve()
+            action()
         } else {
-            respond(errorResponse(HttpStatus.METHOD_NOT_ALLOWED, "use $method"))
+            respond(errorResponse(HttpStatus.METHOD_NOT_ALLOWED, "method not allowed, use $method"))
         }
     }
 
@@ -96,17 +96,16 @@
         private const val JOBS_PATH = "/$JOBS_SEGMENT"
         private const val CANCEL_SEGMENT = "withdraw"
 
-        /** Segments of `/work/{id}`: the first one, before the leading slash, is empty. */
-        private const val JOB_SEGMENTS = 3
+        /** Number of segments of `/work/{id}`; the first one, before the leading slash, is empty. */
+        private const val JOB_SEGMENT_COUNT = 3
 
-        /** Segments of `/work/{id}/withdraw`. */
-        private const val CANCELLATION_SEGMENTS = 4
+        /** Number of segments of `/work/{id}/withdraw`. */
+        private const val CANCELLATION_SEGMENT_COUNT = 4
 
-        /** Index of the job's id among the segments. */
-        private const val JOB_ID_AT = 2
+        private const val JOB_ID_INDEX = 2
 
-        /** The kind of a user's [request] as the metrics name it. */
-        fun kind(request: Request): String =
+        /** Returns the name of the kind of [request] in the metrics. */
+        fun requestKind(request: Request): String =
             when {
                 request.method == GET -> "poll"
                 request.path.endsWith("/$CANCEL_SEGMENT") -> "cancel"
--- a/src/main/kotlin/ledgearch/api/Validation.kt
+++ b/src/main/kotlin/ledgearch/api/Validation.kt
@@ -6,33 +6,33 @@
 import ledgearch.wire.JobSpec
 import ledgearch.wire.MachineType
 
-/** Why a job can never run; [text] is the error that its user gets. */
+/** The reason why a job can never run; [text] is the error in the response. */
 internal enum class Infeasibility(
     val text: String,
 ) {
-    /** The settings name no such team. */
-    UNKNOWN_TEAM("unknown team"),
+    /** The settings have no such team. */
+    UNKNOWN_TEAM("${SubmissionField.TEAM}: no such team"),
 
-    /** The job takes more vcpus than its team may ever use at one time. */
-    VCPUS_ABOVE_LIMIT("more vcpus than the team's limit"),
+    /** The job needs more vcpus at one time than the limit of its team. */
+    VCPUS_ABOVE_LIMIT("${SubmissionField.VCPUS}: more than the limit of the team"),
 
-    /** The job takes more accelerators than its team may ever use at one time. */
-    ACCELERATORS_ABOVE_LIMIT("more accelerators than the team's limit"),
+    /** The job needs more accelerators at one time than the limit of its team. */
+    ACCELERATORS_ABOVE_LIMIT("${SubmissionField.ACCELERATORS}: more than the limit of the team"),
 
-    /** No machine type that the job allows holds one of its tasks. */
-    NO_FITTING_MACHINE_TYPE("fits no allowed rack"),
+    /** No machine type that the job allows is large enough for one of its tasks. */
+    NO_FITTING_MACHINE_TYPE("${SubmissionField.MACHINE_TYPES}: no allowed machine type is large enough for a task"),
 }
 
-/** Checks of what users send that need nothing but the settings and the catalog. */
+/** Checks of submissions that need only the settings and the machine types. */
 internal object Validation {
     private val JOB_ID = Regex("job-[0-9]{1,18}")
 
-    /** Whether [text] has the form of a job's id. */
+    /** Returns whether [text] has the form of a job id. */
     fun isJobId(text: String) = JOB_ID.matches(text)
 
     /**
-     * Why a job with [spec] can never run, or null if it can. [team]: the job's team, null when the settings have none
-     * of its name. Limits count one task of a job array, and all tasks of a service, which run together.
+     * Returns why a job with [spec] can never run, or null if it can. [team] is null if the settings do not have the
+     * job's team. The limits must allow one task of a job array, and all tasks of a service, as these run together.
      */
     fun infeasibility(
         spec: JobSpec,
@@ -40,10 +40,10 @@
         machineTypes: Collection<MachineType>,
     ): Infeasibility? {
         if (team == null) return Infeasibility.UNKNOWN_TEAM
-        val tasksAtOnce = if (spec.kind == JobKind.SERVICE) spec.taskCount else 1
+        val minTasks = if (spec.kind == JobKind.SERVICE) spec.taskCount else 1
         return when {
-            spec.vcpus * tasksAtOnce > team.cpusMax + Machine.ROUNDING -> Infeasibility.VCPUS_ABOVE_LIMIT
-            spec.accelerators * tasksAtOnce > team.gpusMax + Machine.ROUNDING -> Infeasibility.ACCELERATORS_ABOVE_LIMIT
+            spec.vcpus * minTasks > team.cpusMax + Machine.ROUNDING -> Infeasibility.VCPUS_ABOVE_LIMIT
+            spec.accelerators * minTasks > team.gpusMax + Machine.ROUNDING -> Infeasibility.ACCELERATORS_ABOVE_LIMIT
             machineTypes.none { isAllowed(spec, it) && holdsTask(it, spec) } -> Infeasibility.NO_FITTING_MACHINE_TYPE
             else -> null
         }
--- a/src/main/kotlin/ledgearch/control/ControllerComponents.kt
+++ b/src/main/kotlin/ledgearch/control/ControllerComponents.kt
@@ -150,7 +150,7 @@
 
         override fun onJobClosed(job: Job) {
             leader.jobLifecycle.onClosed(job)
-            userApi.closed(job.id)
+            userApi.onJobClosed(job.id)
         }
 
         override fun onMachineTypesChanged() = leader.changed()
@@ -185,9 +185,9 @@
         override val isLeader get() = election.isLeader
         override val condition: Condition get() = election.condition
 
-        override fun leadershipConfirmed(
-            sentAt: Long,
-            under: Long,
-        ) = election.recordConfirmation(sentAt, under)
+        override fun recordConfirmation(
+            sentAtMs: Long,
+            sentToken: Long,
+        ) = election.recordConfirmation(sentAtMs, sentToken)
     }
 }
--- a/src/main/kotlin/ledgearch/control/RequestRouter.kt
+++ b/src/main/kotlin/ledgearch/control/RequestRouter.kt
@@ -31,7 +31,7 @@
                 HEALTH_PATH -> respond(healthResponse())
                 HEARTBEAT_PATH -> handleHeartbeat(request, respond)
                 METRICS_PATH -> respond(metricsResponse())
-                else -> userApi.handle(request, recordingLatency(UserApi.kind(request), respond))
+                else -> userApi.handle(request, recordingLatency(UserApi.requestKind(request), respond))
             }
         }
     }
