--- a/src/main/kotlin/ledgearch/cli/CliCommand.kt
+++ b/src/main/kotlin/ledgearch/cli/CliCommand.kt
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path
 
-/** What a command line asks for. */
+/** A parsed command line. */
 internal sealed interface CliCommand {
     /** Prints the usage text. */
     data object Help : CliCommand
@@ -20,23 +20,23 @@
         val files: SettingsFiles,
     ) : CliCommand
 
-    /** Asks the controllers at [addresses] (HOST:PORT, at least one) for their status. */
+    /** Prints the status of the controllers at [addresses] (HOST:PORT, at least one). */
     data class Status(
         val addresses: List<String>,
     ) : CliCommand
 
-    /** Records which classes a start loads; for the build only, so the usage text leaves it out. */
+    /** Makes the build record which classes a start loads; not in the usage text, since only the build runs it. */
     data class WarmUp(
         val operatorFile: Path?,
     ) : CliCommand
 
-    /** The command line can't be understood; [problem] says why in one line. */
-    data class Unusable(
+    /** An invalid command line, with the [problem] as one line. */
+    data class Invalid(
         val problem: String,
     ) : CliCommand
 }
 
-/** The settings files that a command line names. */
+/** Paths of the settings files on a command line. */
 internal data class SettingsFiles(
     val platform: Path,
     val operator: Path?,
--- a/src/main/kotlin/ledgearch/cli/Daemon.kt
+++ b/src/main/kotlin/ledgearch/cli/Daemon.kt
@@ -27,42 +27,43 @@
 import kotlin.system.exitProcess
 
 /**
- * The process around the owner: one event loop, and one scope in it, for all sockets, timers and the owner's queue. A
- * coroutine that fails ends neither the scope nor the others.
+ * A controller process: one event loop with one coroutine scope for all sockets, timers and the owner's queue. A failed
+ * coroutine cancels neither the scope nor the others.
  */
 internal class Daemon(
     private val settings: Settings,
 ) {
     private val log = LoggerFactory.getLogger("ledgearch.cli")
     private val loop = EventLoop("ledgearch")
-    private val crash = Crash { code -> Runtime.getRuntime().halt(code) }
-    private val failureHandler = CoroutineExceptionHandler { _, failure -> crash.uncaught(failure) }
+    private val fatalErrorHandler = FatalErrorHandler { code -> Runtime.getRuntime().halt(code) }
+    private val failureHandler = CoroutineExceptionHandler { _, failure -> fatalErrorHandler.handleUncaught(failure) }
     private val scope = CoroutineScope(loop + SupervisorJob() + failureHandler)
     private val group = loop.group
-    private val client = HttpClient(group, socketShare(DaemonTuning.OUTGOING_SHARE))
+    private val client = HttpClient(group, socketShare(DaemonTuning.OUTGOING_SOCKET_SHARE))
     private val queue = OwnerQueue()
     private val random = Random(System.nanoTime() xor settings.node.hashCode().toLong())
-    private val mesh = TcpMesh(scope, group, OwnerMeshEvents(queue), settings.operator.standby.enabled)
-    private val transport = SocketTransport(scope, client, queue)
+    private val mesh = TcpMesh(scope, group, OwnerMeshListener(queue), settings.operator.standby.enabled)
+    private val transport = HttpTransport(scope, client, queue)
     private val controller =
         Controller(settings, transport, mesh, random, random.nextLong(Long.MAX_VALUE), System::nanoTime)
 
-    /** More users ask than can be answered in time: each is told at once when to come back. */
-    private val tooBusy =
+    /** Response to users' requests while the queue is full. */
+    private val overloadResponse =
         errorResponse(HttpStatus.UNAVAILABLE, "too many requests").copy(retryAfterS = settings.operator.retryAfterS)
-    private val requests = OwnerRequests(queue, tooBusy)
+    private val requestHandler = OwnerRequestHandler(queue, overloadResponse)
 
     /**
-     * Starts; throws [IOException] when an address is taken. The process then runs until killed. It listens once it
-     * has read the state service, or after a while: until then it could only turn callers away, and on a small
-     * processor share hundreds of workers that try every controller would keep it from getting ready. The other
-     * controllers are refused as long: if this node led before it ended, they take over without waiting for it.
+     * Starts the controller, which runs until the process ends; throws [IOException] if an address is in use. The
+     * controller listens once it has read the state service, but at the latest after
+     * [DaemonTuning.MAX_LISTEN_DELAY_MS]: until then it could only reject requests, and on a small processor share
+     * hundreds of workers that try every controller would delay its start. The mesh address is opened as late: if this
+     * node was the leader before a restart, refused connections let the others take over without waiting for it.
      */
     fun start() {
         val server = newServer()
-        checkFree(settings.listen)
-        checkFree(settings.meshAddress)
-        scope.launch(loop.afterSockets) { OwnerLoop(queue, crash, ::handleBatch).run() }
+        checkNotInUse(settings.listen)
+        checkNotInUse(settings.meshAddress)
+        scope.launch(loop.afterSockets) { OwnerLoop(queue, fatalErrorHandler, ::handleBatch).run() }
         scope.launch { listenWhenReady(server) }
         scope.launch { tickForever() }
         scope.launch { closeIdleForever(server) }
@@ -72,25 +73,25 @@
         HttpServer(
             scope,
             group,
-            socketShare(DaemonTuning.INCOMING_SHARE),
+            socketShare(DaemonTuning.INCOMING_SOCKET_SHARE),
             { it.path == RequestRouter.HEARTBEAT_PATH },
-            (settings.deployment.workers.reportS * MS_PER_SECOND * DaemonTuning.STALE_REPORTS).toLong(),
-            requests::respond,
+            (settings.deployment.workers.reportS * MS_PER_SECOND * DaemonTuning.MIN_EVICTION_IDLE_INTERVALS).toLong(),
+            requestHandler::respond,
         )
 
-    /** Sockets: [share] of those that the process may open. */
+    /** Returns the number of sockets in [share] of the limit of the process. */
     private fun socketShare(share: Double): Int = (settings.deployment.quota.fdLimit * share).toInt()
 
-    /** Throws [IOException] at once when [address] can't be listened on. */
-    private fun checkFree(address: String) = listenOn(address, group).close()
+    /** Throws [IOException] if [address] can't be listened on. */
+    private fun checkNotInUse(address: String) = listenOn(address, group).close()
 
     private suspend fun listenWhenReady(server: HttpServer) {
-        withTimeoutOrNull(DaemonTuning.LISTEN_WAIT_MS) {
+        withTimeoutOrNull(DaemonTuning.MAX_LISTEN_DELAY_MS) {
             while (!controller.isReady) delay(RuntimeTuning.TICK_INTERVAL_MS)
         }
         listen(settings.meshAddress, mesh::listen)
         listen(settings.listen, server::start)
-        log.info("the node listens on its address; node={} address={}", settings.node, settings.listen)
+        log.info("listening for users and workers; node={} address={}", settings.node, settings.listen)
     }
 
     private fun listen(
@@ -106,7 +107,7 @@
     private suspend fun tickForever() {
         while (true) {
             delay(RuntimeTuning.TICK_INTERVAL_MS)
-            queue.tick()
+            queue.offerTick()
         }
     }
 
@@ -118,15 +119,15 @@
                 "open sockets: {} incoming, {} outgoing, queued commands: {}",
                 server.openCount,
                 client.openCount,
-                queue.waiting,
+                queue.commandCount,
             )
         }
     }
 
     private fun handleBatch(batch: List<OwnerCommand>) {
-        val began = System.nanoTime()
-        controller.runBatch(began / SteadyTime.NANOS_PER_MS, System.currentTimeMillis(), batch)
-        controller.recordBatch((System.nanoTime() - began) / NANOS_PER_MICROSECOND, queue.waiting)
+        val startedNanos = System.nanoTime()
+        controller.runBatch(startedNanos / SteadyTime.NANOS_PER_MS, System.currentTimeMillis(), batch)
+        controller.recordBatch((System.nanoTime() - startedNanos) / NANOS_PER_MICROSECOND, queue.commandCount)
     }
 
     private companion object {
--- a/src/main/kotlin/ledgearch/cli/DaemonTuning.kt
+++ b/src/main/kotlin/ledgearch/cli/DaemonTuning.kt
@@ -1,30 +1,28 @@
 package ledgearch.cli
 
-/** The process and its queue: constants with their unit and the reason for their value. */
+/** Limits of the process and of its queue. */
 internal object DaemonTuning {
     /**
-     * Share of the sockets allowed that incoming connections may take: on the largest deployments every worker, and a
-     * user's connection for every third of them.
+     * Share of the allowed sockets for incoming connections. In the largest deployments this is one for every worker
+     * and one user connection for every third worker.
      */
-    const val INCOMING_SHARE = 0.78
+    const val INCOMING_SOCKET_SHARE = 0.78
 
-    /** Share of the sockets allowed that connections to others take, before unused ones are closed for new ones. */
-    const val OUTGOING_SHARE = 0.18
+    /** Share of the allowed sockets for outgoing connections; beyond it, unused ones are closed for new ones. */
+    const val OUTGOING_SOCKET_SHARE = 0.18
 
-    /**
-     * Heartbeats. A worker's connection unused for so many intervals was its last, and is closed when sockets run out.
-     */
-    const val STALE_REPORTS = 2.5
+    /** Heartbeat intervals after which a worker's idle connection may be closed when sockets run out. */
+    const val MIN_EVICTION_IDLE_INTERVALS = 2.5
 
-    /** Users' requests in the owner's queue. Small: what waits longer than users do is better turned away at once. */
-    const val USERS_QUEUE = 256
+    /** Requests of users in the owner's queue. Small, since a request that waits longer than its user is useless. */
+    const val USER_QUEUE_CAPACITY = 256
 
-    /** Commands. Of [BATCH], what is left to users' requests however much else waits. */
-    const val USERS_IN_BATCH = 32
+    /** Commands in a batch reserved for users' requests, however many others wait. */
+    const val RESERVED_USER_COMMANDS = 32
 
-    /** Commands. Handled before their effects are made, so that one pass of placement serves them all. */
-    const val BATCH = 256
+    /** Commands in a batch; all are handled before one placement pass. */
+    const val MAX_BATCH_SIZE = 256
 
-    /** ms. A process that has not read the state service by then listens all the same, and tells callers so. */
-    const val LISTEN_WAIT_MS = 3_000L
+    /** After this time the controller listens and rejects requests even if it has not read the state service. */
+    const val MAX_LISTEN_DELAY_MS = 3_000L
 }
--- a/src/main/kotlin/ledgearch/cli/ExitCodes.kt
+++ b/src/main/kotlin/ledgearch/cli/ExitCodes.kt
@@ -1,22 +1,22 @@
 package ledgearch.cli
 
-/** The codes that the process exits with; the usage text names them for operators. */
+/** Exit codes of the process, which are listed in [CommandLine.USAGE]. */
 internal object ExitCodes {
-    /** What was asked for is done. */
+    /** The command succeeded. */
     const val OK = 0
 
-    /** The command line can't be understood. */
+    /** The command line is invalid. */
     const val USAGE = 2
 
-    /** The settings can't be used. */
+    /** The settings are invalid. */
     const val SETTINGS = 3
 
     /** An address can't be listened on. */
     const val ADDRESS = 4
 
-    /** The process can't go on and is to be restarted. */
+    /** A fatal error occurred; the process has to be restarted. */
     const val FAILURE = 5
 
-    /** A controller that was asked for its status does not answer. */
+    /** A controller did not reply to a status request. */
     const val UNREACHABLE = 6
 }
--- a/src/main/kotlin/ledgearch/cli/SocketTransport.kt
+++ b/src/main/kotlin/ledgearch/cli/HttpTransport.kt
@@ -7,8 +7,8 @@
 import ledgearch.http.Reply
 import ledgearch.runtime.Transport
 
-/** Makes the owner's calls over HTTP, one coroutine each; a reply comes back to the owner as a command. */
-internal class SocketTransport(
+/** Makes the owner's calls over HTTP in a coroutine each; replies are queued for the owner as commands. */
+internal class HttpTransport(
     private val scope: CoroutineScope,
     private val client: HttpClient,
     private val queue: OwnerQueue,
--- a/src/main/kotlin/ledgearch/cli/Main.kt
+++ b/src/main/kotlin/ledgearch/cli/Main.kt
@@ -12,14 +12,14 @@
 import java.io.IOException
 import kotlin.system.exitProcess
 
-/** Carries out the command line; `serve` returns while the threads of the controller go on. */
+/** Executes the command line; with `serve` it returns while the threads of the controller continue. */
 fun main(args: Array<String>) {
     Logging.configure(System.getenv("LOG_LEVEL"))
     val code = run(CommandLine.parse(args))
     if (code != null) exitProcess(code)
 }
 
-/** The exit code, or null when the process goes on. */
+/** Executes [command] and returns the exit code, or null if the process continues. */
 private fun run(command: CliCommand): Int? =
     when (command) {
         CliCommand.Help -> printText(CommandLine.USAGE)
@@ -28,7 +28,7 @@
         is CliCommand.CheckConfig -> checkConfig(command.files)
         is CliCommand.Status -> status(command.addresses)
         is CliCommand.WarmUp -> warmUp(command.operatorFile)
-        is CliCommand.Unusable -> wrongUsage(command.problem)
+        is CliCommand.Invalid -> reportInvalidCommandLine(command.problem)
     }
 
 private fun printText(text: String): Int {
@@ -37,7 +37,7 @@
 }
 
 private fun serve(files: SettingsFiles): Int? {
-    val settings = loadAndReport(files) ?: return ExitCodes.SETTINGS
+    val settings = loadOrPrintProblem(files) ?: return ExitCodes.SETTINGS
     return try {
         Daemon(settings).start()
         null
@@ -48,12 +48,12 @@
 }
 
 private fun checkConfig(files: SettingsFiles): Int {
-    val settings = loadAndReport(files) ?: return ExitCodes.SETTINGS
+    val settings = loadOrPrintProblem(files) ?: return ExitCodes.SETTINGS
     return printText(SettingsLoader.print(settings))
 }
 
-/** The settings, with warnings about them printed; null when they can't be used, which is printed, too. */
-private fun loadAndReport(files: SettingsFiles): Settings? =
+/** Loads the settings and prints the warnings about them; if they are invalid, prints the problem and returns null. */
+private fun loadOrPrintProblem(files: SettingsFiles): Settings? =
     try {
         val settings = loadSettings(files)
         SettingsLoader.warnings(settings).forEach { printProblem("warning: $it") }
@@ -63,7 +63,7 @@
         null
     }
 
-/** The platform's settings with those of operators, where there is such a file; throws [SettingsException]. */
+/** Returns the platform's settings with those of the operators' file, if any. Throws [SettingsException]. */
 internal fun loadSettings(files: SettingsFiles): Settings {
     val platform = SettingsLoader.load(files.platform)
     if (files.operator == null) return platform
@@ -73,11 +73,11 @@
 private fun status(addresses: List<String>): Int {
     val loop = EventLoop("ledgearch-status")
     val reader = StatusReader(HttpClient(loop.group))
-    val allAnswered = runBlocking(loop) { StatusCommand(reader::read, ::println).run(addresses) }
-    return if (allAnswered) ExitCodes.OK else ExitCodes.UNREACHABLE
+    val haveAllReplied = runBlocking(loop) { StatusCommand(reader::read, ::println).run(addresses) }
+    return if (haveAllReplied) ExitCodes.OK else ExitCodes.UNREACHABLE
 }
 
-private fun wrongUsage(problem: String): Int {
+private fun reportInvalidCommandLine(problem: String): Int {
     printProblem("$problem\n\n${CommandLine.USAGE}")
     return ExitCodes.USAGE
 }
--- a/src/main/kotlin/ledgearch/cli/OwnerLoop.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerLoop.kt
@@ -3,33 +3,32 @@
 import ledgearch.control.OwnerCommand
 
 /**
- * Takes the owner's commands from [queue] and hands them on in batches; it ends only with the process. [handleBatch]
- * may not keep the list that it gets: the next batch is written to the same one.
+ * Passes the owner's commands from [queue] to [handleBatch] in batches until the process ends. [handleBatch] must not
+ * keep the list, which is reused for the next batch.
  */
 internal class OwnerLoop(
     private val queue: OwnerQueue,
-    private val crash: Crash,
+    private val fatalErrorHandler: FatalErrorHandler,
     private val handleBatch: (List<OwnerCommand>) -> Unit,
 ) {
     /**
-     * Returns only when the process is to end, and whatever leaves the loop ends it: without its owner it would only
-     * look alive. As the last barrier this catches everything: an error (no memory, no stack) has to end the process
-     * as well as an exception.
+     * Runs until a failure, which ends the process: without its owner it would appear to work but do nothing. Catches
+     * every [Throwable], since errors such as [OutOfMemoryError] and exceptions alike have to end the process.
      */
-    @Suppress("TooGenericExceptionCaught") // The last barrier, see above.
+    @Suppress("TooGenericExceptionCaught") // Any failure has to end the process, see above.
     suspend fun run() {
         try {
-            handleForever()
+            handleBatchesForever()
         } catch (e: Throwable) {
-            crash.end(e)
+            fatalErrorHandler.terminate(e)
         }
     }
 
-    private suspend fun handleForever() {
-        val batch = ArrayList<OwnerCommand>(DaemonTuning.BATCH)
+    private suspend fun handleBatchesForever() {
+        val batch = ArrayList<OwnerCommand>(DaemonTuning.MAX_BATCH_SIZE)
         while (true) {
             batch.clear()
-            queue.take(batch)
+            queue.takeBatch(batch)
             handleBatch(batch)
         }
     }
--- a/src/main/kotlin/ledgearch/cli/OwnerMeshEvents.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerMeshListener.kt
@@ -5,8 +5,8 @@
 import ledgearch.peers.MeshListener
 import ledgearch.peers.StandbyEvent
 
-/** Passes what other controllers send to the owner; suspends their connections while its queue is full. */
-internal class OwnerMeshEvents(
+/** Passes events of the mesh to the owner; suspends the connections while the owner's queue is full. */
+internal class OwnerMeshListener(
     private val queue: OwnerQueue,
 ) : MeshListener {
     override suspend fun onStatusReceived(status: LeaderStatus) = queue.put(OwnerCommand.ApplyLeaderStatus(status))
--- a/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
+++ b/src/main/kotlin/ledgearch/cli/OwnerQueue.kt
@@ -7,60 +7,60 @@
 import ledgearch.runtime.RuntimeTuning
 
 /**
- * The commands that wait for the owner, in two queues. Heartbeats, replies, mesh events and ticks come first and hold
- * their senders back when their queue is full; users' requests wait behind them, and one too many is turned away at
- * once. Used from one thread only.
+ * Queues commands for the owner. Heartbeats, replies, mesh events and ticks have priority, and suspend their senders
+ * while their queue is full; users' requests come after them and are rejected while their queue is full. Used from one
+ * thread only.
  */
 internal class OwnerQueue {
-    private val urgent = Channel<OwnerCommand>(RuntimeTuning.QUEUE_CAPACITY)
-    private val users = Channel<OwnerCommand>(DaemonTuning.USERS_QUEUE)
+    private val priorityCommands = Channel<OwnerCommand>(RuntimeTuning.QUEUE_CAPACITY)
+    private val userRequests = Channel<OwnerCommand>(DaemonTuning.USER_QUEUE_CAPACITY)
 
-    /** Commands in both queues, or waiting for room in one. */
-    var waiting = 0
+    /** Number of commands in both queues, including those whose senders are suspended. */
+    var commandCount = 0
         private set
 
-    /** Adds [command] before all users' requests; suspends while that queue is full. */
+    /** Adds [command] with priority over users' requests; suspends while that queue is full. */
     suspend fun put(command: OwnerCommand) {
-        waiting++
-        urgent.send(command)
+        commandCount++
+        priorityCommands.send(command)
     }
 
-    /** Adds a tick, or leaves it out when the queue is full: the next one soon tells the time again. */
-    fun tick() {
+    /** Adds a tick, or skips it if the queue is full, since the next one follows soon. */
+    fun offerTick() {
         val tick = OwnerCommand.Tick(SteadyTime.nowMs())
-        if (urgent.trySend(tick).isSuccess) waiting++
+        if (priorityCommands.trySend(tick).isSuccess) commandCount++
     }
 
-    /** Adds a user's request; false when there is no room for it. */
-    fun offer(command: OwnerCommand): Boolean {
-        val hasRoom = users.trySend(command).isSuccess
-        if (hasRoom) waiting++
-        return hasRoom
+    /** Adds [command], a user's request; returns false if the queue is full. */
+    fun offerUserRequest(command: OwnerCommand): Boolean {
+        val isAdded = userRequests.trySend(command).isSuccess
+        if (isAdded) commandCount++
+        return isAdded
     }
 
     /**
-     * Waits for a command, then adds what else there is to [batch], up to [DaemonTuning.BATCH]; room for
-     * [DaemonTuning.USERS_IN_BATCH] of them is always left to users.
+     * Waits for a command, then moves up to [DaemonTuning.MAX_BATCH_SIZE] commands to the empty [batch], of which
+     * [DaemonTuning.RESERVED_USER_COMMANDS] are reserved for users' requests.
      */
-    suspend fun take(batch: MutableList<OwnerCommand>) {
-        batch.add(next())
-        drain(urgent, batch, DaemonTuning.BATCH - DaemonTuning.USERS_IN_BATCH)
-        drain(users, batch, DaemonTuning.BATCH)
-        waiting -= batch.size
+    suspend fun takeBatch(batch: MutableList<OwnerCommand>) {
+        batch.add(receiveNext())
+        drain(priorityCommands, batch, DaemonTuning.MAX_BATCH_SIZE - DaemonTuning.RESERVED_USER_COMMANDS)
+        drain(userRequests, batch, DaemonTuning.MAX_BATCH_SIZE)
+        commandCount -= batch.size
     }
 
-    /** Never with a time-out: a command handed over at the moment of the time-out would be lost. */
-    private suspend fun next(): OwnerCommand =
+    /** Waits for a command. Must not be given a time-out: a command received at that moment would be lost. */
+    private suspend fun receiveNext(): OwnerCommand =
         select {
-            urgent.onReceive { it }
-            users.onReceive { it }
+            priorityCommands.onReceive { it }
+            userRequests.onReceive { it }
         }
 
     private fun drain(
         channel: Channel<OwnerCommand>,
         batch: MutableList<OwnerCommand>,
-        mostInBatch: Int,
+        maxBatchSize: Int,
     ) {
-        while (batch.size < mostInBatch) batch.add(channel.tryReceive().getOrNull() ?: break)
+        while (batch.size < maxBatchSize) batch.add(channel.tryReceive().getOrNull() ?: break)
     }
 }
--- /dev/null
+++ b/src/main/kotlin/ledgearch/cli/OwnerRequestHandler.kt
@@ -0,0 +1,29 @@
+package ledgearch.cli
+
+import ledgearch.control.OwnerCommand
+import ledgearch.control.RequestRouter
+import ledgearch.http.Request
+import ledgearch.http.Response
+
+/** Passes incoming requests to the owner; responds with [overloadResponse] while the owner's queue is full. */
+internal class OwnerRequestHandler(
+    private val queue: OwnerQueue,
+    private val overloadResponse: Response,
+) {
+    /** Returns the owner's response to [request]; suspends until there is one. */
+    suspend fun respond(request: Request): Response {
+        val response = PendingResponse()
+        val command = OwnerCommand.ServeRequest(request, response::complete)
+        if (request.path in PRIORITY_PATHS) {
+            queue.put(command)
+        } else if (!queue.offerUserRequest(command)) {
+            return overloadResponse
+        }
+        return response.await()
+    }
+
+    private companion object {
+        /** Requests that must not wait behind users': heartbeats renew workers' leases, and health checks time out. */
+        val PRIORITY_PATHS = setOf(RequestRouter.HEARTBEAT_PATH, RequestRouter.HEALTH_PATH)
+    }
+}
--- a/src/main/kotlin/ledgearch/cli/PendingResponse.kt
+++ b/src/main/kotlin/ledgearch/cli/PendingResponse.kt
@@ -5,18 +5,18 @@
 import ledgearch.http.Response
 import kotlin.coroutines.resume
 
-/** The response to one request, which the owner gives and the request's connection awaits; both on one thread. */
+/** The response to one request, completed by the owner and awaited by the connection, both on the same thread. */
 internal class PendingResponse {
     private var response: Response? = null
     private var waiter: CancellableContinuation<Response>? = null
 
-    /** Sets the response; only the first call counts. */
-    fun complete(given: Response) {
+    /** Sets the response; further calls have no effect. */
+    fun complete(newResponse: Response) {
         if (response != null) return
-        response = given
-        waiter?.resume(given)
+        response = newResponse
+        waiter?.resume(newResponse)
     }
 
-    /** The response, once it is given; one caller may wait for it. */
+    /** Returns the response; suspends until it is set. May be called once. */
     suspend fun await(): Response = response ?: suspendCancellableCoroutine { waiter = it }
 }
--- a/src/main/kotlin/ledgearch/cli/Version.kt
+++ b/src/main/kotlin/ledgearch/cli/Version.kt
@@ -2,7 +2,7 @@
 
 /** The version of this build. */
 internal object Version {
-    /** As the build wrote it, or `unknown`. */
+    /** Version from the resource that the build writes, or `unknown`. */
     val text: String by lazy {
         Version::class.java
             .getResourceAsStream("/ledgearch-version.txt")
--- a/src/main/kotlin/ledgearch/cli/WarmUp.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUp.kt
@@ -6,15 +6,15 @@
 import java.nio.file.Path
 
 /**
- * Run by the build to record which classes a controller loads after a restart, for the class-data-sharing archive: one
- * is started on loopback with stand-ins of all that it talks to, serves them for a moment and ends. With an
- * [operatorFile] it also reads and checks that, which takes many classes of its own.
+ * Runs a controller on loopback with fakes of all services that it uses, so that the build can record which classes a
+ * restarted controller loads, for the class-data-sharing archive. An [operatorFile] is loaded and validated too, which
+ * loads many more classes.
  */
 internal fun warmUp(operatorFile: Path?): Int {
     val file = Files.createTempFile("ledgearch", ".json")
     try {
         Files.writeString(file, warmUpSettings())
-        WarmUpServices(loadSettings(filesOf(serveArguments(file, operatorFile)))).run()
+        WarmUpServices(loadSettings(parseFiles(serveArguments(file, operatorFile)))).run()
     } finally {
         Files.deleteIfExists(file)
     }
@@ -30,10 +30,11 @@
     return arguments + arrayOf("--operator", operatorFile.toString())
 }
 
-/** Read from a command line as that of a controller, so that reading it is recorded. */
-private fun filesOf(arguments: Array<String>): SettingsFiles = (CommandLine.parse(arguments) as CliCommand.Serve).files
+/** Parses a command line of a controller, so that the classes of the parser are recorded. */
+private fun parseFiles(arguments: Array<String>): SettingsFiles =
+    (CommandLine.parse(arguments) as CliCommand.Serve).files
 
-/** Every group of the platform's file, so that reading each is recorded. */
+/** Returns a platform's file with every group of settings, so that the classes of each are recorded. */
 private fun warmUpSettings(): String {
     val listen = freeAddress()
     val mesh = freeAddress()
@@ -54,7 +55,7 @@
         """.trimIndent()
 }
 
-/** A loopback address that nobody listens on now. */
+/** Returns a loopback address that is not in use. */
 private fun freeAddress(): String {
     val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
     return "127.0.0.1:$port"
--- a/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
+++ b/src/main/kotlin/ledgearch/cli/WarmUpServices.kt
@@ -31,9 +31,9 @@
 import kotlin.system.exitProcess
 
 /**
- * The least of a cloud, a state service, a worker and a user that makes a starting controller do once what it does
- * after a restart: it reads stored jobs and a machine, becomes leader, confirms the machine, starts tasks and sees
- * them end. Most bodies are texts: to serialize types that a controller only reads would add to what is recorded.
+ * Minimal fakes of the cloud, the state service, a worker and a user, with which a controller does what it does after a
+ * restart: it reads stored jobs and a machine, becomes leader, confirms the machine, starts tasks and receives their
+ * exits. Most bodies are literal JSON, since serializing types that a controller only reads would record more classes.
  */
 internal class WarmUpServices(
     private val settings: Settings,
@@ -43,54 +43,58 @@
     private val group = AsynchronousChannelGroup.withThreadPool(executor)
     private var revision = 10L
 
-    /** The peer leads at first, so that the controller follows it before it becomes leader itself. */
-    private var peerLeads = true
+    /** Whether the peer is the leader, as it is until the first watch response; then the controller is elected. */
+    private var isPeerLeader = true
 
-    /** The worker's tasks, the highest fencing token it has seen, and the sequence number of its last heartbeat. */
+    /** Tasks of the worker, by id. */
     private val tasks = LinkedHashMap<String, TaskReport>()
+
+    /** Highest fencing token that the worker has received. */
     private var token = 0L
+
+    /** Sequence number of the last heartbeat. */
     private var sequence = 0L
 
-    /** Ends the process with [ExitCodes.OK] once the controller was served for a moment. */
+    /** Runs the controller for [ROUND_COUNT] rounds of requests, then ends the process with [ExitCodes.OK]. */
     fun run() {
-        HttpServer(scope, group, MOST_CONNECTIONS, handler = ::stateService).start(settings.outside.state)
-        HttpServer(scope, group, MOST_CONNECTIONS, handler = ::cloudOrWorker).start(settings.outside.cloud)
-        TcpMesh(scope, group, NoEvents).follow(settings.meshAddress)
-        val peer = TcpMesh(scope, group, NoEvents)
+        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::respondAsStateService).start(settings.outside.state)
+        HttpServer(scope, group, MAX_CONNECTIONS, handler = ::respondAsCloudOrWorker).start(settings.outside.cloud)
+        TcpMesh(scope, group, NoOpMeshListener).follow(settings.meshAddress)
+        val peer = TcpMesh(scope, group, NoOpMeshListener)
         peer.listen(settings.members.first().addr)
         Daemon(settings).start()
         val client = HttpClient(group)
         runBlocking(Dispatchers.Unconfined) {
-            repeat(ROUNDS) { round ->
-                Thread.sleep(STEP_MS)
+            repeat(ROUND_COUNT) { round ->
+                Thread.sleep(ROUND_INTERVAL_MS)
                 peer.publish(LeaderStatus(listOf(JobProgress("job-900", 1, 1)), isStateServiceReachable = true))
                 client.call(settings.listen, "GET", "/up", null, TIMEOUT_MS)
                 client.call(settings.listen, "POST", "/work", job("job-$round", ""), TIMEOUT_MS)
                 client.call(settings.listen, "POST", "/work", job("job-1$round", DEPENDENCIES), TIMEOUT_MS)
                 client.call(settings.listen, "GET", "/work/job-$round", null, TIMEOUT_MS)
-                heartbeatOnce(client)
+                sendHeartbeat(client)
             }
             client.call(settings.listen, "POST", "/work/job-0/withdraw", "", TIMEOUT_MS)
         }
         exitProcess(ExitCodes.OK)
     }
 
-    private suspend fun heartbeatOnce(client: HttpClient) {
+    private suspend fun sendHeartbeat(client: HttpClient) {
         val reply = client.call(settings.listen, "POST", "/checkin", heartbeat(), TIMEOUT_MS)
         tasks.replaceAll { _, task -> task.copy(state = TaskState.EXITED, cause = ExitCause.DONE) }
-        if (reply.status == HttpStatus.OK) carryOut(reply)
+        if (reply.status == HttpStatus.OK) handleHeartbeatReply(reply)
     }
 
-    private fun carryOut(reply: Reply) {
+    private fun handleHeartbeatReply(reply: Reply) {
         val decoded = WireJson.decodeFromString(HeartbeatReply.serializer(), reply.body)
-        carryOut(decoded.token, decoded.commands)
+        execute(decoded.token, decoded.commands)
     }
 
-    private fun carryOut(
-        seenToken: Long,
+    private fun execute(
+        receivedToken: Long,
         commands: List<TaskCommand>,
     ) {
-        token = maxOf(token, seenToken)
+        token = maxOf(token, receivedToken)
         for (command in commands) {
             val taskId = command.taskId
             when (command.kind) {
@@ -115,7 +119,7 @@
         return WireJson.encodeToString(Heartbeat.serializer(), heartbeat)
     }
 
-    private suspend fun stateService(request: Request): Response {
+    private suspend fun respondAsStateService(request: Request): Response {
         val path = request.path
         return when {
             path.startsWith("/leases") -> Response(HttpStatus.OK, """{"permit":7}""")
@@ -127,9 +131,9 @@
     }
 
     private suspend fun watchResponse(): Response {
-        delay(STEP_MS)
-        if (peerLeads) {
-            peerLeads = false
+        delay(ROUND_INTERVAL_MS)
+        if (isPeerLeader) {
+            isPeerLeader = false
             return Response(
                 HttpStatus.OK,
                 """{"edition":${++revision},"news":[{"remove":"w/g/0","stamp":$revision}]}""",
@@ -140,13 +144,13 @@
         return Response(HttpStatus.OK, """{"edition":$revision,"news":[$finalRecord,$openRecord]}""")
     }
 
-    /** One stored record of each kind that a starting controller or a new leader reads. */
+    /** Returns one stored record of each kind that a starting controller or a new leader reads. */
     private fun storedRecords(target: String): String {
         val record =
             when {
                 "w/c" in target -> """{"key":"w/c","v":{"racks":[$MACHINE_TYPE]},"stamp":1}"""
                 "w/j/" in target -> """{"key":"w/j/job-900","v":{"spec":${job("job-900", "")},"at":1},"stamp":2}"""
-                "w/g/" in target && peerLeads -> """{"key":"w/g/0","v":{"node":"b","life":1},"stamp":5}"""
+                "w/g/" in target && isPeerLeader -> """{"key":"w/g/0","v":{"node":"b","life":1},"stamp":5}"""
                 "m/" in target -> machineRecord()
                 "f/" in target -> """{"key":"f/job-900/0","v":{"r":"0"},"stamp":4}"""
                 else -> ""
@@ -160,7 +164,7 @@
         return """{"key":"m/$MACHINE","v":{"block":0,"racks":[$MACHINE_TYPE],"machines":[$machine]},"stamp":3}"""
     }
 
-    private suspend fun cloudOrWorker(request: Request): Response =
+    private suspend fun respondAsCloudOrWorker(request: Request): Response =
         when (request.path) {
             "/catalog" -> Response(HttpStatus.OK, """{"racks":[$MACHINE_TYPE]}""")
             "/orders" -> commandResponse(request)
@@ -169,7 +173,7 @@
 
     private fun commandResponse(request: Request): Response {
         val decoded = WireJson.decodeFromString(CommandRequest.serializer(), request.body)
-        carryOut(decoded.token, decoded.commands)
+        execute(decoded.token, decoded.commands)
         return Response(HttpStatus.OK, heartbeat())
     }
 
@@ -181,8 +185,8 @@
             "memoryGb":1.0,"recipe":"i","sizeGb":1.0,"samePlace":false,"apart":false,"borrowed":true,
             "cookS":20.0,"stirS":0.0,"plateS":0.0,"serveS":90.0$optionalFields}"""
 
-    /** What the peers of the started controller hear of it matters to nobody. */
-    private object NoEvents : MeshListener {
+    /** Ignores the events that the fake peers receive from the controller. */
+    private object NoOpMeshListener : MeshListener {
         override suspend fun onStatusReceived(status: LeaderStatus) = Unit
 
         override suspend fun onStandbyEvent(event: StandbyEvent) = Unit
@@ -191,16 +195,16 @@
     }
 
     private companion object {
-        /** Those of one controller to one stand-in. */
-        const val MOST_CONNECTIONS = 10
+        /** Connections of one controller to one fake service. */
+        const val MAX_CONNECTIONS = 10
 
-        /** Enough for each kind of exchange to be made more than once. */
-        const val ROUNDS = 10
+        /** Each kind of exchange occurs more than once. */
+        const val ROUND_COUNT = 10
 
-        /** ms. Between two rounds, and until a watch is answered: longer than an exchange takes on loopback. */
-        const val STEP_MS = 100L
+        /** Delay between two rounds, and of the reply to a watch; longer than an exchange on loopback. */
+        const val ROUND_INTERVAL_MS = 100L
 
-        /** ms. Long on loopback: only a stand-in that does not answer reaches it. */
+        /** Longer than any exchange on loopback, so only a missing reply reaches it. */
         const val TIMEOUT_MS = 1_000L
         const val MACHINE = "host-1"
         const val LISTED_MACHINE =
--- a/src/main/kotlin/ledgearch/config/Deployment.kt
+++ b/src/main/kotlin/ledgearch/config/Deployment.kt
@@ -36,7 +36,7 @@
 /** A service-level objective. */
 @Serializable
 data class Objective(
-    /** Measured quantity: `wait` (time until the start), `finished` (time until the end) or `deadline`. */
+    /** Measured quantity, such as `wait` (time until the start) or `finished` (time until the end). */
     val kind: String,
     /** Class of the jobs that the objective applies to; null for all jobs. */
     @SerialName("class") val jobClass: String? = null,
